--- /dev/null
+++ b/crates/ladderroute/tests/command.rs
@@ -0,0 +1,164 @@
+//! The command line: what each settings file, right or wrong, is answered, word for word.
+
+// The helpers of these tests unwrap as the tests do.
+#![allow(clippy::unwrap_used)]
+
+use ladderroute::operator::Tuning;
+use ladderroute::settings::Settings;
+use std::path::PathBuf;
+use std::process::Command;
+
+/// A file with every field, in which no two fields of a kind are the same.
+const FULL: &str = include_str!("command/full.toml");
+const OPERATOR: &str = "hold_s: 4.5\nleader_lease_share: 0.1\nkeep_boots: 3.25\npatience: 0.75\n";
+
+/// A file of this test alone.
+fn file(test: &str, name: &str, text: &str) -> PathBuf {
+    let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(test);
+    std::fs::create_dir_all(&directory).unwrap();
+    let path = directory.join(name);
+    std::fs::write(&path, text).unwrap();
+    path
+}
+
+/// The exit code of a check of the settings, and what it prints on both channels.
+fn check(test: &str, settings: &str, operator: &str) -> (Option<i32>, String, String) {
+    let settings = file(test, "settings.toml", settings);
+    let operator = file(test, "operator.textproto", operator);
+    let output = Command::new(env!("CARGO_BIN_EXE_ladderroute"))
+        .args(["--config", settings.to_str().unwrap()])
+        .args(["--operator", operator.to_str().unwrap()])
+        .arg("--check-config")
+        .output()
+        .unwrap();
+    let text = |bytes: &[u8]| {
+        let text = String::from_utf8_lossy(bytes).into_owned();
+        let text = text.replace(settings.to_str().unwrap(), "SETTINGS");
+        text.replace(operator.to_str().unwrap(), "OPERATOR")
+    };
+    let (out, err) = (text(&output.stdout), text(&output.stderr));
+    (output.status.code(), out, err)
+}
+
+#[test]
+fn a_file_with_every_field_gives_these_values() {
+    let s = Settings::parse(FULL, "f").unwrap();
+    assert_eq!(s.member, "rung-0");
+    assert_eq!(s.api_addr.to_string(), "127.0.0.1:8080");
+    assert_eq!(s.back.to_string(), "127.0.0.1:8081");
+    let known = s.known.iter().map(|p| (p.member.as_str(), p.addr.port()));
+    let expected = [("rung-1", 8082), ("rung-2", 8083)];
+    assert_eq!(known.collect::<Vec<_>>(), expected);
+    assert_eq!(s.services.cloud.to_string(), "127.0.0.9:8443");
+    assert_eq!(s.services.state.to_string(), "127.0.0.9:2379");
+    let quota = &s.settings.quota;
+    assert_eq!((quota.memory_mb, quota.max_sockets), (64.5, 500));
+    let cloud = &s.settings.cloud;
+    assert_eq!((cloud.rps, cloud.list_lag_s), (4.5, 8.5));
+    let workers = &s.settings.workers;
+    assert_eq!((workers.gang_wait_s, workers.gang_peer_s), (31.5, 5.5));
+    let state = &s.settings.state;
+    let present = (state.rps, state.write_rps, state.value_kb, state.txn_ops);
+    assert_eq!(present, (50.5, 20.5, 4.5, 12));
+    let limits = state.limits();
+    let to_come = (
+        limits.rps,
+        limits.write_rps,
+        limits.value_kb,
+        limits.txn_ops,
+    );
+    assert_eq!(to_come, (40.5, 15.5, 2.5, 6));
+    assert_eq!(limits.value_bytes(), 2560);
+}
+
+#[test]
+fn a_file_with_every_field_decides_by_these_values() {
+    let tuning = Tuning::parse(OPERATOR, "f").unwrap();
+    assert_eq!((tuning.hold_s, tuning.leader_lease_share), (4.5, 0.1));
+    assert_eq!((tuning.keep_boots, tuning.patience), (3.25, 0.75));
+    let setup = Settings::parse(FULL, "f").unwrap().setup(&tuning);
+    let teams = setup.teams.iter().map(|(name, t)| {
+        let figures = [t.cpus, t.cpus_max, t.gpus, t.gpus_max];
+        (name.as_str(), figures)
+    });
+    let none = f64::INFINITY;
+    let expected = [
+        ("blue", [1.5, none, 0.0, none]),
+        ("red", [10.5, 20.5, 2.5, 4.5]),
+    ];
+    assert_eq!(teams.collect::<Vec<_>>(), expected);
+    assert_eq!((setup.report_s, setup.lease_s), (1.5, 12.5));
+    assert_eq!((setup.cancel_s, setup.list_lag_s), (40.5, 8.5));
+    assert_eq!((setup.hold_s, setup.leader_lease_s), (4.5, 1.25));
+    assert_eq!((setup.guarantee_s, setup.wait_s["train"]), (7.5, 90.5));
+    assert_eq!((setup.patience, setup.keep_boots), (0.75, 3.25));
+}
+
+#[test]
+fn what_is_right_ends_well() {
+    let valid = "ladderroute: settings are valid\n".to_string();
+    let answer = check("right", FULL, OPERATOR);
+    assert_eq!(answer, (Some(0), valid.clone(), String::new()));
+    assert_eq!(check("right", FULL, ""), (Some(0), valid, String::new()));
+}
+
+/// The lines of a fixture: a change, what it becomes, and the message.
+fn cases(text: &'static str) -> impl Iterator<Item = [&'static str; 3]> {
+    text.lines().map(|line| {
+        let parts: Vec<&str> = line.splitn(3, " | ").collect();
+        parts.try_into().unwrap()
+    })
+}
+
+#[test]
+fn what_is_wrong_in_the_settings_is_told_word_for_word() {
+    let mut wrong = Vec::new();
+    for [from, to, message] in cases(include_str!("command/wrong_settings.txt")) {
+        assert!(FULL.contains(from), "{from}");
+        let (code, out, err) = check("settings", &FULL.replacen(from, to, 1), "");
+        assert_eq!((code, out.as_str()), (Some(2), ""), "{from} -> {to}");
+        if err != format!("ladderroute: {message}\n") {
+            wrong.push(format!("{from} | {to} | {err}"));
+        }
+    }
+    assert!(wrong.is_empty(), "\n{}", wrong.join(""));
+}
+
+#[test]
+fn what_is_wrong_in_the_operators_file_is_told_word_for_word() {
+    let mut wrong = Vec::new();
+    for [from, to, message] in cases(include_str!("command/wrong_operator.txt")) {
+        assert!(OPERATOR.contains(from), "{from}");
+        let (code, out, err) = check("operator", FULL, &OPERATOR.replacen(from, to, 1));
+        assert_eq!((code, out.as_str()), (Some(2), ""), "{from} -> {to}");
+        if err != format!("ladderroute: {message}\n") {
+            wrong.push(format!("{from} | {to} | {err}"));
+        }
+    }
+    assert!(wrong.is_empty(), "\n{}", wrong.join(""));
+}
+
+#[test]
+fn a_file_that_is_missing_is_named() {
+    let output = Command::new(env!("CARGO_BIN_EXE_ladderroute"))
+        .args(["--config", "/nowhere/settings.toml", "--check-config"])
+        .output()
+        .unwrap();
+    let message = "ladderroute: /nowhere/settings.toml: No such file or directory (os error 2)\n";
+    assert_eq!(String::from_utf8_lossy(&output.stderr), message);
+    assert_eq!(output.status.code(), Some(2));
+    let none = Command::new(env!("CARGO_BIN_EXE_ladderroute")).output();
+    assert_eq!(none.unwrap().status.code(), Some(2));
+}
+
+/// The file by which this service is built and run elsewhere.
+#[test]
+fn the_file_for_deployment_has_its_fields() {
+    let text = include_str!("../../../deploy/service.toml");
+    let fields = text.lines().map(|line| line.split_once(" = ").unwrap());
+    let fields: Vec<(&str, &str)> = fields.collect();
+    let build = ("build", "\"cargo build --release --locked\"");
+    let run = ("run", "\"target/release/ladderroute --config\"");
+    assert_eq!(fields[..2], [build, run]);
+    assert_eq!((fields.len(), fields[2].0), (3, "production"));
+}
--- /dev/null
+++ b/crates/wire/tests/encodings/peers.rs
@@ -0,0 +1,235 @@
+//! Samples of the frames between controllers.
+
+use crate::cloud::machine_type;
+use crate::sample::{framed, Sample};
+use crate::workers::{REASONS, STATES};
+use wire::cloud::MachineType;
+use wire::peers::{Allowed, MachineCard, MachineView, Needs, TaskRef, TaskView, ToLeader, ToOwner};
+use wire::workers::{TaskState, Why};
+
+const ATTEMPT: u64 = (41 << 24) | 9;
+
+fn job() -> String {
+    "wk-000412".into()
+}
+
+fn machine() -> String {
+    "host-000001".into()
+}
+
+fn task(index: u32) -> TaskRef {
+    TaskRef {
+        job: job(),
+        index,
+        attempt: ATTEMPT,
+    }
+}
+
+fn needs(zone: Option<&str>) -> Needs {
+    let allowed = |kind: &str, spot, tier| Allowed {
+        kind: kind.into(),
+        spot,
+        tier,
+    };
+    Needs {
+        cpus: 8.0,
+        gpus: 1.0,
+        memory_gb: 64.0,
+        image: "img-07".into(),
+        image_gb: 6.2,
+        kinds: vec![allowed("g8", true, 1), allowed("c4", false, 2)],
+        zone: zone.map(Into::into),
+    }
+}
+
+fn card(name: &str, spot: bool) -> MachineCard {
+    MachineCard {
+        name: name.into(),
+        kind: "g8".into(),
+        zone: "a".into(),
+        spot,
+        usable: !spot,
+    }
+}
+
+fn view(tasks: Vec<TaskView>, notice_s: Option<f64>) -> MachineView {
+    MachineView {
+        token: 41,
+        name: machine(),
+        kind: "g8".into(),
+        zone: "a".into(),
+        spot: true,
+        session: 2,
+        lapsed: false,
+        notice_s,
+        tasks,
+        pending: vec![task(5), task(6)],
+        usable: false,
+        unreachable: true,
+    }
+}
+
+fn task_view(state: TaskState, why: Option<Why>, saved: bool) -> TaskView {
+    TaskView {
+        task: task(3),
+        state,
+        why,
+        saved,
+    }
+}
+
+fn views() -> Vec<Sample> {
+    let mut samples = Vec::new();
+    let mut all = Vec::new();
+    for (name, state) in STATES {
+        let seen = task_view(state, None, false);
+        all.push(seen.clone());
+        let message = ToLeader::Machines(vec![view(vec![seen], None)]);
+        samples.push(framed(format!("view_{name}"), &message));
+    }
+    for (name, why) in REASONS {
+        let seen = task_view(TaskState::Exited, Some(why), true);
+        all.push(seen.clone());
+        let message = ToLeader::Machines(vec![view(vec![seen], Some(18.5))]);
+        samples.push(framed(format!("view_exited_{name}"), &message));
+    }
+    let lapsed = MachineView {
+        lapsed: true,
+        unreachable: false,
+        pending: Vec::new(),
+        ..view(Vec::new(), None)
+    };
+    let message = ToLeader::Machines(vec![view(all, Some(18.5)), lapsed]);
+    samples.push(framed("view_all", &message));
+    samples.push(framed("view_none", &ToLeader::Machines(Vec::new())));
+    samples
+}
+
+fn to_leader() -> Vec<Sample> {
+    let hello = ToLeader::Hello {
+        member: "rung-2".into(),
+        start: 99,
+        count: 3,
+    };
+    let hand_back = ToLeader::HandBack {
+        job: job(),
+        attempt: ATTEMPT,
+        tasks: vec![(0, 4), (70_000, 1)],
+    };
+    let answer = |held| ToLeader::HoldAnswer {
+        attempt: ATTEMPT,
+        held,
+    };
+    vec![
+        framed("hello", &hello),
+        framed("ping", &ToLeader::Ping { n: 1 << 40 }),
+        framed("hand_back", &hand_back),
+        framed("hold_answer_held", &answer(true)),
+        framed("hold_answer_refused", &answer(false)),
+        framed("cancelled", &ToLeader::Cancelled { job: job() }),
+    ]
+}
+
+fn epochs() -> Vec<Sample> {
+    let epoch = ToOwner::Epoch {
+        token: 41,
+        prev: 40,
+        members: vec!["rung-0".into(), "rung-2".into()],
+        extra_ms: 1500,
+        machines: vec![card("host-000001", false), card("host-000002", true)],
+    };
+    let first = ToOwner::Epoch {
+        token: 1,
+        prev: 0,
+        members: Vec::new(),
+        extra_ms: 0,
+        machines: Vec::new(),
+    };
+    let other_type = MachineType {
+        name: "c4".into(),
+        gpus: 0.0,
+        zones: Vec::new(),
+        ..machine_type()
+    };
+    let catalog = ToOwner::Catalog {
+        types: vec![machine_type(), other_type],
+    };
+    let grant = ToOwner::Grant {
+        n: 7,
+        token: 41,
+        valid_ms: 1200,
+    };
+    let jobs = vec![job(), "wk-000413".into()];
+    vec![
+        framed("epoch", &epoch),
+        framed("epoch_first", &first),
+        framed("catalog", &catalog),
+        framed("grant", &grant),
+        framed("known", &ToOwner::Known { n: 7, age_ms: 80 }),
+        framed("over", &ToOwner::Over { jobs }),
+    ]
+}
+
+fn placements() -> Vec<Sample> {
+    let give = |zone| ToOwner::Give {
+        job: job(),
+        attempt: ATTEMPT,
+        needs: needs(zone),
+        tasks: vec![(0, 4), (9, 1)],
+    };
+    let ahead = ToOwner::Ahead {
+        job: job(),
+        attempt: ATTEMPT,
+        needs: needs(Some("a")),
+        tasks: vec![(4, 2)],
+        wait_ms: 900,
+    };
+    let hold = ToOwner::Hold {
+        job: job(),
+        attempt: ATTEMPT,
+        needs: needs(None),
+        places: vec![(machine(), 0, 12), ("host-000003".into(), 12, 4)],
+        wait_ms: 9000,
+    };
+    vec![
+        framed("give", &give(Some("a"))),
+        framed("give_any_zone", &give(None)),
+        framed("ahead", &ahead),
+        framed("hold", &hold),
+        framed("bind", &ToOwner::Bind { attempt: ATTEMPT }),
+        framed("release", &ToOwner::Release { attempt: ATTEMPT }),
+    ]
+}
+
+fn orders() -> Vec<Sample> {
+    let usable = |usable| ToOwner::Use {
+        machine: machine(),
+        usable,
+    };
+    let stop = ToOwner::Stop {
+        machine: machine(),
+        task: task(3),
+        grace_s: 4.5,
+    };
+    let clear = ToOwner::Clear {
+        machine: machine(),
+        task: task(3),
+    };
+    let running = vec![(job(), 16), ("wk-000413".into(), 300)];
+    vec![
+        framed("use", &usable(true)),
+        framed("use_no_more", &usable(false)),
+        framed("stop", &stop),
+        framed("clear", &clear),
+        framed("display", &ToOwner::Display { running }),
+    ]
+}
+
+pub fn samples() -> Vec<Sample> {
+    let groups = [to_leader(), views(), epochs(), placements(), orders()];
+    let mut samples: Vec<Sample> = groups.into_iter().flatten().collect();
+    for sample in &mut samples {
+        sample.name = format!("frame_{}", sample.name);
+    }
+    samples
+}
--- /dev/null
+++ b/crates/wire/tests/encodings/store.rs
@@ -0,0 +1,154 @@
+//! Samples of the state service's interface and of the records there.
+
+use crate::sample::{body, fields, Sample};
+use crate::users::{bare_job, job};
+use ciborium::cbor;
+use wire::store::{
+    BegunRecord, BindingRecord, Change, Changes, Condition, Conflict, Item, JobRecord,
+    LeaderRecord, LeaseAsk, LeaseId, Page, ProgressPage, Recorded, Revision, RosterPage,
+    RosterRecord, TermRecord, Txn, Value, Write,
+};
+
+fn value() -> Value {
+    cbor!({"x" => 1, "y" => [true, null, 2.5]}).unwrap()
+}
+
+fn requests() -> Vec<Sample> {
+    let put = |lease| Write::Put {
+        key: "lr/job/wk-1".into(),
+        value: value(),
+        lease,
+    };
+    let drop = Write::Drop {
+        key: "lr/binding/wk-1/0".into(),
+    };
+    let condition = Condition {
+        key: "lr/term".into(),
+        version: 433,
+    };
+    let txn = Txn {
+        conditions: vec![condition.clone()],
+        writes: vec![put(None), put(Some(7)), drop.clone()],
+    };
+    vec![
+        fields("store_condition", &condition),
+        fields("store_put", &put(None)),
+        fields("store_put_with_lease", &put(Some(7))),
+        fields("store_drop", &drop),
+        fields("store_txn", &txn),
+        body("store_txn_empty", &Txn::default()),
+        fields("store_lease_ask", &LeaseAsk { ttl_ms: 5400 }),
+    ]
+}
+
+fn answers() -> Vec<Sample> {
+    let item = Item {
+        key: "lr/job/wk-1".into(),
+        value: value(),
+        version: 5,
+    };
+    let page = Page {
+        items: vec![item.clone()],
+        more: true,
+        revision: 431,
+    };
+    let put = Change {
+        put: Some("lr/job/wk-1".into()),
+        dropped: None,
+        value: Some(value()),
+        version: 432,
+    };
+    let dropped = Change {
+        put: None,
+        dropped: Some("lr/binding/wk-1/0".into()),
+        value: None,
+        version: 433,
+    };
+    let changes = Changes {
+        revision: 434,
+        changes: vec![put.clone(), dropped.clone()],
+    };
+    let failed = vec!["lr/term".to_string()];
+    vec![
+        fields("store_item", &item),
+        fields("store_page", &page),
+        fields("store_revision", &Revision { revision: 431 }),
+        fields("store_conflict", &Conflict { failed }),
+        fields("store_lease", &LeaseId { lease: 7 }),
+        fields("store_change_put", &put),
+        fields("store_change_drop", &dropped),
+        fields("store_changes", &changes),
+    ]
+}
+
+fn jobs() -> Vec<Sample> {
+    let mut samples = Vec::new();
+    let created_ms = 1_764_667_000_000;
+    for (name, state) in [
+        ("open", Recorded::Open),
+        ("done", Recorded::Done),
+        ("cancelled", Recorded::Cancelled),
+    ] {
+        let record = |job| JobRecord {
+            state,
+            created_ms,
+            job,
+        };
+        samples.push(body(format!("record_full_{name}"), &record(job())));
+        samples.push(body(format!("record_bare_{name}"), &record(bare_job())));
+        let terminal = JobRecord::terminal(state, created_ms, &job());
+        samples.push(fields(format!("record_terminal_{name}"), &terminal));
+    }
+    samples
+}
+
+fn roster_record(kind: &str, spot: bool) -> RosterRecord {
+    RosterRecord {
+        kind: kind.into(),
+        zone: "a".into(),
+        spot,
+    }
+}
+
+fn pages() -> Vec<Sample> {
+    let progress = ProgressPage {
+        chunks: vec![("wk-000412".into(), 0, "ff01".into())],
+        sections: vec![("wk-000500".into(), 4096, "05".into())],
+    };
+    let machines = vec!["host-000001".to_string(), "host-000002".to_string()];
+    let roster = RosterPage {
+        groups: vec![
+            (roster_record("g8", false), machines),
+            (roster_record("c4", true), Vec::new()),
+        ],
+    };
+    let binding = BindingRecord {
+        attempt: (41 << 24) | 5,
+        places: vec![("host-000001".into(), 0, 12), ("host-000003".into(), 12, 4)],
+    };
+    let begun = BegunRecord {
+        upto: 431,
+        waiting: vec![400, 412],
+    };
+    let leader = LeaderRecord {
+        member: "rung-1".into(),
+        token: 41,
+    };
+    vec![
+        fields("progress_page", &progress),
+        body("progress_page_empty", &ProgressPage::default()),
+        fields("roster_record", &roster_record("g8", true)),
+        fields("roster_page", &roster),
+        body("roster_page_empty", &RosterPage::default()),
+        fields("binding", &binding),
+        fields("begun", &begun),
+        body("begun_none", &BegunRecord::default()),
+        fields("leader", &leader),
+        fields("term", &TermRecord { term: 1 << 33 }),
+    ]
+}
+
+pub fn samples() -> Vec<Sample> {
+    let groups = [requests(), answers(), jobs(), pages()];
+    groups.into_iter().flatten().collect()
+}
--- /dev/null
+++ b/crates/wire/tests/encodings/users.rs
@@ -0,0 +1,98 @@
+//! Samples of what users send and get.
+
+use crate::sample::{body, fields, Sample};
+use wire::users::{Accepted, Job, JobState, Priority, Progress, Refusal, Shape};
+
+/// A job with every field, in which no two fields of a kind are the same.
+pub fn job() -> Job {
+    Job {
+        id: "wk-000412".into(),
+        class: "train".into(),
+        team: "vision".into(),
+        shape: Shape::Gang,
+        priority: Priority::High,
+        tasks: 16,
+        cpus: 8.0,
+        gpus: 1.0,
+        memory_gb: 64.0,
+        image: "img-07".into(),
+        image_gb: 6.2,
+        types: Some(vec!["g8".into(), "c4".into()]),
+        zone: Some("a".into()),
+        one_zone: true,
+        spread: false,
+        spot: true,
+        estimate_s: 240.0,
+        checkpoint_s: 30.0,
+        save_s: 4.0,
+        deadline_s: Some(900.0),
+        dependencies: vec!["wk-000001".into(), "wk-000002".into()],
+    }
+}
+
+/// A job with nothing that may be left out.
+pub fn bare_job() -> Job {
+    Job {
+        types: None,
+        zone: None,
+        one_zone: false,
+        spread: true,
+        spot: false,
+        deadline_s: None,
+        dependencies: Vec::new(),
+        ..job()
+    }
+}
+
+fn choices() -> Vec<Sample> {
+    let shapes = [
+        ("array", Shape::Array),
+        ("gang", Shape::Gang),
+        ("service", Shape::Service),
+    ];
+    let shapes = shapes.map(|(name, shape)| body(format!("shape_{name}"), &Job { shape, ..job() }));
+    let priorities = [
+        ("prod", Priority::Prod),
+        ("high", Priority::High),
+        ("standard", Priority::Standard),
+        ("best_effort", Priority::BestEffort),
+    ];
+    let priorities = priorities.map(|(name, priority)| {
+        let name = format!("priority_{name}");
+        body(name, &Job { priority, ..job() })
+    });
+    shapes.into_iter().chain(priorities).collect()
+}
+
+fn answers() -> Vec<Sample> {
+    let states = [
+        ("queued", JobState::Queued),
+        ("running", JobState::Running),
+        ("done", JobState::Done),
+        ("cancelled", JobState::Cancelled),
+    ];
+    let mut samples = Vec::new();
+    for (name, state) in states {
+        let id = "wk-000412".to_string();
+        let accepted = Accepted {
+            id: id.clone(),
+            state,
+        };
+        let progress = Progress {
+            id,
+            state,
+            done: 12,
+            running: 3,
+        };
+        samples.push(fields(format!("accepted_{name}"), &accepted));
+        samples.push(fields(format!("progress_{name}"), &progress));
+    }
+    let error = "no such job".to_string();
+    samples.push(fields("refusal", &Refusal { error }));
+    samples
+}
+
+pub fn samples() -> Vec<Sample> {
+    let jobs = vec![fields("job", &job()), fields("job_bare", &bare_job())];
+    jobs.into_iter().chain(choices()).chain(answers()).collect()
+}
--- /dev/null
+++ b/crates/wire/tests/encodings/workers.rs
@@ -0,0 +1,106 @@
+//! Samples of reports and orders.
+
+use crate::sample::{body, fields, Sample};
+use wire::workers::{Order, Orders, Report, ReportTo, TaskReport, TaskState, Why};
+
+pub const STATES: [(&str, TaskState); 5] = [
+    ("fetching", TaskState::Fetching),
+    ("waiting", TaskState::Waiting),
+    ("running", TaskState::Running),
+    ("saving", TaskState::Saving),
+    ("exited", TaskState::Exited),
+];
+
+pub const REASONS: [(&str, Why); 8] = [
+    ("done", Why::Done),
+    ("stopped", Why::Stopped),
+    ("peers", Why::Peers),
+    ("incomplete", Why::Incomplete),
+    ("full", Why::Full),
+    ("in_use", Why::InUse),
+    ("no_such", Why::NoSuch),
+    ("error", Why::Error),
+];
+
+fn task_report(state: TaskState, why: Option<Why>, saved: Option<bool>) -> TaskReport {
+    TaskReport {
+        task: "wk-000412/3".into(),
+        attempt: (41 << 24) | 9,
+        state,
+        why,
+        saved,
+    }
+}
+
+fn report(tasks: Vec<TaskReport>, notice_s: Option<f64>) -> Report {
+    Report {
+        machine: "host-000231".into(),
+        addr: "10.1.0.232:9000".into(),
+        kind: "g8".into(),
+        zone: "a".into(),
+        spot: true,
+        session: 2,
+        seq: 88,
+        token: 41,
+        notice_s,
+        tasks,
+    }
+}
+
+fn reports() -> Vec<Sample> {
+    let mut samples: Vec<Sample> = Vec::new();
+    for (name, state) in STATES {
+        let task = task_report(state, None, None);
+        samples.push(body(format!("task_{name}"), &task));
+    }
+    for (name, why) in REASONS {
+        let task = task_report(TaskState::Exited, Some(why), Some(false));
+        samples.push(body(format!("task_exited_{name}"), &task));
+    }
+    let saved = task_report(TaskState::Exited, Some(Why::Stopped), Some(true));
+    let running = task_report(TaskState::Running, None, None);
+    samples.push(fields("task_saved", &saved));
+    samples.push(fields("report", &report(vec![saved, running], Some(18.5))));
+    samples.push(body("report_empty", &report(Vec::new(), None)));
+    samples
+}
+
+fn orders() -> Vec<Sample> {
+    let task = "wk-000412/4".to_string();
+    let attempt = (41 << 24) | 9;
+    let start = Order::Start {
+        task: task.clone(),
+        attempt,
+    };
+    let stop = Order::Stop {
+        task: task.clone(),
+        attempt,
+        grace_s: 10.5,
+    };
+    let clear = Order::Clear { task, attempt };
+    let all = vec![start.clone(), stop.clone(), clear.clone()];
+    let none = Orders {
+        token: 41,
+        orders: Vec::new(),
+    };
+    let member = Some("rung-2".to_string());
+    vec![
+        fields("order_start", &start),
+        fields("order_stop", &stop),
+        fields("order_clear", &clear),
+        fields(
+            "orders",
+            &Orders {
+                token: 41,
+                orders: all,
+            },
+        ),
+        body("orders_none", &none),
+        fields("report_to", &ReportTo { member }),
+        body("report_to_nobody", &ReportTo { member: None }),
+    ]
+}
+
+pub fn samples() -> Vec<Sample> {
+    reports().into_iter().chain(orders()).collect()
+}
