--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -17,6 +17,7 @@
 mod controllers;
 mod fixtures;
 mod freeze;
+mod rich;
 mod rules;
 mod script;
 mod store;
@@ -78,6 +79,12 @@
     state: TaskState,
     why: Option<Why>,
     began: f64,
+    /// How long it had run when it was started here, by its checkpoints.
+    saved_s: f64,
+    /// It has saved, and why it exited is that it was told to.
+    saved: bool,
+    /// Until when it saves, once it was told to stop.
+    saves_until: f64,
 }
 
 type Key = (String, u32, u64);
@@ -99,6 +106,8 @@
     unreachable_until: f64,
     /// Until then none of its reports arrives anywhere.
     mute_until: f64,
+    /// When the cloud takes the machine back, once it has given notice.
+    taken_at: Option<f64>,
     session: u64,
     seq: u64,
     token: u64,
@@ -266,6 +275,7 @@
     pub done: u64,
     /// Leaders so far.
     pub leaders: u64,
+    rich: Option<rich::Rich>,
     trace: Trace,
 }
 
@@ -336,6 +346,7 @@
             starts: 0,
             done: 0,
             leaders: 0,
+            rich: None,
             trace: Trace::default(),
         }
     }
@@ -470,6 +481,7 @@
             self.outage(for_s);
         }
         self.run_reads();
+        self.run_rich();
         self.run_workers();
         self.deliver();
         self.run_controllers();
--- /dev/null
+++ b/crates/model/src/world/rich.rs
@@ -0,0 +1,267 @@
+//! Worlds of many machine types: prices, boot times, GPUs, checkpoints, and machines that the cloud takes
+//! back after a notice. Only worlds that ask for it have any of this; others draw no number for it.
+
+use super::*;
+
+/// Hundreds of large tasks at once: more machines than may be asked for in one go.
+const BULK_TASKS: u32 = 130;
+
+/// Draws in a thousand steps after which some spot machine gets its notice.
+const NOTICES: u32 = 12;
+
+/// What only a rich world knows.
+#[derive(Default)]
+pub(super) struct Rich {
+    /// How long tasks ran by their last checkpoints: by job and index.
+    saved: BTreeMap<(String, u32), f64>,
+    submitted: u32,
+}
+
+impl World {
+    /// A world of many machine types, few of each, and of teams that borrow from each other.
+    pub fn rich(seed: u64) -> World {
+        let mut world = World::with(seed, Defect::None, rich_setup());
+        world.types = rich_types();
+        world.rich = Some(Rich::default());
+        world
+    }
+
+    /// Random jobs and notices for `seconds`, as many jobs in a thousand steps as given, with troubles if
+    /// asked for.
+    pub fn live_richly(&mut self, seconds: f64, jobs: u32, with_troubles: bool) {
+        let end = self.now + seconds;
+        while self.now < end {
+            if self.rng.u32(0..1000) < jobs {
+                let n = self.next_rich_id();
+                let spec = rich_job(&mut self.rng, n);
+                self.submit(spec);
+            }
+            if self.rng.u32(0..1000) < NOTICES {
+                self.give_notice();
+            }
+            if with_troubles {
+                self.trouble();
+            }
+            self.step();
+        }
+    }
+
+    /// A job of many small tasks that take whole machines of types at these prices, cheap ones first.
+    pub fn submit_bulk(&mut self, types: &[&str]) {
+        let n = self.next_rich_id();
+        self.submit(Job {
+            class: "bulk".into(),
+            priority: Priority::BestEffort,
+            types: Some(types.iter().map(|t| t.to_string()).collect()),
+            zone: Some("a".into()),
+            spot: false,
+            estimate_s: 1.0,
+            ..job(n, "green", Shape::Array, BULK_TASKS, 4.0)
+        });
+    }
+
+    fn next_rich_id(&mut self) -> u32 {
+        let rich = self.rich.get_or_insert_default();
+        rich.submitted += 1;
+        rich.submitted
+    }
+
+    /// The cloud announces that it takes a spot machine back.
+    fn give_notice(&mut self) {
+        let now = self.now;
+        let is_due = |w: &&mut Worker| w.spot && !w.gone && w.up_at < now && w.taken_at.is_none();
+        let mut due: Vec<&mut Worker> = self.workers.values_mut().filter(is_due).collect();
+        if due.is_empty() {
+            return;
+        }
+        let at = self.rng.usize(0..due.len());
+        due[at].taken_at = Some(now + 4.0 + self.rng.f64() * 12.0);
+        self.count("notice");
+    }
+
+    fn count(&mut self, what: &'static str) {
+        *self.troubles.entry(what).or_default() += 1;
+    }
+
+    /// Machines are taken back at the end of their notice, and tasks save.
+    pub(super) fn run_rich(&mut self) {
+        if self.rich.is_none() {
+            return;
+        }
+        let now = self.now;
+        for w in self.workers.values_mut() {
+            if w.taken_at.is_some_and(|at| now >= at) && !w.gone {
+                w.gone = true;
+                w.tasks.clear();
+            }
+        }
+        let working = |w: &&mut Worker| !w.gone && now >= w.hung_until;
+        let mut saved = Vec::new();
+        for w in self.workers.values_mut().filter(working) {
+            for ((id, index, _), task) in &mut w.tasks {
+                let Some(job) = self.jobs.get(id) else {
+                    continue;
+                };
+                if let Some(ran_s) = task.save(&job.spec, now) {
+                    saved.push(((id.clone(), *index), ran_s));
+                }
+            }
+        }
+        let rich = self.rich.get_or_insert_default();
+        rich.saved.extend(saved);
+    }
+
+    /// How long a task that starts has run already, by its checkpoints; a gang goes on from where all of its
+    /// tasks have been.
+    pub(super) fn saved_s(&self, id: &str, index: u32) -> f64 {
+        let Some(rich) = &self.rich else { return 0.0 };
+        let of = |index: u32| rich.saved.get(&(id.to_string(), index)).copied();
+        match self.jobs.get(id).map(|job| &job.spec) {
+            Some(spec) if spec.shape == Shape::Gang => (0..spec.tasks)
+                .map(|index| of(index).unwrap_or(0.0))
+                .fold(f64::MAX, f64::min),
+            _ => of(index).unwrap_or(0.0),
+        }
+    }
+
+    /// Whether a task that is told to stop saves first, and then until when.
+    pub(super) fn saves_until(&mut self, id: &str, grace_s: f64) -> Option<f64> {
+        self.rich.as_ref()?;
+        self.count("stop");
+        let spec = &self.jobs.get(id)?.spec;
+        let can_save = spec.checkpoint_s > 0.0 && spec.save_s <= grace_s;
+        let until = can_save.then_some(self.now + spec.save_s)?;
+        self.count("save");
+        Some(until)
+    }
+
+    /// How many machines of an offer the cloud has, and how long one boots.
+    pub(super) fn rich_offer(&mut self, hire: &Hire) -> Option<(usize, f64)> {
+        self.rich.as_ref()?;
+        let boot_s = self.types.iter().find(|t| t.name == hire.kind)?.boot_s;
+        let most = match (hire.kind.as_str(), hire.spot) {
+            ("small", true) => 3,
+            ("gpu" | "memory", _) => 2,
+            (_, true) => 1,
+            _ => 2,
+        };
+        self.count("hire");
+        Some((most, boot_s * (0.8 + 0.45 * self.rng.f64())))
+    }
+
+    /// Counts what the cloud refused and what was returned to it.
+    pub(super) fn note_cloud(&mut self, what: &'static str, machines: usize) {
+        if self.rich.is_some() && machines > 0 {
+            *self.troubles.entry(what).or_default() += machines as u32;
+        }
+    }
+}
+
+impl SimTask {
+    /// How long a task has run, with what it went on from.
+    pub(super) fn ran_s(&self, now: f64) -> f64 {
+        self.saved_s + (now - self.began)
+    }
+
+    /// Goes on with saving; says how long the task had run by what is now saved, if anything is.
+    fn save(&mut self, spec: &Job, now: f64) -> Option<f64> {
+        match self.state {
+            TaskState::Saving if now >= self.saves_until => {
+                self.state = TaskState::Exited;
+                self.why = Some(Why::Stopped);
+                self.saved = true;
+                Some(self.ran_s(self.saves_until - spec.save_s))
+            }
+            TaskState::Running if spec.checkpoint_s > 0.0 => {
+                let checkpoints = ((now - self.began) / spec.checkpoint_s).floor();
+                (checkpoints > 0.0).then_some(self.saved_s + checkpoints * spec.checkpoint_s)
+            }
+            _ => None,
+        }
+    }
+}
+
+/// Three teams, one of which owns little and may borrow much; classes of gangs that should start in time.
+fn rich_setup() -> Setup {
+    let team = |cpus: f64, cpus_max: f64, gpus: f64, gpus_max: f64| Team {
+        cpus,
+        cpus_max,
+        gpus,
+        gpus_max,
+    };
+    let within = [("train", 20.0), ("wide", 24.0), ("heavy", 16.0)];
+    Setup {
+        teams: BTreeMap::from([
+            ("red".into(), team(24.0, 64.0, 4.0, 12.0)),
+            ("blue".into(), team(32.0, 80.0, 4.0, 8.0)),
+            ("green".into(), team(4.0, 640.0, 0.0, 8.0)),
+        ]),
+        wait_s: within.map(|(class, s)| (class.to_string(), s)).into(),
+        ..setup()
+    }
+}
+
+/// Three small types of different prices, a large one, one with much memory, and one with GPUs.
+fn rich_types() -> Vec<MachineType> {
+    let with = |t: MachineType, spot_price: f64, boot_s: f64, gpus: f64| MachineType {
+        spot_price,
+        boot_s,
+        gpus,
+        ..t
+    };
+    vec![
+        with(machine_type("small", 4.0, 16.0, 0.30), 0.10, 3.0, 0.0),
+        with(machine_type("steady", 4.0, 16.0, 0.36), 0.15, 3.0, 0.0),
+        with(machine_type("costly", 4.0, 16.0, 0.44), 0.13, 3.0, 0.0),
+        with(machine_type("large", 16.0, 64.0, 1.10), 0.50, 6.0, 0.0),
+        with(machine_type("memory", 8.0, 128.0, 0.90), 0.30, 8.0, 0.0),
+        with(machine_type("gpu", 16.0, 64.0, 4.00), 1.40, 10.0, 4.0),
+    ]
+}
+
+/// A job of some class: arrays of each team, and gangs that need GPUs, memory or several machines.
+fn rich_job(rng: &mut fastrand::Rng, id: u32) -> Job {
+    let team = ["red", "blue", "green", "green"][rng.usize(0..4)];
+    let (class, shape, tasks, cpus) = match rng.u32(0..10) {
+        0 => ("train", Shape::Gang, rng.u32(1..4), 4.0),
+        1 => ("wide", Shape::Gang, rng.u32(2..4), 3.0),
+        2 => ("heavy", Shape::Gang, rng.u32(1..3), 4.0),
+        3 => ("render", Shape::Array, rng.u32(1..5), 2.0),
+        4..=6 => ("long", Shape::Array, rng.u32(2..12), 4.0),
+        _ => (
+            "any",
+            Shape::Array,
+            rng.u32(1..12),
+            f64::from(rng.u32(1..4)),
+        ),
+    };
+    let mut spec = job(id, team, shape, tasks, cpus);
+    spec.class = class.into();
+    spec.priority = match rng.u32(0..8) {
+        0 => Priority::Prod,
+        1 => Priority::High,
+        2 => Priority::BestEffort,
+        _ => Priority::Standard,
+    };
+    spec.gpus = match class {
+        "train" => f64::from(rng.u32(1..3)),
+        "render" => 1.0,
+        _ => 0.0,
+    };
+    spec.memory_gb = if class == "heavy" { 70.0 } else { 1.0 };
+    spec.image = format!("img-{}", rng.u32(0..4));
+    spec.spot = rng.u32(0..3) > 0;
+    let longest_s = if class == "any" { 5.0 } else { 18.0 };
+    spec.estimate_s = 1.0 + rng.f64() * longest_s;
+    if rng.u32(0..2) == 0 {
+        spec.checkpoint_s = 2.0 + rng.f64() * 4.0;
+        spec.save_s = 0.5 + rng.f64() * 2.0;
+    }
+    spec.deadline_s = (rng.u32(0..3) == 0).then(|| 20.0 + rng.f64() * 60.0);
+    spec.one_zone = rng.u32(0..4) == 0;
+    spec.spread = !spec.one_zone && tasks > 1 && rng.u32(0..4) == 0;
+    if rng.u32(0..8) == 0 && !spec.spread {
+        spec.zone = Some("b".into());
+    }
+    spec
+}
--- a/crates/model/src/world/rules.rs
+++ b/crates/model/src/world/rules.rs
@@ -55,14 +55,16 @@
 
     pub(super) fn check(&mut self) {
         let limits = &self.limits;
-        let mut used: BTreeMap<&str, f64> = BTreeMap::new();
+        let mut used: BTreeMap<&str, (f64, f64)> = BTreeMap::new();
         let mut broken = Vec::new();
         for w in self.workers.values() {
             for (job, _, _) in Self::live_on(w) {
                 let Some(j) = self.jobs.get(job) else {
                     continue;
                 };
-                *used.entry(j.spec.team.as_str()).or_default() += j.spec.cpus;
+                let team = used.entry(j.spec.team.as_str()).or_default();
+                team.0 += j.spec.cpus;
+                team.1 += j.spec.gpus;
                 if j.over.is_some_and(|at| self.now > at + self.setup.cancel_s) {
                     // Of a job that is done, no controller knows the task any more.
                     broken.push(if j.cancelled {
@@ -73,9 +75,11 @@
                 }
             }
         }
+        let within =
+            |l: &Team, cpus: f64, gpus: f64| cpus <= l.cpus_max + 1e-6 && gpus <= l.gpus_max + 1e-6;
         if used
             .iter()
-            .any(|(t, cpus)| limits.get(*t).is_none_or(|l| *cpus > l.cpus_max + 1e-6))
+            .any(|(t, (cpus, gpus))| !limits.get(*t).is_some_and(|l| within(l, *cpus, *gpus)))
         {
             broken.push("quota");
         }
@@ -99,23 +103,27 @@
     /// Troubles over, no job waits long while the same machine has room for a task of it (for a gang:
     /// while machines have room for all of it) and its team is under its limit.
     pub(super) fn check_waiting(&mut self) {
-        let mut used: BTreeMap<&str, f64> = BTreeMap::new();
-        let mut free: Vec<(&String, &Worker, f64, f64)> = Vec::new();
+        let mut used: BTreeMap<&str, (f64, f64)> = BTreeMap::new();
+        let mut free: Vec<(&String, &Worker, Room)> = Vec::new();
         for (name, w) in self
             .workers
             .iter()
             .filter(|(_, w)| !w.gone && self.now >= w.up_at && self.now >= w.hung_until)
+            .filter(|(_, w)| w.taken_at.is_none())
         {
             let Some(t) = self.types.iter().find(|t| t.name == w.kind) else {
                 continue;
             };
-            let (mut cpus, mut memory_gb) = (t.cpus, t.memory_gb);
+            let mut left = Room::of_type(t);
             for j in Self::live_on(w).filter_map(|(id, _, _)| self.jobs.get(id)) {
-                *used.entry(j.spec.team.as_str()).or_default() += j.spec.cpus;
-                cpus -= j.spec.cpus;
-                memory_gb -= j.spec.memory_gb;
+                let team = used.entry(j.spec.team.as_str()).or_default();
+                team.0 += j.spec.cpus;
+                team.1 += j.spec.gpus;
+                left.cpus -= j.spec.cpus;
+                left.gpus -= j.spec.gpus;
+                left.memory_gb -= j.spec.memory_gb;
             }
-            free.push((name, w, cpus, memory_gb));
+            free.push((name, w, left));
         }
         let mut fitting: BTreeSet<(String, String)> = BTreeSet::new();
         for (id, j) in self
@@ -129,10 +137,12 @@
                 .count();
             let (lacks, gang) = (s.tasks as usize - done, s.shape == Shape::Gang);
             let needs = if gang { lacks } else { lacks.min(1) };
-            let limit = self.limits.get(&s.team).map_or(0.0, |l| l.cpus_max);
+            let limit = self.limits.get(&s.team);
+            let (cpus_max, gpus_max) = limit.map_or((0.0, 0.0), |l| (l.cpus_max, l.gpus_max));
+            let (cpus, gpus) = used.get(s.team.as_str()).copied().unwrap_or_default();
             if needs == 0
-                || used.get(s.team.as_str()).copied().unwrap_or(0.0) + s.cpus * needs as f64
-                    > limit + 1e-6
+                || cpus + s.cpus * needs as f64 > cpus_max + 1e-6
+                || s.gpus > 0.0 && gpus + s.gpus * needs as f64 > gpus_max + 1e-6
             {
                 continue;
             }
@@ -141,15 +151,17 @@
                     && s.zone.as_ref().is_none_or(|z| *z == w.zone)
                     && (s.spot || !w.spot)
             };
-            let room = |cpus: f64, memory_gb: f64| {
-                ((cpus + 1e-6) / s.cpus)
-                    .min((memory_gb + 1e-6) / s.memory_gb)
+            let room = |free: &Room| {
+                let gpus = (free.gpus + 1e-6) / s.gpus;
+                ((free.cpus + 1e-6) / s.cpus)
+                    .min((free.memory_gb + 1e-6) / s.memory_gb)
+                    .min(if s.gpus > 0.0 { gpus } else { f64::MAX })
                     .max(0.0) as usize
             };
             let mut zones: BTreeMap<&str, usize> = BTreeMap::new();
-            for (name, w, cpus, memory_gb) in free.iter().filter(|(_, w, _, _)| allowed(w)) {
-                *zones.entry(w.zone.as_str()).or_default() += room(*cpus, *memory_gb);
-                if !gang && room(*cpus, *memory_gb) > 0 {
+            for (name, w, left) in free.iter().filter(|(_, w, _)| allowed(w)) {
+                *zones.entry(w.zone.as_str()).or_default() += room(left);
+                if !gang && room(left) > 0 {
                     fitting.insert((id.clone(), name.to_string()));
                 }
             }
--- a/crates/model/src/world/store.rs
+++ b/crates/model/src/world/store.rs
@@ -276,6 +276,7 @@
             }
             Action::Release(names) => {
                 if ok {
+                    self.note_cloud("returned", names.len());
                     for n in &names {
                         self.workers.remove(n);
                     }
@@ -323,12 +324,16 @@
                 !w.gone && w.kind == hire.kind && w.zone == hire.zone && w.spot == hire.spot
             })
             .count();
-        let n = (hire.count as usize).min(3usize.saturating_sub(here));
+        let offer = self.rich_offer(hire);
+        let most = offer.map_or(3, |(most, _)| most);
+        let n = (hire.count as usize).min(most.saturating_sub(here));
+        self.note_cloud("refused by the cloud", hire.count as usize - n);
         let mut names = Vec::new();
         for _ in 0..n {
             self.hosts += 1;
             let machine = format!("host-{:06}", self.hosts);
-            let up_at = self.now + 1.0 + self.rng.f64() * 3.0;
+            let boots_s = offer.map_or(0.0, |(_, boot_s)| (boot_s - 2.5).max(0.0));
+            let up_at = self.now + 1.0 + self.rng.f64() * 3.0 + boots_s;
             let w = Worker {
                 kind: hire.kind.clone(),
                 zone: hire.zone.clone(),
@@ -338,6 +343,7 @@
                 hung_until: 0.0,
                 unreachable_until: 0.0,
                 mute_until: 0.0,
+                taken_at: None,
                 session: 1,
                 seq: 0,
                 token: 0,
--- a/crates/model/src/world/workers.rs
+++ b/crates/model/src/world/workers.rs
@@ -43,7 +43,7 @@
                         t.state = TaskState::Exited;
                         t.why = Some(Why::Peers);
                     }
-                    TaskState::Running if now - t.began > spec.estimate_s => {
+                    TaskState::Running if t.ran_s(now) > spec.estimate_s => {
                         t.state = TaskState::Exited;
                         t.why = Some(Why::Done);
                         self.completed.insert((job.clone(), *index));
@@ -64,7 +64,7 @@
                     seq: w.seq,
                 });
                 w.next = now + report_s;
-                let report = report_of(&machine, w);
+                let report = report_of(&machine, w, now);
                 let to = w.target;
                 if now < w.mute_until {
                     continue;
@@ -111,8 +111,10 @@
         let mut counts: BTreeMap<(String, u64), u32> = BTreeMap::new();
         for w in self.workers.values() {
             for ((job, _, attempt), t) in &w.tasks {
-                let here = matches!(t.state, TaskState::Waiting | TaskState::Running)
-                    || t.why == Some(Why::Done);
+                let here = matches!(
+                    t.state,
+                    TaskState::Waiting | TaskState::Running | TaskState::Saving
+                ) || t.why == Some(Why::Done);
                 if here {
                     *counts.entry((job.clone(), *attempt)).or_default() += 1;
                 }
@@ -199,6 +201,7 @@
                 }
                 self.starts += 1;
                 self.check_start(machine, &job, index);
+                let saved_s = self.saved_s(&job, index);
                 if let Some(w) = self.workers.get_mut(machine) {
                     w.tasks.insert(
                         key,
@@ -206,20 +209,31 @@
                             state: TaskState::Fetching,
                             why: None,
                             began: now,
+                            saved_s,
+                            saved: false,
+                            saves_until: 0.0,
                         },
                     );
                 }
             }
-            Order::Stop { task, attempt, .. } => {
+            Order::Stop {
+                task,
+                attempt,
+                grace_s,
+            } => {
                 let Some((job, index)) = split(&task) else {
                     return;
                 };
+                let saves_until = self.saves_until(&job, grace_s);
                 if let Some(t) = self
                     .workers
                     .get_mut(machine)
                     .and_then(|w| w.tasks.get_mut(&(job, index, attempt)))
                 {
-                    if t.state != TaskState::Exited {
+                    if let (TaskState::Running, Some(until)) = (t.state, saves_until) {
+                        t.state = TaskState::Saving;
+                        t.saves_until = until;
+                    } else if !matches!(t.state, TaskState::Exited | TaskState::Saving) {
                         t.state = TaskState::Exited;
                         t.why = Some(Why::Stopped);
                     }
@@ -237,7 +251,7 @@
     }
 }
 
-fn report_of(machine: &str, w: &Worker) -> Report {
+fn report_of(machine: &str, w: &Worker, now: f64) -> Report {
     Report {
         machine: machine.into(),
         addr: String::new(),
@@ -247,7 +261,7 @@
         session: w.session,
         seq: w.seq,
         token: w.token,
-        notice_s: None,
+        notice_s: w.taken_at.map(|at| (at - now).max(0.0)),
         tasks: w
             .tasks
             .iter()
@@ -256,7 +270,7 @@
                 attempt: *a,
                 state: t.state,
                 why: t.why,
-                saved: None,
+                saved: t.saved.then_some(true),
             })
             .collect(),
     }
--- a/crates/model/tests/trace.rs
+++ b/crates/model/tests/trace.rs
@@ -89,6 +89,35 @@
     world
 }
 
+/// Many machine types, few of each: notices, checkpoints, GPUs, work that is stopped for other teams' or
+/// for more urgent work, and quiet spells in which machines are returned. Every other day has troubles, too.
+fn rich_day(seed: u64) -> World {
+    let mut world = World::rich(seed);
+    world.live_richly(15.0, 50, false);
+    world.submit_bulk(&["small", "steady"]);
+    world.live_richly(45.0, 40, false);
+    world.live_richly(60.0, 0, false);
+    world.submit_bulk(&["small", "costly"]);
+    world.live_richly(60.0, 50, seed % 2 == 1);
+    world.calm(300.0);
+    world.pass(45.0);
+    let happened = |what: &str| world.troubles.get(what).copied().unwrap_or(0);
+    for what in ["notice", "save", "stop", "refused by the cloud", "returned"] {
+        assert!(happened(what) > 0, "no {what} on day {seed}");
+    }
+    assert_eq!(
+        world.broken,
+        Default::default(),
+        "rules broken on day {seed}"
+    );
+    assert_eq!(
+        world.open_jobs(),
+        Vec::<String>::new(),
+        "open jobs on day {seed}"
+    );
+    world
+}
+
 const PRIORITIES: [Priority; 4] = [
     Priority::BestEffort,
     Priority::Standard,
@@ -146,6 +175,11 @@
     compare("reloaded", 0..80, reloaded_day);
 }
 
+#[test]
+fn rich_days_are_as_recorded() {
+    compare("rich", 0..16, rich_day);
+}
+
 #[test]
 fn crowded_days_are_as_recorded() {
     compare("crowded", 0..60, crowded_day);
