--- a/crates/ladderroute/src/api.rs
+++ b/crates/ladderroute/src/api.rs
@@ -1,8 +1,8 @@
 //! The port for users, workers and health checks.
 
-use crate::accept::{cancel, later, query, refuse, submit};
 use crate::counters::Counters;
 use crate::node::{JobRooms, Node, State};
+use crate::submission::{cancel, later, query, refuse, submit};
 use http::pool::Rank;
 use http::server::{Limits, OnWritten, Request, Response};
 use sched::owner::Answer;
--- a/crates/ladderroute/src/fresh.rs
+++ b/crates/ladderroute/src/freshness.rs
@@ -2,9 +2,9 @@
 //! and a reload of all keys where the store does not keep the changes any more. One freshness read serves
 //! every query that was waiting when it was sent.
 
+use crate::cluster_view::{Read, ViewReload};
 use crate::counters::Counters;
 use crate::node::Node;
-use crate::view::{Read, ViewReload};
 use smol::channel::Sender;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
--- a/crates/ladderroute/src/job_state.rs
+++ b/crates/ladderroute/src/job_state.rs
@@ -11,10 +11,10 @@
 //!   back all the same, and a view as fresh as the leadership calls no job queued whose ancestor's
 //!   cancellation was confirmed long ago.
 
-use crate::accept::later;
 use crate::counters::Counters;
-use crate::fresh::freshen;
+use crate::freshness::freshen;
 use crate::node::Node;
+use crate::submission::later;
 use http::server::Response;
 use std::rc::Rc;
 use store::replica::JobEntry;
--- a/crates/ladderroute/src/job_changes.rs
+++ b/crates/ladderroute/src/leader_updates.rs
@@ -1,7 +1,7 @@
 //! What the leader, if it is here, gets to know when something new of jobs is in the view.
 
+use crate::cluster_view::JobChange;
 use crate::node::{Node, Shared, State};
-use crate::view::JobChange;
 use sched::leader::{Earlier, OpenJob};
 use std::rc::Rc;
 use store::replica::JobEntry;
--- a/crates/ladderroute/src/lead.rs
+++ b/crates/ladderroute/src/leadership.rs
@@ -1,12 +1,12 @@
 //! Leading: campaign, renewal, the leader's clock, and the writer of its decisions.
 
-use crate::job_changes::open_job;
+use crate::leader_updates::open_job;
 use crate::node::{Lead, Node};
 use crate::writer::batch::TxnLimits;
 use crate::writer::{writer, RecordPages};
 use sched::leader::{Earlier, Leader, OpenJob};
 use sched::owner::Owner;
-use sched::place::Room;
+use sched::placement::Room;
 use std::collections::HashMap;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -96,7 +96,7 @@
                 node.store.set_shares(store_shares(false, others));
             }
             Ok(None) => {
-                crate::fresh::once(&node).await;
+                crate::freshness::once(&node).await;
             }
             Err(e) => {
                 log::info!("event=campaign_failed error=\"{e}\"");
@@ -128,7 +128,7 @@
             let _ = node.store.revoke(leadership.lease).await;
             return;
         }
-        if !crate::fresh::once(node).await {
+        if !crate::freshness::once(node).await {
             smol::Timer::after(ttl / 40).await;
         }
     }
@@ -138,8 +138,9 @@
         node.ex.spawn(writer(node.clone())),
         node.ex
             .spawn(keep_view_fresh(node.clone(), ttl / READS_PER_LEASE)),
-        node.ex.spawn(crate::renting::rent(node.clone())),
-        node.ex.spawn(crate::renting::watch_cloud(node.clone())),
+        node.ex.spawn(crate::provisioning::rent(node.clone())),
+        node.ex
+            .spawn(crate::provisioning::watch_cloud(node.clone())),
     ];
     renew(node, ttl).await;
     drop(tasks);
@@ -277,7 +278,7 @@
         }
         if read {
             // It ran out and is back: with a read sent from now on.
-            crate::fresh::once(node).await;
+            crate::freshness::once(node).await;
         }
         smol::Timer::after(wait).await;
     }
@@ -289,7 +290,7 @@
     loop {
         let age = node.view_age();
         if age >= every.as_secs_f64() {
-            crate::fresh::once(&node).await;
+            crate::freshness::once(&node).await;
             smol::Timer::after(every / 2).await;
         } else {
             smol::Timer::after(every - Duration::from_secs_f64(age.max(0.0))).await;
--- a/crates/ladderroute/src/node.rs
+++ b/crates/ladderroute/src/node.rs
@@ -1,15 +1,15 @@
 //! One controller: its shared state and how the pieces are started.
 
+use crate::cluster_view::ClusterView;
 use crate::counters::Counters;
 use crate::operator::Tuning;
 use crate::outbox::Outbox;
 use crate::settings::{Settings, StateLimits};
-use crate::view::ClusterView;
 use crate::writer::batch::TxnLimits;
+use sched::config::Setup;
 use sched::leader::{Action, Leader};
 use sched::owner::{Jobs, Owner};
-use sched::place::Room;
-use sched::setup::Setup;
+use sched::placement::Room;
 use smol::channel::Sender;
 use std::cell::Cell;
 use std::collections::{HashMap, VecDeque};
@@ -91,7 +91,7 @@
     pub ex: Rc<smol::LocalExecutor<'static>>,
     pub began: Instant,
     pub state: Mutex<State>,
-    pub fresh: crate::fresh::Fresh,
+    pub fresh: crate::freshness::Fresh,
     pub counters: Counters,
     pub to_write: (Sender<()>, smol::channel::Receiver<()>),
     pub to_rent: (Sender<()>, smol::channel::Receiver<()>),
@@ -214,7 +214,7 @@
 pub fn new(settings: Settings, tuning: &Tuning, ex: Rc<smol::LocalExecutor<'static>>) -> Rc<Node> {
     let setup = settings.setup(tuning);
     let p = settings.settings.clone();
-    let shares = crate::lead::store_shares(false, settings.known.len());
+    let shares = crate::leadership::store_shares(false, settings.known.len());
     let limits = p.state.limits();
     let rates = Rates {
         requests_per_s: limits.rps,
@@ -232,7 +232,7 @@
             owner: Owner::new(&settings.member, setup.clone()),
             shared,
         }),
-        fresh: crate::fresh::Fresh::default(),
+        fresh: crate::freshness::Fresh::default(),
         counters: Counters::default(),
         to_write: smol::channel::bounded(1),
         to_rent: smol::channel::bounded(1),
@@ -266,11 +266,11 @@
     smol::block_on(run.run(async move {
         let api = smol::net::TcpListener::bind(node.settings.api_addr).await?;
         let back = smol::net::TcpListener::bind(node.settings.back).await?;
-        ex.spawn(crate::fresh::follow(node.clone())).detach();
-        ex.spawn(crate::lead::campaign(node.clone())).detach();
+        ex.spawn(crate::freshness::follow(node.clone())).detach();
+        ex.spawn(crate::leadership::campaign(node.clone())).detach();
         ex.spawn(crate::peers::serve(node.clone(), back)).detach();
         ex.spawn(crate::peers::join_leader(node.clone())).detach();
-        ex.spawn(crate::renting::learn_catalog(node.clone()))
+        ex.spawn(crate::provisioning::learn_catalog(node.clone()))
             .detach();
         ex.spawn(tick(node.clone())).detach();
         crate::api::serve(node, api).await;
--- a/crates/ladderroute/src/settings.rs
+++ b/crates/ladderroute/src/settings.rs
@@ -1,7 +1,7 @@
 //! The platform's settings file (TOML). Fields that are not known are skipped; a field that is
 //! missing or wrong is refused by name.
 
-use sched::setup::{Setup, Team};
+use sched::config::{Setup, Team};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/ladderroute/src/accept.rs
+++ b/crates/ladderroute/src/submission.rs
@@ -1,6 +1,6 @@
 //! Users' requests: submit, query, cancel.
 
-use crate::fresh::freshen;
+use crate::freshness::freshen;
 use crate::job_state::{accepted, entry, log_told, look_up, state_of, tell_created, tell_read};
 use crate::node::Node;
 use http::server::Response;
@@ -195,7 +195,7 @@
 
 /// Why a job can never run, if so.
 fn never_runs(
-    setup: &sched::setup::Setup,
+    setup: &sched::config::Setup,
     types: &[wire::cloud::MachineType],
     job: &Job,
 ) -> Result<(), String> {
--- a/crates/ladderroute/tests/answers.rs
+++ b/crates/ladderroute/tests/answers.rs
@@ -7,7 +7,7 @@
 
 mod stand_in;
 
-use ladderroute::accept::{cancel, query, submit};
+use ladderroute::submission::{cancel, query, submit};
 use stand_in::requests::{accepted, body, finish, set, told, with};
 use stand_in::Fate;
 use wire::cbor;
--- a/crates/ladderroute/tests/batches.rs
+++ b/crates/ladderroute/tests/batches.rs
@@ -2,8 +2,8 @@
 
 use ladderroute::writer::batch::{next_batch, Batch, TxnLimits};
 use ladderroute::writer::RecordPages;
+use sched::config::Setup;
 use sched::leader::{Action, Leader};
-use sched::setup::Setup;
 use std::collections::{BTreeMap, VecDeque};
 use store::replica::Replica;
 use wire::store::{
--- a/crates/ladderroute/tests/chains.rs
+++ b/crates/ladderroute/tests/chains.rs
@@ -5,8 +5,8 @@
 
 mod stand_in;
 
-use ladderroute::accept::{cancel, query, submit};
 use ladderroute::node::Node;
+use ladderroute::submission::{cancel, query, submit};
 use stand_in::requests::{accepted, body, finish, told, with};
 use stand_in::{is_loaded, job_entry, Fate};
 use std::rc::Rc;
--- a/crates/ladderroute/tests/view.rs
+++ b/crates/ladderroute/tests/cluster_view.rs
@@ -5,7 +5,7 @@
 // The helpers of these tests unwrap as the tests do.
 #![allow(clippy::unwrap_used)]
 
-use ladderroute::view::{ClusterView, Read, ViewReload};
+use ladderroute::cluster_view::{ClusterView, Read, ViewReload};
 use std::collections::BTreeMap;
 use store::keys;
 use wire::store::{
--- a/crates/ladderroute/tests/reload.rs
+++ b/crates/ladderroute/tests/reload.rs
@@ -6,8 +6,8 @@
 
 mod stand_in;
 
-use ladderroute::accept::submit;
 use ladderroute::node::Node;
+use ladderroute::submission::submit;
 use stand_in::requests::{accepted, body, end, with_fronts};
 use stand_in::{is_loaded, job_entry, Front, Store};
 use std::rc::Rc;
@@ -57,7 +57,8 @@
 #[test]
 fn what_ends_during_a_reload_stays_terminal() {
     with_fronts(|store, [a, b], [front, _]| async move {
-        a.ex.spawn(ladderroute::lead::campaign(a.clone())).detach();
+        a.ex.spawn(ladderroute::leadership::campaign(a.clone()))
+            .detach();
         until(|| a.lock().shared.lead.is_some()).await;
         for id in ["wk-1", "wk-2", "wk-3"] {
             accept(&a, id, &[]).await;
--- a/crates/ladderroute/tests/stale_view.rs
+++ b/crates/ladderroute/tests/stale_view.rs
@@ -8,8 +8,8 @@
 mod stand_in;
 
 use http::server::Response;
-use ladderroute::accept::{cancel, query, submit};
 use ladderroute::node::Node;
+use ladderroute::submission::{cancel, query, submit};
 use stand_in::requests::{accepted, body, finish, told, with_fronts};
 use stand_in::{Fate, Front, Store};
 use std::rc::Rc;
@@ -36,7 +36,7 @@
 
 /// The changes of the store do not reach a controller any more, once it has seen those so far.
 async fn fall_behind(node: &Rc<Node>, front: &Front) {
-    assert!(ladderroute::fresh::freshen(node).await);
+    assert!(ladderroute::freshness::freshen(node).await);
     front.refuses_changes.set(true);
     // A request that was under way is refused, too, once one sent later was.
     let asked = front.changes_asked.get();
--- a/crates/ladderroute/tests/stand_in/mod.rs
+++ b/crates/ladderroute/tests/stand_in/mod.rs
@@ -294,7 +294,8 @@
         boot_s: 45.0,
         zones: vec!["a".into(), "b".into()],
     }]);
-    ex.spawn(ladderroute::fresh::follow(node.clone())).detach();
+    ex.spawn(ladderroute::freshness::follow(node.clone()))
+        .detach();
     while !is_loaded(&node) {
         smol::Timer::after(Duration::from_millis(5)).await;
     }
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -1,10 +1,10 @@
 //! A simulated world around the real decisions of `sched`.
 
+use sched::config::{Setup, Team};
 use sched::leader::{Action, Earlier, Leader, OpenJob};
 use sched::owner::{Answer, Jobs, Owner};
-use sched::place::Room;
+use sched::placement::Room;
 use sched::ranges::Ranges;
-use sched::setup::{Setup, Team};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 use wire::cloud::{Hire, MachineType};
@@ -15,6 +15,7 @@
 
 mod chains;
 mod controllers;
+mod faults;
 mod fixtures;
 mod freeze;
 mod rich;
@@ -22,7 +23,6 @@
 mod script;
 mod store;
 mod trace;
-mod troubles;
 mod workers;
 
 use chains::ChainView;
--- a/crates/model/tests/leader_and_owner.rs
+++ b/crates/model/tests/leader_and_owner.rs
@@ -1,10 +1,10 @@
 //! Cases of the leader and of owners, one by one.
 
 use model::world::{job, machine_type};
+use sched::config::{Setup, Team};
 use sched::leader::{Action, Earlier, Leader, OpenJob};
 use sched::owner::{Answer, Jobs, Owner};
-use sched::place::Room;
-use sched::setup::{Setup, Team};
+use sched::placement::Room;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use wire::cloud::MachineType;
--- a/crates/model/tests/meetings.rs
+++ b/crates/model/tests/overlapping_faults.rs
@@ -2,7 +2,7 @@
 //! protocol and of the users hold, and all that was accepted is done or cancelled in the end.
 
 use model::world::{job, setup, Defect, World};
-use sched::setup::Setup;
+use sched::config::Setup;
 use wire::users::{Job, Shape};
 
 /// A day with short and long jobs of both teams on machines that run, arrays and gangs; long ones
--- a/crates/model/tests/plain.rs
+++ b/crates/model/tests/plain.rs
@@ -25,7 +25,7 @@
     }
 }
 
-fn leader_with(s: sched::setup::Setup, machines: &[(&str, &str)]) -> Leader {
+fn leader_with(s: sched::config::Setup, machines: &[(&str, &str)]) -> Leader {
     let mut l = Leader::new("rung-0", s, 1, 1, 4.0, Vec::new(), &BTreeMap::new(), 0, 0.0);
     l.catalog(vec![
         machine_type("small", 4.0, 16.0, 0.3),
@@ -151,7 +151,7 @@
 #[test]
 fn one_teams_large_arrays_leave_the_others_their_guarantees() {
     let mut s = setup();
-    let team = |cpus: f64, cpus_max: f64| sched::setup::Team {
+    let team = |cpus: f64, cpus_max: f64| sched::config::Team {
         cpus,
         cpus_max,
         gpus: 0.0,
--- a/crates/model/tests/reclaim.rs
+++ b/crates/model/tests/preemption.rs
@@ -1,8 +1,8 @@
 //! Resources taken back for gangs of several tasks: for the whole gang or not at all.
 
 use model::world::{job, machine_type, machine_view, setup};
+use sched::config::Setup;
 use sched::leader::{Action, Earlier, Leader, OpenJob};
-use sched::setup::Setup;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use wire::peers::{TaskRef, TaskView, ToLeader, ToOwner};
--- a/crates/model/tests/renting.rs
+++ b/crates/model/tests/scale_out.rs
@@ -1,8 +1,8 @@
 //! Which machines are rented for a queue, when some types are kept for gangs and the cloud refuses.
 
 use model::world::{job, machine_type, machine_view, setup};
+use sched::config::{Setup, Team};
 use sched::leader::{Action, Earlier, Leader, OpenJob};
-use sched::setup::{Setup, Team};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use wire::cloud::Hire;
--- a/crates/model/tests/knowledge.rs
+++ b/crates/model/tests/staleness.rs
@@ -2,10 +2,10 @@
 
 use model::world::setup;
 use sched::authority::Authority;
+use sched::config::Setup;
 use sched::leader::{Action, Earlier, Leader, OpenJob};
 use sched::owner::{Answer, Jobs, Owner};
-use sched::place::Room;
-use sched::setup::Setup;
+use sched::placement::Room;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use wire::peers::{Allowed, MachineCard, Needs, ToLeader, ToOwner};
--- a/crates/model/tests/waits.rs
+++ b/crates/model/tests/waits.rs
@@ -13,7 +13,7 @@
 /// it waited beside a free machine long after the faulty one was gone.
 #[test]
 fn a_job_that_failed_often_is_tried_again_within_the_users_time() {
-    let s = sched::setup::Setup {
+    let s = sched::config::Setup {
         report_s: 10.0,
         lease_s: 45.0,
         cancel_s: 75.0,
@@ -170,7 +170,7 @@
 /// look faulty, which were drained, and others were rented for what failed there again.
 #[test]
 fn a_job_that_fails_on_every_machine_drains_and_rents_none() {
-    let s = sched::setup::Setup {
+    let s = sched::config::Setup {
         keep_boots: 1e6,
         ..setup()
     };
@@ -263,7 +263,7 @@
 /// Machines stood idle for as long after the last job of a day as between the jobs of a busy hour.
 #[test]
 fn idle_machines_are_returned_sooner_when_no_jobs_come() {
-    let s = sched::setup::Setup {
+    let s = sched::config::Setup {
         keep_boots: 20.0,
         ..setup()
     };
@@ -327,7 +327,7 @@
     let roster = ["host-1", "host-2"]
         .map(|host| (host.to_string(), record.clone()))
         .into();
-    let s = sched::setup::Setup {
+    let s = sched::config::Setup {
         keep_boots: 1e6,
         ..setup()
     };
--- a/crates/sched/src/authority.rs
+++ b/crates/sched/src/authority.rs
@@ -9,7 +9,7 @@
 //! back with a view from before it: its authority then counts only with a read sent after the
 //! renewal was answered.
 
-use crate::setup::Setup;
+use crate::config::Setup;
 use crate::Secs;
 
 /// Authority and the age of what is known.
--- a/crates/sched/src/fleet/mod.rs
+++ b/crates/sched/src/autoscaler/mod.rs
@@ -1,13 +1,13 @@
 //! Fleet: which machines to rent and which to return.
 
-mod patience;
-mod renting;
-mod returning;
+mod scale_in;
+mod scale_out;
+mod wait_estimates;
 
 use crate::leader::{Action, Leader};
-use crate::place::Room;
+use crate::placement::Room;
 use crate::Secs;
-use returning::MOST_RELEASED;
+use scale_in::MOST_RELEASED;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use wire::cloud::{Hire, Listed, ListedMachine, MachineType};
 use wire::peers::Needs;
--- a/crates/sched/src/fleet/returning.rs
+++ b/crates/sched/src/autoscaler/scale_in.rs
@@ -1,6 +1,6 @@
 //! Returning machines: idle ones, faulty ones, lost ones, and those that never came up.
 
-use super::patience::SLOW_BOOT;
+use super::wait_estimates::SLOW_BOOT;
 use super::LEAST_CHARGE_S;
 use crate::leader::{Action, Leader, Rostered};
 use crate::Secs;
--- a/crates/sched/src/fleet/renting.rs
+++ b/crates/sched/src/autoscaler/scale_out.rs
@@ -1,9 +1,9 @@
 //! Renting machines for work that finds none.
 
-use super::patience::Busy;
+use super::wait_estimates::Busy;
 use super::{allows, Offer, LEAST_CHARGE_S};
 use crate::leader::{Action, Leader, Rostered};
-use crate::place::Room;
+use crate::placement::Room;
 use crate::Secs;
 use std::collections::{BTreeMap, BTreeSet};
 use wire::cloud::Hire;
--- a/crates/sched/src/fleet/patience.rs
+++ b/crates/sched/src/autoscaler/wait_estimates.rs
@@ -1,7 +1,7 @@
 //! Whether work may wait for a machine in use rather than have one rented, and how long tasks run.
 
 use crate::leader::{Job, Leader};
-use crate::place::tier;
+use crate::placement::tier;
 use crate::Secs;
 use std::collections::BTreeMap;
 use wire::peers::Needs;
--- a/crates/sched/src/index.rs
+++ b/crates/sched/src/capacity_index.rs
@@ -2,7 +2,7 @@
 //! ranks on: type, zone and kind as pools, and in each pool the free CPUs. A job looks only at
 //! the pools that it allows, and there only at machines with enough room.
 
-use crate::place::{rank, slow_above_gb, tier, Candidate, Rank, Room};
+use crate::placement::{rank, slow_above_gb, tier, Candidate, Rank, Room};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use wire::cloud::MachineType;
--- a/crates/sched/src/leader/placement.rs
+++ b/crates/sched/src/leader/active_tasks.rs
@@ -3,7 +3,7 @@
 
 use super::job::waits_at;
 use super::{Active, Leader, Phase, Place};
-use crate::place::Room;
+use crate::placement::Room;
 
 impl Leader {
     /// What a team's tasks possibly use, as it is charged.
--- a/crates/sched/src/leader/job.rs
+++ b/crates/sched/src/leader/job.rs
@@ -1,6 +1,6 @@
 //! A job in the leader's hands, and where its tasks may be.
 
-use crate::place::Room;
+use crate::placement::Room;
 use crate::ranges::Ranges;
 use crate::Secs;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/sched/src/leader/jobs.rs
+++ b/crates/sched/src/leader/jobs.rs
@@ -1,7 +1,7 @@
 //! Jobs come, are stopped, and end.
 
 use super::{Action, Begun, Earlier, Job, Leader, OpenJob, Phase, Place};
-use crate::place::Room;
+use crate::placement::Room;
 use crate::ranges::Ranges;
 use crate::Secs;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/sched/src/leader/machine.rs
+++ b/crates/sched/src/leader/machine.rs
@@ -1,6 +1,6 @@
 //! A machine as the leader sees it.
 
-use crate::place::Room;
+use crate::placement::Room;
 use crate::Secs;
 use std::collections::{BTreeMap, BTreeSet};
 use wire::peers::TaskRef;
--- a/crates/sched/src/leader/machines.rs
+++ b/crates/sched/src/leader/machines.rs
@@ -1,7 +1,7 @@
 //! Machines join the roster, may be used or not, and are forgotten once they are certainly gone.
 
 use super::{Action, Leader, Machine, Rostered};
-use crate::place::Room;
+use crate::placement::Room;
 use crate::Secs;
 use std::collections::{BTreeMap, BTreeSet};
 use wire::peers::ToOwner;
--- a/crates/sched/src/leader/mod.rs
+++ b/crates/sched/src/leader/mod.rs
@@ -4,12 +4,12 @@
 //! A task is *possibly somewhere* (`Job::active`) from the decision to start it until an owner
 //! shows that it is not. Only tasks in `Job::ready` are ever started.
 
+mod active_tasks;
 mod job;
 mod jobs;
 mod machine;
 mod machines;
 mod notices;
-mod placement;
 mod progress;
 mod summary;
 
@@ -19,9 +19,9 @@
 pub use progress::chunk_bits;
 pub use summary::Summary;
 
-use crate::index::Index;
-use crate::place::Room;
-use crate::setup::Setup;
+use crate::capacity_index::Index;
+use crate::config::Setup;
+use crate::placement::Room;
 use crate::Secs;
 use std::collections::{BTreeMap, BTreeSet};
 use wire::cloud::{Hire, MachineType};
@@ -113,7 +113,7 @@
     pub(crate) epoch_at: Secs,
     /// When a machine of unknown content was last reconciled.
     pub(crate) known_at: Secs,
-    pub(crate) fleet: crate::fleet::Fleet,
+    pub(crate) fleet: crate::autoscaler::Fleet,
     pub(crate) actions: Vec<Action>,
     pub(crate) wake: bool,
     pub(crate) flushed: Secs,
@@ -181,7 +181,7 @@
             lately_over: BTreeMap::new(),
             epoch_at: now,
             known_at: now,
-            fleet: crate::fleet::Fleet::default(),
+            fleet: crate::autoscaler::Fleet::default(),
             actions: Vec::new(),
             wake: false,
             flushed: now,
--- a/crates/sched/src/owner/given.rs
+++ b/crates/sched/src/owner/assigned_jobs.rs
@@ -1,6 +1,6 @@
 //! What the tasks of jobs take, as the leader says it with each task that it gives to an owner.
 
-use crate::place::Room;
+use crate::placement::Room;
 use crate::Secs;
 use std::collections::{BTreeMap, BTreeSet};
 use wire::peers::Needs;
--- a/crates/sched/src/owner/reports.rs
+++ b/crates/sched/src/owner/heartbeats.rs
@@ -2,7 +2,7 @@
 
 use super::machine::{give_up, new_machine, orders, settle, take_on, STARTS_AT_ONCE};
 use super::{Answer, Jobs, Owner};
-use crate::place::{tier, Room};
+use crate::placement::{tier, Room};
 use crate::shard;
 use crate::Secs;
 use std::collections::BTreeMap;
--- a/crates/sched/src/owner/machine.rs
+++ b/crates/sched/src/owner/machine.rs
@@ -1,6 +1,6 @@
 //! A machine as its owner sees it: what its newest report shows, and what it is to start, stop and clear.
 
-use crate::place::Room;
+use crate::placement::Room;
 use crate::Secs;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use wire::peers::{MachineView, TaskRef, TaskView, ToLeader};
--- a/crates/sched/src/owner/mod.rs
+++ b/crates/sched/src/owner/mod.rs
@@ -5,18 +5,18 @@
 //! the orders of every earlier owner, and later ones are ordered by (session, seq). So a
 //! report that was held up in the network is never taken for the present.
 
-mod given;
+mod assigned_jobs;
+mod heartbeats;
 mod machine;
 mod placing;
-mod reports;
 
 use crate::authority::Authority;
-use crate::index::Index;
-use crate::place::Room;
-use crate::setup::Setup;
+use crate::capacity_index::Index;
+use crate::config::Setup;
+use crate::placement::Room;
 use crate::shard;
 use crate::Secs;
-use given::GivenJobs;
+use assigned_jobs::GivenJobs;
 use machine::{give_up, new_machine, view, Machine};
 use placing::{Ahead, Reservation};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
--- a/crates/sched/src/owner/placing.rs
+++ b/crates/sched/src/owner/placing.rs
@@ -2,8 +2,8 @@
 
 use super::machine::{take_on, Machine};
 use super::{Jobs, Owner};
-use crate::index::Spot;
-use crate::place::Room;
+use crate::capacity_index::Spot;
+use crate::placement::Room;
 use crate::Secs;
 use std::collections::VecDeque;
 use wire::peers::{Needs, ToLeader};
--- a/crates/sched/src/preempt.rs
+++ b/crates/sched/src/preempt.rs
@@ -6,7 +6,7 @@
 //! back or nothing is stopped.
 
 use crate::leader::{Job, Leader, Place};
-use crate::place::{tier, Room, SLACK};
+use crate::placement::{tier, Room, SLACK};
 use crate::Secs;
 use std::collections::{BTreeMap, BTreeSet};
 use wire::peers::Needs;
--- a/crates/sched/src/queue/arrays.rs
+++ b/crates/sched/src/queue/arrays.rs
@@ -2,8 +2,8 @@
 
 use super::Pass;
 use crate::leader::{Action, Active, Begun, Leader, Place};
+use crate::machine_status::LONGEST_BACKOFF_S;
 use crate::ranges::runs;
-use crate::views::LONGEST_BACKOFF_S;
 use crate::Secs;
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/crates/sched/src/queue/capacity.rs
+++ b/crates/sched/src/queue/capacity.rs
@@ -1,8 +1,8 @@
 //! The index of free resources that a pass looks at, and the zones that a job may use.
 
-use crate::index::{Found, Spot};
+use crate::capacity_index::{Found, Spot};
 use crate::leader::{Job, Leader, Machine, Place};
-use crate::place::Room;
+use crate::placement::Room;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use wire::cloud::MachineType;
--- a/crates/sched/src/queue/gangs.rs
+++ b/crates/sched/src/queue/gangs.rs
@@ -1,7 +1,7 @@
 //! Gangs: resources are reserved for the whole gang, the binding is written, and then all start.
 
 use super::Pass;
-use crate::index::Found;
+use crate::capacity_index::Found;
 use crate::leader::{Action, Leader, Phase, Place};
 use crate::Secs;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/sched/src/queue/mod.rs
+++ b/crates/sched/src/queue/mod.rs
@@ -7,11 +7,11 @@
 mod arrays;
 mod capacity;
 mod gangs;
-mod needs;
+mod requirements;
 mod teams;
 
 use crate::leader::{Job, Leader, Phase};
-use crate::place::Room;
+use crate::placement::Room;
 use crate::Secs;
 use std::collections::{BTreeMap, BTreeSet};
 use wire::peers::{Allowed, Needs};
--- a/crates/sched/src/queue/needs.rs
+++ b/crates/sched/src/queue/requirements.rs
@@ -1,7 +1,7 @@
 //! What tasks need of their machines, and which machine types are spared for jobs that fit nothing else.
 
 use crate::leader::{Job, Leader};
-use crate::place::Room;
+use crate::placement::Room;
 use std::collections::BTreeSet;
 use wire::peers::{Allowed, Needs};
 
--- a/crates/sched/src/queue/teams.rs
+++ b/crates/sched/src/queue/teams.rs
@@ -1,7 +1,7 @@
 //! Teams: their guarantees and limits, with what machines of unknown content may hold of them.
 
 use crate::leader::{Leader, Phase};
-use crate::place::{Room, SLACK};
+use crate::placement::{Room, SLACK};
 use std::collections::BTreeMap;
 
 impl Leader {
