--- a/crates/ladderroute/src/api.rs
+++ b/crates/ladderroute/src/api.rs
@@ -1,7 +1,7 @@
 //! The port for users, workers and health checks.
 
 use crate::counters::Counters;
-use crate::node::{JobRooms, Node, State};
+use crate::node::{Node, ReplicaJobs, State};
 use crate::submission::{cancel, later, query, refuse, submit};
 use http::pool::Rank;
 use http::server::{Limits, OnWritten, Request, Response};
@@ -151,7 +151,7 @@
     let now = node.now();
     let mut guard = node.lock();
     let state = &mut *guard;
-    let jobs = JobRooms(state.shared.view.replica());
+    let jobs = ReplicaJobs(state.shared.view.replica());
     let answer = state.owner.on_report(&report, now, &jobs);
     let margin_s = state.owner.authority.answers_until() - now;
     let basis = Basis::of(state, now);
--- a/crates/ladderroute/src/leadership.rs
+++ b/crates/ladderroute/src/leadership.rs
@@ -6,7 +6,7 @@
 use crate::writer::{writer, RecordPages};
 use sched::leader::{Earlier, Leader, OpenJob};
 use sched::owner::Owner;
-use sched::placement::Room;
+use sched::placement::Resources;
 use std::collections::HashMap;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -207,18 +207,18 @@
     let cancelled = replica.lately_cancelled(Duration::from_secs_f64(
         node.setup.lease_s + node.setup.cancel_s,
     ));
-    let room = |(id, team, (cpus, gpus))| {
+    let resources = |(id, team, (cpus, gpus))| {
         (
             id,
             team,
-            Room {
+            Resources {
                 cpus,
                 gpus,
                 memory_gb: 0.0,
             },
         )
     };
-    leader.set_lately_cancelled(cancelled.into_iter().map(room));
+    leader.set_lately_cancelled(cancelled.into_iter().map(resources));
     if let Some(types) = state.shared.catalog.clone() {
         leader.catalog(types);
     }
--- a/crates/ladderroute/src/node.rs
+++ b/crates/ladderroute/src/node.rs
@@ -9,7 +9,7 @@
 use sched::config::Setup;
 use sched::leader::{Action, Leader};
 use sched::owner::{Jobs, Owner};
-use sched::placement::Room;
+use sched::placement::Resources;
 use smol::channel::Sender;
 use std::cell::Cell;
 use std::collections::{HashMap, VecDeque};
@@ -99,12 +99,12 @@
 }
 
 /// What owners need to know of jobs, out of the replica.
-pub struct JobRooms<'a>(pub &'a Replica);
+pub struct ReplicaJobs<'a>(pub &'a Replica);
 
-impl Jobs for JobRooms<'_> {
-    fn room(&self, job: &str) -> Option<Room> {
+impl Jobs for ReplicaJobs<'_> {
+    fn resources(&self, job: &str) -> Option<Resources> {
         let j = self.0.jobs.get(job)?.job.as_ref()?;
-        Some(Room {
+        Some(Resources {
             cpus: j.cpus,
             gpus: j.gpus,
             memory_gb: j.memory_gb,
@@ -185,7 +185,7 @@
                         if let ToOwner::Display { running } = message {
                             shared.running = running.into_iter().collect();
                         } else {
-                            owner.on_leader(message, now, &JobRooms(shared.view.replica()));
+                            owner.on_leader(message, now, &ReplicaJobs(shared.view.replica()));
                         }
                     }
                     Action::Send(to, message) => {
--- a/crates/ladderroute/src/operator.rs
+++ b/crates/ladderroute/src/operator.rs
@@ -8,7 +8,7 @@
 /// Values that operators may tune.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tuning {
-    /// How long held room waits for the rest of its gang, in seconds.
+    /// How long reserved capacity waits for the rest of its gang, in seconds.
     pub hold_s: f64,
     /// The leader's store lease as a part of the workers' lease.
     pub leader_lease_share: f64,
--- a/crates/ladderroute/src/peers.rs
+++ b/crates/ladderroute/src/peers.rs
@@ -1,6 +1,6 @@
 //! The controllers' own port: owners connect to the leader and keep one stream of frames.
 
-use crate::node::{JobRooms, Link, Node};
+use crate::node::{Link, Node, ReplicaJobs};
 use crate::outbox::Outbox;
 use http::within;
 use smol::io::{AsyncReadExt, AsyncWriteExt};
@@ -335,7 +335,7 @@
                 }
                 state
                     .owner
-                    .on_leader(message, now, &JobRooms(state.shared.view.replica()));
+                    .on_leader(message, now, &ReplicaJobs(state.shared.view.replica()));
                 node.pump(state);
             }
         }
--- a/crates/ladderroute/src/writer/batch.rs
+++ b/crates/ladderroute/src/writer/batch.rs
@@ -193,7 +193,7 @@
 
 impl Builder<'_> {
     /// How many more writes the transaction may hold.
-    fn room(&self) -> usize {
+    fn remaining_writes(&self) -> usize {
         let batch = &self.batch;
         let used = batch.writes.len() + batch.roster.len() + batch.progress.len();
         self.limits.operations.saturating_sub(used)
@@ -212,7 +212,7 @@
                 self.records.drop_machine(name);
                 Joined::Nothing
             }
-            _ if self.room() == 0 => Joined::Later,
+            _ if self.remaining_writes() == 0 => Joined::Later,
             Action::Roster(name, Some(record)) => self.join_machine(name, record),
             Action::Progress {
                 job,
@@ -252,14 +252,17 @@
             .filter(|page| !present.contains(page))
             .copied()
             .collect();
-        if missing.len() <= self.room() {
+        if missing.len() <= self.remaining_writes() {
             return (missing, Joined::Yes);
         }
         if unit.len() <= self.limits.operations {
             return (Vec::new(), Joined::Later);
         }
         let copies = missing.into_iter().filter(|page| *page != unit[0]);
-        (copies.take(self.room()).collect(), Joined::Later)
+        (
+            copies.take(self.remaining_writes()).collect(),
+            Joined::Later,
+        )
     }
 
     fn join_begun(&mut self, record: &BegunRecord) -> Joined {
@@ -273,11 +276,11 @@
         let written = self.records.bound_places(attempt) / each;
         let records = places.chunks(each).enumerate().skip(written);
         let left = records.len();
-        let fits = left <= self.room();
+        let fits = left <= self.remaining_writes();
         if !fits && (left <= self.limits.operations || !self.batch.writes.is_empty()) {
             return Joined::Later;
         }
-        for (chunk, places) in records.take(self.room()) {
+        for (chunk, places) in records.take(self.remaining_writes()) {
             let record = BindingRecord {
                 attempt,
                 places: places.to_vec(),
@@ -303,7 +306,7 @@
         let bound: Vec<u32> = bound
             .map(|b| b.keys().copied().collect())
             .unwrap_or_default();
-        if 1 + bound.len() > self.room() && !self.batch.writes.is_empty() {
+        if 1 + bound.len() > self.remaining_writes() && !self.batch.writes.is_empty() {
             return Joined::Later;
         }
         let key = keys::job(job);
@@ -330,10 +333,10 @@
         });
     }
 
-    /// Adds the pages, old ones as far as there is room, and their conditions.
+    /// Adds the pages, old ones as far as there is capacity, and their conditions.
     fn finish(mut self, group: Group) -> Batch {
         if group == Group::Records {
-            while self.room() > 0 {
+            while self.remaining_writes() > 0 {
                 let page = self.records.next_roster_page(&self.batch.roster);
                 let Some(page) = page else { break };
                 if matches!(self.join_roster(page), Joined::Later) {
--- a/crates/ladderroute/tests/cluster_view.rs
+++ b/crates/ladderroute/tests/cluster_view.rs
@@ -72,15 +72,15 @@
 
     /// Whether a job or one that it needs, directly or through others, was cancelled at an instant.
     fn is_cancelled_at(&self, id: &str, at: f64) -> bool {
-        let needs = || self.records[id].job.dependencies.iter();
+        let requirements = || self.records[id].job.dependencies.iter();
         self.state_at(id, at) == Some(Recorded::Cancelled)
-            || needs().any(|needed| self.is_cancelled_at(needed, at))
+            || requirements().any(|needed| self.is_cancelled_at(needed, at))
     }
 
     fn may_start(&self, id: &str) -> bool {
-        let needs = &self.records[id].job.dependencies;
+        let requirements = &self.records[id].job.dependencies;
         let is_done = |id: &String| self.state_at(id, self.now) == Some(Recorded::Done);
-        needs.iter().all(is_done)
+        requirements.iter().all(is_done)
     }
 
     fn changes(&self, since: u64) -> Option<Changes> {
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -3,7 +3,7 @@
 use sched::config::{Setup, Team};
 use sched::leader::{Action, Earlier, Leader, OpenJob};
 use sched::owner::{Answer, Jobs, Owner};
-use sched::placement::Room;
+use sched::placement::Resources;
 use sched::ranges::Ranges;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
@@ -184,9 +184,9 @@
 struct Book<'a>(&'a BTreeMap<String, JobState>, f64);
 
 impl Jobs for Book<'_> {
-    fn room(&self, job: &str) -> Option<Room> {
+    fn resources(&self, job: &str) -> Option<Resources> {
         let s = &self.0.get(job).filter(|_| !self.over(job))?.spec;
-        Some(Room {
+        Some(Resources {
             cpus: s.cpus,
             gpus: s.gpus,
             memory_gb: s.memory_gb,
@@ -256,7 +256,7 @@
     pub slow_reads: f64,
     /// Whether who confirms a cancellation tells the leader, too.
     pub hints: bool,
-    /// Since when a job has waited though a machine had room for it, or machines for a gang.
+    /// Since when a job has waited though a machine had capacity for it, or machines for a gang.
     fits_since: BTreeMap<(String, String), f64>,
     /// Jobs in a hundred that need earlier ones.
     pub chained: u32,
@@ -282,7 +282,7 @@
 const TTL: f64 = 2.0;
 /// After this long without an answer about it a job is forgotten (a figure of the users).
 const FORGOTTEN_S: f64 = 75.0;
-/// Once troubles are over, no job waits so long while a machine has room for it (a figure of the users).
+/// Once troubles are over, no job waits so long while a machine has capacity for it (a figure of the users).
 const WAITS_S: f64 = 90.0;
 /// Within this time also the largest jobs must begin (a figure of the users).
 const BEGIN_S: f64 = 240.0;
--- a/crates/model/src/world/controllers.rs
+++ b/crates/model/src/world/controllers.rs
@@ -257,8 +257,8 @@
                 && j.over
                     .is_some_and(|at| now - at < self.setup.lease_s + self.setup.cancel_s)
         };
-        let room = |s: &Job| {
-            Room {
+        let resources = |s: &Job| {
+            Resources {
                 cpus: s.cpus,
                 gpus: s.gpus,
                 memory_gb: 0.0,
@@ -269,7 +269,7 @@
             .jobs
             .values()
             .filter(lately)
-            .map(|j| (j.spec.id.clone(), j.spec.team.clone(), room(&j.spec)));
+            .map(|j| (j.spec.id.clone(), j.spec.team.clone(), resources(&j.spec)));
         if self.defect != Defect::ForgetCancelled {
             leader.set_lately_cancelled(lately);
         }
--- a/crates/model/src/world/rules.rs
+++ b/crates/model/src/world/rules.rs
@@ -100,11 +100,11 @@
         }
     }
 
-    /// Troubles over, no job waits long while the same machine has room for a task of it (for a gang:
-    /// while machines have room for all of it) and its team is under its limit.
+    /// Troubles over, no job waits long while the same machine has capacity for a task of it (for a gang:
+    /// while machines have capacity for all of it) and its team is under its limit.
     pub(super) fn check_waiting(&mut self) {
         let mut used: BTreeMap<&str, (f64, f64)> = BTreeMap::new();
-        let mut free: Vec<(&String, &Worker, Room)> = Vec::new();
+        let mut free: Vec<(&String, &Worker, Resources)> = Vec::new();
         for (name, w) in self
             .workers
             .iter()
@@ -114,7 +114,7 @@
             let Some(t) = self.types.iter().find(|t| t.name == w.kind) else {
                 continue;
             };
-            let mut left = Room::of_type(t);
+            let mut left = Resources::of_type(t);
             for j in Self::live_on(w).filter_map(|(id, _, _)| self.jobs.get(id)) {
                 let team = used.entry(j.spec.team.as_str()).or_default();
                 team.0 += j.spec.cpus;
@@ -151,7 +151,7 @@
                     && s.zone.as_ref().is_none_or(|z| *z == w.zone)
                     && (s.spot || !w.spot)
             };
-            let room = |free: &Room| {
+            let fitting_tasks = |free: &Resources| {
                 let gpus = (free.gpus + 1e-6) / s.gpus;
                 ((free.cpus + 1e-6) / s.cpus)
                     .min((free.memory_gb + 1e-6) / s.memory_gb)
@@ -160,8 +160,8 @@
             };
             let mut zones: BTreeMap<&str, usize> = BTreeMap::new();
             for (name, w, left) in free.iter().filter(|(_, w, _)| allowed(w)) {
-                *zones.entry(w.zone.as_str()).or_default() += room(left);
-                if !gang && room(left) > 0 {
+                *zones.entry(w.zone.as_str()).or_default() += fitting_tasks(left);
+                if !gang && fitting_tasks(left) > 0 {
                     fitting.insert((id.clone(), name.to_string()));
                 }
             }
--- a/crates/model/tests/leader_and_owner.rs
+++ b/crates/model/tests/leader_and_owner.rs
@@ -4,11 +4,14 @@
 use sched::config::{Setup, Team};
 use sched::leader::{Action, Earlier, Leader, OpenJob};
 use sched::owner::{Answer, Jobs, Owner};
-use sched::placement::Room;
+use sched::placement::Resources;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use wire::cloud::MachineType;
-use wire::peers::{Allowed, MachineCard, MachineView, Needs, TaskRef, TaskView, ToLeader, ToOwner};
+use wire::peers::{
+    AllowedMachineType, MachineCard, MachineView, TaskRef, TaskRequirements, TaskView, ToLeader,
+    ToOwner,
+};
 use wire::store::{BegunRecord, RosterRecord};
 use wire::users::{Job, Shape};
 use wire::workers::{Report, TaskReport, TaskState, Why};
@@ -29,7 +32,7 @@
 struct NoJobs;
 
 impl Jobs for NoJobs {
-    fn room(&self, _: &str) -> Option<Room> {
+    fn resources(&self, _: &str) -> Option<Resources> {
         None
     }
     fn image(&self, _: &str) -> Option<String> {
@@ -146,7 +149,7 @@
 }
 
 /// The end of another attempt completes the task, but the attempt that is on a machine still uses
-/// its room and its team's limit, and is stopped.
+/// its capacity and its team's limit, and is stopped.
 #[test]
 fn an_attempt_stays_charged_when_another_one_is_done() {
     let spec = array("wk-1");
@@ -367,8 +370,8 @@
 struct OneJob;
 
 impl Jobs for OneJob {
-    fn room(&self, job: &str) -> Option<Room> {
-        (job == "wk-1").then_some(Room {
+    fn resources(&self, job: &str) -> Option<Resources> {
+        (job == "wk-1").then_some(Resources {
             cpus: 4.0,
             gpus: 0.0,
             memory_gb: 1.0,
@@ -382,7 +385,7 @@
     }
 }
 
-/// Reports are seldom where tasks are short: a task that waits for room starts with the answer to
+/// Reports are seldom where tasks are short: a task that waits for capacity starts with the answer to
 /// the very report that shows it; one that finds none in time goes back; a job that is over gets
 /// nothing.
 #[test]
@@ -415,13 +418,13 @@
         })
         .collect();
     assert_eq!(starts(owner.on_report(&busy, 11.0, &OneJob)), 0);
-    let needs = Needs {
+    let requirements = TaskRequirements {
         cpus: 4.0,
         gpus: 0.0,
         memory_gb: 1.0,
         image: "i".into(),
         image_gb: 1.0,
-        kinds: vec![Allowed {
+        kinds: vec![AllowedMachineType {
             kind: "small".into(),
             spot: false,
             tier: 0,
@@ -431,7 +434,7 @@
     let ahead = |job: &str| ToOwner::Ahead {
         job: job.into(),
         attempt: 7,
-        needs: needs.clone(),
+        requirements: requirements.clone(),
         tasks: vec![(0, 3)],
         wait_ms: 4000,
     };
--- a/crates/model/tests/overlapping_faults.rs
+++ b/crates/model/tests/overlapping_faults.rs
@@ -551,7 +551,7 @@
     );
 }
 
-/// Work of the other team keeps machines in use that have room to spare.
+/// Work of the other team keeps machines in use that have capacity to spare.
 #[test]
 fn letting_work_wait_beside_free_room_is_noticed() {
     let mut w = busy(1, Defect::NeverRed, setup());
--- a/crates/model/tests/preemption.rs
+++ b/crates/model/tests/preemption.rs
@@ -13,7 +13,7 @@
 const ARRAY_ATTEMPT: u64 = 7;
 const HOSTS: [&str; 2] = ["host-1", "host-2"];
 
-/// A leader whose two machines, with room for one task each, run the first two tasks of an array.
+/// A leader whose two machines, with capacity for one task each, run the first two tasks of an array.
 struct Scene {
     leader: Leader,
     now: f64,
@@ -86,7 +86,7 @@
         scene
     }
 
-    /// Lets time pass; says whether room for a gang was held meanwhile.
+    /// Lets time pass; says whether capacity for a gang was held meanwhile.
     fn pass(&mut self, seconds: f64) -> bool {
         let mut held = false;
         let end = self.now + seconds;
@@ -134,7 +134,7 @@
     }
 }
 
-/// Long tasks of low priority held all machines that a gang fits on; room was taken back for single
+/// Long tasks of low priority held all machines that a gang fits on; capacity was taken back for single
 /// tasks only, so the gang waited for their ends.
 #[test]
 fn a_whole_gang_has_room_taken_back_and_kept_until_it_is_complete() {
@@ -164,7 +164,7 @@
     );
 }
 
-/// Half a gang's room serves nobody.
+/// Half a gang's capacity serves nobody.
 #[test]
 fn nothing_is_stopped_for_a_gang_that_would_still_lack_room() {
     let mut scene = Scene::new(guest_array(), job(2, "red", Shape::Gang, 3, 2.5));
@@ -240,7 +240,7 @@
     assert!(scene.rented > 0, "it is rented for instead");
 }
 
-/// The pass keeps machine types that alone fit some class for that class. What is free of them is no room
+/// The pass keeps machine types that alone fit some class for that class. What is free of them is no capacity
 /// for another gang: it was taken for such, and nothing was rented.
 #[test]
 fn a_gang_is_not_taken_to_have_room_where_the_pass_would_not_place_it() {
--- a/crates/model/tests/staleness.rs
+++ b/crates/model/tests/staleness.rs
@@ -5,10 +5,10 @@
 use sched::config::Setup;
 use sched::leader::{Action, Earlier, Leader, OpenJob};
 use sched::owner::{Answer, Jobs, Owner};
-use sched::placement::Room;
+use sched::placement::Resources;
 use std::collections::BTreeMap;
 use std::rc::Rc;
-use wire::peers::{Allowed, MachineCard, Needs, ToLeader, ToOwner};
+use wire::peers::{AllowedMachineType, MachineCard, TaskRequirements, ToLeader, ToOwner};
 use wire::store::RosterRecord;
 use wire::users::Shape;
 use wire::workers::{Order, Report, TaskReport, TaskState, Why};
@@ -19,8 +19,8 @@
 }
 
 impl Jobs for Replica {
-    fn room(&self, job: &str) -> Option<Room> {
-        (job == "wk-1" && !self.over).then_some(Room {
+    fn resources(&self, job: &str) -> Option<Resources> {
+        (job == "wk-1" && !self.over).then_some(Resources {
             cpus: 1.0,
             gpus: 0.0,
             memory_gb: 1.0,
@@ -38,7 +38,7 @@
 struct Behind;
 
 impl Jobs for Behind {
-    fn room(&self, _: &str) -> Option<Room> {
+    fn resources(&self, _: &str) -> Option<Resources> {
         None
     }
     fn image(&self, _: &str) -> Option<String> {
@@ -115,13 +115,13 @@
     }
 }
 
-fn needs(cpus: f64) -> Needs {
-    let kinds = vec![Allowed {
+fn requirements(cpus: f64) -> TaskRequirements {
+    let kinds = vec![AllowedMachineType {
         kind: "small".into(),
         spot: false,
         tier: 0,
     }];
-    Needs {
+    TaskRequirements {
         cpus,
         gpus: 0.0,
         memory_gb: 1.0,
@@ -136,7 +136,7 @@
     ToOwner::Give {
         job: "wk-1".into(),
         attempt: 3,
-        needs: needs(1.0),
+        requirements: requirements(1.0),
         tasks: vec![(0, 1)],
     }
 }
@@ -146,7 +146,7 @@
     ToOwner::Ahead {
         job: job.into(),
         attempt: 7,
-        needs: needs(4.0),
+        requirements: requirements(4.0),
         tasks: vec![(0, 1)],
         wait_ms: 60_000,
     }
@@ -157,7 +157,7 @@
     let reserve = ToOwner::Hold {
         job: "wk-2".into(),
         attempt,
-        needs: needs(cpus),
+        requirements: requirements(cpus),
         places: vec![("host-1".into(), 0, 1)],
         wait_ms: 60_000,
     };
@@ -410,7 +410,11 @@
         },
     )]);
     let mut leader = Leader::new("rung-0", setup, 1, 1, 4.0, vec![open], &roster, 1, 0.0);
-    leader.set_lately_cancelled([("wk-000009".to_string(), "red".to_string(), Room::default())]);
+    leader.set_lately_cancelled([(
+        "wk-000009".to_string(),
+        "red".to_string(),
+        Resources::default(),
+    )]);
     leader.owner_heard("rung-1", 0.0);
     leader.tick(1.0, 1);
     let told = |leader: &mut Leader| -> Vec<Vec<String>> {
@@ -452,7 +456,7 @@
     let ToOwner::Give {
         job,
         attempt,
-        needs,
+        requirements,
         tasks,
     } = give()
     else {
@@ -462,7 +466,7 @@
         ToOwner::Ahead {
             job,
             attempt,
-            needs,
+            requirements,
             tasks,
             wait_ms: 5000,
         },
--- a/crates/sched/src/autoscaler/mod.rs
+++ b/crates/sched/src/autoscaler/mod.rs
@@ -5,12 +5,12 @@
 mod wait_estimates;
 
 use crate::leader::{Action, Leader};
-use crate::placement::Room;
+use crate::placement::Resources;
 use crate::Secs;
 use scale_in::MOST_RELEASED;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use wire::cloud::{Hire, Listed, ListedMachine, MachineType};
-use wire::peers::Needs;
+use wire::peers::TaskRequirements;
 use wire::users::{Job as Spec, Shape};
 
 /// The cloud charges at least this long for a machine (a figure of the protocol).
@@ -35,7 +35,7 @@
 /// What one task of a class takes, to know which machine types it needs.
 #[derive(Clone, Debug)]
 pub(crate) struct ClassShape {
-    room: Room,
+    resources: Resources,
     types: Option<Vec<String>>,
     pub spot: bool,
     gang: bool,
@@ -43,7 +43,8 @@
 
 impl ClassShape {
     pub fn fits(&self, t: &MachineType) -> bool {
-        self.types.as_ref().is_none_or(|l| l.contains(&t.name)) && Room::of_type(t).holds(self.room)
+        self.types.as_ref().is_none_or(|l| l.contains(&t.name))
+            && Resources::of_type(t).can_fit(self.resources)
     }
 }
 
@@ -67,8 +68,11 @@
 }
 
 /// Whether an offer is of a type and kind that tasks may use, and in a zone if one is given.
-fn allows(needs: &Needs, zone: &Option<String>, o: &Offer) -> bool {
-    needs.kinds.iter().any(|a| a.kind == o.0 && a.spot == o.2)
+fn allows(requirements: &TaskRequirements, zone: &Option<String>, o: &Offer) -> bool {
+    requirements
+        .kinds
+        .iter()
+        .any(|a| a.kind == o.0 && a.spot == o.2)
         && zone.as_ref().is_none_or(|z| *z == o.1)
 }
 
@@ -84,7 +88,7 @@
     pub fn arrived(&mut self, job: &Spec, now: Secs) {
         self.arrivals
             .push_back((now, job.cpus * f64::from(job.tasks)));
-        let room = Room {
+        let resources = Resources {
             cpus: job.cpus,
             gpus: job.gpus,
             memory_gb: job.memory_gb,
@@ -93,14 +97,14 @@
             .shapes
             .entry(job.class.clone())
             .or_insert_with(|| ClassShape {
-                room,
+                resources,
                 types: job.types.clone(),
                 spot: job.spot,
                 gang: job.shape == Shape::Gang,
             });
         // The largest task seen stands for its class.
-        if room.cpus > shape.room.cpus {
-            shape.room = room;
+        if resources.cpus > shape.resources.cpus {
+            shape.resources = resources;
         }
     }
 
--- a/crates/sched/src/autoscaler/scale_in.rs
+++ b/crates/sched/src/autoscaler/scale_in.rs
@@ -78,8 +78,8 @@
             .values()
             .filter(|m| m.open() && m.tasks.is_empty() && m.held.is_empty());
         let idle_cpus = idle
-            .filter_map(|m| self.cap(&m.kind))
-            .map(|cap| cap.cpus)
+            .filter_map(|m| self.capacity(&m.kind))
+            .map(|capacity| capacity.cpus)
             .sum();
         let boots = self.types.values();
         let longest_keep = boots
--- a/crates/sched/src/autoscaler/scale_out.rs
+++ b/crates/sched/src/autoscaler/scale_out.rs
@@ -3,11 +3,11 @@
 use super::wait_estimates::Busy;
 use super::{allows, Offer, LEAST_CHARGE_S};
 use crate::leader::{Action, Leader, Rostered};
-use crate::placement::Room;
+use crate::placement::Resources;
 use crate::Secs;
 use std::collections::{BTreeMap, BTreeSet};
 use wire::cloud::Hire;
-use wire::peers::{Allowed, Needs};
+use wire::peers::{AllowedMachineType, TaskRequirements};
 
 /// Most machines of one request (a figure of the protocol).
 const MOST_AT_ONCE: u32 = 50;
@@ -15,32 +15,32 @@
 /// An offer is not taken at this many times the price of one whose answer is still to come.
 const MUCH_DEARER: f64 = 1.3;
 
-/// Machines on their way that have the same room left.
+/// Machines on their way that have the same capacity left.
 pub(super) struct Coming {
     pub(super) offer: Offer,
-    pub(super) free: Room,
+    pub(super) free: Resources,
     pub(super) n: u32,
 }
 
-/// Takes room for up to `left` tasks out of what is on its way; says how many remain.
+/// Takes capacity for up to `left` tasks out of what is on its way; says how many remain.
 fn take_coming(
     coming: &mut Vec<Coming>,
     allowed: impl Fn(&Offer) -> bool,
-    room: Room,
+    resources: Resources,
     mut left: u32,
 ) -> u32 {
     let mut changed = Vec::new();
     for c in coming.iter_mut().filter(|c| allowed(&c.offer)) {
-        let times = c.free.times(room);
-        if left == 0 || times == 0 {
+        let slots = c.free.count_fitting(resources);
+        if left == 0 || slots == 0 {
             continue;
         }
-        let whole = (left / times).min(c.n);
-        let part = if whole < c.n { left - whole * times } else { 0 };
-        for (n, tasks) in [(whole, times), (u32::from(part > 0), part)] {
+        let whole = (left / slots).min(c.n);
+        let part = if whole < c.n { left - whole * slots } else { 0 };
+        for (n, tasks) in [(whole, slots), (u32::from(part > 0), part)] {
             if n > 0 {
                 let mut free = c.free;
-                free.sub(room.scaled(tasks));
+                free.sub(resources.scaled(tasks));
                 changed.push(Coming {
                     offer: c.offer.clone(),
                     free,
@@ -80,7 +80,7 @@
         sums.into_iter()
             .filter_map(|(offer, n)| {
                 Some(Coming {
-                    free: self.cap(&offer.0)?,
+                    free: self.capacity(&offer.0)?,
                     offer,
                     n,
                 })
@@ -90,7 +90,7 @@
 
     pub(super) fn rent(&mut self, scarce: &BTreeSet<(String, bool)>, now: Secs) {
         let mut coming = self.coming();
-        // Running tasks free their room again and again while a machine boots.
+        // Running tasks free their capacity again and again while a machine boots.
         let turnover = self.turnover();
         let mut ahead = 0.0;
         let gang_waits = self.waits_for_scarce(scarce);
@@ -101,36 +101,51 @@
             let Some(job) = self.jobs.get(&id) else {
                 continue;
             };
-            let room = job.room();
-            let needs = self.needs_sparing(job, scarce);
+            let resources = job.resources();
+            let requirements = self.requirements_sparing(job, scarce);
             if now < job.reclaims_until {
                 continue;
             }
             if job.is_gang() {
-                let mut slots = busy.take().unwrap_or_else(|| self.busy_until(&needs, now));
-                if !self.can_wait(&id, &needs, &mut slots, now) {
-                    self.rent_for_gang(&id, &needs, &mut coming, &mut wanted, now);
+                let mut slots = busy
+                    .take()
+                    .unwrap_or_else(|| self.busy_until(&requirements, now));
+                if !self.can_wait(&id, &requirements, &mut slots, now) {
+                    self.rent_for_gang(&id, &requirements, &mut coming, &mut wanted, now);
                 }
                 busy = Some(slots);
                 continue;
             }
-            let all = self.needs(job, None);
-            let mut left = take_coming(&mut coming, |o| allows(&all, &needs.zone, o), room, n);
+            let all = self.requirements(job, None);
+            let mut left = take_coming(
+                &mut coming,
+                |o| allows(&all, &requirements.zone, o),
+                resources,
+                n,
+            );
             while left > 0 {
                 let mut found = self.cheapest(
-                    &needs.kinds,
-                    needs.zone.as_deref(),
-                    room,
+                    &requirements.kinds,
+                    requirements.zone.as_deref(),
+                    resources,
                     left,
                     &wanted,
                     now,
                 );
-                if found.is_none() && !gang_waits && self.all_exhausted(&needs) {
+                if found.is_none() && !gang_waits && self.all_exhausted(&requirements) {
                     // Types kept for gangs, while none waits and the others are used up.
-                    found =
-                        self.cheapest(&all.kinds, needs.zone.as_deref(), room, left, &wanted, now);
+                    found = self.cheapest(
+                        &all.kinds,
+                        requirements.zone.as_deref(),
+                        resources,
+                        left,
+                        &wanted,
+                        now,
+                    );
                 }
-                let Some((offer, cap)) = found else { break };
+                let Some((offer, capacity)) = found else {
+                    break;
+                };
                 let boot = self
                     .types
                     .get(&offer.0)
@@ -138,15 +153,15 @@
                 // New jobs take a part of what becomes free meanwhile.
                 let net =
                     (turnover - self.fleet.arrival_rate(now, boot.max(LEAST_CHARGE_S))).max(0.0);
-                let served = ((net * boot - ahead) / room.cpus.max(0.01))
+                let served = ((net * boot - ahead) / resources.cpus.max(0.01))
                     .floor()
                     .clamp(0.0, f64::from(left));
-                ahead += served * room.cpus;
+                ahead += served * resources.cpus;
                 left -= served as u32;
-                if left == 0 || cap.times(room) == 0 {
+                if left == 0 || capacity.count_fitting(resources) == 0 {
                     break;
                 }
-                left = self.want(offer, cap, room, left, &mut coming, &mut wanted);
+                left = self.want(offer, capacity, resources, left, &mut coming, &mut wanted);
             }
         }
         for ((kind, zone, spot), mut count) in wanted {
@@ -179,39 +194,45 @@
     fn want(
         &self,
         offer: Offer,
-        cap: Room,
-        room: Room,
+        capacity: Resources,
+        resources: Resources,
         left: u32,
         coming: &mut Vec<Coming>,
         wanted: &mut BTreeMap<Offer, u32>,
     ) -> u32 {
-        let n = (left / cap.times(room)).clamp(1, self.most_wanted(&offer, wanted).max(1));
+        let n = (left / capacity.count_fitting(resources))
+            .clamp(1, self.most_wanted(&offer, wanted).max(1));
         coming.push(Coming {
             offer: offer.clone(),
-            free: cap,
+            free: capacity,
             n,
         });
         *wanted.entry(offer.clone()).or_default() += n;
-        take_coming(coming, |o| *o == offer, room, left)
+        take_coming(coming, |o| *o == offer, resources, left)
     }
 
     /// Whether any offer on which these tasks may run was not refused lately.
-    fn any_offer(&self, needs: &Needs, now: Secs) -> bool {
-        self.offers(needs).any(|o| self.fleet.available(&o, now))
+    fn any_offer(&self, requirements: &TaskRequirements, now: Secs) -> bool {
+        self.offers(requirements)
+            .any(|o| self.fleet.available(&o, now))
     }
 
     /// Whether the cloud refused every offer on which these tasks may run when it was last asked for.
-    fn all_exhausted(&self, needs: &Needs) -> bool {
-        self.offers(needs).all(|o| self.fleet.is_exhausted(&o))
+    fn all_exhausted(&self, requirements: &TaskRequirements) -> bool {
+        self.offers(requirements)
+            .all(|o| self.fleet.is_exhausted(&o))
     }
 
     /// The offers on which these tasks may run.
-    fn offers<'a>(&'a self, needs: &'a Needs) -> impl Iterator<Item = Offer> + 'a {
-        let offers = needs.kinds.iter().flat_map(|a| {
+    fn offers<'a>(
+        &'a self,
+        requirements: &'a TaskRequirements,
+    ) -> impl Iterator<Item = Offer> + 'a {
+        let offers = requirements.kinds.iter().flat_map(|a| {
             let zones = self.types.get(&a.kind).map_or(&[][..], |t| &t.zones);
             zones.iter().map(|z| (a.kind.clone(), z.clone(), a.spot))
         });
-        offers.filter(|o| allows(needs, &needs.zone, o))
+        offers.filter(|o| allows(requirements, &requirements.zone, o))
     }
 
     /// How many more machines of an offer may be asked for at present: what is refused shows
@@ -239,33 +260,33 @@
     fn rent_for_gang(
         &mut self,
         id: &str,
-        needs: &Needs,
+        requirements: &TaskRequirements,
         coming: &mut Vec<Coming>,
         wanted: &mut BTreeMap<Offer, u32>,
         now: Secs,
     ) {
         let Some(job) = self.jobs.get(id) else { return };
-        let (room, n, spread) = (job.room(), job.spec.tasks, job.spec.spread);
-        let every: BTreeSet<Option<String>> = needs
+        let (resources, n, spread) = (job.resources(), job.spec.tasks, job.spec.spread);
+        let every: BTreeSet<Option<String>> = requirements
             .kinds
             .iter()
             .filter_map(|a| self.types.get(&a.kind))
             .flat_map(|t| t.zones.iter().cloned().map(Some))
             .collect();
-        if needs.zone.is_some() || !job.spec.one_zone && !spread {
-            self.rent_in_zone(needs, room, n, coming, wanted, now);
+        if requirements.zone.is_some() || !job.spec.one_zone && !spread {
+            self.rent_in_zone(requirements, resources, n, coming, wanted, now);
             return;
         }
-        let within = |zone: &Option<String>| Needs {
+        let within = |zone: &Option<String>| TaskRequirements {
             zone: zone.clone(),
-            ..needs.clone()
+            ..requirements.clone()
         };
         let has = |l: &Leader, zone: &Option<String>| {
-            let here: u32 = l.index.fits(&within(zone)).iter().map(|f| f.times).sum();
+            let here: u32 = l.index.fits(&within(zone)).iter().map(|f| f.slots).sum();
             let on_way: u32 = coming
                 .iter()
-                .filter(|c| allows(needs, zone, &c.offer))
-                .map(|c| c.free.times(room) * c.n)
+                .filter(|c| allows(requirements, zone, &c.offer))
+                .map(|c| c.free.count_fitting(resources) * c.n)
                 .sum();
             here.saturating_add(on_way)
         };
@@ -282,7 +303,7 @@
             for (_, _, zone) in order {
                 let take = left.min(half);
                 left -= take;
-                self.rent_in_zone(&within(&zone), room, take, coming, wanted, now);
+                self.rent_in_zone(&within(&zone), resources, take, coming, wanted, now);
             }
             return;
         }
@@ -302,38 +323,48 @@
             return;
         };
         self.fleet.gang_zones.insert(id.into(), zone.clone());
-        self.rent_in_zone(&within(&zone), room, n, coming, wanted, now);
+        self.rent_in_zone(&within(&zone), resources, n, coming, wanted, now);
     }
 
     /// Keeps what is free for `n` tasks, and rents what they lack beside what is on its way.
     fn rent_in_zone(
         &mut self,
-        needs: &Needs,
-        room: Room,
+        requirements: &TaskRequirements,
+        resources: Resources,
         n: u32,
         coming: &mut Vec<Coming>,
         wanted: &mut BTreeMap<Offer, u32>,
         now: Secs,
     ) {
         let mut left = n;
-        for f in self.index.fits(needs) {
+        for f in self.index.fits(requirements) {
             if left == 0 {
                 break;
             }
-            left -= f.times.min(left);
+            left -= f.slots.min(left);
             self.fleet.kept.insert(f.name.to_string());
         }
-        left = take_coming(coming, |o| allows(needs, &needs.zone, o), room, left);
+        left = take_coming(
+            coming,
+            |o| allows(requirements, &requirements.zone, o),
+            resources,
+            left,
+        );
         while left > 0 {
-            let Some((offer, cap)) =
-                self.cheapest(&needs.kinds, needs.zone.as_deref(), room, left, wanted, now)
-            else {
+            let Some((offer, capacity)) = self.cheapest(
+                &requirements.kinds,
+                requirements.zone.as_deref(),
+                resources,
+                left,
+                wanted,
+                now,
+            ) else {
                 break;
             };
-            if cap.times(room) == 0 {
+            if capacity.count_fitting(resources) == 0 {
                 break;
             }
-            left = self.want(offer, cap, room, left, coming, wanted);
+            left = self.want(offer, capacity, resources, left, coming, wanted);
         }
     }
 
@@ -342,21 +373,21 @@
     /// comes soon.
     fn cheapest(
         &mut self,
-        kinds: &[Allowed],
+        kinds: &[AllowedMachineType],
         zone: Option<&str>,
-        room: Room,
+        resources: Resources,
         n: u32,
         wanted: &BTreeMap<Offer, u32>,
         now: Secs,
-    ) -> Option<(Offer, Room)> {
-        let mut best: Option<(f64, Offer, Room)> = None;
+    ) -> Option<(Offer, Resources)> {
+        let mut best: Option<(f64, Offer, Resources)> = None;
         let mut least = f64::MAX;
-        for Allowed { kind, spot, .. } in kinds {
+        for AllowedMachineType { kind, spot, .. } in kinds {
             let Some(t) = self.types.get(kind) else {
                 continue;
             };
-            let cap = Room::of_type(t);
-            let slots = cap.times(room).min(n);
+            let capacity = Resources::of_type(t);
+            let slots = capacity.count_fitting(resources).min(n);
             if slots == 0 {
                 continue;
             }
@@ -380,11 +411,11 @@
                 if self.most_wanted(&offer, wanted) > 0
                     && best.as_ref().is_none_or(|(p, _, _)| price < *p)
                 {
-                    best = Some((price, offer, cap));
+                    best = Some((price, offer, capacity));
                 }
             }
         }
         best.filter(|(price, _, _)| *price <= least * MUCH_DEARER)
-            .map(|(_, offer, cap)| (offer, cap))
+            .map(|(_, offer, capacity)| (offer, capacity))
     }
 }
--- a/crates/sched/src/autoscaler/wait_estimates.rs
+++ b/crates/sched/src/autoscaler/wait_estimates.rs
@@ -4,7 +4,7 @@
 use crate::placement::tier;
 use crate::Secs;
 use std::collections::BTreeMap;
-use wire::peers::Needs;
+use wire::peers::TaskRequirements;
 use wire::users::Shape;
 
 /// What a slow boot takes of the nominal time, with the start of the gang's tasks.
@@ -29,11 +29,11 @@
     }
 
     /// When machines on which these tasks may run are expected to be empty, the earliest first.
-    pub(super) fn busy_until(&self, needs: &Needs, now: Secs) -> Busy {
+    pub(super) fn busy_until(&self, requirements: &TaskRequirements, now: Secs) -> Busy {
         let mut out: Busy = self
             .machines
             .iter()
-            .filter(|(_, m)| m.open() && tier(needs, &m.kind, &m.zone, m.spot).is_some())
+            .filter(|(_, m)| m.open() && tier(requirements, &m.kind, &m.zone, m.spot).is_some())
             .map(|(name, m)| {
                 let ends = m.tasks.keys().filter_map(|(id, i)| {
                     let job = self.jobs.get(id)?;
@@ -62,7 +62,13 @@
 
     /// Whether a gang is expected to get machines that are in use early enough for its class's
     /// objective; those machines are then taken.
-    pub(super) fn can_wait(&self, id: &str, needs: &Needs, busy: &mut Busy, now: Secs) -> bool {
+    pub(super) fn can_wait(
+        &self,
+        id: &str,
+        requirements: &TaskRequirements,
+        busy: &mut Busy,
+        now: Secs,
+    ) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
@@ -70,7 +76,7 @@
             return false;
         };
         // What is rented at once must still be up in time, slow boots included.
-        let boot = needs
+        let boot = requirements
             .kinds
             .iter()
             .filter_map(|a| self.types.get(&a.kind))
@@ -83,7 +89,7 @@
             let Some(m) = self
                 .machines
                 .get(name)
-                .filter(|m| tier(needs, &m.kind, &m.zone, m.spot).is_some())
+                .filter(|m| tier(requirements, &m.kind, &m.zone, m.spot).is_some())
             else {
                 continue;
             };
@@ -93,7 +99,9 @@
             let (have, chosen) = slots
                 .entry(if job.spec.one_zone { &m.zone } else { "" })
                 .or_default();
-            *have += self.cap(&m.kind).map_or(0, |c| c.times(job.room()));
+            *have += self
+                .capacity(&m.kind)
+                .map_or(0, |c| c.count_fitting(job.resources()));
             chosen.push(at);
             if *have >= job.spec.tasks {
                 found = Some(std::mem::take(chosen));
--- a/crates/sched/src/capacity_index.rs
+++ b/crates/sched/src/capacity_index.rs
@@ -1,18 +1,18 @@
 //! Machines that may take tasks, kept from one pass to the next and ordered by what placement
 //! ranks on: type, zone and kind as pools, and in each pool the free CPUs. A job looks only at
-//! the pools that it allows, and there only at machines with enough room.
+//! the pools that it allows, and there only at machines with enough capacity.
 
-use crate::placement::{rank, slow_above_gb, tier, Candidate, Rank, Room};
+use crate::placement::{rank, slow_above_gb, tier, Candidate, Rank, Resources};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use wire::cloud::MachineType;
-use wire::peers::Needs;
+use wire::peers::TaskRequirements;
 
 /// What placement needs to know of one machine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Spot {
     pub owner: String,
-    pub free: Room,
+    pub free: Resources,
     pub images: Vec<String>,
     /// Nothing runs there, so it may soon be returned.
     pub empty: bool,
@@ -48,7 +48,7 @@
     pub name: Rc<str>,
     pub zone: Rc<str>,
     /// How many tasks fit.
-    pub times: u32,
+    pub slots: u32,
 }
 
 #[derive(Debug, Default)]
@@ -129,14 +129,14 @@
             .collect()
     }
 
-    /// Sets room of a machine aside for tasks that need an image.
-    pub fn take(&mut self, name: &str, room: Room, n: u32, image: &str) {
+    /// Sets capacity of a machine aside for tasks that need an image.
+    pub fn take(&mut self, name: &str, resources: Resources, n: u32, image: &str) {
         let Some((key, (pool, s))) = self.spots.get_key_value(name) else {
             return;
         };
         let (key, pool, mut s) = (key.clone(), *pool, Spot::clone(s));
         self.pools[pool].remove(&key, &s);
-        s.free.sub(room.scaled(n));
+        s.free.sub(resources.scaled(n));
         s.empty = false;
         if !s.images.iter().any(|i| i == image) {
             s.images.insert(0, image.to_string());
@@ -148,17 +148,21 @@
 
     /// The machines on which a task fits, the best first. Whatever one takes makes it suit the
     /// same job's next task even better, so a job may fill them one after the other.
-    pub fn fits(&self, needs: &Needs) -> Vec<Found> {
-        self.fits_beside(needs, None)
+    pub fn fits(&self, requirements: &TaskRequirements) -> Vec<Found> {
+        self.fits_outside(requirements, None)
     }
 
     /// The same without what is set aside.
-    pub fn fits_beside(&self, needs: &Needs, aside: Option<&Needs>) -> Vec<Found> {
-        let room = Room::of(needs);
-        let from = thousandths(needs.cpus).saturating_sub(1);
+    pub fn fits_outside(
+        &self,
+        requirements: &TaskRequirements,
+        aside: Option<&TaskRequirements>,
+    ) -> Vec<Found> {
+        let resources = Resources::of(requirements);
+        let from = thousandths(requirements.cpus).saturating_sub(1);
         let mut out = Vec::new();
         for p in &self.pools {
-            let Some(tier_here) = tier(needs, &p.kind, &p.zone, p.spot) else {
+            let Some(tier_here) = tier(requirements, &p.kind, &p.zone, p.spot) else {
                 continue;
             };
             if aside.is_some_and(|a| tier(a, &p.kind, &p.zone, p.spot).is_some()) {
@@ -168,16 +172,16 @@
                 let c = Candidate {
                     tier: tier_here,
                     free: s.free,
-                    has_image: s.images.contains(&needs.image),
-                    slow_fetch: needs.image_gb > p.slow_above_gb,
+                    has_image: s.images.contains(&requirements.image),
+                    slow_fetch: requirements.image_gb > p.slow_above_gb,
                     empty: s.empty,
                 };
-                if let Some(rank) = rank(needs, &c) {
+                if let Some(rank) = rank(requirements, &c) {
                     out.push(Found {
                         rank,
                         name: name.clone(),
                         zone: p.zone.clone(),
-                        times: s.free.times(room),
+                        slots: s.free.count_fitting(resources),
                     });
                 }
             }
--- a/crates/sched/src/config.rs
+++ b/crates/sched/src/config.rs
@@ -19,11 +19,11 @@
     pub lease_s: f64,
     pub cancel_s: f64,
     pub list_lag_s: f64,
-    /// How long held room waits for the rest of its gang.
+    /// How long reserved capacity waits for the rest of its gang.
     pub hold_s: f64,
     /// The store lease of the leader.
     pub leader_lease_s: f64,
-    /// Part of the time allowed for a guaranteed start after which borrowed room is taken back.
+    /// Part of the time allowed for a guaranteed start after which borrowed capacity is taken back.
     pub guarantee_s: f64,
     /// By class: within what time its gangs should start.
     pub wait_s: BTreeMap<String, f64>,
--- a/crates/sched/src/leader/active_tasks.rs
+++ b/crates/sched/src/leader/active_tasks.rs
@@ -3,11 +3,11 @@
 
 use super::job::waits_at;
 use super::{Active, Leader, Phase, Place};
-use crate::placement::Room;
+use crate::placement::Resources;
 
 impl Leader {
     /// What a team's tasks possibly use, as it is charged.
-    pub fn used_by(&self, team: &str) -> Room {
+    pub fn used_by(&self, team: &str) -> Resources {
         self.team_used.get(team).copied().unwrap_or_default()
     }
 
@@ -16,15 +16,15 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let room = job.room();
+        let resources = job.resources();
         job.ready.remove(index);
         if let Some(owner) = waits_at(&active.place) {
-            *self.ahead.entry(owner.to_string()).or_default() += room.cpus;
+            *self.ahead.entry(owner.to_string()).or_default() += resources.cpus;
         }
         if let Place::Given(_, name) | Place::On(name) = &active.place {
             if let Some(m) = self.machines.get_mut(name) {
                 if m.tasks.insert((id.into(), index), active.attempt).is_none() {
-                    m.used.add(room);
+                    m.used.add(resources);
                 }
                 self.stale.insert(name.clone());
             }
@@ -32,31 +32,31 @@
         self.team_used
             .entry(job.spec.team.clone())
             .or_default()
-            .add(room);
+            .add(resources);
         job.active.insert(index, active);
     }
 
     pub(crate) fn unset_active(&mut self, id: &str, index: u32) -> Option<Active> {
         let job = self.jobs.get_mut(id)?;
         let active = job.active.remove(&index)?;
-        let room = job.room();
+        let resources = job.resources();
         if let Some(cpus) = waits_at(&active.place).and_then(|owner| self.ahead.get_mut(owner)) {
-            *cpus -= room.cpus;
+            *cpus -= resources.cpus;
         }
         if let Place::Given(_, name) | Place::On(name) = &active.place {
             if let Some(m) = self.machines.get_mut(name) {
                 if m.tasks.remove(&(id.to_string(), index)).is_some() {
-                    m.used.sub(room);
+                    m.used.sub(resources);
                 }
                 if m.tasks.is_empty() {
                     // Sums of decimals drift; an empty machine is empty.
-                    m.used = Room::default();
+                    m.used = Resources::default();
                 }
                 self.stale.insert(name.clone());
             }
         }
         if let Some(u) = self.team_used.get_mut(&job.spec.team) {
-            u.sub(room);
+            u.sub(resources);
         }
         Some(active)
     }
--- a/crates/sched/src/leader/job.rs
+++ b/crates/sched/src/leader/job.rs
@@ -1,6 +1,6 @@
 //! A job in the leader's hands, and where its tasks may be.
 
-use crate::placement::Room;
+use crate::placement::Resources;
 use crate::ranges::Ranges;
 use crate::Secs;
 use std::collections::{BTreeMap, BTreeSet};
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Place {
     /// Given to an owner, which is expected to choose that machine; where no machine is named, the
-    /// first of its part with room.
+    /// first of its part with capacity.
     Given(String, String),
     On(String),
     /// In the hands of an owner that was lost; settled with the group of its machines.
@@ -53,7 +53,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Begun {
     No,
-    /// There is room for it, so that a record is due, or on its way.
+    /// There is capacity for it, so that a record is due, or on its way.
     Asked,
     Yes,
 }
@@ -84,7 +84,7 @@
     pub phase: Phase,
     pub clears: Vec<(String, TaskRef)>,
     pub within: bool,
-    /// Tasks of others were told to stop so that this whole gang has room. Until then that room is
+    /// Tasks of others were told to stop so that this whole gang has capacity. Until then that capacity is
     /// set aside for it and nothing is rented.
     pub reclaims_until: Secs,
 }
@@ -93,8 +93,8 @@
 const MACHINES_TO_BLAME_JOB: usize = 3;
 
 impl Job {
-    pub fn room(&self) -> Room {
-        Room {
+    pub fn resources(&self) -> Resources {
+        Resources {
             cpus: self.spec.cpus,
             gpus: self.spec.gpus,
             memory_gb: self.spec.memory_gb,
@@ -104,7 +104,7 @@
         self.spec.shape == Shape::Gang
     }
     /// Whether several tasks can only start together.
-    pub(crate) fn needs_many_at_once(&self) -> bool {
+    pub(crate) fn is_multi_task_gang(&self) -> bool {
         self.is_gang() && self.spec.tasks > 1
     }
     /// Whether it fails wherever it is tried, so that the fault is its own and not the machines'.
@@ -121,7 +121,7 @@
     }
 }
 
-/// The owner at which a task waits for the first room that becomes free.
+/// The owner at which a task waits for the first capacity that becomes free.
 pub(super) fn waits_at(place: &Place) -> Option<&str> {
     match place {
         Place::Given(owner, machine) if machine.is_empty() => Some(owner),
--- a/crates/sched/src/leader/jobs.rs
+++ b/crates/sched/src/leader/jobs.rs
@@ -1,7 +1,7 @@
 //! Jobs come, are stopped, and end.
 
 use super::{Action, Begun, Earlier, Job, Leader, OpenJob, Phase, Place};
-use crate::placement::Room;
+use crate::placement::Resources;
 use crate::ranges::Ranges;
 use crate::Secs;
 use std::collections::{BTreeMap, BTreeSet};
@@ -106,8 +106,11 @@
             // Cancelled before all machines are known: what was not seen of it may still be there.
             let unseen = (job.spec.tasks - job.done.len().min(job.spec.tasks))
                 .saturating_sub(job.active.len() as u32);
-            let (team, room) = (job.spec.team.clone(), job.room().scaled(unseen));
-            self.lately_cancelled.entry(team).or_default().add(room);
+            let (team, resources) = (job.spec.team.clone(), job.resources().scaled(unseen));
+            self.lately_cancelled
+                .entry(team)
+                .or_default()
+                .add(resources);
         }
         let phase = std::mem::replace(&mut job.phase, Phase::Ending);
         let clears = std::mem::take(&mut job.clears);
@@ -253,11 +256,17 @@
         }
     }
 
-    /// Jobs whose tasks may be on unknown machines though they are over: id, team and room.
-    pub fn set_lately_cancelled(&mut self, jobs: impl IntoIterator<Item = (String, String, Room)>) {
+    /// Jobs whose tasks may be on unknown machines though they are over: id, team and capacity.
+    pub fn set_lately_cancelled(
+        &mut self,
+        jobs: impl IntoIterator<Item = (String, String, Resources)>,
+    ) {
         self.lately_cancelled.clear();
-        for (id, team, room) in jobs {
-            self.lately_cancelled.entry(team).or_default().add(room);
+        for (id, team, resources) in jobs {
+            self.lately_cancelled
+                .entry(team)
+                .or_default()
+                .add(resources);
             self.lately_over.insert(id, self.time);
         }
     }
--- a/crates/sched/src/leader/machine.rs
+++ b/crates/sched/src/leader/machine.rs
@@ -1,6 +1,6 @@
 //! A machine as the leader sees it.
 
-use crate::placement::Room;
+use crate::placement::Resources;
 use crate::Secs;
 use std::collections::{BTreeMap, BTreeSet};
 use wire::peers::TaskRef;
@@ -36,8 +36,8 @@
     pub drain: bool,
     pub releasing: bool,
     pub tasks: BTreeMap<(String, u32), u64>,
-    pub used: Room,
-    pub held: BTreeMap<u64, Room>,
+    pub used: Resources,
+    pub held: BTreeMap<u64, Resources>,
     pub idle_since: Secs,
     pub seen_at: Secs,
     pub images: Vec<String>,
@@ -46,7 +46,7 @@
 }
 
 impl Machine {
-    /// Whether tasks may be placed there now, as far as the picture goes.
+    /// Whether tasks may be placed there now, as far as the cluster view goes.
     pub fn open(&self) -> bool {
         let present = self.reconciled && self.lapsed_at.is_none() && self.notice_until.is_none();
         self.rostered == Rostered::Yes
@@ -56,8 +56,8 @@
             && !self.unreachable
     }
 
-    /// What is left of its room beside possibly-on tasks and held room.
-    pub fn free(&self, whole: Room) -> Room {
+    /// What is left of its capacity beside possibly-on tasks and reserved capacity.
+    pub fn free(&self, whole: Resources) -> Resources {
         let mut free = whole;
         free.sub(self.used);
         self.held.values().for_each(|h| free.sub(*h));
--- a/crates/sched/src/leader/machines.rs
+++ b/crates/sched/src/leader/machines.rs
@@ -1,7 +1,7 @@
 //! Machines join the roster, may be used or not, and are forgotten once they are certainly gone.
 
 use super::{Action, Leader, Machine, Rostered};
-use crate::placement::Room;
+use crate::placement::Resources;
 use crate::Secs;
 use std::collections::{BTreeMap, BTreeSet};
 use wire::peers::ToOwner;
@@ -27,7 +27,7 @@
             drain: false,
             releasing: false,
             tasks: BTreeMap::new(),
-            used: Room::default(),
+            used: Resources::default(),
             held: BTreeMap::new(),
             idle_since: now,
             seen_at: now,
--- a/crates/sched/src/leader/mod.rs
+++ b/crates/sched/src/leader/mod.rs
@@ -1,4 +1,4 @@
-//! The leader: orders the queue, places gangs in one pass, has room held and bound, splits
+//! The leader: orders the queue, places gangs in one pass, has capacity held and bound, splits
 //! arrays among the parts, and keeps the record of what may be where.
 //!
 //! A task is *possibly somewhere* (`Job::active`) from the decision to start it until an owner
@@ -21,7 +21,7 @@
 
 use crate::capacity_index::Index;
 use crate::config::Setup;
-use crate::placement::Room;
+use crate::placement::Resources;
 use crate::Secs;
 use std::collections::{BTreeMap, BTreeSet};
 use wire::cloud::{Hire, MachineType};
@@ -90,7 +90,7 @@
     pub(crate) machines: BTreeMap<String, Machine>,
     /// Open jobs by creation.
     pub(crate) by_age: BTreeSet<(u64, String)>,
-    /// Machines with room, as the pass looks at them, and those that changed since.
+    /// Machines with capacity, as the pass looks at them, and those that changed since.
     pub(crate) index: Index,
     pub(crate) stale: BTreeSet<String>,
     /// Machines of unknown content.
@@ -98,15 +98,15 @@
     /// No array accepted later is recorded as begun; and a new record is on its way to the store.
     pub(crate) begun_upto: u64,
     pub(crate) begun_asked: bool,
-    pub(crate) team_used: BTreeMap<String, Room>,
-    /// CPUs of tasks that wait for room, by owner.
+    pub(crate) team_used: BTreeMap<String, Resources>,
+    /// CPUs of tasks that wait for capacity, by owner.
     pub(crate) ahead: BTreeMap<String, f64>,
     pub(crate) groups: BTreeMap<u64, UnresolvedGroup>,
     pub(crate) next_group: u64,
     pub(crate) start_open: bool,
     /// By team: what jobs that were cancelled so lately that their tasks may still be on unknown
     /// machines could use together.
-    pub(crate) lately_cancelled: BTreeMap<String, Room>,
+    pub(crate) lately_cancelled: BTreeMap<String, Resources>,
     /// Jobs that are over, of which tasks may still run, and since when this leader knows: owners
     /// are told, those of later epochs too.
     pub(crate) lately_over: BTreeMap<String, Secs>,
@@ -272,8 +272,8 @@
         (self.token << 24) | (self.counter & 0xff_ffff)
     }
 
-    pub(crate) fn cap(&self, kind: &str) -> Option<Room> {
-        self.types.get(kind).map(Room::of_type)
+    pub(crate) fn capacity(&self, kind: &str) -> Option<Resources> {
+        self.types.get(kind).map(Resources::of_type)
     }
 
     /// The cloud's machine types, as they are at present.
--- a/crates/sched/src/leader/summary.rs
+++ b/crates/sched/src/leader/summary.rs
@@ -14,7 +14,7 @@
     /// CPUs of machines that are up, and what possibly runs of them: ordinary and cheap ones.
     pub cpus: [u32; 2],
     pub cpus_used: [u32; 2],
-    /// CPUs of tasks that are known to run, and that wait at owners for room.
+    /// CPUs of tasks that are known to run, and that wait at owners for capacity.
     pub cpus_running: u32,
     pub cpus_ahead: u32,
 }
@@ -51,7 +51,7 @@
                 self.machines
                     .values()
                     .filter(|m| m.spot == spot)
-                    .map(|m| self.cap(&m.kind).map_or(0.0, |c| c.cpus))
+                    .map(|m| self.capacity(&m.kind).map_or(0.0, |c| c.cpus))
                     .sum::<f64>() as u32
             }),
             cpus_running: self
--- a/crates/sched/src/machine_status.rs
+++ b/crates/sched/src/machine_status.rs
@@ -1,4 +1,4 @@
-//! What owners show of their machines, and what the leader's picture takes from it.
+//! What owners show of their machines, and what the leader's cluster view takes from it.
 
 use crate::leader::{Action, Active, Job, Leader, Phase, Place, Rostered};
 use crate::shard;
@@ -8,7 +8,7 @@
 use wire::store::RosterRecord;
 use wire::workers::{TaskState, Why};
 
-/// A job whose tasks fail waits no longer than this, about: no job may wait 90 s beside room for it (a
+/// A job whose tasks fail waits no longer than this, about: no job may wait 90 s beside capacity for it (a
 /// figure of the users), and the cause may have been a machine.
 pub(crate) const LONGEST_BACKOFF_S: Secs = 45.0;
 
--- a/crates/sched/src/owner/assigned_jobs.rs
+++ b/crates/sched/src/owner/assigned_jobs.rs
@@ -1,12 +1,12 @@
 //! What the tasks of jobs take, as the leader says it with each task that it gives to an owner.
 
-use crate::placement::Room;
+use crate::placement::Resources;
 use crate::Secs;
 use std::collections::{BTreeMap, BTreeSet};
-use wire::peers::Needs;
+use wire::peers::TaskRequirements;
 
 struct Given {
-    room: Room,
+    resources: Resources,
     image: String,
 }
 
@@ -19,18 +19,18 @@
 
 impl GivenJobs {
     /// Takes what a job's tasks need.
-    pub(super) fn learn(&mut self, job: &str, needs: &Needs) {
+    pub(super) fn learn(&mut self, job: &str, requirements: &TaskRequirements) {
         if !self.jobs.contains_key(job) {
             let given = Given {
-                room: Room::of(needs),
-                image: needs.image.clone(),
+                resources: Resources::of(requirements),
+                image: requirements.image.clone(),
             };
             self.jobs.insert(job.into(), given);
         }
     }
 
-    pub(super) fn room(&self, job: &str) -> Option<Room> {
-        self.jobs.get(job).map(|given| given.room)
+    pub(super) fn resources(&self, job: &str) -> Option<Resources> {
+        self.jobs.get(job).map(|given| given.resources)
     }
 
     pub(super) fn image(&self, job: &str) -> Option<&str> {
--- a/crates/sched/src/owner/heartbeats.rs
+++ b/crates/sched/src/owner/heartbeats.rs
@@ -2,7 +2,7 @@
 
 use super::machine::{give_up, new_machine, orders, settle, take_on, STARTS_AT_ONCE};
 use super::{Answer, Jobs, Owner};
-use crate::placement::{tier, Room};
+use crate::placement::{tier, Resources};
 use crate::shard;
 use crate::Secs;
 use std::collections::BTreeMap;
@@ -128,8 +128,8 @@
         Answer::Orders(Orders { token, orders })
     }
 
-    /// Fills what a machine's report shows to be free with tasks that wait for room, in the very
-    /// answer: otherwise the room waits for the leader and then for the machine's next report.
+    /// Fills what a machine's report shows to be free with tasks that wait for capacity, in the very
+    /// answer: otherwise the capacity waits for the leader and then for the machine's next report.
     fn fill(&mut self, name: &str, jobs: &dyn Jobs) {
         if self.ahead.is_empty() {
             return;
@@ -144,23 +144,25 @@
             return;
         };
         for a in self.ahead.iter_mut() {
-            if tier(&a.needs, &m.kind, &m.zone, m.spot).is_none()
+            if tier(&a.requirements, &m.kind, &m.zone, m.spot).is_none()
                 || jobs.over(&a.job)
                 || self.over.contains_key(&a.job)
             {
                 continue;
             }
-            let room = Room::of(&a.needs);
+            let resources = Resources::of(&a.requirements);
             let most = STARTS_AT_ONCE.saturating_sub(m.pending.len());
-            let n = (free.times(room) as usize).min(a.indexes.len()).min(most);
-            free.sub(room.scaled(n as u32));
+            let n = (free.count_fitting(resources) as usize)
+                .min(a.indexes.len())
+                .min(most);
+            free.sub(resources.scaled(n as u32));
             take_on(
                 m,
                 &a.job,
                 a.attempt,
                 a.indexes.drain(..n),
-                room,
-                &a.needs.image,
+                resources,
+                &a.requirements.image,
             );
         }
         self.ahead.retain(|a| !a.indexes.is_empty());
--- a/crates/sched/src/owner/machine.rs
+++ b/crates/sched/src/owner/machine.rs
@@ -1,6 +1,6 @@
 //! A machine as its owner sees it: what its newest report shows, and what it is to start, stop and clear.
 
-use crate::placement::Room;
+use crate::placement::Resources;
 use crate::Secs;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use wire::peers::{MachineView, TaskRef, TaskView, ToLeader};
@@ -38,7 +38,7 @@
     pub(super) asked: (u64, u64),
     pub(super) unheard: u32,
     pub(super) tasks: BTreeMap<TaskRef, TaskView>,
-    pub(super) pending: BTreeMap<TaskRef, Room>,
+    pub(super) pending: BTreeMap<TaskRef, Resources>,
     pub(super) stops: BTreeMap<TaskRef, f64>,
     pub(super) clears: BTreeSet<TaskRef>,
     pub(super) images: VecDeque<String>,
@@ -97,7 +97,7 @@
     job: &str,
     attempt: u64,
     indexes: impl Iterator<Item = u32>,
-    room: Room,
+    resources: Resources,
     image: &str,
 ) -> u32 {
     let before = m.pending.len();
@@ -108,7 +108,7 @@
                 index,
                 attempt,
             },
-            room,
+            resources,
         )
     }));
     let n = m.pending.len() - before;
--- a/crates/sched/src/owner/mod.rs
+++ b/crates/sched/src/owner/mod.rs
@@ -13,7 +13,7 @@
 use crate::authority::Authority;
 use crate::capacity_index::Index;
 use crate::config::Setup;
-use crate::placement::Room;
+use crate::placement::Resources;
 use crate::shard;
 use crate::Secs;
 use assigned_jobs::GivenJobs;
@@ -26,7 +26,7 @@
 
 /// What a task of a job takes; none if the job is not known here.
 pub trait Jobs {
-    fn room(&self, job: &str) -> Option<Room>;
+    fn resources(&self, job: &str) -> Option<Resources>;
     fn image(&self, job: &str) -> Option<String>;
     /// Whether the job is known to be done or cancelled.
     fn over(&self, job: &str) -> bool;
@@ -184,17 +184,17 @@
             ToOwner::Give {
                 job,
                 attempt,
-                needs,
+                requirements,
                 tasks,
-            } => self.give(job, attempt, &needs, &tasks, now, jobs),
+            } => self.give(job, attempt, &requirements, &tasks, now, jobs),
             ToOwner::Ahead {
                 job,
                 attempt,
-                needs,
+                requirements,
                 tasks,
                 wait_ms,
             } => {
-                self.given.learn(&job, &needs);
+                self.given.learn(&job, &requirements);
                 let indexes = tasks
                     .iter()
                     .flat_map(|(a, n)| *a..a.saturating_add(*n))
@@ -202,7 +202,7 @@
                 self.ahead.push_back(Ahead {
                     job,
                     attempt,
-                    needs,
+                    requirements,
                     indexes,
                     until: now + wait_ms as f64 / 1000.0,
                 });
@@ -210,12 +210,12 @@
             ToOwner::Hold {
                 job,
                 attempt,
-                needs,
+                requirements,
                 places,
                 wait_ms,
             } => {
                 let until = now + wait_ms as f64 / 1000.0;
-                let held = self.hold(job, attempt, &needs, places, until, jobs);
+                let held = self.hold(job, attempt, &requirements, places, until, jobs);
                 self.out.push(ToLeader::HoldAnswer { attempt, held });
             }
             ToOwner::Bind { attempt } => self.bind(attempt, now),
@@ -264,9 +264,9 @@
         cards: Vec<wire::peers::MachineCard>,
         now: Secs,
     ) {
-        // Room that was lent ends with the epoch: the leader releases its waiting gangs.
+        // Capacity that was lent ends with the epoch: the leader releases its waiting gangs.
         self.reservations.clear();
-        // What waits for room is nowhere yet; the leader takes it back once all is reconciled.
+        // What waits for capacity is nowhere yet; the leader takes it back once all is reconciled.
         self.ahead.clear();
         self.out.clear();
         if self.token != prev || prev == 0 {
--- a/crates/sched/src/owner/placing.rs
+++ b/crates/sched/src/owner/placing.rs
@@ -3,32 +3,32 @@
 use super::machine::{take_on, Machine};
 use super::{Jobs, Owner};
 use crate::capacity_index::Spot;
-use crate::placement::Room;
+use crate::placement::Resources;
 use crate::Secs;
 use std::collections::VecDeque;
-use wire::peers::{Needs, ToLeader};
+use wire::peers::{TaskRequirements, ToLeader};
 use wire::workers::TaskState;
 
 /// Resources set aside on machines for a gang until it is bound, or until the wait ends.
 pub(super) struct Reservation {
     pub(super) job: String,
-    pub(super) room: Room,
+    pub(super) resources: Resources,
     pub(super) image: String,
     pub(super) places: Vec<(String, u32, u32)>,
     pub(super) until: Secs,
 }
 
-/// Tasks that wait for room to become free in this part.
+/// Tasks that wait for capacity to become free in this part.
 pub(super) struct Ahead {
     pub(super) job: String,
     pub(super) attempt: u64,
-    pub(super) needs: Needs,
+    pub(super) requirements: TaskRequirements,
     pub(super) indexes: VecDeque<u32>,
     pub(super) until: Secs,
 }
 
 impl Owner {
-    /// Hands tasks that wait for room back to the leader.
+    /// Hands tasks that wait for capacity back to the leader.
     pub(super) fn hand_back(&mut self, which: impl Fn(&Ahead) -> bool) {
         let out = &mut self.out;
         self.ahead.retain_mut(|a| {
@@ -82,8 +82,8 @@
     }
 
     /// What a task of a job takes, by this controller's view or by the leader's word.
-    fn room(&self, job: &str, jobs: &dyn Jobs) -> Option<Room> {
-        jobs.room(job).or_else(|| self.given.room(job))
+    fn resources(&self, job: &str, jobs: &dyn Jobs) -> Option<Resources> {
+        jobs.resources(job).or_else(|| self.given.resources(job))
     }
 
     fn image(&self, job: &str, jobs: &dyn Jobs) -> Option<String> {
@@ -102,17 +102,17 @@
         self.given.keep(&in_use.collect());
     }
 
-    /// What is left of a machine's room; none while what a task takes there is not known.
-    pub(super) fn free(&self, name: &str, m: &Machine, jobs: &dyn Jobs) -> Option<Room> {
-        let mut free = self.types.get(&m.kind).map(Room::of_type)?;
+    /// What is left of a machine's capacity; none while what a task takes there is not known.
+    pub(super) fn free(&self, name: &str, m: &Machine, jobs: &dyn Jobs) -> Option<Resources> {
+        let mut free = self.types.get(&m.kind).map(Resources::of_type)?;
         for t in m.tasks.values().filter(|t| t.state != TaskState::Exited) {
-            free.sub(self.room(&t.task.job, jobs)?);
+            free.sub(self.resources(&t.task.job, jobs)?);
         }
         m.pending.values().for_each(|r| free.sub(*r));
         for h in self.reservations.values() {
             for (machine, _, n) in &h.places {
                 if machine == name {
-                    free.sub(h.room.scaled(*n));
+                    free.sub(h.resources.scaled(*n));
                 }
             }
         }
@@ -123,19 +123,19 @@
         &mut self,
         job: String,
         attempt: u64,
-        needs: &Needs,
+        requirements: &TaskRequirements,
         runs: &[(u32, u32)],
         now: Secs,
         jobs: &dyn Jobs,
     ) {
-        let room = Room::of(needs);
-        self.given.learn(&job, needs);
+        let resources = Resources::of(requirements);
+        self.given.learn(&job, requirements);
         self.refresh_index(jobs);
         let mut indexes = runs
             .iter()
             .flat_map(|(a, n)| *a..a.saturating_add(*n))
             .peekable();
-        let mut found = self.index.fits(needs);
+        let mut found = self.index.fits(requirements);
         // A start goes with the answer to a report: of machines that suit alike, the one that
         // reports next starts first.
         let quarter = self.setup.report_s / 4.0;
@@ -167,11 +167,11 @@
                 m,
                 &job,
                 attempt,
-                indexes.by_ref().take(f.times as usize),
-                room,
-                &needs.image,
+                indexes.by_ref().take(f.slots as usize),
+                resources,
+                &requirements.image,
             );
-            self.index.take(&f.name, room, n, &needs.image);
+            self.index.take(&f.name, resources, n, &requirements.image);
             self.stale.insert(f.name.to_string());
         }
         let back: Vec<u32> = indexes.collect();
@@ -188,32 +188,32 @@
         &mut self,
         job: String,
         attempt: u64,
-        needs: &Needs,
+        requirements: &TaskRequirements,
         places: Vec<(String, u32, u32)>,
         until: Secs,
         jobs: &dyn Jobs,
     ) -> bool {
-        let room = Room::of(needs);
+        let resources = Resources::of(requirements);
         for (name, _, n) in &places {
             let Some(m) = self.machines.get(name) else {
                 return false;
             };
             let fits = || {
                 self.free(name, m, jobs)
-                    .is_some_and(|f| f.times(room) >= *n)
+                    .is_some_and(|f| f.count_fitting(resources) >= *n)
             };
             if !m.open() || !fits() {
                 return false;
             }
         }
         self.stale.extend(places.iter().map(|(m, _, _)| m.clone()));
-        self.given.learn(&job, needs);
+        self.given.learn(&job, requirements);
         self.reservations.insert(
             attempt,
             Reservation {
                 job,
-                room,
-                image: needs.image.clone(),
+                resources,
+                image: requirements.image.clone(),
                 places,
                 until,
             },
@@ -231,7 +231,7 @@
         };
         self.stale
             .extend(h.places.iter().map(|(m, _, _)| m.clone()));
-        // A machine that was lost while it held room would never start the task, nor show it gone.
+        // A machine that was lost while it reserved capacity would never start the task, nor show it gone.
         let here = |name: &String| self.machines.get(name).is_some_and(Machine::open);
         if now >= h.until || !h.places.iter().all(|(m, _, _)| here(m)) {
             self.out.push(ToLeader::HoldAnswer {
@@ -242,7 +242,7 @@
         }
         for (name, first, n) in h.places {
             if let Some(m) = self.machines.get_mut(&name) {
-                take_on(m, &h.job, attempt, first..first + n, h.room, &h.image);
+                take_on(m, &h.job, attempt, first..first + n, h.resources, &h.image);
             }
         }
     }
--- a/crates/sched/src/placement.rs
+++ b/crates/sched/src/placement.rs
@@ -2,71 +2,71 @@
 //! that both mostly come to the same answer.
 
 use wire::cloud::MachineType;
-use wire::peers::Needs;
+use wire::peers::TaskRequirements;
 
 /// Amounts of a machine or a task.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Room {
+pub struct Resources {
     pub cpus: f64,
     pub gpus: f64,
     pub memory_gb: f64,
 }
 
 /// Sums of decimals are compared with this slack.
-pub const SLACK: f64 = 1e-6;
+pub const ROUNDING_SLACK: f64 = 1e-6;
 
-impl Room {
-    pub fn of_type(t: &MachineType) -> Room {
-        Room {
+impl Resources {
+    pub fn of_type(t: &MachineType) -> Resources {
+        Resources {
             cpus: t.cpus,
             gpus: t.gpus,
             memory_gb: t.memory_gb,
         }
     }
 
-    pub fn of(needs: &Needs) -> Room {
-        Room {
-            cpus: needs.cpus,
-            gpus: needs.gpus,
-            memory_gb: needs.memory_gb,
+    pub fn of(requirements: &TaskRequirements) -> Resources {
+        Resources {
+            cpus: requirements.cpus,
+            gpus: requirements.gpus,
+            memory_gb: requirements.memory_gb,
         }
     }
 
-    pub fn add(&mut self, o: Room) {
+    pub fn add(&mut self, o: Resources) {
         self.cpus += o.cpus;
         self.gpus += o.gpus;
         self.memory_gb += o.memory_gb;
     }
 
-    pub fn sub(&mut self, o: Room) {
+    pub fn sub(&mut self, o: Resources) {
         self.cpus -= o.cpus;
         self.gpus -= o.gpus;
         self.memory_gb -= o.memory_gb;
     }
 
     /// The same for `n` tasks.
-    pub fn scaled(&self, n: u32) -> Room {
+    pub fn scaled(&self, n: u32) -> Resources {
         let n = f64::from(n);
-        Room {
+        Resources {
             cpus: self.cpus * n,
             gpus: self.gpus * n,
             memory_gb: self.memory_gb * n,
         }
     }
 
-    pub fn holds(&self, o: Room) -> bool {
-        o.cpus <= self.cpus + SLACK
-            && o.gpus <= self.gpus + SLACK
-            && o.memory_gb <= self.memory_gb + SLACK
+    pub fn can_fit(&self, o: Resources) -> bool {
+        o.cpus <= self.cpus + ROUNDING_SLACK
+            && o.gpus <= self.gpus + ROUNDING_SLACK
+            && o.memory_gb <= self.memory_gb + ROUNDING_SLACK
     }
 
     /// How many tasks of this size fit.
-    pub fn times(&self, o: Room) -> u32 {
+    pub fn count_fitting(&self, o: Resources) -> u32 {
         let one = |have: f64, need: f64| {
             if need <= 0.0 {
                 f64::INFINITY
             } else {
-                ((have + SLACK) / need).floor().max(0.0)
+                ((have + ROUNDING_SLACK) / need).floor().max(0.0)
             }
         };
         one(self.cpus, o.cpus)
@@ -80,7 +80,7 @@
 pub struct Candidate {
     /// The tier of its type, zone and kind for these needs.
     pub tier: u8,
-    pub free: Room,
+    pub free: Resources,
     /// The image is there, or is being fetched for another task.
     pub has_image: bool,
     /// Fetching the image would take a good part of the time allowed for a start.
@@ -90,11 +90,11 @@
 }
 
 /// The tier of a machine for these needs; none if the task may not run there at all.
-pub fn tier(needs: &Needs, kind: &str, zone: &str, spot: bool) -> Option<u8> {
-    if needs.zone.as_deref().is_some_and(|z| z != zone) {
+pub fn tier(requirements: &TaskRequirements, kind: &str, zone: &str, spot: bool) -> Option<u8> {
+    if requirements.zone.as_deref().is_some_and(|z| z != zone) {
         return None;
     }
-    needs
+    requirements
         .kinds
         .iter()
         .find(|a| a.kind == kind && a.spot == spot)
@@ -105,10 +105,10 @@
 pub type Rank = (bool, u8, bool, bool, u64);
 
 /// The better a machine suits, the smaller its rank: not one that would fetch for long; the
-/// cheaper tier; one that is in use; one that has the image; then the one with the least room
+/// cheaper tier; one that is in use; one that has the image; then the one with the least capacity
 /// left, so that others become empty and can be returned.
-pub fn rank(needs: &Needs, c: &Candidate) -> Option<Rank> {
-    if !c.free.holds(Room::of(needs)) {
+pub fn rank(requirements: &TaskRequirements, c: &Candidate) -> Option<Rank> {
+    if !c.free.can_fit(Resources::of(requirements)) {
         return None;
     }
     Some((
@@ -116,7 +116,7 @@
         c.tier,
         c.empty,
         !c.has_image,
-        ((c.free.cpus - needs.cpus).max(0.0) * 1000.0) as u64,
+        ((c.free.cpus - requirements.cpus).max(0.0) * 1000.0) as u64,
     ))
 }
 
--- a/crates/sched/src/preempt.rs
+++ b/crates/sched/src/preempt.rs
@@ -1,22 +1,22 @@
-//! Taking room back for work within its team's guarantee, and for work of higher priority.
+//! Taking capacity back for work within its team's guarantee, and for work of higher priority.
 //!
 //! Only two kinds of tasks are stopped: work that another team runs beyond its own guarantee,
 //! and work of lower priority. Those that began last lose least, so they go first, and no
-//! more than the guarantee lacks. For a gang of several tasks either all of its room is taken
+//! more than the guarantee lacks. For a gang of several tasks either all of its capacity is taken
 //! back or nothing is stopped.
 
 use crate::leader::{Job, Leader, Place};
-use crate::placement::{tier, Room, SLACK};
+use crate::placement::{tier, Resources, ROUNDING_SLACK};
 use crate::Secs;
 use std::collections::{BTreeMap, BTreeSet};
-use wire::peers::Needs;
+use wire::peers::TaskRequirements;
 use wire::users::Priority;
 
-/// Part of the time allowed for a guaranteed start that is left to room freed by itself.
+/// Part of the time allowed for a guaranteed start that is left to capacity freed by itself.
 const PATIENCE: f64 = 0.2;
 
-/// A job that missed its time waits for room to become free, which is soon as a rule and loses
-/// no work; after this many times the time allowed it may take room back again.
+/// A job that missed its time waits for capacity to become free, which is soon as a rule and loses
+/// no work; after this many times the time allowed it may take capacity back again.
 const STARVED: f64 = 12.0;
 
 /// Borrowed work that can't save is stopped only in this first part of its expected run: later
@@ -34,7 +34,7 @@
 struct Victim {
     job: String,
     index: u32,
-    room: Room,
+    resources: Resources,
     lost_s: f64,
     team: String,
     priority: Priority,
@@ -50,17 +50,17 @@
     kind: String,
     zone: String,
     spot: bool,
-    /// Its room once the tasks that were told to stop are gone.
-    free: Room,
+    /// Its capacity once the tasks that were told to stop are gone.
+    free: Resources,
     victims: Vec<Victim>,
 }
 
-/// How a whole gang gets its room, and what is left of the candidates then.
+/// How a whole gang gets its capacity, and what is left of the candidates then.
 struct Plan {
     /// CPU seconds of work that is stopped.
     lost: f64,
     stops: Vec<Stops>,
-    used: BTreeMap<String, Room>,
+    used: BTreeMap<String, Resources>,
     fields: Vec<(usize, Field)>,
 }
 
@@ -77,11 +77,11 @@
         };
         let due: Vec<(String, u32)> = self.fleet.unmet.iter().filter_map(due).collect();
         let mut used = self.used_after_stops();
-        let over = |(team, used): (&String, &Room)| {
+        let over = |(team, used): (&String, &Resources)| {
             self.setup
                 .teams
                 .get(team)
-                .is_some_and(|t| used.cpus > t.cpus + SLACK)
+                .is_some_and(|t| used.cpus > t.cpus + ROUNDING_SLACK)
         };
         if due.is_empty()
             || !used.iter().any(over)
@@ -99,7 +99,7 @@
             let Some(job) = self.jobs.get(&id) else {
                 continue;
             };
-            if job.needs_many_at_once() {
+            if job.is_multi_task_gang() {
                 if first
                     .as_ref()
                     .is_some_and(|first| self.blocks(first, &id, now))
@@ -107,17 +107,18 @@
                     continue;
                 }
                 // On the machines on which the pass would place it.
-                let needs = self.needs_sparing(job, &scarce);
-                let stops = self.make_room_for_gang(job, &needs, &mut fields, &mut used);
+                let requirements = self.requirements_sparing(job, &scarce);
+                let stops = self.plan_for_gang(job, &requirements, &mut fields, &mut used);
                 if let Some(stops) = stops {
                     self.reclaim(&id, &fields, stops, now);
                 }
                 continue;
             }
-            let needs = self.needs(job, None);
+            let requirements = self.requirements(job, None);
             for _ in 0..n {
                 let Some(job) = self.jobs.get(&id) else { break };
-                let Some(stops) = self.make_room(job, &needs, &mut fields, &mut used) else {
+                let Some(stops) = self.plan_for_task(job, &requirements, &mut fields, &mut used)
+                else {
                     break;
                 };
                 self.stop_victims(&id, &fields, vec![stops]);
@@ -125,18 +126,18 @@
         }
     }
 
-    /// Whether machines are set aside for another gang for which no room can be taken back: until it is
+    /// Whether machines are set aside for another gang for which no capacity can be taken back: until it is
     /// placed, this one can't be, whatever is stopped for it.
     fn blocks(&self, first: &str, id: &str, now: Secs) -> bool {
         let reclaims = |job: &Job| now < job.reclaims_until;
         first != id && !self.jobs.get(first).is_some_and(reclaims)
     }
 
-    /// Whether others may be stopped for a job that found no room.
+    /// Whether others may be stopped for a job that found no capacity.
     fn may_reclaim(&self, job: &Job, now: Secs) -> bool {
         let waited = now - job.seen;
         let mut window = self.setup.guarantee_s * PATIENCE..=self.setup.guarantee_s;
-        if job.needs_many_at_once() {
+        if job.is_multi_task_gang() {
             // Many machines at once seldom become free by themselves, and would be rented meanwhile. It
             // is worth trying for as long as its class's objective can still be met.
             let objective = self
@@ -152,7 +153,7 @@
         (in_time || starved) && (job.within || self.lower(job.spec.priority))
     }
 
-    /// Has room for a whole gang taken back, and kept for it meanwhile.
+    /// Has capacity for a whole gang taken back, and kept for it meanwhile.
     fn reclaim(&mut self, id: &str, fields: &[Field], stops: Vec<Stops>, now: Secs) {
         let victims = stops.iter().flat_map(|(_, victims)| victims);
         let grace_s = victims.map(|v| self.grace_s(&v.job)).fold(0.0, f64::max);
@@ -185,29 +186,29 @@
         }
     }
 
-    /// Finds room for all tasks of a gang, in the zone where that costs least if it wants one. Half
-    /// a gang's room serves nobody: without room for the whole nothing is stopped.
-    fn make_room_for_gang(
+    /// Finds capacity for all tasks of a gang, in the zone where that costs least if it wants one. Half
+    /// a gang's capacity serves nobody: without capacity for the whole nothing is stopped.
+    fn plan_for_gang(
         &self,
         job: &Job,
-        needs: &Needs,
+        requirements: &TaskRequirements,
         fields: &mut [Field],
-        used: &mut BTreeMap<String, Room>,
+        used: &mut BTreeMap<String, Resources>,
     ) -> Option<Vec<Stops>> {
         if job.spec.spread {
             return None;
         }
-        let zones: BTreeSet<Option<String>> = if job.spec.one_zone && needs.zone.is_none() {
+        let zones: BTreeSet<Option<String>> = if job.spec.one_zone && requirements.zone.is_none() {
             fields.iter().map(|f| Some(f.zone.clone())).collect()
         } else {
-            BTreeSet::from([needs.zone.clone()])
+            BTreeSet::from([requirements.zone.clone()])
         };
         let plans = zones.into_iter().filter_map(|zone| {
             self.plan_in_zone(
                 job,
-                &Needs {
+                &TaskRequirements {
                     zone,
-                    ..needs.clone()
+                    ..requirements.clone()
                 },
                 fields,
                 used,
@@ -225,11 +226,11 @@
     fn plan_in_zone(
         &self,
         job: &Job,
-        needs: &Needs,
+        requirements: &TaskRequirements,
         fields: &[Field],
-        used: &BTreeMap<String, Room>,
+        used: &BTreeMap<String, Resources>,
     ) -> Option<Plan> {
-        let allowed = |f: &Field| tier(needs, &f.kind, &f.zone, f.spot).is_some();
+        let allowed = |f: &Field| tier(requirements, &f.kind, &f.zone, f.spot).is_some();
         let (positions, mut fields): (Vec<usize>, Vec<Field>) = fields
             .iter()
             .enumerate()
@@ -239,13 +240,13 @@
         let mut used = used.clone();
         let mut stops = Vec::new();
         for _ in 0..job.spec.tasks {
-            let (at, victims) = self.make_room(job, needs, &mut fields, &mut used)?;
+            let (at, victims) = self.plan_for_task(job, requirements, &mut fields, &mut used)?;
             stops.push((positions[at], victims));
         }
         let lost = stops
             .iter()
             .flat_map(|(_, victims)| victims)
-            .map(|v| v.lost_s * v.room.cpus)
+            .map(|v| v.lost_s * v.resources.cpus)
             .sum();
         Some(Plan {
             lost,
@@ -263,12 +264,12 @@
     }
 
     /// What each team uses once the tasks that were told to stop are gone.
-    fn used_after_stops(&self) -> BTreeMap<String, Room> {
+    fn used_after_stops(&self) -> BTreeMap<String, Resources> {
         let mut used = self.team_used.clone();
         for j in self.jobs.values() {
             let stopped = j.active.values().filter(|a| a.stop_sent).count() as u32;
             if let Some(u) = used.get_mut(&j.spec.team) {
-                u.sub(j.room().scaled(stopped));
+                u.sub(j.resources().scaled(stopped));
             }
         }
         used
@@ -277,7 +278,7 @@
     fn fields(&self, now: Secs) -> Vec<Field> {
         let mut out = Vec::new();
         for (name, m) in self.machines.iter().filter(|(_, m)| m.open()) {
-            let Some(mut free) = self.cap(&m.kind).map(|c| m.free(c)) else {
+            let Some(mut free) = self.capacity(&m.kind).map(|c| m.free(c)) else {
                 continue;
             };
             let mut victims = Vec::new();
@@ -287,7 +288,7 @@
                     continue;
                 };
                 if a.stop_sent {
-                    free.add(job.room());
+                    free.add(job.resources());
                 } else if !job.over
                     && matches!(a.place, Place::On(_))
                     && (!job.is_gang() || job.spec.tasks == 1)
@@ -303,7 +304,7 @@
                     victims.push(Victim {
                         job: id.clone(),
                         index: *i,
-                        room: job.room(),
+                        resources: job.resources(),
                         lost_s,
                         team: job.spec.team.clone(),
                         priority: job.priority,
@@ -326,23 +327,23 @@
         out
     }
 
-    /// Finds room for one task where that costs least: the machine and what is to be stopped
+    /// Finds capacity for one task where that costs least: the machine and what is to be stopped
     /// there (nothing if earlier stops will free enough). None if it can't be had.
-    fn make_room(
+    fn plan_for_task(
         &self,
         job: &Job,
-        needs: &Needs,
+        requirements: &TaskRequirements,
         fields: &mut [Field],
-        used: &mut BTreeMap<String, Room>,
+        used: &mut BTreeMap<String, Resources>,
     ) -> Option<Stops> {
-        let room = job.room();
-        let allowed = |f: &Field| tier(needs, &f.kind, &f.zone, f.spot).is_some();
+        let resources = job.resources();
+        let allowed = |f: &Field| tier(requirements, &f.kind, &f.zone, f.spot).is_some();
         if let Some((at, f)) = fields
             .iter_mut()
             .enumerate()
-            .find(|(_, f)| f.free.holds(room) && allowed(f))
+            .find(|(_, f)| f.free.can_fit(resources) && allowed(f))
         {
-            f.free.sub(room);
+            f.free.sub(resources);
             return Some((at, Vec::new()));
         }
         let may = |v: &&Victim| {
@@ -357,14 +358,14 @@
         {
             let (mut have, mut lost, mut chosen) = (f.free, 0.0, Vec::new());
             for (i, v) in f.victims.iter().enumerate().filter(|(_, v)| may(v)) {
-                have.add(v.room);
-                lost += v.lost_s * v.room.cpus;
+                have.add(v.resources);
+                lost += v.lost_s * v.resources.cpus;
                 chosen.push(i);
-                if have.holds(room) {
+                if have.can_fit(resources) {
                     break;
                 }
             }
-            let better = have.holds(room) && best.as_ref().is_none_or(|(l, _, _)| lost < *l);
+            let better = have.can_fit(resources) && best.as_ref().is_none_or(|(l, _, _)| lost < *l);
             if better && self.within_borrowed(job, chosen.iter().map(|i| &f.victims[*i]), used) {
                 best = Some((lost, at, chosen));
             }
@@ -374,13 +375,13 @@
         let mut out = Vec::new();
         for i in chosen.into_iter().rev() {
             let v = f.victims.remove(i);
-            f.free.add(v.room);
+            f.free.add(v.resources);
             if let Some(u) = used.get_mut(&v.team) {
-                u.sub(v.room);
+                u.sub(v.resources);
             }
             out.push(v);
         }
-        f.free.sub(room);
+        f.free.sub(resources);
         Some((at, out))
     }
 
@@ -389,19 +390,19 @@
         &self,
         job: &Job,
         victims: impl Iterator<Item = &'a Victim>,
-        used: &BTreeMap<String, Room>,
+        used: &BTreeMap<String, Resources>,
     ) -> bool {
-        let mut taken: BTreeMap<&str, Room> = BTreeMap::new();
+        let mut taken: BTreeMap<&str, Resources> = BTreeMap::new();
         for v in victims.filter(|v| v.priority <= job.spec.priority) {
-            taken.entry(&v.team).or_default().add(v.room);
+            taken.entry(&v.team).or_default().add(v.resources);
         }
-        taken.into_iter().all(|(name, room)| {
+        taken.into_iter().all(|(name, resources)| {
             let Some(team) = self.setup.teams.get(name) else {
                 return false;
             };
             let mut u = used.get(name).copied().unwrap_or_default();
-            u.sub(room);
-            u.cpus >= team.cpus - SLACK && u.gpus >= team.gpus.min(u.gpus) - SLACK
+            u.sub(resources);
+            u.cpus >= team.cpus - ROUNDING_SLACK && u.gpus >= team.gpus.min(u.gpus) - ROUNDING_SLACK
         })
     }
 }
--- a/crates/sched/src/queue/arrays.rs
+++ b/crates/sched/src/queue/arrays.rs
@@ -7,20 +7,20 @@
 use crate::Secs;
 use std::collections::BTreeMap;
 use std::rc::Rc;
-use wire::peers::{Allowed, Needs, ToOwner};
+use wire::peers::{AllowedMachineType, TaskRequirements, ToOwner};
 
 /// Tasks may wait at an owner for what becomes free in so many times the time that the leader needs
-/// to learn of room and to give it away.
+/// to learn of capacity and to give it away.
 const AHEAD: f64 = 2.0;
 
-/// What found no room after this many times the same is handed back.
+/// What found no capacity after this many times the same is handed back.
 const AHEAD_WAIT: f64 = 5.0;
 
 impl Leader {
     pub(super) fn place_array(
         &mut self,
         id: &str,
-        needs: &Needs,
+        requirements: &TaskRequirements,
         quota: u32,
         pass: &mut Pass,
         now: Secs,
@@ -28,17 +28,17 @@
         let Some((begun, cpus)) = self.jobs.get(id).map(|j| (j.begun, j.spec.cpus)) else {
             return;
         };
-        let found = self.index.fits_beside(needs, pass.aside_for(id));
+        let found = self.index.fits_outside(requirements, pass.aside_for(id));
         // Recorded before its first start, so that a later leader knows which jobs an earlier
         // one has never touched and need not wait for every machine with them.
         if begun != Begun::Yes {
             let fits = found
                 .iter()
-                .map(|f| f.times)
+                .map(|f| f.slots)
                 .fold(0, u32::saturating_add)
                 .min(quota);
             if fits < quota {
-                self.want_room(id, quota - fits, now);
+                self.note_unmet(id, quota - fits, now);
             }
             // Those whose turn comes soon are recorded in time.
             let turnover = *pass.turnover.get_or_insert_with(|| self.turnover());
@@ -59,7 +59,7 @@
         let Some(limits) = limits.as_mut() else {
             return;
         };
-        let (room, team) = (job.room(), job.spec.team.clone());
+        let (resources, team) = (job.resources(), job.spec.team.clone());
         let mut indexes = job
             .ready
             .iter()
@@ -75,7 +75,7 @@
             } else {
                 u32::MAX
             };
-            let mine: Vec<u32> = indexes.by_ref().take(f.times.min(most) as usize).collect();
+            let mine: Vec<u32> = indexes.by_ref().take(f.slots.min(most) as usize).collect();
             if mine.is_empty() {
                 if indexes.len() == 0 {
                     break;
@@ -89,8 +89,8 @@
             let Some(owner) = self.index.get(&f.name).map(|s| s.owner.clone()) else {
                 continue;
             };
-            self.index.take(&f.name, room, n, &needs.image);
-            self.see_image(&f.name, &needs.image);
+            self.index.take(&f.name, resources, n, &requirements.image);
+            self.see_image(&f.name, &requirements.image);
             for index in &mine {
                 self.give_active(id, *index, attempt, owner.clone(), f.name.to_string(), now);
             }
@@ -100,34 +100,34 @@
                 .extend(mine);
             placed += n;
         }
-        pass.charge(&team, room, placed);
+        pass.charge(&team, resources, placed);
         for ((owner, zone), indexes) in given {
-            let mut needs = needs.clone();
+            let mut requirements = requirements.clone();
             if let Some(zone) = zone {
-                needs.zone = Some(zone.to_string());
+                requirements.zone = Some(zone.to_string());
             }
             self.actions.push(Action::Send(
                 owner,
                 ToOwner::Give {
                     job: id.into(),
                     attempt,
-                    needs,
+                    requirements,
                     tasks: runs(indexes),
                 },
             ));
         }
         if placed < quota {
-            pass.queued += room.cpus * f64::from(quota - placed);
-            self.want_room(id, quota - placed, now);
+            pass.queued += resources.cpus * f64::from(quota - placed);
+            self.note_unmet(id, quota - placed, now);
             if !zoned {
-                self.give_ahead(id, needs, quota - placed, pass, now);
+                self.give_ahead(id, requirements, quota - placed, pass, now);
             }
         }
     }
 
-    /// What found no room counts as demand. For what fails wherever it is tried nothing is rented at
+    /// What found no capacity counts as demand. For what fails wherever it is tried nothing is rented at
     /// once, but should it be the machines' fault after all, it must not wait for ever.
-    pub(super) fn want_room(&mut self, id: &str, tasks: u32, now: Secs) {
+    pub(super) fn note_unmet(&mut self, id: &str, tasks: u32, now: Secs) {
         if self
             .jobs
             .get(id)
@@ -137,14 +137,14 @@
         }
     }
 
-    /// The time after which room that a report showed has a task from here.
+    /// The time after which capacity that a report showed has a task from here.
     fn reaction_s(&self) -> Secs {
         self.setup.report_s.min(1.0) / 2.0 + self.setup.report_s / crate::owner::VIEWS_PER_REPORT
     }
 
     /// CPUs that tasks may wait for at each owner: what array tasks free there in a short time,
     /// less what waits already.
-    fn ahead_room(&self) -> BTreeMap<String, f64> {
+    fn backlog_capacity(&self) -> BTreeMap<String, f64> {
         let mut used: BTreeMap<&str, f64> = BTreeMap::new();
         for m in self.machines.values().filter(|m| m.open()) {
             *used.entry(&m.owner).or_default() += m.used.cpus;
@@ -157,13 +157,20 @@
             .collect()
     }
 
-    /// Lets tasks that found no room wait at the owners for the first that becomes free: a task's
+    /// Lets tasks that found no capacity wait at the owners for the first that becomes free: a task's
     /// end and the next one's start then take one report and its answer.
-    fn give_ahead(&mut self, id: &str, needs: &Needs, most: u32, pass: &mut Pass, now: Secs) {
+    fn give_ahead(
+        &mut self,
+        id: &str,
+        requirements: &TaskRequirements,
+        most: u32,
+        pass: &mut Pass,
+        now: Secs,
+    ) {
         let Some(job) = self.jobs.get(id) else { return };
-        let (each, team) = (job.room(), job.spec.team.clone());
+        let (each, team) = (job.resources(), job.spec.team.clone());
         let aside = pass.aside_for(id).map_or(&[][..], |a| &a.kinds);
-        let kinds: Vec<Allowed> = needs
+        let kinds: Vec<AllowedMachineType> = requirements
             .kinds
             .iter()
             .filter(|k| !aside.iter().any(|a| a.kind == k.kind && a.spot == k.spot))
@@ -172,9 +179,9 @@
         if kinds.is_empty() {
             return;
         }
-        let room = pass.ahead.get_or_insert_with(|| self.ahead_room());
+        let resources = pass.ahead.get_or_insert_with(|| self.backlog_capacity());
         let fits = |cpus: f64| (cpus / each.cpus.max(0.01)).floor().max(0.0) as u32;
-        let n = room
+        let n = resources
             .values()
             .map(|cpus| fits(*cpus))
             .fold(0, u32::saturating_add)
@@ -188,13 +195,13 @@
             .take(n as usize)
             .collect::<Vec<u32>>()
             .into_iter();
-        let needs = Needs {
+        let requirements = TaskRequirements {
             kinds,
-            ..needs.clone()
+            ..requirements.clone()
         };
         let attempt = self.next_attempt();
         let wait_ms = (self.reaction_s() * AHEAD_WAIT * 1000.0) as u64;
-        for (owner, cpus) in room.iter_mut() {
+        for (owner, cpus) in resources.iter_mut() {
             let mine: Vec<u32> = indexes.by_ref().take(fits(*cpus) as usize).collect();
             if mine.is_empty() {
                 continue;
@@ -206,7 +213,7 @@
             let message = ToOwner::Ahead {
                 job: id.into(),
                 attempt,
-                needs: needs.clone(),
+                requirements: requirements.clone(),
                 tasks: runs(mine),
                 wait_ms,
             };
--- a/crates/sched/src/queue/capacity.rs
+++ b/crates/sched/src/queue/capacity.rs
@@ -2,7 +2,7 @@
 
 use crate::capacity_index::{Found, Spot};
 use crate::leader::{Job, Leader, Machine, Place};
-use crate::placement::Room;
+use crate::placement::Resources;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use wire::cloud::MachineType;
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Whether the index is what a plain rebuild from the picture gives; for tests.
+    /// Whether the index is what a plain rebuild from the cluster view gives; for tests.
     pub fn index_agrees(&mut self) -> bool {
         self.refresh_index();
         let one = |(n, m): (&String, &Machine)| {
@@ -69,11 +69,12 @@
             _ if !job.spec.one_zone => None,
             Some(zone) => Some(zone.as_str().into()),
             None => {
-                let mut room: BTreeMap<&Rc<str>, u32> = BTreeMap::new();
+                let mut capacity_by_zone: BTreeMap<&Rc<str>, u32> = BTreeMap::new();
                 found
                     .iter()
-                    .for_each(|f| *room.entry(&f.zone).or_default() += f.times);
-                room.into_iter()
+                    .for_each(|f| *capacity_by_zone.entry(&f.zone).or_default() += f.slots);
+                capacity_by_zone
+                    .into_iter()
                     .max_by_key(|(_, n)| *n)
                     .map(|(z, _)| z.clone())
             }
@@ -96,7 +97,7 @@
 fn spot_of(m: &Machine, t: &MachineType) -> Spot {
     Spot {
         owner: m.owner.clone(),
-        free: m.free(Room::of_type(t)),
+        free: m.free(Resources::of_type(t)),
         images: m.images.clone(),
         empty: m.tasks.is_empty(),
     }
--- a/crates/sched/src/queue/gangs.rs
+++ b/crates/sched/src/queue/gangs.rs
@@ -6,14 +6,14 @@
 use crate::Secs;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
-use wire::peers::{Needs, ToOwner};
+use wire::peers::{TaskRequirements, ToOwner};
 
 impl Leader {
-    /// Finds room for a whole gang in the picture; only then are the owners asked to hold it.
+    /// Finds capacity for a whole gang in the cluster view; only then are the owners asked to hold it.
     pub(super) fn place_gang(
         &mut self,
         id: &str,
-        needs: &Needs,
+        requirements: &TaskRequirements,
         quota: u32,
         pass: &mut Pass,
         now: Secs,
@@ -33,7 +33,7 @@
             // No zone may hold all of it: it stays known until it is cancelled, and rents nothing.
             return;
         }
-        let zones: Vec<Option<String>> = match (&needs.zone, job.spec.one_zone) {
+        let zones: Vec<Option<String>> = match (&requirements.zone, job.spec.one_zone) {
             (None, true) => self
                 .index
                 .zones()
@@ -44,22 +44,22 @@
         };
         let most_in_zone = if job.spec.spread { n.div_ceil(2) } else { n };
         let found = zones.into_iter().find_map(|zone| {
-            let needs = Needs {
+            let requirements = TaskRequirements {
                 zone,
-                ..needs.clone()
+                ..requirements.clone()
             };
             fit(
-                self.index.fits_beside(&needs, pass.aside_for(id)),
+                self.index.fits_outside(&requirements, pass.aside_for(id)),
                 n,
                 most_in_zone,
             )
         });
         let Some(counts) = found else {
-            self.want_room(id, n, now);
+            self.note_unmet(id, n, now);
             return;
         };
-        let room = job.room();
-        pass.charge(&job.spec.team, room, n);
+        let resources = job.resources();
+        pass.charge(&job.spec.team, resources, n);
         let attempt = self.next_attempt();
         let mut places = Vec::new();
         let mut by_owner: BTreeMap<String, Vec<(String, u32, u32)>> = BTreeMap::new();
@@ -68,11 +68,12 @@
             let Some(owner) = self.index.get(&machine).map(|s| s.owner.clone()) else {
                 continue;
             };
-            self.index.take(&machine, room, count, &needs.image);
+            self.index
+                .take(&machine, resources, count, &requirements.image);
             if let Some(m) = self.machines.get_mut(&machine) {
-                m.held.insert(attempt, room.scaled(count));
+                m.held.insert(attempt, resources.scaled(count));
             }
-            self.see_image(&machine, &needs.image);
+            self.see_image(&machine, &requirements.image);
             places.push((machine.clone(), first, count));
             by_owner
                 .entry(owner)
@@ -98,7 +99,7 @@
             let message = ToOwner::Hold {
                 job: id.into(),
                 attempt,
-                needs: needs.clone(),
+                requirements: requirements.clone(),
                 places,
                 wait_ms: (wait * 1000.0) as u64,
             };
@@ -148,7 +149,7 @@
                 self.end_hold(&id, now, true);
             }
             Phase::Running { .. } | Phase::Ending if !held => {
-                // The room was given up before the binding came: the gang has to begin anew.
+                // The capacity was given up before the binding came: the gang has to begin anew.
                 let lost: Vec<u32> = job
                     .active
                     .iter()
@@ -179,7 +180,7 @@
         if *a != attempt {
             return;
         }
-        // A machine that was returned meanwhile took its held room with it.
+        // A machine that was returned meanwhile took its reserved capacity with it.
         let here = places.iter().all(|(m, _, _)| self.machines.contains_key(m));
         if !written || !here || now >= *until {
             self.end_hold(id, now, true);
@@ -208,7 +209,7 @@
         }
     }
 
-    /// Releases the room of a waiting gang everywhere; with a failure it backs off longer
+    /// Releases the capacity of a waiting gang everywhere; with a failure it backs off longer
     /// each time, and keeps its place in the order.
     pub(crate) fn end_hold(&mut self, id: &str, now: Secs, failed: bool) {
         let Some(job) = self.jobs.get_mut(id) else {
@@ -257,7 +258,7 @@
     let (mut left, mut out) = (n, Vec::new());
     for f in found {
         let used = in_zone.entry(f.zone).or_default();
-        let take = f.times.min(left).min(most_in_zone - *used);
+        let take = f.slots.min(left).min(most_in_zone - *used);
         if take > 0 {
             *used += take;
             left -= take;
--- a/crates/sched/src/queue/mod.rs
+++ b/crates/sched/src/queue/mod.rs
@@ -11,20 +11,20 @@
 mod teams;
 
 use crate::leader::{Job, Leader, Phase};
-use crate::placement::Room;
+use crate::placement::Resources;
 use crate::Secs;
 use std::collections::{BTreeMap, BTreeSet};
-use wire::peers::{Allowed, Needs};
+use wire::peers::{AllowedMachineType, TaskRequirements};
 
 /// What one pass keeps for itself.
 struct Pass {
     /// What each team may still use beside what is and may be in use.
-    limits: BTreeMap<String, Room>,
+    limits: BTreeMap<String, Resources>,
     /// A gang that has waited long, and the machines set aside for it.
-    aside: Option<(String, Needs)>,
+    aside: Option<(String, TaskRequirements)>,
     /// CPUs that tasks may wait for at each owner, once that was asked.
     ahead: Option<BTreeMap<String, f64>>,
-    /// CPUs of array tasks that found no room so far.
+    /// CPUs of array tasks that found no capacity so far.
     queued: f64,
     /// CPUs that array tasks free in a second; none once more were given.
     turnover: Option<f64>,
@@ -51,7 +51,7 @@
             .map(|(id, j)| (!j.within, j.priority, j.revision, id.clone()))
             .collect();
         order.sort_unstable();
-        // Machines kept for gangs take array tasks, last of all, while no such gang waits for room.
+        // Machines kept for gangs take array tasks, last of all, while no such gang waits for capacity.
         let gang_waits = self.waits_for_scarce(&scarce);
         self.fleet.unmet.clear();
         for (_, _, _, id) in order {
@@ -62,23 +62,24 @@
             if quota == 0 {
                 continue;
             }
-            let mut needs = self.needs_sparing(job, &scarce);
+            let mut requirements = self.requirements_sparing(job, &scarce);
             if !job.is_gang() && !gang_waits {
-                let all = self.needs(job, None);
+                let all = self.requirements(job, None);
                 let last = all.kinds.into_iter().filter(|a| {
-                    !needs
+                    !requirements
                         .kinds
                         .iter()
                         .any(|n| n.kind == a.kind && n.spot == a.spot)
                 });
-                needs
-                    .kinds
-                    .extend(last.map(|a| Allowed { tier: 2, ..a }).collect::<Vec<_>>());
+                requirements.kinds.extend(
+                    last.map(|a| AllowedMachineType { tier: 2, ..a })
+                        .collect::<Vec<_>>(),
+                );
             }
             if job.is_gang() {
-                self.place_gang(&id, &needs, quota, &mut pass, now);
+                self.place_gang(&id, &requirements, quota, &mut pass, now);
             } else {
-                self.place_array(&id, &needs, quota, &mut pass, now);
+                self.place_array(&id, &requirements, quota, &mut pass, now);
             }
         }
         self.ask_begin();
@@ -91,9 +92,9 @@
         &self,
         scarce: &BTreeSet<(String, bool)>,
         now: Secs,
-    ) -> Option<(String, Needs)> {
+    ) -> Option<(String, TaskRequirements)> {
         let waits = |job: &Job| {
-            let whole = job.needs_many_at_once()
+            let whole = job.is_multi_task_gang()
                 && job.phase == Phase::Idle
                 && !job.over
                 && !job.ready.is_empty();
@@ -107,12 +108,18 @@
         let (_, id) = unmet
             .filter(|(job, _)| waits(job))
             .min_by_key(|(job, _)| job.revision)?;
-        let needs = self.needs_sparing(self.jobs.get(id)?, scarce);
-        let zone = needs
+        let requirements = self.requirements_sparing(self.jobs.get(id)?, scarce);
+        let zone = requirements
             .zone
             .clone()
             .or_else(|| self.fleet.gang_zone(id).cloned());
-        Some((id.clone(), Needs { zone, ..needs }))
+        Some((
+            id.clone(),
+            TaskRequirements {
+                zone,
+                ..requirements
+            },
+        ))
     }
 }
 
@@ -123,9 +130,9 @@
             return 0;
         };
         let mut n = free
-            .times(Room {
+            .count_fitting(Resources {
                 memory_gb: 0.0,
-                ..job.room()
+                ..job.resources()
             })
             .min(job.ready.len());
         if job.is_broken() && !job.is_gang() {
@@ -140,18 +147,18 @@
     }
 
     /// What is set aside for another job than this.
-    fn aside_for(&self, id: &str) -> Option<&Needs> {
+    fn aside_for(&self, id: &str) -> Option<&TaskRequirements> {
         self.aside
             .as_ref()
             .filter(|(job, _)| job != id)
-            .map(|(_, needs)| needs)
+            .map(|(_, requirements)| requirements)
     }
 
-    fn charge(&mut self, team: &str, room: Room, n: u32) {
+    fn charge(&mut self, team: &str, resources: Resources, n: u32) {
         if let Some(free) = self.limits.get_mut(team) {
-            free.sub(Room {
+            free.sub(Resources {
                 memory_gb: 0.0,
-                ..room.scaled(n)
+                ..resources.scaled(n)
             });
         }
         self.turnover = None;
--- a/crates/sched/src/queue/requirements.rs
+++ b/crates/sched/src/queue/requirements.rs
@@ -1,9 +1,9 @@
 //! What tasks need of their machines, and which machine types are spared for jobs that fit nothing else.
 
 use crate::leader::{Job, Leader};
-use crate::placement::Room;
+use crate::placement::Resources;
 use std::collections::BTreeSet;
-use wire::peers::{Allowed, Needs};
+use wire::peers::{AllowedMachineType, TaskRequirements};
 
 impl Leader {
     /// Machine types that are the only ones on which some class's tasks fit: kept for those.
@@ -28,12 +28,16 @@
         out
     }
 
-    pub(crate) fn needs(&self, job: &Job, without: Option<&BTreeSet<(String, bool)>>) -> Needs {
+    pub(crate) fn requirements(
+        &self,
+        job: &Job,
+        without: Option<&BTreeSet<(String, bool)>>,
+    ) -> TaskRequirements {
         let s = &job.spec;
         let mut kinds = Vec::new();
         for t in self.types.values() {
             if s.types.as_ref().is_some_and(|l| !l.contains(&t.name))
-                || !Room::of_type(t).holds(job.room())
+                || !Resources::of_type(t).can_fit(job.resources())
             {
                 continue;
             }
@@ -41,7 +45,7 @@
                 let pair = (t.name.clone(), spot);
                 if (!spot || s.spot) && !without.is_some_and(|w| w.contains(&pair)) {
                     // Cheap machines first, so that dear ones become empty and can be returned.
-                    kinds.push(Allowed {
+                    kinds.push(AllowedMachineType {
                         kind: pair.0,
                         spot,
                         tier: u8::from(!spot),
@@ -50,7 +54,7 @@
             }
         }
         let image = s.image.clone();
-        Needs {
+        TaskRequirements {
             cpus: s.cpus,
             gpus: s.gpus,
             memory_gb: s.memory_gb,
@@ -65,15 +69,19 @@
     pub(crate) fn waits_for_scarce(&self, scarce: &BTreeSet<(String, bool)>) -> bool {
         let unmet = self.fleet.unmet.iter();
         let mut gangs = unmet.filter_map(|(id, _)| self.jobs.get(id).filter(|j| j.is_gang()));
-        gangs.any(|job| self.needs(job, Some(scarce)).kinds.is_empty())
+        gangs.any(|job| self.requirements(job, Some(scarce)).kinds.is_empty())
     }
 
     /// The same without scarce machine types, unless the job has no other.
-    pub(crate) fn needs_sparing(&self, job: &Job, scarce: &BTreeSet<(String, bool)>) -> Needs {
-        let needs = self.needs(job, Some(scarce));
-        if needs.kinds.is_empty() {
-            return self.needs(job, None);
+    pub(crate) fn requirements_sparing(
+        &self,
+        job: &Job,
+        scarce: &BTreeSet<(String, bool)>,
+    ) -> TaskRequirements {
+        let requirements = self.requirements(job, Some(scarce));
+        if requirements.kinds.is_empty() {
+            return self.requirements(job, None);
         }
-        needs
+        requirements
     }
 }
--- a/crates/sched/src/queue/teams.rs
+++ b/crates/sched/src/queue/teams.rs
@@ -1,7 +1,7 @@
 //! Teams: their guarantees and limits, with what machines of unknown content may hold of them.
 
 use crate::leader::{Leader, Phase};
-use crate::placement::{Room, SLACK};
+use crate::placement::{Resources, ROUNDING_SLACK};
 use std::collections::BTreeMap;
 
 impl Leader {
@@ -17,36 +17,40 @@
             };
             let n = f64::from(job.spec.tasks - job.done.len().min(job.spec.tasks));
             let sum = sums.entry(name).or_default();
-            let cap = |n: f64, each: f64, most: f64| {
+            let bounded_sum = |n: f64, each: f64, most: f64| {
                 if each > 0.0 {
                     n.min((most / each).floor()) * each
                 } else {
                     0.0
                 }
             };
-            sum.0 += cap(n, job.spec.cpus, team.cpus_max);
-            sum.1 += cap(n, job.spec.gpus, team.gpus_max);
-            job.within = sum.0 <= team.cpus + SLACK && sum.1 <= team.gpus + SLACK;
+            sum.0 += bounded_sum(n, job.spec.cpus, team.cpus_max);
+            sum.1 += bounded_sum(n, job.spec.gpus, team.gpus_max);
+            job.within = sum.0 <= team.cpus + ROUNDING_SLACK && sum.1 <= team.gpus + ROUNDING_SLACK;
         }
     }
 
     /// What machines with tasks of unknown jobs have together, and those of unknown content.
-    fn unseen_rooms(&self) -> (Room, Room) {
-        let (mut foreign, mut unknown) = (Room::default(), Room::default());
+    fn unseen_resources(&self) -> (Resources, Resources) {
+        let (mut foreign, mut unknown) = (Resources::default(), Resources::default());
         for m in self.machines.values().filter(|m| m.unknown || m.foreign) {
             let sum = if m.unknown {
                 &mut unknown
             } else {
                 &mut foreign
             };
-            sum.add(self.cap(&m.kind).unwrap_or_default());
+            sum.add(self.capacity(&m.kind).unwrap_or_default());
         }
         (foreign, unknown)
     }
 
     /// What those may take from a team's limit: all they have, but of unknown content no more than
     /// the team's jobs that may be there could use.
-    fn unseen_by(&self, team: &str, (mut foreign, mut unknown): (Room, Room)) -> Room {
+    fn unseen_by(
+        &self,
+        team: &str,
+        (mut foreign, mut unknown): (Resources, Resources),
+    ) -> Resources {
         let mut most = self.lately_cancelled.get(team).copied().unwrap_or_default();
         for j in self
             .jobs
@@ -65,17 +69,17 @@
     }
 
     /// What each team may still use, beside what its tasks use, hold, or may use unseen.
-    pub(super) fn limits(&self) -> BTreeMap<String, Room> {
-        let unseen = self.unseen_rooms();
-        let mut out: BTreeMap<String, Room> = BTreeMap::new();
+    pub(super) fn limits(&self) -> BTreeMap<String, Resources> {
+        let unseen = self.unseen_resources();
+        let mut out: BTreeMap<String, Resources> = BTreeMap::new();
         for (name, t) in &self.setup.teams {
-            let mut free = Room {
+            let mut free = Resources {
                 cpus: t.cpus_max,
                 gpus: t.gpus_max,
                 memory_gb: f64::MAX,
             };
-            let charge = |free: &mut Room, r: Room| {
-                free.sub(Room {
+            let charge = |free: &mut Resources, r: Resources| {
+                free.sub(Resources {
                     memory_gb: 0.0,
                     ..r
                 })
@@ -95,9 +99,9 @@
             .filter(|j| matches!(j.phase, Phase::Holding { .. } | Phase::Binding { .. }))
         {
             if let Some(free) = out.get_mut(&j.spec.team) {
-                free.sub(Room {
+                free.sub(Resources {
                     memory_gb: 0.0,
-                    ..j.room().scaled(j.spec.tasks)
+                    ..j.resources().scaled(j.spec.tasks)
                 });
             }
         }
--- a/crates/store/src/leadership.rs
+++ b/crates/store/src/leadership.rs
@@ -3,7 +3,7 @@
 //! Authority is counted from the instant at which the last answered renewal was *sent*, less
 //! drift and a margin. An authority that has run out comes back only with an answered
 //! renewal of the same lease: then the key was never free in between. What may be done with it
-//! depends on how fresh the picture is, too (`sched::authority`).
+//! depends on how fresh the cluster view is, too (`sched::authority`).
 
 use crate::budget::Rank;
 use crate::client::{Decided, Store, StoreError};
--- a/crates/store/src/pages.rs
+++ b/crates/store/src/pages.rs
@@ -53,7 +53,7 @@
             .insert(key, (size, value));
     }
 
-    /// Puts an entry where it was, or else on the first page with room; says where. What is there already
+    /// Puts an entry where it was, or else on the first page with capacity; says where. What is there already
     /// makes no page dirty: a decision that has to wait is put again and again.
     pub fn put(&mut self, key: K, size: usize, value: V) -> u32 {
         if let Some(page) = self.at.get(&key).filter(|_| self.get(&key) == Some(&value)) {
--- a/crates/store/src/replica.rs
+++ b/crates/store/src/replica.rs
@@ -25,7 +25,7 @@
     /// Its team.
     pub team: String,
     /// CPUs and GPUs of all tasks.
-    pub room: (f64, f64),
+    pub resources: (f64, f64),
     /// When this controller learned that the job is terminal.
     pub over_since: Option<Instant>,
     /// The job itself, while it is open.
@@ -309,7 +309,7 @@
         }
     }
 
-    /// Ids, teams and rooms of the jobs of which it became known within `span` that they are cancelled.
+    /// Ids, teams and resources of the jobs of which it became known within `span` that they are cancelled.
     pub fn lately_cancelled(&self, span: Duration) -> Vec<(String, String, (f64, f64))> {
         let lately = |e: &JobEntry| {
             e.state == Recorded::Cancelled && e.over_since.is_some_and(|t| t.elapsed() < span)
@@ -317,7 +317,7 @@
         self.jobs
             .iter()
             .filter(|(_, e)| lately(e))
-            .map(|(id, e)| (id.clone(), e.team.clone(), e.room))
+            .map(|(id, e)| (id.clone(), e.team.clone(), e.resources))
             .collect()
     }
 
@@ -354,7 +354,7 @@
             created_ms: r.created_ms,
             tasks: r.job.tasks,
             team: r.job.team.clone(),
-            room: (
+            resources: (
                 r.job.cpus * f64::from(r.job.tasks),
                 r.job.gpus * f64::from(r.job.tasks),
             ),
--- a/crates/wire/src/peers.rs
+++ b/crates/wire/src/peers.rs
@@ -22,19 +22,19 @@
 
 /// What a task takes of its machine, and where it may be.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct Needs {
+pub struct TaskRequirements {
     pub cpus: f64,
     pub gpus: f64,
     pub memory_gb: f64,
     pub image: String,
     pub image_gb: f64,
-    pub kinds: Vec<Allowed>,
+    pub kinds: Vec<AllowedMachineType>,
     pub zone: Option<String>,
 }
 
 /// A machine type that a task may use, as spot or ordinary; a lower tier is preferred.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct Allowed {
+pub struct AllowedMachineType {
     pub kind: String,
     pub spot: bool,
     pub tier: u8,
@@ -121,23 +121,23 @@
     Give {
         job: String,
         attempt: u64,
-        needs: Needs,
+        requirements: TaskRequirements,
         tasks: Vec<(u32, u32)>,
     },
-    /// Array tasks to start on whichever machine of the part reports room for them first; what
+    /// Array tasks to start on whichever machine of the part reports capacity for them first; what
     /// found none in time is handed back.
     Ahead {
         job: String,
         attempt: u64,
-        needs: Needs,
+        requirements: TaskRequirements,
         tasks: Vec<(u32, u32)>,
         wait_ms: u64,
     },
-    /// Set room aside for tasks of a gang.
+    /// Set capacity aside for tasks of a gang.
     Hold {
         job: String,
         attempt: u64,
-        needs: Needs,
+        requirements: TaskRequirements,
         places: Vec<(String, u32, u32)>,
         wait_ms: u64,
     },
--- a/crates/wire/tests/encodings/peers.rs
+++ b/crates/wire/tests/encodings/peers.rs
@@ -4,7 +4,10 @@
 use crate::sample::{framed, Sample};
 use crate::workers::{REASONS, STATES};
 use wire::cloud::MachineType;
-use wire::peers::{Allowed, MachineCard, MachineView, Needs, TaskRef, TaskView, ToLeader, ToOwner};
+use wire::peers::{
+    AllowedMachineType, MachineCard, MachineView, TaskRef, TaskRequirements, TaskView, ToLeader,
+    ToOwner,
+};
 use wire::workers::{TaskState, Why};
 
 const ATTEMPT: u64 = (41 << 24) | 9;
@@ -25,13 +28,13 @@
     }
 }
 
-fn needs(zone: Option<&str>) -> Needs {
-    let allowed = |kind: &str, spot, tier| Allowed {
+fn requirements(zone: Option<&str>) -> TaskRequirements {
+    let allowed = |kind: &str, spot, tier| AllowedMachineType {
         kind: kind.into(),
         spot,
         tier,
     };
-    Needs {
+    TaskRequirements {
         cpus: 8.0,
         gpus: 1.0,
         memory_gb: 64.0,
@@ -174,20 +177,20 @@
     let give = |zone| ToOwner::Give {
         job: job(),
         attempt: ATTEMPT,
-        needs: needs(zone),
+        requirements: requirements(zone),
         tasks: vec![(0, 4), (9, 1)],
     };
     let ahead = ToOwner::Ahead {
         job: job(),
         attempt: ATTEMPT,
-        needs: needs(Some("a")),
+        requirements: requirements(Some("a")),
         tasks: vec![(4, 2)],
         wait_ms: 900,
     };
     let hold = ToOwner::Hold {
         job: job(),
         attempt: ATTEMPT,
-        needs: needs(None),
+        requirements: requirements(None),
         places: vec![(machine(), 0, 12), ("host-000003".into(), 12, 4)],
         wait_ms: 9000,
     };
--- a/crates/wire/tests/production/samples.rs
+++ b/crates/wire/tests/production/samples.rs
@@ -2,7 +2,7 @@
 use wire::cbor::{decode, encode};
 use wire::cloud::MachineType;
 use wire::peers::{
-    frame, Allowed, MachineCard, MachineView, Needs, TaskRef, TaskView, ToLeader, ToOwner,
+    frame, AllowedMachineType, MachineCard, MachineView, TaskRequirements, TaskRef, TaskView, ToLeader, ToOwner,
 };
 use wire::store::{
     to_value, BegunRecord, BindingRecord, JobRecord, LeaderRecord, ProgressPage, Recorded,
@@ -107,14 +107,14 @@
     }
 }
 
-fn needs() -> Needs {
-    Needs {
+fn requirements() -> TaskRequirements {
+    TaskRequirements {
         cpus: 8.0,
         gpus: 1.0,
         memory_gb: 64.0,
         image: "img-07".into(),
         image_gb: 6.2,
-        kinds: vec![Allowed {
+        kinds: vec![AllowedMachineType {
             kind: "g8".into(),
             spot: true,
             tier: 1,
@@ -208,7 +208,7 @@
             ToOwner::Give {
                 job: "wk-000412".into(),
                 attempt: 9,
-                needs: needs(),
+                requirements: requirements(),
                 tasks: vec![(0, 4), (9, 1)],
             },
         ),
@@ -217,7 +217,7 @@
             ToOwner::Ahead {
                 job: "wk-000412".into(),
                 attempt: 9,
-                needs: needs(),
+                requirements: requirements(),
                 tasks: vec![(4, 2)],
                 wait_ms: 900,
             },
@@ -227,7 +227,7 @@
             ToOwner::Hold {
                 job: "wk-000412".into(),
                 attempt: 9,
-                needs: needs(),
+                requirements: requirements(),
                 places: places(),
                 wait_ms: 9000,
             },
