--- a/crates/ladderroute/src/node.rs
+++ b/crates/ladderroute/src/node.rs
@@ -182,7 +182,7 @@
                 idle = false;
                 match action {
                     Action::Send(to, message) if to == self.settings.member => {
-                        if let ToOwner::Display { running } = message {
+                        if let ToOwner::RunningCounts { running } = message {
                             shared.running = running.into_iter().collect();
                         } else {
                             owner.on_leader(message, now, &ReplicaJobs(shared.view.replica()));
--- a/crates/ladderroute/src/operator.rs
+++ b/crates/ladderroute/src/operator.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tuning {
     /// How long reserved capacity waits for the rest of its gang, in seconds.
-    pub hold_s: f64,
+    pub reservation_s: f64,
     /// The leader's store lease as a part of the workers' lease.
     pub leader_lease_share: f64,
     /// How long an idle machine is kept, in boot times.
@@ -21,7 +21,7 @@
 impl Default for Tuning {
     fn default() -> Tuning {
         Tuning {
-            hold_s: 10.0,
+            reservation_s: 10.0,
             leader_lease_share: 0.36,
             keep_boots: 0.8,
             patience: 0.3,
@@ -51,7 +51,7 @@
             DynamicMessage::parse_text_format(kind, text).map_err(|e| fail(e.to_string()))?;
         let mut t = Tuning::default();
         for (name, value, low, high) in [
-            ("hold_s", &mut t.hold_s, 0.5, 600.0),
+            ("hold_s", &mut t.reservation_s, 0.5, 600.0),
             ("leader_lease_share", &mut t.leader_lease_share, 0.05, 0.8),
             ("keep_boots", &mut t.keep_boots, 0.0, 1000.0),
             ("patience", &mut t.patience, 0.0, 1.0),
@@ -59,17 +59,17 @@
             if !message.has_field_by_name(name) {
                 continue;
             }
-            let given = message
+            let parsed = message
                 .get_field_by_name(name)
                 .and_then(|v| v.as_f64())
                 .unwrap_or(f64::NAN);
-            if !(low..=high).contains(&given) {
+            if !(low..=high).contains(&parsed) {
                 return Err(SettingsError::Field {
                     field: name.into(),
                     cause: format!("must lie between {low} and {high}"),
                 });
             }
-            *value = given;
+            *value = parsed;
         }
         Ok(t)
     }
--- a/crates/ladderroute/src/peers.rs
+++ b/crates/ladderroute/src/peers.rs
@@ -201,7 +201,7 @@
                     valid_ms: (valid * 1000.0) as u64,
                 }));
                 // Behind all that the leader has made of what it knows.
-                link.send(frame(&ToOwner::Known {
+                link.send(frame(&ToOwner::ViewAge {
                     n,
                     age_ms: ((now - authority.read_at()) * 1000.0).ceil() as u64,
                 }));
@@ -314,14 +314,16 @@
                     state.owner.authority.set(until);
                 }
             }
-            ToOwner::Known { n, age_ms } => {
+            ToOwner::ViewAge { n, age_ms } => {
                 // Counted back from the ping's sending: delays only make it older.
                 if let Some(sent) = pings.borrow_mut().remove(&n).filter(|_| joined) {
                     let age = age_ms as f64 / 1000.0 * (1.0 + 2.0 * store::leadership::DRIFT);
                     state.owner.authority.prove(node.at(sent) - age);
                 }
             }
-            ToOwner::Display { running } => state.shared.running = running.into_iter().collect(),
+            ToOwner::RunningCounts { running } => {
+                state.shared.running = running.into_iter().collect()
+            }
             message => {
                 if matches!(message, ToOwner::Epoch { .. }) {
                     if !joined {
--- a/crates/ladderroute/src/settings.rs
+++ b/crates/ladderroute/src/settings.rs
@@ -290,7 +290,7 @@
             lease_s: p.workers.lease_s,
             cancel_s: p.workers.cancel_s,
             list_lag_s: p.cloud.list_lag_s,
-            hold_s: tuning.hold_s,
+            reservation_s: tuning.reservation_s,
             // No more than half the time after which a worker drops an answer.
             leader_lease_s: (p.workers.lease_s * tuning.leader_lease_share)
                 .clamp(0.5, wire::ANSWER_DROPPED_S * 0.5),
--- a/crates/ladderroute/tests/batches.rs
+++ b/crates/ladderroute/tests/batches.rs
@@ -42,7 +42,7 @@
             lease_s: 10.0,
             cancel_s: 30.0,
             list_lag_s: 5.0,
-            hold_s: 10.0,
+            reservation_s: 10.0,
             leader_lease_s: 4.0,
             guarantee_s: 5.0,
             wait_s: BTreeMap::new(),
--- a/crates/ladderroute/tests/cluster_view.rs
+++ b/crates/ladderroute/tests/cluster_view.rs
@@ -185,12 +185,12 @@
         let replica = self.view.replica();
         for id in store.jobs.keys() {
             let entry = replica.jobs.get(id);
-            let held = entry.map(|entry| entry.state);
+            let holds = entry.map(|entry| entry.state);
             let was = store.state_at(id, read_at);
-            if was.is_some() && held.is_none() {
+            if was.is_some() && holds.is_none() {
                 return Some(format!("{id} is missing, read at {read_at}"));
             }
-            let is_open = held == Some(Recorded::Open);
+            let is_open = holds == Some(Recorded::Open);
             if is_open && (was != Some(Recorded::Open) && was.is_some()) {
                 return Some(format!(
                     "{id} is open, though it had ended when it was read"
--- a/crates/ladderroute/tests/command.rs
+++ b/crates/ladderroute/tests/command.rs
@@ -74,7 +74,10 @@
 #[test]
 fn a_file_with_every_field_decides_by_these_values() {
     let tuning = Tuning::parse(OPERATOR, "f").unwrap();
-    assert_eq!((tuning.hold_s, tuning.leader_lease_share), (4.5, 0.1));
+    assert_eq!(
+        (tuning.reservation_s, tuning.leader_lease_share),
+        (4.5, 0.1)
+    );
     assert_eq!((tuning.keep_boots, tuning.patience), (3.25, 0.75));
     let setup = Settings::parse(FULL, "f").unwrap().setup(&tuning);
     let teams = setup.teams.iter().map(|(name, t)| {
@@ -89,7 +92,7 @@
     assert_eq!(teams.collect::<Vec<_>>(), expected);
     assert_eq!((setup.report_s, setup.lease_s), (1.5, 12.5));
     assert_eq!((setup.cancel_s, setup.list_lag_s), (40.5, 8.5));
-    assert_eq!((setup.hold_s, setup.leader_lease_s), (4.5, 1.25));
+    assert_eq!((setup.reservation_s, setup.leader_lease_s), (4.5, 1.25));
     assert_eq!((setup.guarantee_s, setup.wait_s["train"]), (7.5, 90.5));
     assert_eq!((setup.patience, setup.keep_boots), (0.75, 3.25));
 }
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 use wire::cloud::{Hire, MachineType};
-use wire::peers::{MachineView, TaskView, ToLeader, ToOwner};
+use wire::peers::{MachineStatus, TaskStatus, ToLeader, ToOwner};
 use wire::store::RosterRecord;
 use wire::users::{Job, Priority, Shape};
 use wire::workers::{Order, Orders, Report, TaskReport, TaskState, Why};
@@ -28,7 +28,7 @@
 use chains::ChainView;
 use controllers::{disconnect, new_controller};
 use fixtures::random_job;
-pub use fixtures::{job, machine_type, machine_view, report, setup};
+pub use fixtures::{job, machine_status, machine_type, report, setup};
 use store::Pending;
 pub use trace::Trace;
 
--- a/crates/model/src/world/fixtures.rs
+++ b/crates/model/src/world/fixtures.rs
@@ -35,7 +35,7 @@
         lease_s: 8.0,
         cancel_s: 25.0,
         list_lag_s: 4.0,
-        hold_s: 5.0,
+        reservation_s: 5.0,
         leader_lease_s: TTL,
         guarantee_s: 5.0,
         wait_s: BTreeMap::new(),
@@ -61,8 +61,8 @@
 }
 
 /// A machine in zone `a` as its owner shows it under the first token.
-pub fn machine_view(name: &str, kind: &str, tasks: Vec<TaskView>) -> MachineView {
-    MachineView {
+pub fn machine_status(name: &str, kind: &str, tasks: Vec<TaskStatus>) -> MachineStatus {
+    MachineStatus {
         token: 1,
         name: name.into(),
         kind: kind.into(),
--- a/crates/model/src/world/tests.rs
+++ b/crates/model/src/world/tests.rs
@@ -163,7 +163,7 @@
 
 /// Small gangs wait for every machine, in both zones, and each one that becomes free fits the
 /// next of them. A gang of three in one zone would never see three free at once, unless the
-/// machines of one zone are set aside for it.
+/// machines of one zone are cordoned for it.
 #[test]
 fn a_large_gang_is_not_starved_by_small_ones() {
     let wide = Team {
--- a/crates/model/tests/leader_and_owner.rs
+++ b/crates/model/tests/leader_and_owner.rs
@@ -9,8 +9,8 @@
 use std::rc::Rc;
 use wire::cloud::MachineType;
 use wire::peers::{
-    AllowedMachineType, MachineCard, MachineView, TaskRef, TaskRequirements, TaskView, ToLeader,
-    ToOwner,
+    AllowedMachineType, MachineDescriptor, MachineStatus, TaskRef, TaskRequirements, TaskStatus,
+    ToLeader, ToOwner,
 };
 use wire::store::{BegunRecord, RosterRecord};
 use wire::users::{Job, Shape};
@@ -62,7 +62,7 @@
 /// An owner whose part is one machine, since token 5.
 fn owner_of_host_1() -> Owner {
     let mut owner = Owner::new("rung-1", setup());
-    let card = MachineCard {
+    let descriptor = MachineDescriptor {
         name: "host-1".into(),
         kind: "small".into(),
         zone: "a".into(),
@@ -74,7 +74,7 @@
         prev: 0,
         members: vec!["rung-1".into()],
         extra_ms: 0,
-        machines: vec![card],
+        machines: vec![descriptor],
     };
     owner.on_leader(epoch, 10.0, &NoJobs);
     owner.authority.set(1e9);
@@ -111,16 +111,16 @@
         Answer::Orders(_)
     ));
     owner.tick(28.0);
-    let back = |m: &ToLeader| matches!(m, ToLeader::Machines(v) if v.iter().any(|v| v.session == 3 && !v.lapsed));
+    let back = |m: &ToLeader| matches!(m, ToLeader::MachineStatuses(v) if v.iter().any(|v| v.session == 3 && !v.lapsed));
     assert!(owner.drain().iter().any(back));
 }
 
-fn machine_view(name: &str, tasks: Vec<TaskView>) -> MachineView {
-    model::world::machine_view(name, "small", tasks)
+fn machine_status(name: &str, tasks: Vec<TaskStatus>) -> MachineStatus {
+    model::world::machine_status(name, "small", tasks)
 }
 
-fn view_of(index: u32, attempt: u64, state: TaskState, why: Option<Why>) -> TaskView {
-    TaskView {
+fn view_of(index: u32, attempt: u64, state: TaskState, why: Option<Why>) -> TaskStatus {
+    TaskStatus {
         task: TaskRef {
             job: "wk-1".into(),
             index,
@@ -169,7 +169,7 @@
     let running = view_of(0, 9, TaskState::Running, None);
     leader.on_owner(
         "rung-0",
-        ToLeader::Machines(vec![machine_view("host-1", vec![running])]),
+        ToLeader::MachineStatuses(vec![machine_status("host-1", vec![running])]),
         1.0,
     );
     assert_eq!(leader.used_by("red").cpus, 4.0);
@@ -177,7 +177,7 @@
     let done = view_of(0, 7, TaskState::Exited, Some(Why::Done));
     leader.on_owner(
         "rung-0",
-        ToLeader::Machines(vec![machine_view("host-2", vec![done])]),
+        ToLeader::MachineStatuses(vec![machine_status("host-2", vec![done])]),
         1.1,
     );
     assert_eq!(leader.used_by("red").cpus, 4.0);
@@ -203,8 +203,8 @@
     let mut leader = Leader::new("rung-0", setup(), 1, 1, 4.0, vec![old], &roster, 1, 0.0);
     leader.catalog(vec![small()]);
     leader.tick(0.0, 0);
-    let known = ["host-2", "host-3"].map(|n| machine_view(n, Vec::new()));
-    leader.on_owner("rung-0", ToLeader::Machines(known.into()), 1.0);
+    let known = ["host-2", "host-3"].map(|n| machine_status(n, Vec::new()));
+    leader.on_owner("rung-0", ToLeader::MachineStatuses(known.into()), 1.0);
     leader.job_over("wk-1");
     leader.add_job(open("wk-2", 2, Earlier::Untouched));
     leader.add_job(open("wk-3", 3, Earlier::Untouched));
@@ -217,12 +217,12 @@
     );
     leader.drain();
     leader.tick(2.0, 0);
-    let given = |d: Action| match d {
-        Action::Send(_, ToOwner::Give { tasks, .. }) => tasks.iter().map(|(_, n)| n).sum::<u32>(),
+    let assigned = |d: Action| match d {
+        Action::Send(_, ToOwner::Assign { tasks, .. }) => tasks.iter().map(|(_, n)| n).sum::<u32>(),
         _ => 0,
     };
-    let given: u32 = leader.drain().into_iter().map(given).sum();
-    assert_eq!(given, 2, "of 16 CPUs two tasks of 4 may still run");
+    let assigned: u32 = leader.drain().into_iter().map(assigned).sum();
+    assert_eq!(assigned, 2, "of 16 CPUs two tasks of 4 may still run");
 }
 
 /// All controllers start together and join the new leader within two seconds: one epoch, not four
@@ -300,9 +300,9 @@
         leader.tick(0.0, 0);
         let known = names[silent..]
             .iter()
-            .map(|n| machine_view(n, Vec::new()))
+            .map(|n| machine_status(n, Vec::new()))
             .collect();
-        leader.on_owner("rung-0", ToLeader::Machines(known), 2.0);
+        leader.on_owner("rung-0", ToLeader::MachineStatuses(known), 2.0);
         leader.drain();
         (20..400).map(|t| f64::from(t) / 10.0).find(|now| {
             leader.tick(*now, 0);
@@ -431,15 +431,15 @@
         }],
         zone: None,
     };
-    let ahead = |job: &str| ToOwner::Ahead {
+    let backlog = |job: &str| ToOwner::AssignBacklog {
         job: job.into(),
         attempt: 7,
         requirements: requirements.clone(),
         tasks: vec![(0, 3)],
         wait_ms: 4000,
     };
-    owner.on_leader(ahead("wk-2"), 11.1, &OneJob);
-    owner.on_leader(ahead("wk-1"), 11.2, &OneJob);
+    owner.on_leader(backlog("wk-2"), 11.1, &OneJob);
+    owner.on_leader(backlog("wk-1"), 11.2, &OneJob);
     (busy.seq, busy.tasks) = (2, busy.tasks[..1].to_vec());
     assert_eq!(
         starts(owner.on_report(&busy, 12.0, &OneJob)),
--- a/crates/model/tests/notices.rs
+++ b/crates/model/tests/notices.rs
@@ -1,10 +1,10 @@
 //! What is saved when the cloud announces that it takes a machine back.
 
-use model::world::{job, machine_type, machine_view, setup};
+use model::world::{job, machine_status, machine_type, setup};
 use sched::leader::{Action, Earlier, Leader, OpenJob};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
-use wire::peers::{TaskRef, TaskView, ToLeader, ToOwner};
+use wire::peers::{TaskRef, TaskStatus, ToLeader, ToOwner};
 use wire::store::RosterRecord;
 use wire::users::{Job, Shape};
 use wire::workers::TaskState;
@@ -34,7 +34,7 @@
         .into();
     let mut leader = Leader::new("rung-0", setup(), 1, 1, 4.0, vec![open], &roster, 1, 0.0);
     leader.catalog(vec![machine_type("small", 4.0, 16.0, 0.3)]);
-    let running = |index| TaskView {
+    let running = |index| TaskStatus {
         task: TaskRef {
             job: "wk-000001".into(),
             index,
@@ -55,11 +55,11 @@
             }
         }
         let mut views = vec![
-            machine_view("host-1", "small", vec![running(0), running(1)]),
-            machine_view("host-2", "small", vec![running(2), running(3)]),
+            machine_status("host-1", "small", vec![running(0), running(1)]),
+            machine_status("host-2", "small", vec![running(2), running(3)]),
         ];
         views[0].notice_s = (now > 3.0).then_some(4.0);
-        leader.on_owner("rung-0", ToLeader::Machines(views), now);
+        leader.on_owner("rung-0", ToLeader::MachineStatuses(views), now);
     }
     stopped
 }
--- a/crates/model/tests/plain.rs
+++ b/crates/model/tests/plain.rs
@@ -4,11 +4,11 @@
 #![allow(clippy::unwrap_used)]
 
 use model::plain::*;
-use model::world::{job, machine_type, machine_view, setup};
+use model::world::{job, machine_status, machine_type, setup};
 use sched::leader::{Action, Earlier, Leader, OpenJob};
 use std::collections::BTreeMap;
 use std::rc::Rc;
-use wire::peers::{MachineView, ToLeader, ToOwner};
+use wire::peers::{MachineStatus, ToLeader, ToOwner};
 use wire::users::{Job, Priority, Shape};
 
 /// A leader that is its only owner, with empty machines that are known and rostered.
@@ -34,11 +34,11 @@
     l.tick(5.0, 0);
     l.drain();
     for (name, kind) in machines {
-        let v = MachineView {
+        let v = MachineStatus {
             usable: false,
-            ..machine_view(name, kind, Vec::new())
+            ..machine_status(name, kind, Vec::new())
         };
-        l.on_owner("rung-0", ToLeader::Machines(vec![v]), 5.0);
+        l.on_owner("rung-0", ToLeader::MachineStatuses(vec![v]), 5.0);
         l.roster_result(name, true, true);
     }
     l.drain();
@@ -49,10 +49,10 @@
     let mut out: BTreeMap<String, u32> = BTreeMap::new();
     for d in actions {
         match d {
-            Action::Send(_, ToOwner::Give { job, tasks, .. }) => {
+            Action::Send(_, ToOwner::Assign { job, tasks, .. }) => {
                 *out.entry(job.clone()).or_default() += tasks.iter().map(|(_, n)| n).sum::<u32>()
             }
-            Action::Send(_, ToOwner::Hold { job, places, .. }) => {
+            Action::Send(_, ToOwner::Reserve { job, places, .. }) => {
                 *out.entry(job.clone()).or_default() +=
                     places.iter().map(|(_, _, n)| n).sum::<u32>()
             }
@@ -218,8 +218,8 @@
     let mut l = Leader::new("rung-0", s, 1, 1, 4.0, Vec::new(), &BTreeMap::new(), 0, 0.0);
     l.catalog(vec![machine_type("small", 4.0, 16.0, 0.3)]);
     l.tick(5.0, 0);
-    let view = |tasks: Vec<wire::peers::TaskView>| {
-        ToLeader::Machines(vec![machine_view("host-1", "small", tasks)])
+    let view = |tasks: Vec<wire::peers::TaskStatus>| {
+        ToLeader::MachineStatuses(vec![machine_status("host-1", "small", tasks)])
     };
     l.on_owner("rung-0", view(Vec::new()), 5.0);
     l.roster_result("host-1", true, true);
@@ -233,15 +233,15 @@
     };
     add(&mut l, job(1, "blue", Shape::Array, 4, 1.0), 1);
     l.tick(6.0, 0);
-    let given = l.drain().into_iter().find_map(|d| match d {
-        Action::Send(_, ToOwner::Give { attempt, .. }) => Some(attempt),
+    let assigned = l.drain().into_iter().find_map(|d| match d {
+        Action::Send(_, ToOwner::Assign { attempt, .. }) => Some(attempt),
         _ => None,
     });
-    let running = (0..4).map(|index| wire::peers::TaskView {
+    let running = (0..4).map(|index| wire::peers::TaskStatus {
         task: wire::peers::TaskRef {
             job: "wk-000001".into(),
             index,
-            attempt: given.unwrap(),
+            attempt: assigned.unwrap(),
         },
         state: wire::workers::TaskState::Running,
         why: None,
--- a/crates/model/tests/preemption.rs
+++ b/crates/model/tests/preemption.rs
@@ -1,11 +1,11 @@
 //! Resources taken back for gangs of several tasks: for the whole gang or not at all.
 
-use model::world::{job, machine_type, machine_view, setup};
+use model::world::{job, machine_status, machine_type, setup};
 use sched::config::Setup;
 use sched::leader::{Action, Earlier, Leader, OpenJob};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
-use wire::peers::{TaskRef, TaskView, ToLeader, ToOwner};
+use wire::peers::{TaskRef, TaskStatus, ToLeader, ToOwner};
 use wire::store::RosterRecord;
 use wire::users::{Job, Priority, Shape};
 use wire::workers::{TaskState, Why};
@@ -18,19 +18,19 @@
     leader: Leader,
     now: f64,
     /// What each machine reports.
-    tasks: BTreeMap<&'static str, Vec<TaskView>>,
+    tasks: BTreeMap<&'static str, Vec<TaskStatus>>,
     stopped: BTreeSet<TaskRef>,
     rented: u32,
-    given: u32,
+    assigned: u32,
 }
 
-fn array_task(index: u32, state: TaskState, why: Option<Why>) -> TaskView {
+fn array_task(index: u32, state: TaskState, why: Option<Why>) -> TaskStatus {
     let task = TaskRef {
         job: "wk-000001".into(),
         index,
         attempt: ARRAY_ATTEMPT,
     };
-    TaskView {
+    TaskStatus {
         task,
         state,
         why,
@@ -78,7 +78,7 @@
             tasks,
             stopped: BTreeSet::new(),
             rented: 0,
-            given: 0,
+            assigned: 0,
         };
         scene.pass(1.0);
         scene.rented = 0;
@@ -88,7 +88,7 @@
 
     /// Lets time pass; says whether capacity for a gang was held meanwhile.
     fn pass(&mut self, seconds: f64) -> bool {
-        let mut held = false;
+        let mut reserved = false;
         let end = self.now + seconds;
         while self.now < end {
             self.now += 0.25;
@@ -98,9 +98,9 @@
                     Action::Send(_, ToOwner::Stop { task, .. }) => {
                         self.stopped.insert(task);
                     }
-                    Action::Send(_, ToOwner::Hold { .. }) => held = true,
-                    Action::Send(_, ToOwner::Give { .. } | ToOwner::Ahead { .. }) => {
-                        self.given += 1
+                    Action::Send(_, ToOwner::Reserve { .. }) => reserved = true,
+                    Action::Send(_, ToOwner::Assign { .. } | ToOwner::AssignBacklog { .. }) => {
+                        self.assigned += 1
                     }
                     Action::Hire(hire) => self.rented += hire.count,
                     _ => {}
@@ -109,12 +109,12 @@
             let views = self
                 .tasks
                 .iter()
-                .map(|(host, tasks)| machine_view(host, "small", tasks.clone()))
+                .map(|(host, tasks)| machine_status(host, "small", tasks.clone()))
                 .collect();
             self.leader
-                .on_owner("rung-0", ToLeader::Machines(views), self.now);
+                .on_owner("rung-0", ToLeader::MachineStatuses(views), self.now);
         }
-        held
+        reserved
     }
 
     fn exits(&mut self, host: &'static str, index: u32) {
@@ -156,7 +156,7 @@
         scene.pass(1.0),
         "the gang's room is held as soon as all of it is free"
     );
-    assert_eq!(scene.given, 0, "nothing else is placed there meanwhile");
+    assert_eq!(scene.assigned, 0, "nothing else is placed there meanwhile");
     assert!(
         scene.rented <= 2,
         "{}: only for the tasks that were stopped",
@@ -204,7 +204,7 @@
         .add_job(OpenJob::new(Rc::new(loses), 3, Earlier::Untouched));
     scene.pass(20.0);
     let state = TaskState::Running;
-    let task = TaskView {
+    let task = TaskStatus {
         task: later,
         state,
         why: None,
@@ -223,7 +223,7 @@
     assert_eq!(stopped, ["wk-000001"]);
 }
 
-/// Machines are set aside for a gang that waits long and for which nothing can be stopped: a younger
+/// Machines are cordoned for a gang that waits long and for which nothing can be stopped: a younger
 /// one could not use what is stopped for it, and would not have been rented for.
 #[test]
 fn nothing_is_stopped_for_a_gang_behind_one_that_cannot_be_helped() {
@@ -276,8 +276,8 @@
                 rented += hire.count;
             }
         }
-        let view = machine_view("host-9", "large", vec![task.clone()]);
-        leader.on_owner("rung-0", ToLeader::Machines(vec![view]), now);
+        let view = machine_status("host-9", "large", vec![task.clone()]);
+        leader.on_owner("rung-0", ToLeader::MachineStatuses(vec![view]), now);
         if now == 2.0 {
             leader.add_job(open(
                 job(2, "red", Shape::Gang, 2, 3.0),
--- a/crates/model/tests/scale_out.rs
+++ b/crates/model/tests/scale_out.rs
@@ -1,6 +1,6 @@
 //! Which machines are rented for a queue, when some types are kept for gangs and the cloud refuses.
 
-use model::world::{job, machine_type, machine_view, setup};
+use model::world::{job, machine_status, machine_type, setup};
 use sched::config::{Setup, Team};
 use sched::leader::{Action, Earlier, Leader, OpenJob};
 use std::collections::BTreeMap;
@@ -83,10 +83,10 @@
             // Each machine is shown empty once; what is given to it afterwards stays there.
             let views: Vec<_> = std::mem::take(&mut self.machines)
                 .iter()
-                .map(|machine| machine_view(machine, "small", vec![]))
+                .map(|machine| machine_status(machine, "small", vec![]))
                 .collect();
             self.leader
-                .on_owner("rung-0", ToLeader::Machines(views), self.now);
+                .on_owner("rung-0", ToLeader::MachineStatuses(views), self.now);
             for action in self.leader.drain() {
                 match action {
                     Action::Hire(hire) => {
--- a/crates/model/tests/staleness.rs
+++ b/crates/model/tests/staleness.rs
@@ -8,7 +8,7 @@
 use sched::placement::Resources;
 use std::collections::BTreeMap;
 use std::rc::Rc;
-use wire::peers::{AllowedMachineType, MachineCard, TaskRequirements, ToLeader, ToOwner};
+use wire::peers::{AllowedMachineType, MachineDescriptor, TaskRequirements, ToLeader, ToOwner};
 use wire::store::RosterRecord;
 use wire::users::Shape;
 use wire::workers::{Order, Report, TaskReport, TaskState, Why};
@@ -55,7 +55,7 @@
 /// An owner whose part is one machine, since token 5.
 fn owner() -> Owner {
     let mut owner = Owner::new("rung-1", setup());
-    let card = MachineCard {
+    let descriptor = MachineDescriptor {
         name: "host-1".into(),
         kind: "small".into(),
         zone: "a".into(),
@@ -67,7 +67,7 @@
         prev: 0,
         members: vec!["rung-1".into()],
         extra_ms: 0,
-        machines: vec![card],
+        machines: vec![descriptor],
     };
     owner.on_leader(epoch, 10.0, &OPEN);
     owner.on_leader(
@@ -132,8 +132,8 @@
     }
 }
 
-fn give() -> ToOwner {
-    ToOwner::Give {
+fn assign() -> ToOwner {
+    ToOwner::Assign {
         job: "wk-1".into(),
         attempt: 3,
         requirements: requirements(1.0),
@@ -142,8 +142,8 @@
 }
 
 /// A task of another job that waits at the owner for what becomes free.
-fn ahead(job: &str) -> ToOwner {
-    ToOwner::Ahead {
+fn backlog(job: &str) -> ToOwner {
+    ToOwner::AssignBacklog {
         job: job.into(),
         attempt: 7,
         requirements: requirements(4.0),
@@ -154,7 +154,7 @@
 
 /// Whether an owner sets resources aside for a gang of one task.
 fn reserves(owner: &mut Owner, attempt: u64, cpus: f64, now: f64) -> bool {
-    let reserve = ToOwner::Hold {
+    let reserve = ToOwner::Reserve {
         job: "wk-2".into(),
         attempt,
         requirements: requirements(cpus),
@@ -164,7 +164,7 @@
     owner.drain();
     owner.on_leader(reserve, now, &Behind);
     let answered = owner.drain().into_iter().find_map(|message| match message {
-        ToLeader::HoldAnswer { held, .. } => Some(held),
+        ToLeader::ReserveResult { reserved, .. } => Some(reserved),
         _ => None,
     });
     answered.expect("the owner answers")
@@ -185,7 +185,7 @@
     );
     // The leader said so, and this controller's own replica is blind.
     o.on_leader(
-        ToOwner::Over {
+        ToOwner::Terminal {
             jobs: vec!["wk-1".into()],
         },
         12.5,
@@ -246,10 +246,10 @@
     for told in [false, true] {
         let mut o = owner();
         o.on_report(&report(1, 5, None), 11.0, &OPEN);
-        o.on_leader(give(), 11.0, &OPEN);
+        o.on_leader(assign(), 11.0, &OPEN);
         let replica = if told {
             o.on_leader(
-                ToOwner::Over {
+                ToOwner::Terminal {
                     jobs: vec!["wk-1".into()],
                 },
                 11.2,
@@ -265,7 +265,7 @@
         );
         o.tick(12.0);
         let last = o.drain().into_iter().rev().find_map(|m| match m {
-            ToLeader::Machines(v) => Some(v),
+            ToLeader::MachineStatuses(v) => Some(v),
             _ => None,
         });
         assert!(
@@ -276,7 +276,7 @@
     // The same, when nothing is over: the check above can fail.
     let mut o = owner();
     o.on_report(&report(1, 5, None), 11.0, &OPEN);
-    o.on_leader(give(), 11.0, &OPEN);
+    o.on_leader(assign(), 11.0, &OPEN);
     assert_eq!(
         orders(o.on_report(&report(2, 5, None), 11.5, &OPEN)),
         vec![Order::Start {
@@ -292,7 +292,7 @@
 fn an_owner_whose_view_stayed_behind_knows_what_it_started() {
     let mut o = owner();
     o.on_report(&report(1, 5, None), 11.0, &Behind);
-    o.on_leader(give(), 11.0, &Behind);
+    o.on_leader(assign(), 11.0, &Behind);
     assert_eq!(
         orders(o.on_report(&report(2, 5, None), 11.5, &Behind)).len(),
         1
@@ -312,10 +312,10 @@
     let starts = |over: bool, jobs: &dyn Jobs, job: &str| {
         let mut o = owner();
         o.on_report(&report(1, 5, Some(TaskState::Running)), 11.0, &OPEN);
-        o.on_leader(ahead(job), 11.0, &OPEN);
+        o.on_leader(backlog(job), 11.0, &OPEN);
         if over {
             let jobs = vec![job.into()];
-            o.on_leader(ToOwner::Over { jobs }, 11.2, &OPEN);
+            o.on_leader(ToOwner::Terminal { jobs }, 11.2, &OPEN);
         }
         let orders = orders(o.on_report(&report(2, 5, None), 11.5, jobs));
         let is_start = |order: &&Order| matches!(order, Order::Start { .. });
@@ -334,7 +334,7 @@
     let s = setup();
     let mut o = owner();
     o.on_report(&report(1, 5, None), 10.5, &OPEN);
-    o.on_leader(give(), 10.5, &OPEN);
+    o.on_leader(assign(), 10.5, &OPEN);
     let stale = 10.0 + s.start_staleness_s() + 0.01;
     assert_eq!(
         orders(o.on_report(&report(2, 5, None), stale, &OPEN)),
@@ -419,7 +419,7 @@
     leader.tick(1.0, 1);
     let told = |leader: &mut Leader| -> Vec<Vec<String>> {
         let over = |d| match d {
-            Action::Send(to, ToOwner::Over { jobs }) if to == "rung-1" => Some(jobs),
+            Action::Send(to, ToOwner::Terminal { jobs }) if to == "rung-1" => Some(jobs),
             _ => None,
         };
         leader.drain().into_iter().filter_map(over).collect()
@@ -453,17 +453,17 @@
     o.on_report(&report(1, 5, None), 10.5, &OPEN);
     o.tick(11.0);
     o.drain();
-    let ToOwner::Give {
+    let ToOwner::Assign {
         job,
         attempt,
         requirements,
         tasks,
-    } = give()
+    } = assign()
     else {
         unreachable!()
     };
     o.on_leader(
-        ToOwner::Ahead {
+        ToOwner::AssignBacklog {
             job,
             attempt,
             requirements,
@@ -479,7 +479,7 @@
         1
     );
     o.on_leader(
-        ToOwner::Use {
+        ToOwner::SetUsable {
             machine: "host-1".into(),
             usable: false,
         },
--- a/crates/model/tests/waits.rs
+++ b/crates/model/tests/waits.rs
@@ -1,10 +1,10 @@
 //! Work that waits: for how long at most, and what is never placed.
 
-use model::world::{job, machine_view, setup, Defect, World};
+use model::world::{job, machine_status, setup, Defect, World};
 use sched::leader::{Action, Earlier, Leader, OpenJob};
 use std::collections::BTreeMap;
 use std::rc::Rc;
-use wire::peers::{TaskRef, TaskView, ToLeader, ToOwner};
+use wire::peers::{TaskRef, TaskStatus, ToLeader, ToOwner};
 use wire::store::RosterRecord;
 use wire::users::{Job, Shape};
 use wire::workers::{TaskState, Why};
@@ -38,14 +38,14 @@
         leader.tick(now, 0);
         let mut exits = Vec::new();
         for action in leader.drain() {
-            if let Action::Send(_, ToOwner::Give { job, attempt, .. }) = action {
+            if let Action::Send(_, ToOwner::Assign { job, attempt, .. }) = action {
                 tries.push(now);
                 let task = TaskRef {
                     job,
                     index: 0,
                     attempt,
                 };
-                exits.push(TaskView {
+                exits.push(TaskStatus {
                     task,
                     state: TaskState::Exited,
                     why: Some(Why::Error),
@@ -54,9 +54,9 @@
             }
         }
         seq += 1;
-        let mut view = machine_view("host-1", "small", exits);
+        let mut view = machine_status("host-1", "small", exits);
         view.session = seq;
-        leader.on_owner("rung-0", ToLeader::Machines(vec![view]), now);
+        leader.on_owner("rung-0", ToLeader::MachineStatuses(vec![view]), now);
     }
     let waits: Vec<f64> = tries.windows(2).map(|w| w[1] - w[0]).collect();
     assert!(waits.len() > 8, "{tries:?}");
@@ -120,27 +120,27 @@
     for (m, h) in members.iter().zip(&hosts) {
         leader.on_owner(
             m,
-            ToLeader::Machines(vec![machine_view(h, "small", vec![])]),
+            ToLeader::MachineStatuses(vec![machine_status(h, "small", vec![])]),
             0.7,
         );
     }
     let mut now = 0.8;
-    let mut hold = |leader: &mut Leader| {
+    let mut reserve = |leader: &mut Leader| {
         for _ in 0..100 {
             now += 0.5;
             members.iter().for_each(|m| leader.owner_heard(m, now));
             leader.tick(now, 2);
-            let held = leader.drain().into_iter().find_map(|d| match d {
-                Action::Send(_, ToOwner::Hold { attempt, .. }) => Some(attempt),
+            let reserved = leader.drain().into_iter().find_map(|d| match d {
+                Action::Send(_, ToOwner::Reserve { attempt, .. }) => Some(attempt),
                 _ => None,
             });
-            if let Some(attempt) = held {
+            if let Some(attempt) = reserved {
                 members.iter().for_each(|m| {
                     leader.on_owner(
                         m,
-                        ToLeader::HoldAnswer {
+                        ToLeader::ReserveResult {
                             attempt,
-                            held: true,
+                            reserved: true,
                         },
                         now,
                     )
@@ -149,9 +149,9 @@
                 members.iter().for_each(|m| {
                     leader.on_owner(
                         m,
-                        ToLeader::HoldAnswer {
+                        ToLeader::ReserveResult {
                             attempt,
-                            held: false,
+                            reserved: false,
                         },
                         now,
                     )
@@ -161,8 +161,8 @@
         }
         None
     };
-    let first = hold(&mut leader).expect("it is held at first");
-    let again = hold(&mut leader).expect("it is held again");
+    let first = reserve(&mut leader).expect("it is held at first");
+    let again = reserve(&mut leader).expect("it is held again");
     assert!(again > first);
 }
 
@@ -197,8 +197,8 @@
         0.0,
     );
     leader.catalog(vec![model::world::machine_type("small", 4.0, 16.0, 0.3)]);
-    let (mut now, mut given, mut bad) = (0.0, Vec::new(), Vec::new());
-    let mut waiting: BTreeMap<String, Vec<TaskView>> = BTreeMap::new();
+    let (mut now, mut assigned, mut bad) = (0.0, Vec::new(), Vec::new());
+    let mut waiting: BTreeMap<String, Vec<TaskStatus>> = BTreeMap::new();
     while now < 200.0 {
         now += 0.5;
         leader.tick(now, 0);
@@ -207,14 +207,14 @@
             match action {
                 Action::Send(
                     _,
-                    ToOwner::Give {
+                    ToOwner::Assign {
                         job,
                         attempt,
                         tasks,
                         ..
                     },
                 ) => {
-                    given.push((now, tasks.iter().map(|(_, n)| n).sum::<u32>()));
+                    assigned.push((now, tasks.iter().map(|(_, n)| n).sum::<u32>()));
                     for index in tasks.iter().flat_map(|(a, n)| *a..a + n) {
                         // Spread over the machines, as an owner does.
                         let task = TaskRef {
@@ -222,7 +222,7 @@
                             index,
                             attempt,
                         };
-                        let view = TaskView {
+                        let view = TaskStatus {
                             task,
                             state: TaskState::Exited,
                             why: Some(Why::Error),
@@ -238,7 +238,7 @@
                 Action::Hire(_) if now > 2.0 => bad.push(format!("{now}: rented")),
                 Action::Send(
                     _,
-                    ToOwner::Use {
+                    ToOwner::SetUsable {
                         machine,
                         usable: false,
                     },
@@ -248,15 +248,15 @@
         }
         let views = hosts
             .iter()
-            .map(|h| machine_view(h, "small", waiting.remove(h).unwrap_or_default()))
+            .map(|h| machine_status(h, "small", waiting.remove(h).unwrap_or_default()))
             .collect();
-        leader.on_owner("rung-0", ToLeader::Machines(views), now);
+        leader.on_owner("rung-0", ToLeader::MachineStatuses(views), now);
     }
     assert_eq!(bad, Vec::<String>::new());
     // After the first ones, one task at a time shows whether it still fails.
     assert!(
-        given.len() > 8 && given[2..].iter().all(|(_, n)| *n == 1),
-        "{given:?}"
+        assigned.len() > 8 && assigned[2..].iter().all(|(_, n)| *n == 1),
+        "{assigned:?}"
     );
 }
 
@@ -282,18 +282,19 @@
         loop {
             now += 0.5;
             leader.tick(now, 0);
-            if leader
-                .drain()
-                .iter()
-                .any(|action| matches!(action, Action::Send(_, ToOwner::Use { usable: false, .. })))
-            {
+            if leader.drain().iter().any(|action| {
+                matches!(
+                    action,
+                    Action::Send(_, ToOwner::SetUsable { usable: false, .. })
+                )
+            }) {
                 return now;
             }
             let views = roster
                 .keys()
-                .map(|host| machine_view(host, "small", vec![]))
+                .map(|host| machine_status(host, "small", vec![]))
                 .collect();
-            leader.on_owner("rung-0", ToLeader::Machines(views), now);
+            leader.on_owner("rung-0", ToLeader::MachineStatuses(views), now);
             if now >= f64::from(jobs + 1) * every_s {
                 // A job of another type: it comes, and leaves these machines idle.
                 jobs += 1;
@@ -348,32 +349,34 @@
         index,
         attempt: 7,
     };
-    let running = |task| TaskView {
+    let running = |task| TaskStatus {
         task,
         state: TaskState::Running,
         why: None,
         saved: false,
     };
-    let exited = |task, why| TaskView {
+    let exited = |task, why| TaskStatus {
         task,
         state: TaskState::Exited,
         why: Some(why),
         saved: false,
     };
     let mut now = 0.0;
-    let mut drained = |host_1: Vec<TaskView>, host_2: Vec<TaskView>| {
+    let mut drained = |host_1: Vec<TaskStatus>, host_2: Vec<TaskStatus>| {
         now += 1.0;
         leader.tick(now, 0);
         let views = vec![
-            machine_view("host-1", "small", host_1),
-            machine_view("host-2", "small", host_2),
+            machine_status("host-1", "small", host_1),
+            machine_status("host-2", "small", host_2),
         ];
-        leader.on_owner("rung-0", ToLeader::Machines(views), now);
+        leader.on_owner("rung-0", ToLeader::MachineStatuses(views), now);
         leader.tick(now + 0.9, 0);
-        leader
-            .drain()
-            .iter()
-            .any(|action| matches!(action, Action::Send(_, ToOwner::Use { usable: false, .. })))
+        leader.drain().iter().any(|action| {
+            matches!(
+                action,
+                Action::Send(_, ToOwner::SetUsable { usable: false, .. })
+            )
+        })
     };
     // Job 1 fails on the first machine, which then completes a task of job 3.
     drained(
--- a/crates/sched/src/autoscaler/scale_in.rs
+++ b/crates/sched/src/autoscaler/scale_in.rs
@@ -76,7 +76,7 @@
         let idle = self
             .machines
             .values()
-            .filter(|m| m.open() && m.tasks.is_empty() && m.held.is_empty());
+            .filter(|m| m.open() && m.tasks.is_empty() && m.reserved.is_empty());
         let idle_cpus = idle
             .filter_map(|m| self.capacity(&m.kind))
             .map(|capacity| capacity.cpus)
@@ -122,7 +122,7 @@
         let (mut drained, mut release) = (Vec::new(), Vec::new());
         for (name, m) in self.machines.iter_mut().filter(|(_, m)| !m.releasing) {
             let keep = keeps.of(&m.kind);
-            let in_use = !m.tasks.is_empty() || !m.held.is_empty() || !m.quiet;
+            let in_use = !m.tasks.is_empty() || !m.reserved.is_empty() || !m.quiet;
             if in_use || blocked || self.fleet.kept.contains(name) {
                 m.idle_since = now;
             }
--- a/crates/sched/src/autoscaler/scale_out.rs
+++ b/crates/sched/src/autoscaler/scale_out.rs
@@ -92,7 +92,7 @@
         let mut coming = self.coming();
         // Running tasks free their capacity again and again while a machine boots.
         let turnover = self.turnover();
-        let mut ahead = 0.0;
+        let mut expected_free = 0.0;
         let gang_waits = self.waits_for_scarce(scarce);
         let mut busy: Option<Busy> = None;
         let mut wanted: BTreeMap<Offer, u32> = BTreeMap::new();
@@ -153,10 +153,10 @@
                 // New jobs take a part of what becomes free meanwhile.
                 let net =
                     (turnover - self.fleet.arrival_rate(now, boot.max(LEAST_CHARGE_S))).max(0.0);
-                let served = ((net * boot - ahead) / resources.cpus.max(0.01))
+                let served = ((net * boot - expected_free) / resources.cpus.max(0.01))
                     .floor()
                     .clamp(0.0, f64::from(left));
-                ahead += served * resources.cpus;
+                expected_free += served * resources.cpus;
                 left -= served as u32;
                 if left == 0 || capacity.count_fitting(resources) == 0 {
                     break;
--- a/crates/sched/src/autoscaler/wait_estimates.rs
+++ b/crates/sched/src/autoscaler/wait_estimates.rs
@@ -14,7 +14,7 @@
 pub(super) type Busy = Vec<(Secs, String)>;
 
 impl Leader {
-    /// Whether a gang has waited so long that machines are set aside for it.
+    /// Whether a gang has waited so long that machines are cordoned for it.
     pub(crate) fn waits_long(&self, id: &str, now: Secs) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
--- a/crates/sched/src/capacity_index.rs
+++ b/crates/sched/src/capacity_index.rs
@@ -10,7 +10,7 @@
 
 /// What placement needs to know of one machine.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Spot {
+pub struct IndexedMachine {
     pub owner: String,
     pub free: Resources,
     pub images: Vec<String>,
@@ -26,16 +26,16 @@
     spot: bool,
     slow_above_gb: f64,
     /// Its machines by free CPUs and name.
-    by_cpus: BTreeMap<(u64, Rc<str>), Rc<Spot>>,
+    by_cpus: BTreeMap<(u64, Rc<str>), Rc<IndexedMachine>>,
 }
 
 impl Pool {
-    fn put(&mut self, name: &Rc<str>, spot: &Rc<Spot>) {
+    fn put(&mut self, name: &Rc<str>, spot: &Rc<IndexedMachine>) {
         let key = (thousandths(spot.free.cpus), name.clone());
         self.by_cpus.insert(key, spot.clone());
     }
 
-    fn remove(&mut self, name: &Rc<str>, spot: &Spot) {
+    fn remove(&mut self, name: &Rc<str>, spot: &IndexedMachine) {
         self.by_cpus
             .remove(&(thousandths(spot.free.cpus), name.clone()));
     }
@@ -43,7 +43,7 @@
 
 /// A machine on which at least one task fits.
 #[derive(Clone, Debug, PartialEq, PartialOrd)]
-pub struct Found {
+pub struct Fit {
     pub rank: Rank,
     pub name: Rc<str>,
     pub zone: Rc<str>,
@@ -54,7 +54,7 @@
 #[derive(Debug, Default)]
 pub struct Index {
     pools: Vec<Pool>,
-    spots: BTreeMap<Rc<str>, (usize, Rc<Spot>)>,
+    machines: BTreeMap<Rc<str>, (usize, Rc<IndexedMachine>)>,
 }
 
 fn thousandths(cpus: f64) -> u64 {
@@ -91,9 +91,9 @@
         zone: &str,
         spot: bool,
         guarantee_s: f64,
-        s: Spot,
+        s: IndexedMachine,
     ) {
-        let key: Rc<str> = match self.spots.get_key_value(name) {
+        let key: Rc<str> = match self.machines.get_key_value(name) {
             Some((_, (_, old))) if **old == s => return,
             Some((key, (pool, old))) => {
                 self.pools[*pool].remove(key, old);
@@ -104,11 +104,11 @@
         let pool = self.pool(t, zone, spot, guarantee_s);
         let s = Rc::new(s);
         self.pools[pool].put(&key, &s);
-        self.spots.insert(key, (pool, s));
+        self.machines.insert(key, (pool, s));
     }
 
     pub fn remove(&mut self, name: &str) {
-        if let Some((key, (pool, s))) = self.spots.remove_entry(name) {
+        if let Some((key, (pool, s))) = self.machines.remove_entry(name) {
             self.pools[pool].remove(&key, &s);
         }
     }
@@ -117,8 +117,8 @@
         *self = Index::default();
     }
 
-    pub fn get(&self, name: &str) -> Option<&Spot> {
-        self.spots.get(name).map(|(_, s)| &**s)
+    pub fn get(&self, name: &str) -> Option<&IndexedMachine> {
+        self.machines.get(name).map(|(_, s)| &**s)
     }
 
     pub fn zones(&self) -> BTreeSet<Rc<str>> {
@@ -131,10 +131,10 @@
 
     /// Sets capacity of a machine aside for tasks that need an image.
     pub fn take(&mut self, name: &str, resources: Resources, n: u32, image: &str) {
-        let Some((key, (pool, s))) = self.spots.get_key_value(name) else {
+        let Some((key, (pool, s))) = self.machines.get_key_value(name) else {
             return;
         };
-        let (key, pool, mut s) = (key.clone(), *pool, Spot::clone(s));
+        let (key, pool, mut s) = (key.clone(), *pool, IndexedMachine::clone(s));
         self.pools[pool].remove(&key, &s);
         s.free.sub(resources.scaled(n));
         s.empty = false;
@@ -143,21 +143,21 @@
         }
         let s = Rc::new(s);
         self.pools[pool].put(&key, &s);
-        self.spots.insert(key, (pool, s));
+        self.machines.insert(key, (pool, s));
     }
 
     /// The machines on which a task fits, the best first. Whatever one takes makes it suit the
     /// same job's next task even better, so a job may fill them one after the other.
-    pub fn fits(&self, requirements: &TaskRequirements) -> Vec<Found> {
+    pub fn fits(&self, requirements: &TaskRequirements) -> Vec<Fit> {
         self.fits_outside(requirements, None)
     }
 
-    /// The same without what is set aside.
+    /// The same without what is cordoned.
     pub fn fits_outside(
         &self,
         requirements: &TaskRequirements,
-        aside: Option<&TaskRequirements>,
-    ) -> Vec<Found> {
+        cordon: Option<&TaskRequirements>,
+    ) -> Vec<Fit> {
         let resources = Resources::of(requirements);
         let from = thousandths(requirements.cpus).saturating_sub(1);
         let mut out = Vec::new();
@@ -165,7 +165,7 @@
             let Some(tier_here) = tier(requirements, &p.kind, &p.zone, p.spot) else {
                 continue;
             };
-            if aside.is_some_and(|a| tier(a, &p.kind, &p.zone, p.spot).is_some()) {
+            if cordon.is_some_and(|a| tier(a, &p.kind, &p.zone, p.spot).is_some()) {
                 continue;
             }
             for ((_, name), s) in p.by_cpus.range((from, Rc::from(""))..) {
@@ -177,7 +177,7 @@
                     empty: s.empty,
                 };
                 if let Some(rank) = rank(requirements, &c) {
-                    out.push(Found {
+                    out.push(Fit {
                         rank,
                         name: name.clone(),
                         zone: p.zone.clone(),
@@ -191,15 +191,15 @@
     }
 
     /// Everything in it, for comparison with a plain rebuild.
-    pub fn contents(&self) -> BTreeMap<String, (String, String, bool, Spot)> {
-        let one = |(n, (p, s)): (&Rc<str>, &(usize, Rc<Spot>))| {
+    pub fn contents(&self) -> BTreeMap<String, (String, String, bool, IndexedMachine)> {
+        let one = |(n, (p, s)): (&Rc<str>, &(usize, Rc<IndexedMachine>))| {
             let p = &self.pools[*p];
-            let spot = Spot::clone(s);
+            let spot = IndexedMachine::clone(s);
             (
                 n.to_string(),
                 (p.kind.clone(), p.zone.to_string(), p.spot, spot),
             )
         };
-        self.spots.iter().map(one).collect()
+        self.machines.iter().map(one).collect()
     }
 }
--- a/crates/sched/src/config.rs
+++ b/crates/sched/src/config.rs
@@ -20,7 +20,7 @@
     pub cancel_s: f64,
     pub list_lag_s: f64,
     /// How long reserved capacity waits for the rest of its gang.
-    pub hold_s: f64,
+    pub reservation_s: f64,
     /// The store lease of the leader.
     pub leader_lease_s: f64,
     /// Part of the time allowed for a guaranteed start after which borrowed capacity is taken back.
--- a/crates/sched/src/epoch.rs
+++ b/crates/sched/src/epoch.rs
@@ -1,10 +1,10 @@
 //! The leader and its owners: who is heard, what authority they get, and the change of owners
 //! under a new token.
 
-use crate::leader::{Action, Leader, OwnerLink, Phase, Place, Rostered, UnresolvedGroup};
+use crate::leader::{Action, Leader, OwnerLink, Phase, Rostered, TaskLocation, UnresolvedGroup};
 use crate::shard;
 use crate::Secs;
-use wire::peers::{MachineCard, ToOwner};
+use wire::peers::{MachineDescriptor, ToOwner};
 
 /// Most jobs in one message of what is over, so that it stays small.
 const OVER_AT_ONCE: usize = 1000;
@@ -132,14 +132,14 @@
             self.token,
             self.members.join(",")
         );
-        let holding: Vec<String> = self
+        let reserving: Vec<String> = self
             .jobs
             .iter()
-            .filter(|(_, j)| matches!(j.phase, Phase::Holding { .. } | Phase::Binding { .. }))
+            .filter(|(_, j)| matches!(j.phase, Phase::Reserving { .. } | Phase::Binding { .. }))
             .map(|(id, _)| id.clone())
             .collect();
-        for id in holding {
-            self.end_hold(&id, now, false);
+        for id in reserving {
+            self.end_reservation(&id, now, false);
         }
         // Tasks given to an owner and not yet seen may be on any machine that was its.
         for old in &old_members {
@@ -149,7 +149,7 @@
                 .flat_map(|(id, j)| {
                     j.active
                         .iter()
-                        .filter(|(_, a)| matches!(&a.place, Place::Given(o, _) if o == old))
+                        .filter(|(_, a)| matches!(&a.location, TaskLocation::Assigned(o, _) if o == old))
                         .map(|(i, _)| (id.clone(), *i))
                 })
                 .collect();
@@ -160,7 +160,7 @@
             self.next_group += 1;
             for (id, i) in &tasks {
                 if let Some(mut a) = self.unset_active(id, *i) {
-                    a.place = Place::Unresolved(group);
+                    a.location = TaskLocation::Unresolved(group);
                     self.set_active(id, *i, a);
                 }
             }
@@ -193,10 +193,10 @@
             j.clears.clear();
             j.active.values_mut().for_each(|a| a.stop_sent = false);
         }
-        let cards: Vec<MachineCard> = self
+        let descriptors: Vec<MachineDescriptor> = self
             .machines
             .iter()
-            .map(|(n, m)| MachineCard {
+            .map(|(n, m)| MachineDescriptor {
                 name: n.clone(),
                 kind: m.kind.clone(),
                 zone: m.zone.clone(),
@@ -210,12 +210,12 @@
         let over: Vec<String> = self.lately_over.keys().cloned().collect();
         for member in self.members.clone() {
             let continues = old_members.contains(&member) && !broken.contains(&member);
-            let mine = |c: &&MachineCard| {
+            let mine = |c: &&MachineDescriptor| {
                 self.machines
                     .get(&c.name)
                     .is_some_and(|m| m.owner == member)
             };
-            let machines = cards.iter().filter(mine).cloned().collect();
+            let machines = descriptors.iter().filter(mine).cloned().collect();
             self.send(
                 &member,
                 ToOwner::Epoch {
@@ -230,7 +230,7 @@
             for jobs in over.chunks(OVER_AT_ONCE) {
                 self.send(
                     &member,
-                    ToOwner::Over {
+                    ToOwner::Terminal {
                         jobs: jobs.to_vec(),
                     },
                 );
--- a/crates/sched/src/leader/active_tasks.rs
+++ b/crates/sched/src/leader/active_tasks.rs
@@ -2,7 +2,7 @@
 //! start it until it is seen to be gone.
 
 use super::job::waits_at;
-use super::{Active, Leader, Phase, Place};
+use super::{Active, Leader, Phase, TaskLocation};
 use crate::placement::Resources;
 
 impl Leader {
@@ -18,10 +18,10 @@
         };
         let resources = job.resources();
         job.ready.remove(index);
-        if let Some(owner) = waits_at(&active.place) {
-            *self.ahead.entry(owner.to_string()).or_default() += resources.cpus;
+        if let Some(owner) = waits_at(&active.location) {
+            *self.backlog.entry(owner.to_string()).or_default() += resources.cpus;
         }
-        if let Place::Given(_, name) | Place::On(name) = &active.place {
+        if let TaskLocation::Assigned(_, name) | TaskLocation::OnMachine(name) = &active.location {
             if let Some(m) = self.machines.get_mut(name) {
                 if m.tasks.insert((id.into(), index), active.attempt).is_none() {
                     m.used.add(resources);
@@ -40,10 +40,11 @@
         let job = self.jobs.get_mut(id)?;
         let active = job.active.remove(&index)?;
         let resources = job.resources();
-        if let Some(cpus) = waits_at(&active.place).and_then(|owner| self.ahead.get_mut(owner)) {
+        if let Some(cpus) = waits_at(&active.location).and_then(|owner| self.backlog.get_mut(owner))
+        {
             *cpus -= resources.cpus;
         }
-        if let Place::Given(_, name) | Place::On(name) = &active.place {
+        if let TaskLocation::Assigned(_, name) | TaskLocation::OnMachine(name) = &active.location {
             if let Some(m) = self.machines.get_mut(name) {
                 if m.tasks.remove(&(id.to_string(), index)).is_some() {
                     m.used.sub(resources);
--- a/crates/sched/src/leader/job.rs
+++ b/crates/sched/src/leader/job.rs
@@ -10,11 +10,11 @@
 
 /// Where a task in somebody's hands is.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) enum Place {
+pub(crate) enum TaskLocation {
     /// Given to an owner, which is expected to choose that machine; where no machine is named, the
     /// first of its part with capacity.
-    Given(String, String),
-    On(String),
+    Assigned(String, String),
+    OnMachine(String),
     /// In the hands of an owner that was lost; settled with the group of its machines.
     Unresolved(u64),
 }
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Active {
     pub attempt: u64,
-    pub place: Place,
+    pub location: TaskLocation,
     pub running: bool,
     pub stop_sent: bool,
     pub since: Secs,
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Phase {
     Idle,
-    Holding {
+    Reserving {
         attempt: u64,
         waiting: BTreeSet<String>,
         until: Secs,
@@ -85,7 +85,7 @@
     pub clears: Vec<(String, TaskRef)>,
     pub within: bool,
     /// Tasks of others were told to stop so that this whole gang has capacity. Until then that capacity is
-    /// set aside for it and nothing is rented.
+    /// cordoned for it and nothing is rented.
     pub reclaims_until: Secs,
 }
 
@@ -122,9 +122,9 @@
 }
 
 /// The owner at which a task waits for the first capacity that becomes free.
-pub(super) fn waits_at(place: &Place) -> Option<&str> {
-    match place {
-        Place::Given(owner, machine) if machine.is_empty() => Some(owner),
+pub(super) fn waits_at(location: &TaskLocation) -> Option<&str> {
+    match location {
+        TaskLocation::Assigned(owner, machine) if machine.is_empty() => Some(owner),
         _ => None,
     }
 }
--- a/crates/sched/src/leader/jobs.rs
+++ b/crates/sched/src/leader/jobs.rs
@@ -1,6 +1,6 @@
 //! Jobs come, are stopped, and end.
 
-use super::{Action, Begun, Earlier, Job, Leader, OpenJob, Phase, Place};
+use super::{Action, Begun, Earlier, Job, Leader, OpenJob, Phase, TaskLocation};
 use crate::placement::Resources;
 use crate::ranges::Ranges;
 use crate::Secs;
@@ -93,7 +93,7 @@
             for member in self.members.clone() {
                 self.send(
                     &member,
-                    ToOwner::Over {
+                    ToOwner::Terminal {
                         jobs: vec![id.into()],
                     },
                 );
@@ -114,7 +114,7 @@
         }
         let phase = std::mem::replace(&mut job.phase, Phase::Ending);
         let clears = std::mem::take(&mut job.clears);
-        self.release_hold(&phase);
+        self.release_reservation(&phase);
         for (machine, task) in clears {
             self.clear(&machine, task);
         }
@@ -147,7 +147,7 @@
         let Some(a) = self.jobs.get_mut(id).and_then(|j| j.active.get_mut(&index)) else {
             return;
         };
-        let Place::On(machine) = a.place.clone() else {
+        let TaskLocation::OnMachine(machine) = a.location.clone() else {
             return;
         };
         if std::mem::replace(&mut a.stop_sent, true) {
--- a/crates/sched/src/leader/machine.rs
+++ b/crates/sched/src/leader/machine.rs
@@ -37,7 +37,7 @@
     pub releasing: bool,
     pub tasks: BTreeMap<(String, u32), u64>,
     pub used: Resources,
-    pub held: BTreeMap<u64, Resources>,
+    pub reserved: BTreeMap<u64, Resources>,
     pub idle_since: Secs,
     pub seen_at: Secs,
     pub images: Vec<String>,
@@ -56,11 +56,11 @@
             && !self.unreachable
     }
 
-    /// What is left of its capacity beside possibly-on tasks and reserved capacity.
+    /// What is left of its capacity beside possibly running tasks and reserved capacity.
     pub fn free(&self, whole: Resources) -> Resources {
         let mut free = whole;
         free.sub(self.used);
-        self.held.values().for_each(|h| free.sub(*h));
+        self.reserved.values().for_each(|h| free.sub(*h));
         free
     }
 }
--- a/crates/sched/src/leader/machines.rs
+++ b/crates/sched/src/leader/machines.rs
@@ -28,7 +28,7 @@
             releasing: false,
             tasks: BTreeMap::new(),
             used: Resources::default(),
-            held: BTreeMap::new(),
+            reserved: BTreeMap::new(),
             idle_since: now,
             seen_at: now,
             images: Vec::new(),
@@ -65,7 +65,7 @@
             let owner = m.owner.clone();
             self.send(
                 &owner,
-                ToOwner::Use {
+                ToOwner::SetUsable {
                     machine: machine.into(),
                     usable,
                 },
--- a/crates/sched/src/leader/mod.rs
+++ b/crates/sched/src/leader/mod.rs
@@ -13,7 +13,7 @@
 mod progress;
 mod summary;
 
-pub(crate) use job::{Active, Begun, Job, Phase, Place};
+pub(crate) use job::{Active, Begun, Job, Phase, TaskLocation};
 pub use job::{Earlier, OpenJob};
 pub(crate) use machine::{Machine, Rostered};
 pub use progress::chunk_bits;
@@ -100,7 +100,7 @@
     pub(crate) begun_asked: bool,
     pub(crate) team_used: BTreeMap<String, Resources>,
     /// CPUs of tasks that wait for capacity, by owner.
-    pub(crate) ahead: BTreeMap<String, f64>,
+    pub(crate) backlog: BTreeMap<String, f64>,
     pub(crate) groups: BTreeMap<u64, UnresolvedGroup>,
     pub(crate) next_group: u64,
     pub(crate) start_open: bool,
@@ -173,7 +173,7 @@
             begun_upto,
             begun_asked: false,
             team_used: BTreeMap::new(),
-            ahead: BTreeMap::new(),
+            backlog: BTreeMap::new(),
             groups: BTreeMap::new(),
             next_group: 0,
             start_open: true,
@@ -235,12 +235,12 @@
         let late: Vec<String> = self
             .jobs
             .iter()
-            .filter(|(_, j)| matches!(&j.phase, Phase::Holding { until, .. } | Phase::Binding { until, .. } if now >= *until))
+            .filter(|(_, j)| matches!(&j.phase, Phase::Reserving { until, .. } | Phase::Binding { until, .. } if now >= *until))
             .map(|(id, _)| id.clone())
             .collect();
         for id in late {
-            log::info!("event=hold_lapsed job={id}");
-            self.end_hold(&id, now, true);
+            log::info!("event=reservation_expired job={id}");
+            self.end_reservation(&id, now, true);
         }
         self.mind_notices(now);
         if std::mem::take(&mut self.wake)
--- a/crates/sched/src/leader/summary.rs
+++ b/crates/sched/src/leader/summary.rs
@@ -16,14 +16,14 @@
     pub cpus_used: [u32; 2],
     /// CPUs of tasks that are known to run, and that wait at owners for capacity.
     pub cpus_running: u32,
-    pub cpus_ahead: u32,
+    pub backlog_cpus: u32,
 }
 
 impl std::fmt::Display for Summary {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         write!(
             f,
-            "queued={} running={} machines={} booting={} unreconciled={} cpus={} cpus_used={} spot_cpus={} spot_cpus_used={} running_cpus={} ahead_cpus={}",
+            "queued={} running={} machines={} booting={} unreconciled={} cpus={} cpus_used={} spot_cpus={} spot_cpus_used={} running_cpus={} backlog_cpus={}",
             self.queued,
             self.running,
             self.machines,
@@ -34,7 +34,7 @@
             self.cpus[1],
             self.cpus_used[1],
             self.cpus_running,
-            self.cpus_ahead
+            self.backlog_cpus
         )
     }
 }
@@ -59,7 +59,7 @@
                 .values()
                 .map(|j| j.active.values().filter(|a| a.running).count() as f64 * j.spec.cpus)
                 .sum::<f64>() as u32,
-            cpus_ahead: self.ahead.values().sum::<f64>() as u32,
+            backlog_cpus: self.backlog.values().sum::<f64>() as u32,
             cpus_used: [false, true].map(|spot| {
                 self.machines
                     .values()
@@ -76,7 +76,7 @@
             let at: Vec<String> = j
                 .active
                 .iter()
-                .map(|(i, a)| format!("{i}@{:?}", a.place))
+                .map(|(i, a)| format!("{i}@{:?}", a.location))
                 .collect();
             format!(
                 "{id} {:?} tasks={} cpus={} team={} ready={} done={} uncertain={} phase={:?} backoff={:.1} active=[{}]",
@@ -123,7 +123,7 @@
             for m in self.links.keys().cloned().chain([me]).collect::<Vec<_>>() {
                 self.send(
                     &m,
-                    ToOwner::Display {
+                    ToOwner::RunningCounts {
                         running: running.clone(),
                     },
                 );
--- a/crates/sched/src/machine_status.rs
+++ b/crates/sched/src/machine_status.rs
@@ -1,10 +1,10 @@
 //! What owners show of their machines, and what the leader's cluster view takes from it.
 
-use crate::leader::{Action, Active, Job, Leader, Phase, Place, Rostered};
+use crate::leader::{Action, Active, Job, Leader, Phase, Rostered, TaskLocation};
 use crate::shard;
 use crate::Secs;
 use std::collections::BTreeSet;
-use wire::peers::{MachineView, TaskRef, TaskView, ToLeader, ToOwner};
+use wire::peers::{MachineStatus, TaskRef, TaskStatus, ToLeader, ToOwner};
 use wire::store::RosterRecord;
 use wire::workers::{TaskState, Why};
 
@@ -16,9 +16,9 @@
     /// Takes a message of an owner.
     pub fn on_owner(&mut self, from: &str, message: ToLeader, now: Secs) {
         match message {
-            ToLeader::Machines(views) => {
+            ToLeader::MachineStatuses(views) => {
                 for v in views {
-                    self.apply_view(from, v, now);
+                    self.apply_status(from, v, now);
                 }
                 self.settle();
             }
@@ -28,27 +28,30 @@
                 tasks,
             } => {
                 for i in tasks.iter().flat_map(|(a, n)| *a..a.saturating_add(*n)) {
-                    let given = self.jobs.get(&job).and_then(|j| j.active.get(&i));
-                    if given.is_some_and(|a| {
-                        a.attempt == attempt && matches!(&a.place, Place::Given(o, _) if o == from)
+                    let assigned = self.jobs.get(&job).and_then(|j| j.active.get(&i));
+                    if assigned.is_some_and(|a| {
+                        a.attempt == attempt
+                            && matches!(&a.location, TaskLocation::Assigned(o, _) if o == from)
                     }) {
                         self.gone(&job, i);
                     }
                 }
             }
-            ToLeader::HoldAnswer { attempt, held } => self.on_hold_answer(from, attempt, held, now),
+            ToLeader::ReserveResult { attempt, reserved } => {
+                self.on_reserve_result(from, attempt, reserved, now)
+            }
             ToLeader::Cancelled { job } => self.cancel_confirmed(&job),
             ToLeader::Hello { .. } | ToLeader::Ping { .. } => {}
         }
     }
 
-    pub(crate) fn apply_view(&mut self, from: &str, v: MachineView, now: Secs) {
+    pub(crate) fn apply_status(&mut self, from: &str, v: MachineStatus, now: Secs) {
         if shard::owner(&v.name, &self.members) != Some(from) {
             return;
         }
         if !self.machines.contains_key(&v.name) {
             if self.fleet.is_released(&v.name) {
-                self.view_of_returned(from, &v);
+                self.on_status_of_released(from, &v);
                 return;
             }
             if v.token != self.token || v.lapsed {
@@ -117,7 +120,7 @@
             // The owner began anew after it was told.
             self.send(
                 from,
-                ToOwner::Use {
+                ToOwner::SetUsable {
                     machine: v.name.clone(),
                     usable,
                 },
@@ -145,11 +148,11 @@
 
     /// A machine that was returned is gone with all that is on it. Its owner may have placed
     /// tasks there before it knew; they are nowhere.
-    pub(crate) fn view_of_returned(&mut self, from: &str, v: &MachineView) {
+    pub(crate) fn on_status_of_released(&mut self, from: &str, v: &MachineStatus) {
         if v.usable {
             self.send(
                 from,
-                ToOwner::Use {
+                ToOwner::SetUsable {
                     machine: v.name.clone(),
                     usable: false,
                 },
@@ -161,10 +164,10 @@
             .filter(|t| t.state != TaskState::Exited)
             .map(|t| &t.task);
         for t in live.chain(&v.pending) {
-            let here = |a: &Active| match &a.place {
-                Place::Given(o, _) => o == from,
-                Place::On(m) => *m == v.name,
-                Place::Unresolved(_) => false,
+            let here = |a: &Active| match &a.location {
+                TaskLocation::Assigned(o, _) => o == from,
+                TaskLocation::OnMachine(m) => *m == v.name,
+                TaskLocation::Unresolved(_) => false,
             };
             if self
                 .jobs
@@ -177,7 +180,7 @@
         }
     }
 
-    pub(crate) fn apply_tasks(&mut self, v: &MachineView, now: Secs) {
+    pub(crate) fn apply_tasks(&mut self, v: &MachineStatus, now: Secs) {
         let name = v.name.as_str();
         let mut listed: BTreeSet<(String, u32)> = BTreeSet::new();
         let mut foreign = false;
@@ -207,13 +210,13 @@
                 .jobs
                 .get(&id)
                 .and_then(|j| j.active.get(&i))
-                .is_some_and(|a| matches!(&a.place, Place::On(_)));
+                .is_some_and(|a| matches!(&a.location, TaskLocation::OnMachine(_)));
             if on {
                 self.gone(&id, i);
             }
         }
         if let Some(m) = self.machines.get_mut(name) {
-            if !m.tasks.is_empty() || !m.held.is_empty() {
+            if !m.tasks.is_empty() || !m.reserved.is_empty() {
                 m.idle_since = now;
             }
         }
@@ -242,9 +245,9 @@
                     a.running = true;
                     a.since = now;
                 }
-                if a.place != Place::On(machine.into()) {
+                if a.location != TaskLocation::OnMachine(machine.into()) {
                     let mut moved = a.clone();
-                    moved.place = Place::On(machine.into());
+                    moved.location = TaskLocation::OnMachine(machine.into());
                     self.set_active(&task.job, task.index, moved);
                 }
             }
@@ -262,7 +265,7 @@
             None => {
                 let active = Active {
                     attempt: task.attempt,
-                    place: Place::On(machine.into()),
+                    location: TaskLocation::OnMachine(machine.into()),
                     running,
                     stop_sent: false,
                     since: now,
@@ -284,7 +287,7 @@
         true
     }
 
-    pub(crate) fn note_exit(&mut self, machine: &str, t: &TaskView, now: Secs) {
+    pub(crate) fn note_exit(&mut self, machine: &str, t: &TaskStatus, now: Secs) {
         let task = &t.task;
         let Some(job) = self.jobs.get_mut(&task.job) else {
             self.clear(machine, task.clone());
@@ -387,7 +390,7 @@
                     .jobs
                     .get(&id)
                     .and_then(|j| j.active.get(&i))
-                    .is_some_and(|a| a.place == Place::Unresolved(group));
+                    .is_some_and(|a| a.location == TaskLocation::Unresolved(group));
                 if still {
                     self.gone(&id, i);
                 }
--- a/crates/sched/src/owner/assigned_jobs.rs
+++ b/crates/sched/src/owner/assigned_jobs.rs
@@ -5,36 +5,36 @@
 use std::collections::{BTreeMap, BTreeSet};
 use wire::peers::TaskRequirements;
 
-struct Given {
+struct AssignedJob {
     resources: Resources,
     image: String,
 }
 
 /// The jobs of which tasks were given.
 #[derive(Default)]
-pub(super) struct GivenJobs {
-    jobs: BTreeMap<String, Given>,
+pub(super) struct AssignedJobs {
+    jobs: BTreeMap<String, AssignedJob>,
     reviewed_at: Secs,
 }
 
-impl GivenJobs {
+impl AssignedJobs {
     /// Takes what a job's tasks need.
     pub(super) fn learn(&mut self, job: &str, requirements: &TaskRequirements) {
         if !self.jobs.contains_key(job) {
-            let given = Given {
+            let assigned = AssignedJob {
                 resources: Resources::of(requirements),
                 image: requirements.image.clone(),
             };
-            self.jobs.insert(job.into(), given);
+            self.jobs.insert(job.into(), assigned);
         }
     }
 
     pub(super) fn resources(&self, job: &str) -> Option<Resources> {
-        self.jobs.get(job).map(|given| given.resources)
+        self.jobs.get(job).map(|assigned| assigned.resources)
     }
 
     pub(super) fn image(&self, job: &str) -> Option<&str> {
-        self.jobs.get(job).map(|given| given.image.as_str())
+        self.jobs.get(job).map(|assigned| assigned.image.as_str())
     }
 
     /// Whether it is time to forget what is not in use any more; not asked again for that long.
--- a/crates/sched/src/owner/heartbeats.rs
+++ b/crates/sched/src/owner/heartbeats.rs
@@ -1,12 +1,12 @@
 //! Reports of machines, and the answers to them. Tasks start in these answers only.
 
-use super::machine::{give_up, new_machine, orders, settle, take_on, STARTS_AT_ONCE};
+use super::machine::{add_starts, new_machine, orders, settle, withdraw_starts, STARTS_AT_ONCE};
 use super::{Answer, Jobs, Owner};
 use crate::placement::{tier, Resources};
 use crate::shard;
 use crate::Secs;
 use std::collections::BTreeMap;
-use wire::peers::{TaskRef, TaskView};
+use wire::peers::{TaskRef, TaskStatus};
 use wire::split_task;
 use wire::workers::{Order, Orders, Report, TaskState};
 
@@ -78,7 +78,7 @@
         m.known = true;
         m.heard = m.heard.max(report.session);
         (m.session, m.seq) = order;
-        let tasks: BTreeMap<TaskRef, TaskView> = report
+        let tasks: BTreeMap<TaskRef, TaskStatus> = report
             .tasks
             .iter()
             .filter_map(|t| {
@@ -90,7 +90,7 @@
                 };
                 Some((
                     task.clone(),
-                    TaskView {
+                    TaskStatus {
                         task,
                         state: t.state,
                         why: t.why,
@@ -110,7 +110,7 @@
                 report.machine,
                 m.pending.len()
             );
-            self.show |= give_up(m, &mut self.out, |_| true);
+            self.show |= withdraw_starts(m, &mut self.out, |_| true);
         }
         settle(m, over, &mut self.out);
         let starts = now < self.authority.starts_until();
@@ -131,7 +131,7 @@
     /// Fills what a machine's report shows to be free with tasks that wait for capacity, in the very
     /// answer: otherwise the capacity waits for the leader and then for the machine's next report.
     fn fill(&mut self, name: &str, jobs: &dyn Jobs) {
-        if self.ahead.is_empty() {
+        if self.backlog.is_empty() {
             return;
         }
         let Some(m) = self.machines.get(name).filter(|m| m.open()) else {
@@ -143,7 +143,7 @@
         let Some(m) = self.machines.get_mut(name) else {
             return;
         };
-        for a in self.ahead.iter_mut() {
+        for a in self.backlog.iter_mut() {
             if tier(&a.requirements, &m.kind, &m.zone, m.spot).is_none()
                 || jobs.over(&a.job)
                 || self.over.contains_key(&a.job)
@@ -156,7 +156,7 @@
                 .min(a.indexes.len())
                 .min(most);
             free.sub(resources.scaled(n as u32));
-            take_on(
+            add_starts(
                 m,
                 &a.job,
                 a.attempt,
@@ -165,6 +165,6 @@
                 &a.requirements.image,
             );
         }
-        self.ahead.retain(|a| !a.indexes.is_empty());
+        self.backlog.retain(|a| !a.indexes.is_empty());
     }
 }
--- a/crates/sched/src/owner/machine.rs
+++ b/crates/sched/src/owner/machine.rs
@@ -3,7 +3,7 @@
 use crate::placement::Resources;
 use crate::Secs;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use wire::peers::{MachineView, TaskRef, TaskView, ToLeader};
+use wire::peers::{MachineStatus, TaskRef, TaskStatus, ToLeader};
 use wire::task_name;
 use wire::workers::{Order, TaskState};
 
@@ -37,7 +37,7 @@
     /// from a worker that had not stayed here, so that the answer did not reach it.
     pub(super) asked: (u64, u64),
     pub(super) unheard: u32,
-    pub(super) tasks: BTreeMap<TaskRef, TaskView>,
+    pub(super) tasks: BTreeMap<TaskRef, TaskStatus>,
     pub(super) pending: BTreeMap<TaskRef, Resources>,
     pub(super) stops: BTreeMap<TaskRef, f64>,
     pub(super) clears: BTreeSet<TaskRef>,
@@ -92,7 +92,7 @@
 }
 
 /// A machine is to start tasks of a job, with the answers to its reports; says how many.
-pub(super) fn take_on(
+pub(super) fn add_starts(
     m: &mut Machine,
     job: &str,
     attempt: u64,
@@ -125,8 +125,8 @@
     m.images.truncate(IMAGES);
 }
 
-pub(super) fn view(token: u64, name: &str, m: &Machine) -> MachineView {
-    MachineView {
+pub(super) fn status_of(token: u64, name: &str, m: &Machine) -> MachineStatus {
+    MachineStatus {
         token,
         name: name.into(),
         kind: m.kind.clone(),
@@ -144,7 +144,7 @@
 
 /// Takes back starts that certainly did not take effect and never will, and says so. A view alone does
 /// not: the leader may never have been shown that this machine took them on.
-pub(super) fn give_up(
+pub(super) fn withdraw_starts(
     m: &mut Machine,
     out: &mut Vec<ToLeader>,
     which: impl Fn(&TaskRef) -> bool,
@@ -183,7 +183,7 @@
         std::mem::take(&mut m.stops),
         !m.usable || m.notice_s.is_some(),
     );
-    give_up(m, out, |t| closed || stops.contains_key(t) || over(&t.job));
+    withdraw_starts(m, out, |t| closed || stops.contains_key(t) || over(&t.job));
     m.stops = stops;
     let tasks = &m.tasks;
     let before = m.pending.len();
--- a/crates/sched/src/owner/mod.rs
+++ b/crates/sched/src/owner/mod.rs
@@ -16,9 +16,9 @@
 use crate::placement::Resources;
 use crate::shard;
 use crate::Secs;
-use assigned_jobs::GivenJobs;
-use machine::{give_up, new_machine, view, Machine};
-use placing::{Ahead, Reservation};
+use assigned_jobs::AssignedJobs;
+use machine::{new_machine, status_of, withdraw_starts, Machine};
+use placing::{BacklogEntry, Reservation};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use wire::cloud::MachineType;
 use wire::peers::{ToLeader, ToOwner};
@@ -46,10 +46,10 @@
 const LEASES_REMEMBERED: f64 = 20.0;
 
 /// Most machines in one message to the leader, so that it stays small.
-const VIEWS_AT_ONCE: usize = 64;
+const STATUSES_PER_MESSAGE: usize = 64;
 
 /// Parts of a report interval for which changes that reports bring are collected.
-pub(crate) const VIEWS_PER_REPORT: f64 = 20.0;
+pub(crate) const STATUS_ROUNDS_PER_HEARTBEAT: f64 = 20.0;
 
 /// The owner's book.
 pub struct Owner {
@@ -63,10 +63,10 @@
     extra_s: Secs,
     machines: BTreeMap<String, Machine>,
     reservations: BTreeMap<u64, Reservation>,
-    ahead: VecDeque<Ahead>,
+    backlog: VecDeque<BacklogEntry>,
     /// What the tasks of a job take, by the leader's word: this controller's own view may have stayed
     /// behind.
-    given: GivenJobs,
+    assigned: AssignedJobs,
     /// Jobs that the leader said are over, and when: their tasks are stopped and never started,
     /// whether this controller's own replica knows it or not.
     over: BTreeMap<String, Secs>,
@@ -92,8 +92,8 @@
             extra_s: 0.0,
             machines: BTreeMap::new(),
             reservations: BTreeMap::new(),
-            ahead: VecDeque::new(),
-            given: GivenJobs::default(),
+            backlog: VecDeque::new(),
+            assigned: AssignedJobs::default(),
             over: BTreeMap::new(),
             out: Vec::new(),
             index: Index::default(),
@@ -141,17 +141,19 @@
     pub fn drain(&mut self) -> Vec<ToLeader> {
         if std::mem::take(&mut self.show) {
             let token = self.token;
-            let mut views = Vec::new();
+            let mut statuses = Vec::new();
             for (name, m) in self.machines.iter_mut().filter(|(_, m)| m.dirty) {
                 m.dirty = false;
                 if m.known || m.lapsed {
-                    views.push(view(token, name, m));
+                    statuses.push(status_of(token, name, m));
                 }
             }
-            while !views.is_empty() {
-                let rest = views.split_off(views.len().min(VIEWS_AT_ONCE));
-                self.out
-                    .push(ToLeader::Machines(std::mem::replace(&mut views, rest)));
+            while !statuses.is_empty() {
+                let rest = statuses.split_off(statuses.len().min(STATUSES_PER_MESSAGE));
+                self.out.push(ToLeader::MachineStatuses(std::mem::replace(
+                    &mut statuses,
+                    rest,
+                )));
             }
         }
         std::mem::take(&mut self.out)
@@ -174,32 +176,32 @@
                 self.epoch(token, prev, members, extra_ms, machines, now);
             }
             ToOwner::Catalog { types } => self.catalog(&types),
-            ToOwner::Use { machine, usable } => {
+            ToOwner::SetUsable { machine, usable } => {
                 if let Some(m) = self.machines.get_mut(&machine) {
                     m.usable = usable;
                     m.dirty = true;
                     self.stale.insert(machine);
                 }
             }
-            ToOwner::Give {
+            ToOwner::Assign {
                 job,
                 attempt,
                 requirements,
                 tasks,
-            } => self.give(job, attempt, &requirements, &tasks, now, jobs),
-            ToOwner::Ahead {
+            } => self.assign(job, attempt, &requirements, &tasks, now, jobs),
+            ToOwner::AssignBacklog {
                 job,
                 attempt,
                 requirements,
                 tasks,
                 wait_ms,
             } => {
-                self.given.learn(&job, &requirements);
+                self.assigned.learn(&job, &requirements);
                 let indexes = tasks
                     .iter()
                     .flat_map(|(a, n)| *a..a.saturating_add(*n))
                     .collect();
-                self.ahead.push_back(Ahead {
+                self.backlog.push_back(BacklogEntry {
                     job,
                     attempt,
                     requirements,
@@ -207,7 +209,7 @@
                     until: now + wait_ms as f64 / 1000.0,
                 });
             }
-            ToOwner::Hold {
+            ToOwner::Reserve {
                 job,
                 attempt,
                 requirements,
@@ -215,11 +217,11 @@
                 wait_ms,
             } => {
                 let until = now + wait_ms as f64 / 1000.0;
-                let held = self.hold(job, attempt, &requirements, places, until, jobs);
-                self.out.push(ToLeader::HoldAnswer { attempt, held });
+                let reserved = self.reserve(job, attempt, &requirements, places, until, jobs);
+                self.out.push(ToLeader::ReserveResult { attempt, reserved });
             }
             ToOwner::Bind { attempt } => self.bind(attempt, now),
-            ToOwner::Release { attempt } => {
+            ToOwner::ReleaseReservation { attempt } => {
                 if let Some(h) = self.reservations.remove(&attempt) {
                     self.stale.extend(h.places.into_iter().map(|(m, _, _)| m));
                 }
@@ -239,13 +241,13 @@
                     m.clears.insert(task);
                 }
             }
-            ToOwner::Over { jobs: ids } => {
+            ToOwner::Terminal { jobs: ids } => {
                 for id in ids {
-                    self.hand_back(|ahead| ahead.job == id);
+                    self.hand_back(|backlog| backlog.job == id);
                     self.over.insert(id, now);
                 }
             }
-            ToOwner::Grant { .. } | ToOwner::Known { .. } | ToOwner::Display { .. } => {}
+            ToOwner::Grant { .. } | ToOwner::ViewAge { .. } | ToOwner::RunningCounts { .. } => {}
         }
     }
 
@@ -261,13 +263,13 @@
         prev: u64,
         members: Vec<String>,
         extra_ms: u64,
-        cards: Vec<wire::peers::MachineCard>,
+        descriptors: Vec<wire::peers::MachineDescriptor>,
         now: Secs,
     ) {
         // Capacity that was lent ends with the epoch: the leader releases its waiting gangs.
         self.reservations.clear();
         // What waits for capacity is nowhere yet; the leader takes it back once all is reconciled.
-        self.ahead.clear();
+        self.backlog.clear();
         self.out.clear();
         if self.token != prev || prev == 0 {
             self.machines.clear();
@@ -279,14 +281,20 @@
         let (me, members) = (&self.me, &self.members);
         self.machines
             .retain(|name, _| shard::owner(name, members) == Some(me.as_str()));
-        for card in cards {
-            if shard::owner(&card.name, &self.members) != Some(self.me.as_str()) {
+        for descriptor in descriptors {
+            if shard::owner(&descriptor.name, &self.members) != Some(self.me.as_str()) {
                 continue;
             }
-            let m = self.machines.entry(card.name).or_insert_with(|| {
-                new_machine(card.kind, card.zone, card.spot, token, now + self.extra_s)
+            let m = self.machines.entry(descriptor.name).or_insert_with(|| {
+                new_machine(
+                    descriptor.kind,
+                    descriptor.zone,
+                    descriptor.spot,
+                    token,
+                    now + self.extra_s,
+                )
             });
-            m.usable = card.usable;
+            m.usable = descriptor.usable;
         }
         for m in self.machines.values_mut() {
             m.dirty = true;
@@ -300,10 +308,10 @@
         self.hand_back(|a| now >= a.until);
         let remembered = self.setup.over_remembered_s();
         self.over.retain(|_, at| now - *at < remembered);
-        if self.given.is_due(now, self.setup.lease_s) {
-            self.forget_given();
+        if self.assigned.is_due(now, self.setup.lease_s) {
+            self.forget_unused_jobs();
         }
-        if now - self.shown_at >= self.setup.report_s / VIEWS_PER_REPORT {
+        if now - self.shown_at >= self.setup.report_s / STATUS_ROUNDS_PER_HEARTBEAT {
             self.shown_at = now;
             self.show = true;
         }
@@ -330,7 +338,7 @@
                 );
                 m.lapsed = true;
                 m.tasks.clear();
-                give_up(m, &mut self.out, |_| true);
+                withdraw_starts(m, &mut self.out, |_| true);
                 m.stops.clear();
                 m.clears.clear();
                 m.images.clear();
--- a/crates/sched/src/owner/placing.rs
+++ b/crates/sched/src/owner/placing.rs
@@ -1,15 +1,15 @@
 //! Placing tasks on machines: starts at once, reservations for gangs, and tasks that wait for resources.
 
-use super::machine::{take_on, Machine};
+use super::machine::{add_starts, Machine};
 use super::{Jobs, Owner};
-use crate::capacity_index::Spot;
+use crate::capacity_index::IndexedMachine;
 use crate::placement::Resources;
 use crate::Secs;
 use std::collections::VecDeque;
 use wire::peers::{TaskRequirements, ToLeader};
 use wire::workers::TaskState;
 
-/// Resources set aside on machines for a gang until it is bound, or until the wait ends.
+/// Resources reserved on machines for a gang until it is bound, or until the wait ends.
 pub(super) struct Reservation {
     pub(super) job: String,
     pub(super) resources: Resources,
@@ -19,7 +19,7 @@
 }
 
 /// Tasks that wait for capacity to become free in this part.
-pub(super) struct Ahead {
+pub(super) struct BacklogEntry {
     pub(super) job: String,
     pub(super) attempt: u64,
     pub(super) requirements: TaskRequirements,
@@ -29,9 +29,9 @@
 
 impl Owner {
     /// Hands tasks that wait for capacity back to the leader.
-    pub(super) fn hand_back(&mut self, which: impl Fn(&Ahead) -> bool) {
+    pub(super) fn hand_back(&mut self, which: impl Fn(&BacklogEntry) -> bool) {
         let out = &mut self.out;
-        self.ahead.retain_mut(|a| {
+        self.backlog.retain_mut(|a| {
             let back = which(a);
             if back {
                 let tasks = crate::ranges::runs(std::mem::take(&mut a.indexes));
@@ -66,7 +66,7 @@
             let empty =
                 m.pending.is_empty() && m.tasks.values().all(|t| t.state == TaskState::Exited);
             let free = self.free(&name, m, jobs);
-            let spot = Spot {
+            let spot = IndexedMachine {
                 owner: String::new(),
                 free: free.unwrap_or_default(),
                 images,
@@ -83,23 +83,23 @@
 
     /// What a task of a job takes, by this controller's view or by the leader's word.
     fn resources(&self, job: &str, jobs: &dyn Jobs) -> Option<Resources> {
-        jobs.resources(job).or_else(|| self.given.resources(job))
+        jobs.resources(job).or_else(|| self.assigned.resources(job))
     }
 
     fn image(&self, job: &str, jobs: &dyn Jobs) -> Option<String> {
-        let given = || self.given.image(job).map(str::to_string);
-        jobs.image(job).or_else(given)
+        let assigned = || self.assigned.image(job).map(str::to_string);
+        jobs.image(job).or_else(assigned)
     }
 
     /// Forgets what was given and is neither on a machine nor on its way to one.
-    pub(super) fn forget_given(&mut self) {
+    pub(super) fn forget_unused_jobs(&mut self) {
         let machines = self.machines.values();
         let on_machines = machines.flat_map(|m| m.tasks.keys().chain(m.pending.keys()));
         let on_machines = on_machines.map(|task| task.job.as_str());
         let reserved = self.reservations.values().map(|r| r.job.as_str());
-        let waiting = self.ahead.iter().map(|a| a.job.as_str());
+        let waiting = self.backlog.iter().map(|a| a.job.as_str());
         let in_use = on_machines.chain(reserved).chain(waiting);
-        self.given.keep(&in_use.collect());
+        self.assigned.keep(&in_use.collect());
     }
 
     /// What is left of a machine's capacity; none while what a task takes there is not known.
@@ -119,7 +119,7 @@
         Some(free)
     }
 
-    pub(super) fn give(
+    pub(super) fn assign(
         &mut self,
         job: String,
         attempt: u64,
@@ -129,7 +129,7 @@
         jobs: &dyn Jobs,
     ) {
         let resources = Resources::of(requirements);
-        self.given.learn(&job, requirements);
+        self.assigned.learn(&job, requirements);
         self.refresh_index(jobs);
         let mut indexes = runs
             .iter()
@@ -163,7 +163,7 @@
             let Some(m) = self.machines.get_mut(&*f.name) else {
                 continue;
             };
-            let n = take_on(
+            let n = add_starts(
                 m,
                 &job,
                 attempt,
@@ -184,7 +184,7 @@
         }
     }
 
-    pub(super) fn hold(
+    pub(super) fn reserve(
         &mut self,
         job: String,
         attempt: u64,
@@ -207,7 +207,7 @@
             }
         }
         self.stale.extend(places.iter().map(|(m, _, _)| m.clone()));
-        self.given.learn(&job, requirements);
+        self.assigned.learn(&job, requirements);
         self.reservations.insert(
             attempt,
             Reservation {
@@ -223,9 +223,9 @@
 
     pub(super) fn bind(&mut self, attempt: u64, now: Secs) {
         let Some(h) = self.reservations.remove(&attempt) else {
-            self.out.push(ToLeader::HoldAnswer {
+            self.out.push(ToLeader::ReserveResult {
                 attempt,
-                held: false,
+                reserved: false,
             });
             return;
         };
@@ -234,15 +234,15 @@
         // A machine that was lost while it reserved capacity would never start the task, nor show it gone.
         let here = |name: &String| self.machines.get(name).is_some_and(Machine::open);
         if now >= h.until || !h.places.iter().all(|(m, _, _)| here(m)) {
-            self.out.push(ToLeader::HoldAnswer {
+            self.out.push(ToLeader::ReserveResult {
                 attempt,
-                held: false,
+                reserved: false,
             });
             return;
         }
         for (name, first, n) in h.places {
             if let Some(m) = self.machines.get_mut(&name) {
-                take_on(m, &h.job, attempt, first..first + n, h.resources, &h.image);
+                add_starts(m, &h.job, attempt, first..first + n, h.resources, &h.image);
             }
         }
     }
--- a/crates/sched/src/preempt.rs
+++ b/crates/sched/src/preempt.rs
@@ -5,7 +5,7 @@
 //! more than the guarantee lacks. For a gang of several tasks either all of its capacity is taken
 //! back or nothing is stopped.
 
-use crate::leader::{Job, Leader, Place};
+use crate::leader::{Job, Leader, TaskLocation};
 use crate::placement::{tier, Resources, ROUNDING_SLACK};
 use crate::Secs;
 use std::collections::{BTreeMap, BTreeSet};
@@ -93,7 +93,7 @@
         }
         self.preempted_at = now;
         let scarce = self.scarce();
-        let first = self.set_aside(&scarce, now).map(|(id, _)| id);
+        let first = self.cordon_for_gang(&scarce, now).map(|(id, _)| id);
         let mut fields = self.fields(now);
         for (id, n) in due {
             let Some(job) = self.jobs.get(&id) else {
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Whether machines are set aside for another gang for which no capacity can be taken back: until it is
+    /// Whether machines are cordoned for another gang for which no capacity can be taken back: until it is
     /// placed, this one can't be, whatever is stopped for it.
     fn blocks(&self, first: &str, id: &str, now: Secs) -> bool {
         let reclaims = |job: &Job| now < job.reclaims_until;
@@ -290,7 +290,7 @@
                 if a.stop_sent {
                     free.add(job.resources());
                 } else if !job.over
-                    && matches!(a.place, Place::On(_))
+                    && matches!(a.location, TaskLocation::OnMachine(_))
                     && (!job.is_gang() || job.spec.tasks == 1)
                 {
                     let ran_s = if a.running { now - a.since } else { 0.0 };
--- a/crates/sched/src/queue/arrays.rs
+++ b/crates/sched/src/queue/arrays.rs
@@ -1,7 +1,7 @@
 //! Arrays: ready tasks go to the owners of machines with free resources, and ahead of what becomes free.
 
 use super::Pass;
-use crate::leader::{Action, Active, Begun, Leader, Place};
+use crate::leader::{Action, Active, Begun, Leader, TaskLocation};
 use crate::machine_status::LONGEST_BACKOFF_S;
 use crate::ranges::runs;
 use crate::Secs;
@@ -11,10 +11,10 @@
 
 /// Tasks may wait at an owner for what becomes free in so many times the time that the leader needs
 /// to learn of capacity and to give it away.
-const AHEAD: f64 = 2.0;
+const BACKLOG_FACTOR: f64 = 2.0;
 
 /// What found no capacity after this many times the same is handed back.
-const AHEAD_WAIT: f64 = 5.0;
+const BACKLOG_WAIT_FACTOR: f64 = 5.0;
 
 impl Leader {
     pub(super) fn place_array(
@@ -28,7 +28,9 @@
         let Some((begun, cpus)) = self.jobs.get(id).map(|j| (j.begun, j.spec.cpus)) else {
             return;
         };
-        let found = self.index.fits_outside(requirements, pass.aside_for(id));
+        let found = self
+            .index
+            .fits_outside(requirements, pass.cordon_against(id));
         // Recorded before its first start, so that a later leader knows which jobs an earlier
         // one has never touched and need not wait for every machine with them.
         if begun != Begun::Yes {
@@ -42,7 +44,7 @@
             }
             // Those whose turn comes soon are recorded in time.
             let turnover = *pass.turnover.get_or_insert_with(|| self.turnover());
-            let soon = pass.queued <= turnover * self.reaction_s() * AHEAD_WAIT;
+            let soon = pass.queued <= turnover * self.reaction_s() * BACKLOG_WAIT_FACTOR;
             pass.queued += f64::from(quota - fits) * cpus;
             if let Some(job) = self.jobs.get_mut(id).filter(|_| soon || fits > 0) {
                 job.begun = Begun::Asked;
@@ -66,7 +68,7 @@
             .take(quota as usize)
             .collect::<Vec<u32>>()
             .into_iter();
-        let mut given: BTreeMap<(String, Option<Rc<str>>), Vec<u32>> = BTreeMap::new();
+        let mut assigned: BTreeMap<(String, Option<Rc<str>>), Vec<u32>> = BTreeMap::new();
         let attempt = self.next_attempt();
         let mut placed = 0;
         for f in found {
@@ -90,25 +92,25 @@
                 continue;
             };
             self.index.take(&f.name, resources, n, &requirements.image);
-            self.see_image(&f.name, &requirements.image);
+            self.note_image(&f.name, &requirements.image);
             for index in &mine {
-                self.give_active(id, *index, attempt, owner.clone(), f.name.to_string(), now);
+                self.assign_task(id, *index, attempt, owner.clone(), f.name.to_string(), now);
             }
-            given
+            assigned
                 .entry((owner, zoned.then(|| f.zone.clone())))
                 .or_default()
                 .extend(mine);
             placed += n;
         }
         pass.charge(&team, resources, placed);
-        for ((owner, zone), indexes) in given {
+        for ((owner, zone), indexes) in assigned {
             let mut requirements = requirements.clone();
             if let Some(zone) = zone {
                 requirements.zone = Some(zone.to_string());
             }
             self.actions.push(Action::Send(
                 owner,
-                ToOwner::Give {
+                ToOwner::Assign {
                     job: id.into(),
                     attempt,
                     requirements,
@@ -120,7 +122,7 @@
             pass.queued += resources.cpus * f64::from(quota - placed);
             self.note_unmet(id, quota - placed, now);
             if !zoned {
-                self.give_ahead(id, requirements, quota - placed, pass, now);
+                self.assign_backlog(id, requirements, quota - placed, pass, now);
             }
         }
     }
@@ -139,7 +141,8 @@
 
     /// The time after which capacity that a report showed has a task from here.
     fn reaction_s(&self) -> Secs {
-        self.setup.report_s.min(1.0) / 2.0 + self.setup.report_s / crate::owner::VIEWS_PER_REPORT
+        self.setup.report_s.min(1.0) / 2.0
+            + self.setup.report_s / crate::owner::STATUS_ROUNDS_PER_HEARTBEAT
     }
 
     /// CPUs that tasks may wait for at each owner: what array tasks free there in a short time,
@@ -150,8 +153,8 @@
             *used.entry(&m.owner).or_default() += m.used.cpus;
         }
         let all: f64 = used.values().sum();
-        let free = self.turnover() * self.reaction_s() * AHEAD;
-        let waits = |owner: &str| self.ahead.get(owner).copied().unwrap_or(0.0);
+        let free = self.turnover() * self.reaction_s() * BACKLOG_FACTOR;
+        let waits = |owner: &str| self.backlog.get(owner).copied().unwrap_or(0.0);
         used.into_iter()
             .map(|(owner, cpus)| (owner.to_string(), free * cpus / all.max(1.0) - waits(owner)))
             .collect()
@@ -159,7 +162,7 @@
 
     /// Lets tasks that found no capacity wait at the owners for the first that becomes free: a task's
     /// end and the next one's start then take one report and its answer.
-    fn give_ahead(
+    fn assign_backlog(
         &mut self,
         id: &str,
         requirements: &TaskRequirements,
@@ -169,17 +172,17 @@
     ) {
         let Some(job) = self.jobs.get(id) else { return };
         let (each, team) = (job.resources(), job.spec.team.clone());
-        let aside = pass.aside_for(id).map_or(&[][..], |a| &a.kinds);
+        let cordon = pass.cordon_against(id).map_or(&[][..], |a| &a.kinds);
         let kinds: Vec<AllowedMachineType> = requirements
             .kinds
             .iter()
-            .filter(|k| !aside.iter().any(|a| a.kind == k.kind && a.spot == k.spot))
+            .filter(|k| !cordon.iter().any(|a| a.kind == k.kind && a.spot == k.spot))
             .cloned()
             .collect();
         if kinds.is_empty() {
             return;
         }
-        let resources = pass.ahead.get_or_insert_with(|| self.backlog_capacity());
+        let resources = pass.backlog.get_or_insert_with(|| self.backlog_capacity());
         let fits = |cpus: f64| (cpus / each.cpus.max(0.01)).floor().max(0.0) as u32;
         let n = resources
             .values()
@@ -200,7 +203,7 @@
             ..requirements.clone()
         };
         let attempt = self.next_attempt();
-        let wait_ms = (self.reaction_s() * AHEAD_WAIT * 1000.0) as u64;
+        let wait_ms = (self.reaction_s() * BACKLOG_WAIT_FACTOR * 1000.0) as u64;
         for (owner, cpus) in resources.iter_mut() {
             let mine: Vec<u32> = indexes.by_ref().take(fits(*cpus) as usize).collect();
             if mine.is_empty() {
@@ -208,9 +211,9 @@
             }
             *cpus -= each.cpus * mine.len() as f64;
             for index in &mine {
-                self.give_active(id, *index, attempt, owner.clone(), String::new(), now);
+                self.assign_task(id, *index, attempt, owner.clone(), String::new(), now);
             }
-            let message = ToOwner::Ahead {
+            let message = ToOwner::AssignBacklog {
                 job: id.into(),
                 attempt,
                 requirements: requirements.clone(),
@@ -222,7 +225,7 @@
         pass.charge(&team, each, n);
     }
 
-    pub(super) fn see_image(&mut self, machine: &str, image: &str) {
+    pub(super) fn note_image(&mut self, machine: &str, image: &str) {
         if let Some(m) = self.machines.get_mut(machine) {
             m.images.retain(|i| i != image);
             m.images.insert(0, image.to_string());
@@ -231,7 +234,7 @@
         self.stale.insert(machine.into());
     }
 
-    pub(super) fn give_active(
+    pub(super) fn assign_task(
         &mut self,
         id: &str,
         index: u32,
@@ -245,7 +248,7 @@
             index,
             Active {
                 attempt,
-                place: Place::Given(owner, machine),
+                location: TaskLocation::Assigned(owner, machine),
                 running: false,
                 stop_sent: false,
                 since: now,
--- a/crates/sched/src/queue/capacity.rs
+++ b/crates/sched/src/queue/capacity.rs
@@ -1,7 +1,7 @@
 //! The index of free resources that a pass looks at, and the zones that a job may use.
 
-use crate::capacity_index::{Found, Spot};
-use crate::leader::{Job, Leader, Machine, Place};
+use crate::capacity_index::{Fit, IndexedMachine};
+use crate::leader::{Job, Leader, Machine, TaskLocation};
 use crate::placement::Resources;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -23,7 +23,7 @@
                     &m.zone,
                     m.spot,
                     self.setup.guarantee_s,
-                    spot_of(m, t),
+                    indexed_machine(m, t),
                 ),
                 None => self.index.remove(&name),
             }
@@ -37,7 +37,12 @@
             let t = self.types.get(&m.kind)?;
             Some((
                 n.clone(),
-                (m.kind.clone(), m.zone.clone(), m.spot, spot_of(m, t)),
+                (
+                    m.kind.clone(),
+                    m.zone.clone(),
+                    m.spot,
+                    indexed_machine(m, t),
+                ),
             ))
         };
         let plain: BTreeMap<_, _> = self
@@ -53,7 +58,7 @@
     fn zones_in_use(&self, job: &Job) -> Option<BTreeMap<String, u32>> {
         let mut out = BTreeMap::new();
         for a in job.active.values() {
-            let (Place::Given(_, m) | Place::On(m)) = &a.place else {
+            let (TaskLocation::Assigned(_, m) | TaskLocation::OnMachine(m)) = &a.location else {
                 return None;
             };
             *out.entry(self.machines.get(m)?.zone.clone()).or_insert(0) += 1;
@@ -62,7 +67,7 @@
     }
 
     /// How many more tasks of an array each zone may take, when zones matter to its job.
-    pub(super) fn zone_limits(&self, job: &Job, found: &[Found]) -> Option<BTreeMap<Rc<str>, u32>> {
+    pub(super) fn zone_limits(&self, job: &Job, found: &[Fit]) -> Option<BTreeMap<Rc<str>, u32>> {
         let used = self.zones_in_use(job)?;
         let half = job.spec.tasks.div_ceil(2);
         let one: Option<Rc<str>> = match used.keys().next() {
@@ -94,8 +99,8 @@
     }
 }
 
-fn spot_of(m: &Machine, t: &MachineType) -> Spot {
-    Spot {
+fn indexed_machine(m: &Machine, t: &MachineType) -> IndexedMachine {
+    IndexedMachine {
         owner: m.owner.clone(),
         free: m.free(Resources::of_type(t)),
         images: m.images.clone(),
--- a/crates/sched/src/queue/gangs.rs
+++ b/crates/sched/src/queue/gangs.rs
@@ -1,8 +1,8 @@
 //! Gangs: resources are reserved for the whole gang, the binding is written, and then all start.
 
 use super::Pass;
-use crate::capacity_index::Found;
-use crate::leader::{Action, Leader, Phase, Place};
+use crate::capacity_index::Fit;
+use crate::leader::{Action, Leader, Phase, TaskLocation};
 use crate::Secs;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -49,7 +49,8 @@
                 ..requirements.clone()
             };
             fit(
-                self.index.fits_outside(&requirements, pass.aside_for(id)),
+                self.index
+                    .fits_outside(&requirements, pass.cordon_against(id)),
                 n,
                 most_in_zone,
             )
@@ -71,9 +72,9 @@
             self.index
                 .take(&machine, resources, count, &requirements.image);
             if let Some(m) = self.machines.get_mut(&machine) {
-                m.held.insert(attempt, resources.scaled(count));
+                m.reserved.insert(attempt, resources.scaled(count));
             }
-            self.see_image(&machine, &requirements.image);
+            self.note_image(&machine, &requirements.image);
             places.push((machine.clone(), first, count));
             by_owner
                 .entry(owner)
@@ -82,13 +83,13 @@
             first += count;
         }
         // Jitter, so that gangs held in one burst don't lapse in step.
-        let wait = self.setup.hold_s * (0.75 + 0.5 * self.rng.f64());
+        let wait = self.setup.reservation_s * (0.75 + 0.5 * self.rng.f64());
         log::info!(
-            "event=hold job={id} attempt={attempt} machines={} wait_s={wait:.1}",
+            "event=reserve job={id} attempt={attempt} machines={} wait_s={wait:.1}",
             places.len()
         );
         if let Some(job) = self.jobs.get_mut(id) {
-            job.phase = Phase::Holding {
+            job.phase = Phase::Reserving {
                 attempt,
                 waiting: by_owner.keys().cloned().collect(),
                 until: now + wait,
@@ -96,7 +97,7 @@
             };
         }
         for (owner, places) in by_owner {
-            let message = ToOwner::Hold {
+            let message = ToOwner::Reserve {
                 job: id.into(),
                 attempt,
                 requirements: requirements.clone(),
@@ -107,9 +108,15 @@
         }
     }
 
-    pub(crate) fn on_hold_answer(&mut self, from: &str, attempt: u64, held: bool, now: Secs) {
+    pub(crate) fn on_reserve_result(
+        &mut self,
+        from: &str,
+        attempt: u64,
+        reserved: bool,
+        now: Secs,
+    ) {
         let found = self.jobs.iter().find(|(_, j)| match &j.phase {
-            Phase::Holding { attempt: a, .. }
+            Phase::Reserving { attempt: a, .. }
             | Phase::Binding { attempt: a, .. }
             | Phase::Running { attempt: a } => *a == attempt,
             // Another owner has refused its part before.
@@ -123,12 +130,12 @@
             return;
         };
         match &mut job.phase {
-            Phase::Holding {
+            Phase::Reserving {
                 waiting,
                 until,
                 places,
                 ..
-            } if held => {
+            } if reserved => {
                 waiting.remove(from);
                 if waiting.is_empty() {
                     let (until, places) = (*until, places.clone());
@@ -144,16 +151,18 @@
                     });
                 }
             }
-            Phase::Holding { .. } | Phase::Binding { .. } if !held => {
-                log::info!("event=hold_refused job={id} owner={from}");
-                self.end_hold(&id, now, true);
+            Phase::Reserving { .. } | Phase::Binding { .. } if !reserved => {
+                log::info!("event=reservation_refused job={id} owner={from}");
+                self.end_reservation(&id, now, true);
             }
-            Phase::Running { .. } | Phase::Ending if !held => {
+            Phase::Running { .. } | Phase::Ending if !reserved => {
                 // The capacity was given up before the binding came: the gang has to begin anew.
                 let lost: Vec<u32> = job
                     .active
                     .iter()
-                    .filter(|(_, a)| matches!(&a.place, Place::Given(o, _) if o == from))
+                    .filter(
+                        |(_, a)| matches!(&a.location, TaskLocation::Assigned(o, _) if o == from),
+                    )
                     .map(|(i, _)| *i)
                     .collect();
                 for i in lost {
@@ -183,7 +192,7 @@
         // A machine that was returned meanwhile took its reserved capacity with it.
         let here = places.iter().all(|(m, _, _)| self.machines.contains_key(m));
         if !written || !here || now >= *until {
-            self.end_hold(id, now, true);
+            self.end_reservation(id, now, true);
             return;
         }
         let places = places.clone();
@@ -194,12 +203,12 @@
             let Some(m) = self.machines.get_mut(machine) else {
                 continue;
             };
-            m.held.remove(&attempt);
+            m.reserved.remove(&attempt);
             self.stale.insert(machine.clone());
             let owner = m.owner.clone();
             owners.insert(owner.clone());
             for i in *first..first + n {
-                self.give_active(id, i, attempt, owner.clone(), machine.clone(), now);
+                self.assign_task(id, i, attempt, owner.clone(), machine.clone(), now);
             }
         }
         log::info!("event=bound job={id} attempt={attempt}");
@@ -211,23 +220,23 @@
 
     /// Releases the capacity of a waiting gang everywhere; with a failure it backs off longer
     /// each time, and keeps its place in the order.
-    pub(crate) fn end_hold(&mut self, id: &str, now: Secs, failed: bool) {
+    pub(crate) fn end_reservation(&mut self, id: &str, now: Secs, failed: bool) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
         let phase = std::mem::replace(&mut job.phase, Phase::Idle);
         if failed {
             job.failures += 1;
-            let wait = self.setup.hold_s / 20.0
+            let wait = self.setup.reservation_s / 20.0
                 * f64::from(1u32 << job.failures.min(6))
                 * (0.75 + 0.5 * self.rng.f64());
             job.backoff_until = now + wait;
         }
-        self.release_hold(&phase);
+        self.release_reservation(&phase);
     }
 
-    pub(crate) fn release_hold(&mut self, phase: &Phase) {
-        let (Phase::Holding {
+    pub(crate) fn release_reservation(&mut self, phase: &Phase) {
+        let (Phase::Reserving {
             attempt, places, ..
         }
         | Phase::Binding {
@@ -239,21 +248,23 @@
         let mut owners = BTreeSet::new();
         for (machine, _, _) in places {
             if let Some(m) = self.machines.get_mut(machine) {
-                m.held.remove(attempt);
+                m.reserved.remove(attempt);
                 self.stale.insert(machine.clone());
                 owners.insert(m.owner.clone());
             }
         }
         for owner in owners {
-            self.actions
-                .push(Action::Send(owner, ToOwner::Release { attempt: *attempt }));
+            self.actions.push(Action::Send(
+                owner,
+                ToOwner::ReleaseReservation { attempt: *attempt },
+            ));
         }
         self.wake();
     }
 }
 
 /// Machines for `n` tasks, at most `most_in_zone` in one zone; none if they don't all fit.
-fn fit(found: Vec<Found>, n: u32, most_in_zone: u32) -> Option<Vec<(String, u32)>> {
+fn fit(found: Vec<Fit>, n: u32, most_in_zone: u32) -> Option<Vec<(String, u32)>> {
     let mut in_zone: BTreeMap<Rc<str>, u32> = BTreeMap::new();
     let (mut left, mut out) = (n, Vec::new());
     for f in found {
--- a/crates/sched/src/queue/mod.rs
+++ b/crates/sched/src/queue/mod.rs
@@ -20,10 +20,10 @@
 struct Pass {
     /// What each team may still use beside what is and may be in use.
     limits: BTreeMap<String, Resources>,
-    /// A gang that has waited long, and the machines set aside for it.
-    aside: Option<(String, TaskRequirements)>,
+    /// A gang that has waited long, and the machines cordoned for it.
+    cordon: Option<(String, TaskRequirements)>,
     /// CPUs that tasks may wait for at each owner, once that was asked.
-    ahead: Option<BTreeMap<String, f64>>,
+    backlog: Option<BTreeMap<String, f64>>,
     /// CPUs of array tasks that found no capacity so far.
     queued: f64,
     /// CPUs that array tasks free in a second; none once more were given.
@@ -37,8 +37,8 @@
         let scarce = self.scarce();
         let mut pass = Pass {
             limits: self.limits(),
-            aside: self.set_aside(&scarce, now),
-            ahead: None,
+            cordon: self.cordon_for_gang(&scarce, now),
+            backlog: None,
             queued: 0.0,
             turnover: None,
         };
@@ -88,7 +88,7 @@
     /// The gang of several tasks that has waited longest, if too long, and where machines are left
     /// to it: all that it may use of one zone. Without this, smaller gangs and arrays take each
     /// machine that becomes free, for ever.
-    pub(crate) fn set_aside(
+    pub(crate) fn cordon_for_gang(
         &self,
         scarce: &BTreeSet<(String, bool)>,
         now: Secs,
@@ -146,9 +146,9 @@
         }
     }
 
-    /// What is set aside for another job than this.
-    fn aside_for(&self, id: &str) -> Option<&TaskRequirements> {
-        self.aside
+    /// What is cordoned for another job than this.
+    fn cordon_against(&self, id: &str) -> Option<&TaskRequirements> {
+        self.cordon
             .as_ref()
             .filter(|(job, _)| job != id)
             .map(|(_, requirements)| requirements)
--- a/crates/sched/src/queue/teams.rs
+++ b/crates/sched/src/queue/teams.rs
@@ -96,7 +96,7 @@
         for j in self
             .jobs
             .values()
-            .filter(|j| matches!(j.phase, Phase::Holding { .. } | Phase::Binding { .. }))
+            .filter(|j| matches!(j.phase, Phase::Reserving { .. } | Phase::Binding { .. }))
         {
             if let Some(free) = out.get_mut(&j.spec.team) {
                 free.sub(Resources {
--- a/crates/wire/src/peers.rs
+++ b/crates/wire/src/peers.rs
@@ -42,7 +42,7 @@
 
 /// A machine as its owner sees it.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct MachineView {
+pub struct MachineStatus {
     /// Token of the epoch under which this was seen.
     pub token: u64,
     pub name: String,
@@ -54,7 +54,7 @@
     pub lapsed: bool,
     pub notice_s: Option<f64>,
     /// What the newest report that counts shows.
-    pub tasks: Vec<TaskView>,
+    pub tasks: Vec<TaskStatus>,
     /// Starts decided that no report has settled yet.
     pub pending: Vec<TaskRef>,
     /// Whether the owner may still place tasks there, as it was last told.
@@ -64,7 +64,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct TaskView {
+pub struct TaskStatus {
     pub task: TaskRef,
     pub state: TaskState,
     pub why: Option<Why>,
@@ -73,7 +73,7 @@
 
 /// A machine as the leader hands it to an owner.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct MachineCard {
+pub struct MachineDescriptor {
     pub name: String,
     pub kind: String,
     pub zone: String,
@@ -92,7 +92,7 @@
         prev: u64,
         members: Vec<String>,
         extra_ms: u64,
-        machines: Vec<MachineCard>,
+        machines: Vec<MachineDescriptor>,
     },
     Catalog {
         types: Vec<MachineType>,
@@ -105,20 +105,20 @@
     },
     /// Answers ping `n`, in order with all else: what the store held `age_ms` ago is known to the
     /// leader, and what follows of it was sent before this.
-    Known {
+    ViewAge {
         n: u64,
         age_ms: u64,
     },
     /// Jobs that are done or cancelled: none of their tasks may start, and what runs is stopped.
-    Over {
+    Terminal {
         jobs: Vec<String>,
     },
-    Use {
+    SetUsable {
         machine: String,
         usable: bool,
     },
     /// Array tasks to place and start in the owner's part.
-    Give {
+    Assign {
         job: String,
         attempt: u64,
         requirements: TaskRequirements,
@@ -126,7 +126,7 @@
     },
     /// Array tasks to start on whichever machine of the part reports capacity for them first; what
     /// found none in time is handed back.
-    Ahead {
+    AssignBacklog {
         job: String,
         attempt: u64,
         requirements: TaskRequirements,
@@ -134,7 +134,7 @@
         wait_ms: u64,
     },
     /// Set capacity aside for tasks of a gang.
-    Hold {
+    Reserve {
         job: String,
         attempt: u64,
         requirements: TaskRequirements,
@@ -144,7 +144,7 @@
     Bind {
         attempt: u64,
     },
-    Release {
+    ReleaseReservation {
         attempt: u64,
     },
     Stop {
@@ -157,7 +157,7 @@
         task: TaskRef,
     },
     /// Running tasks per job, for display.
-    Display {
+    RunningCounts {
         running: Vec<(String, u32)>,
     },
 }
@@ -174,15 +174,15 @@
         n: u64,
     },
     /// Machines of which something has changed.
-    Machines(Vec<MachineView>),
+    MachineStatuses(Vec<MachineStatus>),
     HandBack {
         job: String,
         attempt: u64,
         tasks: Vec<(u32, u32)>,
     },
-    HoldAnswer {
+    ReserveResult {
         attempt: u64,
-        held: bool,
+        reserved: bool,
     },
     /// This controller has confirmed a cancellation; the leader may see it later in the store.
     Cancelled {
--- a/crates/wire/tests/encodings/peers.rs
+++ b/crates/wire/tests/encodings/peers.rs
@@ -5,8 +5,8 @@
 use crate::workers::{REASONS, STATES};
 use wire::cloud::MachineType;
 use wire::peers::{
-    AllowedMachineType, MachineCard, MachineView, TaskRef, TaskRequirements, TaskView, ToLeader,
-    ToOwner,
+    AllowedMachineType, MachineDescriptor, MachineStatus, TaskRef, TaskRequirements, TaskStatus,
+    ToLeader, ToOwner,
 };
 use wire::workers::{TaskState, Why};
 
@@ -45,8 +45,8 @@
     }
 }
 
-fn card(name: &str, spot: bool) -> MachineCard {
-    MachineCard {
+fn descriptor(name: &str, spot: bool) -> MachineDescriptor {
+    MachineDescriptor {
         name: name.into(),
         kind: "g8".into(),
         zone: "a".into(),
@@ -55,8 +55,8 @@
     }
 }
 
-fn view(tasks: Vec<TaskView>, notice_s: Option<f64>) -> MachineView {
-    MachineView {
+fn view(tasks: Vec<TaskStatus>, notice_s: Option<f64>) -> MachineStatus {
+    MachineStatus {
         token: 41,
         name: machine(),
         kind: "g8".into(),
@@ -72,8 +72,8 @@
     }
 }
 
-fn task_view(state: TaskState, why: Option<Why>, saved: bool) -> TaskView {
-    TaskView {
+fn task_view(state: TaskState, why: Option<Why>, saved: bool) -> TaskStatus {
+    TaskStatus {
         task: task(3),
         state,
         why,
@@ -87,24 +87,24 @@
     for (name, state) in STATES {
         let seen = task_view(state, None, false);
         all.push(seen.clone());
-        let message = ToLeader::Machines(vec![view(vec![seen], None)]);
+        let message = ToLeader::MachineStatuses(vec![view(vec![seen], None)]);
         samples.push(framed(format!("view_{name}"), &message));
     }
     for (name, why) in REASONS {
         let seen = task_view(TaskState::Exited, Some(why), true);
         all.push(seen.clone());
-        let message = ToLeader::Machines(vec![view(vec![seen], Some(18.5))]);
+        let message = ToLeader::MachineStatuses(vec![view(vec![seen], Some(18.5))]);
         samples.push(framed(format!("view_exited_{name}"), &message));
     }
-    let lapsed = MachineView {
+    let lapsed = MachineStatus {
         lapsed: true,
         unreachable: false,
         pending: Vec::new(),
         ..view(Vec::new(), None)
     };
-    let message = ToLeader::Machines(vec![view(all, Some(18.5)), lapsed]);
+    let message = ToLeader::MachineStatuses(vec![view(all, Some(18.5)), lapsed]);
     samples.push(framed("view_all", &message));
-    samples.push(framed("view_none", &ToLeader::Machines(Vec::new())));
+    samples.push(framed("view_none", &ToLeader::MachineStatuses(Vec::new())));
     samples
 }
 
@@ -119,9 +119,9 @@
         attempt: ATTEMPT,
         tasks: vec![(0, 4), (70_000, 1)],
     };
-    let answer = |held| ToLeader::HoldAnswer {
+    let answer = |reserved| ToLeader::ReserveResult {
         attempt: ATTEMPT,
-        held,
+        reserved,
     };
     vec![
         framed("hello", &hello),
@@ -139,7 +139,10 @@
         prev: 40,
         members: vec!["rung-0".into(), "rung-2".into()],
         extra_ms: 1500,
-        machines: vec![card("host-000001", false), card("host-000002", true)],
+        machines: vec![
+            descriptor("host-000001", false),
+            descriptor("host-000002", true),
+        ],
     };
     let first = ToOwner::Epoch {
         token: 1,
@@ -168,26 +171,26 @@
         framed("epoch_first", &first),
         framed("catalog", &catalog),
         framed("grant", &grant),
-        framed("known", &ToOwner::Known { n: 7, age_ms: 80 }),
-        framed("over", &ToOwner::Over { jobs }),
+        framed("known", &ToOwner::ViewAge { n: 7, age_ms: 80 }),
+        framed("over", &ToOwner::Terminal { jobs }),
     ]
 }
 
 fn placements() -> Vec<Sample> {
-    let give = |zone| ToOwner::Give {
+    let assign = |zone| ToOwner::Assign {
         job: job(),
         attempt: ATTEMPT,
         requirements: requirements(zone),
         tasks: vec![(0, 4), (9, 1)],
     };
-    let ahead = ToOwner::Ahead {
+    let backlog = ToOwner::AssignBacklog {
         job: job(),
         attempt: ATTEMPT,
         requirements: requirements(Some("a")),
         tasks: vec![(4, 2)],
         wait_ms: 900,
     };
-    let hold = ToOwner::Hold {
+    let reserve = ToOwner::Reserve {
         job: job(),
         attempt: ATTEMPT,
         requirements: requirements(None),
@@ -195,17 +198,17 @@
         wait_ms: 9000,
     };
     vec![
-        framed("give", &give(Some("a"))),
-        framed("give_any_zone", &give(None)),
-        framed("ahead", &ahead),
-        framed("hold", &hold),
+        framed("give", &assign(Some("a"))),
+        framed("give_any_zone", &assign(None)),
+        framed("ahead", &backlog),
+        framed("hold", &reserve),
         framed("bind", &ToOwner::Bind { attempt: ATTEMPT }),
-        framed("release", &ToOwner::Release { attempt: ATTEMPT }),
+        framed("release", &ToOwner::ReleaseReservation { attempt: ATTEMPT }),
     ]
 }
 
 fn orders() -> Vec<Sample> {
-    let usable = |usable| ToOwner::Use {
+    let usable = |usable| ToOwner::SetUsable {
         machine: machine(),
         usable,
     };
@@ -224,7 +227,7 @@
         framed("use_no_more", &usable(false)),
         framed("stop", &stop),
         framed("clear", &clear),
-        framed("display", &ToOwner::Display { running }),
+        framed("display", &ToOwner::RunningCounts { running }),
     ]
 }
 
--- a/crates/wire/tests/production/samples.rs
+++ b/crates/wire/tests/production/samples.rs
@@ -2,7 +2,7 @@
 use wire::cbor::{decode, encode};
 use wire::cloud::MachineType;
 use wire::peers::{
-    frame, AllowedMachineType, MachineCard, MachineView, TaskRequirements, TaskRef, TaskView, ToLeader, ToOwner,
+    frame, AllowedMachineType, MachineDescriptor, MachineStatus, TaskRequirements, TaskRef, TaskStatus, ToLeader, ToOwner,
 };
 use wire::store::{
     to_value, BegunRecord, BindingRecord, JobRecord, LeaderRecord, ProgressPage, Recorded,
@@ -123,8 +123,8 @@
     }
 }
 
-fn machine_view() -> MachineView {
-    MachineView {
+fn machine_status() -> MachineStatus {
+    MachineStatus {
         token: 41,
         name: "host-000001".into(),
         kind: "g8".into(),
@@ -133,7 +133,7 @@
         session: 2,
         lapsed: false,
         notice_s: Some(18.5),
-        tasks: vec![TaskView {
+        tasks: vec![TaskStatus {
             task: task(),
             state: TaskState::Exited,
             why: Some(Why::Done),
@@ -155,7 +155,7 @@
                 prev: 40,
                 members: vec!["rung-0".into(), "rung-2".into()],
                 extra_ms: 1500,
-                machines: vec![MachineCard {
+                machines: vec![MachineDescriptor {
                     name: "host-000001".into(),
                     kind: "g8".into(),
                     zone: "a".into(),
@@ -189,23 +189,23 @@
                 valid_ms: 1200,
             },
         ),
-        ("known", ToOwner::Known { n: 7, age_ms: 80 }),
+        ("known", ToOwner::ViewAge { n: 7, age_ms: 80 }),
         (
             "over",
-            ToOwner::Over {
+            ToOwner::Terminal {
                 jobs: vec!["wk-000412".into()],
             },
         ),
         (
             "use",
-            ToOwner::Use {
+            ToOwner::SetUsable {
                 machine: "host-000001".into(),
                 usable: false,
             },
         ),
         (
             "give",
-            ToOwner::Give {
+            ToOwner::Assign {
                 job: "wk-000412".into(),
                 attempt: 9,
                 requirements: requirements(),
@@ -214,7 +214,7 @@
         ),
         (
             "ahead",
-            ToOwner::Ahead {
+            ToOwner::AssignBacklog {
                 job: "wk-000412".into(),
                 attempt: 9,
                 requirements: requirements(),
@@ -224,7 +224,7 @@
         ),
         (
             "hold",
-            ToOwner::Hold {
+            ToOwner::Reserve {
                 job: "wk-000412".into(),
                 attempt: 9,
                 requirements: requirements(),
@@ -233,7 +233,7 @@
             },
         ),
         ("bind", ToOwner::Bind { attempt: 9 }),
-        ("release", ToOwner::Release { attempt: 9 }),
+        ("release", ToOwner::ReleaseReservation { attempt: 9 }),
         (
             "stop",
             ToOwner::Stop {
@@ -251,7 +251,7 @@
         ),
         (
             "display",
-            ToOwner::Display {
+            ToOwner::RunningCounts {
                 running: vec![("wk-000412".into(), 16)],
             },
         ),
@@ -269,7 +269,7 @@
             },
         ),
         ("ping", ToLeader::Ping { n: 7 }),
-        ("machines", ToLeader::Machines(vec![machine_view()])),
+        ("machines", ToLeader::MachineStatuses(vec![machine_status()])),
         (
             "hand_back",
             ToLeader::HandBack {
@@ -280,9 +280,9 @@
         ),
         (
             "hold_answer",
-            ToLeader::HoldAnswer {
+            ToLeader::ReserveResult {
                 attempt: 9,
-                held: true,
+                reserved: true,
             },
         ),
         (
