--- a/crates/ladderroute/src/leadership.rs
+++ b/crates/ladderroute/src/leadership.rs
@@ -138,7 +138,8 @@
         node.ex.spawn(writer(node.clone())),
         node.ex
             .spawn(keep_view_fresh(node.clone(), ttl / READS_PER_LEASE)),
-        node.ex.spawn(crate::provisioning::rent(node.clone())),
+        node.ex
+            .spawn(crate::provisioning::carry_out_requests(node.clone())),
         node.ex
             .spawn(crate::provisioning::watch_cloud(node.clone())),
     ];
--- a/crates/ladderroute/src/main.rs
+++ b/crates/ladderroute/src/main.rs
@@ -3,7 +3,7 @@
 use clap::Parser;
 use ladderroute::{logging, node, operator, settings};
 
-/// Schedules arrays and gangs on rented machines; one process of a group of controllers.
+/// Schedules arrays and gangs on provisioned machines; one process of a group of controllers.
 #[derive(Parser, Debug)]
 #[command(name = "ladderroute", version, about)]
 struct Args {
--- a/crates/ladderroute/src/node.rs
+++ b/crates/ladderroute/src/node.rs
@@ -93,8 +93,8 @@
     pub state: Mutex<State>,
     pub fresh: crate::freshness::Fresh,
     pub counters: Counters,
-    pub to_write: (Sender<()>, smol::channel::Receiver<()>),
-    pub to_rent: (Sender<()>, smol::channel::Receiver<()>),
+    pub writer_wake: (Sender<()>, smol::channel::Receiver<()>),
+    pub provisioning_wake: (Sender<()>, smol::channel::Receiver<()>),
     pub seed: Cell<u64>,
 }
 
@@ -193,13 +193,13 @@
                             link.frames.send(frame(&message));
                         }
                     }
-                    action @ (Action::Hire(_) | Action::Release(_)) => {
+                    action @ (Action::Provision(_) | Action::Deprovision(_)) => {
                         lead.cloud.push_back(action);
-                        let _ = self.to_rent.0.try_send(());
+                        let _ = self.provisioning_wake.0.try_send(());
                     }
                     action => {
                         lead.writes.push_back(action);
-                        let _ = self.to_write.0.try_send(());
+                        let _ = self.writer_wake.0.try_send(());
                     }
                 }
             }
@@ -234,8 +234,8 @@
         }),
         fresh: crate::freshness::Fresh::default(),
         counters: Counters::default(),
-        to_write: smol::channel::bounded(1),
-        to_rent: smol::channel::bounded(1),
+        writer_wake: smol::channel::bounded(1),
+        provisioning_wake: smol::channel::bounded(1),
         seed: Cell::new(fastrand::u64(..)),
         setup,
         limits,
--- a/crates/ladderroute/src/operator.rs
+++ b/crates/ladderroute/src/operator.rs
@@ -13,9 +13,9 @@
     /// The leader's store lease as a part of the workers' lease.
     pub leader_lease_share: f64,
     /// How long an idle machine is kept, in boot times.
-    pub keep_boots: f64,
+    pub idle_retention_boots: f64,
     /// Part of a gang's wait objective that it may wait for a machine in use.
-    pub patience: f64,
+    pub max_wait_share: f64,
 }
 
 impl Default for Tuning {
@@ -23,8 +23,8 @@
         Tuning {
             reservation_s: 10.0,
             leader_lease_share: 0.36,
-            keep_boots: 0.8,
-            patience: 0.3,
+            idle_retention_boots: 0.8,
+            max_wait_share: 0.3,
         }
     }
 }
@@ -53,8 +53,8 @@
         for (name, value, low, high) in [
             ("hold_s", &mut t.reservation_s, 0.5, 600.0),
             ("leader_lease_share", &mut t.leader_lease_share, 0.05, 0.8),
-            ("keep_boots", &mut t.keep_boots, 0.0, 1000.0),
-            ("patience", &mut t.patience, 0.0, 1.0),
+            ("keep_boots", &mut t.idle_retention_boots, 0.0, 1000.0),
+            ("patience", &mut t.max_wait_share, 0.0, 1.0),
         ] {
             if !message.has_field_by_name(name) {
                 continue;
--- a/crates/ladderroute/src/provisioning.rs
+++ b/crates/ladderroute/src/provisioning.rs
@@ -1,4 +1,4 @@
-//! Talking to the cloud: catalog, list, hire, release, all within its request rate.
+//! Talking to the cloud: catalog, list, provision request, release, all within its request rate.
 
 use crate::node::Node;
 use sched::leader::Action;
@@ -11,8 +11,8 @@
 const LISTS_PER_CATALOG: u32 = 5;
 /// Most machines in one page of the list (a figure of the protocol).
 const MOST_LISTED: u32 = 500;
-/// Tries of one hire under the same name before its outcome is left to the list.
-const HIRE_TRIES: u32 = 4;
+/// Tries of one provision request under the same name before its outcome is left to the list.
+const PROVISION_ATTEMPTS: u32 = 4;
 
 fn limit(node: &Node) -> Duration {
     Duration::from_secs_f64((node.settings.settings.cloud.list_lag_s / 2.0).clamp(1.0, 5.0))
@@ -90,8 +90,8 @@
     }
 }
 
-/// Carries out hires and releases, one at a time.
-pub async fn rent(node: Rc<Node>) {
+/// Carries out provision requests and releases, one at a time.
+pub async fn carry_out_requests(node: Rc<Node>) {
     loop {
         let action = node
             .lock()
@@ -100,28 +100,28 @@
             .as_mut()
             .and_then(|l| l.cloud.pop_front());
         let Some(action) = action else {
-            let _ = node.to_rent.1.recv().await;
+            let _ = node.provisioning_wake.1.recv().await;
             continue;
         };
         match action {
-            Action::Hire(hire) => {
-                let got = hire_machines(&node, &hire).await;
+            Action::Provision(request) => {
+                let got = provision_machines(&node, &request).await;
                 if let Some(names) = &got {
                     log::info!(
-                        "event=hired name={} machines={}",
-                        hire.name,
+                        "event=provisioned name={} machines={}",
+                        request.name,
                         names.join(",")
                     );
                 }
-                with_leader(&node, |l, now| l.hired(&hire.name, got, now));
+                with_leader(&node, |l, now| l.provision_result(&request.name, got, now));
             }
-            Action::Release(names) => {
+            Action::Deprovision(names) => {
                 let body = cbor::encode(&Names {
                     machines: names.clone(),
                 });
                 let ok = matches!(node.cloud.ask("POST", "/machines/release", &body, limit(&node)).await, Ok(a) if a.status == 200);
-                log::info!("event=release ok={ok} machines={}", names.join(","));
-                with_leader(&node, |l, _| l.released(&names, ok));
+                log::info!("event=deprovision ok={ok} machines={}", names.join(","));
+                with_leader(&node, |l, _| l.deprovision_result(&names, ok));
             }
             _ => {}
         }
@@ -139,10 +139,13 @@
     }
 }
 
-/// The machines that came of a hire: empty for no capacity, none if it did not come about.
-async fn hire_machines(node: &Rc<Node>, hire: &wire::cloud::Hire) -> Option<Vec<String>> {
-    let body = cbor::encode(hire);
-    for _ in 0..HIRE_TRIES {
+/// The machines that came of a provision request: empty for no capacity, none if it did not come about.
+async fn provision_machines(
+    node: &Rc<Node>,
+    request: &wire::cloud::ProvisionRequest,
+) -> Option<Vec<String>> {
+    let body = cbor::encode(request);
+    for _ in 0..PROVISION_ATTEMPTS {
         match node
             .cloud
             .ask("POST", "/machines", &body, limit(node))
@@ -159,10 +162,14 @@
             }
             Ok(a) if a.status == 429 => smol::Timer::after(pace(node).mul_f64(2.0)).await,
             Ok(a) => {
-                log::error!("event=hire_refused status={} kind={}", a.status, hire.kind);
+                log::error!(
+                    "event=provision_refused status={} kind={}",
+                    a.status,
+                    request.kind
+                );
                 return None;
             }
-            // The same name again: the cloud rents only once for it.
+            // The same name again: the cloud provisions only once for it.
             Err(_) => smol::Timer::after(pace(node)).await,
         };
     }
--- a/crates/ladderroute/src/settings.rs
+++ b/crates/ladderroute/src/settings.rs
@@ -296,8 +296,8 @@
                 .clamp(0.5, wire::ANSWER_DROPPED_S * 0.5),
             guarantee_s: guarantee_s.unwrap_or(p.workers.report_s * 10.0),
             wait_s,
-            patience: tuning.patience,
-            keep_boots: tuning.keep_boots,
+            max_wait_share: tuning.max_wait_share,
+            idle_retention_boots: tuning.idle_retention_boots,
         }
     }
 }
--- a/crates/ladderroute/src/writer/batch.rs
+++ b/crates/ladderroute/src/writer/batch.rs
@@ -220,7 +220,7 @@
                 bits,
             } => self.join_progress(job, *first_task, bits),
             Action::Begin(record) => self.join_begun(record),
-            Action::Send(..) | Action::Hire(_) | Action::Release(_) => Joined::Nothing,
+            Action::Send(..) | Action::Provision(_) | Action::Deprovision(_) => Joined::Nothing,
         }
     }
 
--- a/crates/ladderroute/src/writer/mod.rs
+++ b/crates/ladderroute/src/writer/mod.rs
@@ -30,11 +30,11 @@
     loop {
         let since = last.map_or(collect, |at| at.elapsed());
         if since < collect && !starts_wait(&node) {
-            let _ = within(collect - since, node.to_write.1.recv()).await;
+            let _ = within(collect - since, node.writer_wake.1.recv()).await;
             continue;
         }
         let Some((batch, leadership)) = next_batch(&node) else {
-            let _ = node.to_write.1.recv().await;
+            let _ = node.writer_wake.1.recv().await;
             continue;
         };
         last = Some(Instant::now());
--- a/crates/ladderroute/src/writer/outcome.rs
+++ b/crates/ladderroute/src/writer/outcome.rs
@@ -108,7 +108,7 @@
         apply_one(node, lead, action, &result);
     }
     if lead.records.dirty() {
-        let _ = node.to_write.0.try_send(());
+        let _ = node.writer_wake.0.try_send(());
     }
     if let Ok(Outcome::Written(revision)) = result {
         // What waited for these jobs may start now, without waiting for the watch.
@@ -179,7 +179,7 @@
             lead.leader
                 .progress_result(&job, first_task, written.then_some(&done));
         }
-        Action::Send(..) | Action::Hire(_) | Action::Release(_) => {}
+        Action::Send(..) | Action::Provision(_) | Action::Deprovision(_) => {}
     }
 }
 
@@ -198,7 +198,7 @@
         Err(StoreError::Refused(400)) => lead.leader.finish_result(&job, false),
         _ => {
             lead.writes.push_back(Action::Finish { job });
-            let _ = node.to_write.0.try_send(());
+            let _ = node.writer_wake.0.try_send(());
         }
     }
 }
--- a/crates/ladderroute/tests/batches.rs
+++ b/crates/ladderroute/tests/batches.rs
@@ -46,8 +46,8 @@
             leader_lease_s: 4.0,
             guarantee_s: 5.0,
             wait_s: BTreeMap::new(),
-            patience: 0.3,
-            keep_boots: 1.0,
+            max_wait_share: 0.3,
+            idle_retention_boots: 1.0,
         };
         let replica = Replica::default();
         let roster = BTreeMap::new();
--- a/crates/ladderroute/tests/command.rs
+++ b/crates/ladderroute/tests/command.rs
@@ -78,7 +78,10 @@
         (tuning.reservation_s, tuning.leader_lease_share),
         (4.5, 0.1)
     );
-    assert_eq!((tuning.keep_boots, tuning.patience), (3.25, 0.75));
+    assert_eq!(
+        (tuning.idle_retention_boots, tuning.max_wait_share),
+        (3.25, 0.75)
+    );
     let setup = Settings::parse(FULL, "f").unwrap().setup(&tuning);
     let teams = setup.teams.iter().map(|(name, t)| {
         let figures = [t.cpus, t.cpus_max, t.gpus, t.gpus_max];
@@ -94,7 +97,10 @@
     assert_eq!((setup.cancel_s, setup.list_lag_s), (40.5, 8.5));
     assert_eq!((setup.reservation_s, setup.leader_lease_s), (4.5, 1.25));
     assert_eq!((setup.guarantee_s, setup.wait_s["train"]), (7.5, 90.5));
-    assert_eq!((setup.patience, setup.keep_boots), (0.75, 3.25));
+    assert_eq!(
+        (setup.max_wait_share, setup.idle_retention_boots),
+        (0.75, 3.25)
+    );
 }
 
 #[test]
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -7,7 +7,7 @@
 use sched::ranges::Ranges;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
-use wire::cloud::{Hire, MachineType};
+use wire::cloud::{MachineType, ProvisionRequest};
 use wire::peers::{MachineStatus, TaskStatus, ToLeader, ToOwner};
 use wire::store::RosterRecord;
 use wire::users::{Job, Priority, Shape};
--- a/crates/model/src/world/fixtures.rs
+++ b/crates/model/src/world/fixtures.rs
@@ -39,8 +39,8 @@
         leader_lease_s: TTL,
         guarantee_s: 5.0,
         wait_s: BTreeMap::new(),
-        patience: 0.4,
-        keep_boots: 2.0,
+        max_wait_share: 0.4,
+        idle_retention_boots: 2.0,
     }
 }
 
--- a/crates/model/src/world/rich.rs
+++ b/crates/model/src/world/rich.rs
@@ -136,10 +136,10 @@
     }
 
     /// How many machines of an offer the cloud has, and how long one boots.
-    pub(super) fn rich_offer(&mut self, hire: &Hire) -> Option<(usize, f64)> {
+    pub(super) fn rich_offer(&mut self, request: &ProvisionRequest) -> Option<(usize, f64)> {
         self.rich.as_ref()?;
-        let boot_s = self.types.iter().find(|t| t.name == hire.kind)?.boot_s;
-        let most = match (hire.kind.as_str(), hire.spot) {
+        let boot_s = self.types.iter().find(|t| t.name == request.kind)?.boot_s;
+        let most = match (request.kind.as_str(), request.spot) {
             ("small", true) => 3,
             ("gpu" | "memory", _) => 2,
             (_, true) => 1,
--- a/crates/model/src/world/script.rs
+++ b/crates/model/src/world/script.rs
@@ -131,8 +131,8 @@
             .count()
     }
 
-    /// Machines that were ever rented.
-    pub fn rented(&self) -> u64 {
+    /// Machines that were ever provisioned.
+    pub fn provisioned(&self) -> u64 {
         self.hosts
     }
 
--- a/crates/model/src/world/store.rs
+++ b/crates/model/src/world/store.rs
@@ -270,18 +270,18 @@
                 }
                 leader.bind_result(&job, attempt, told, now);
             }
-            Action::Hire(hire) => {
-                let names = ok.then(|| self.hire(&hire));
-                leader.hired(&hire.name, names.filter(|_| told), now);
+            Action::Provision(request) => {
+                let names = ok.then(|| self.provision(&request));
+                leader.provision_result(&request.name, names.filter(|_| told), now);
             }
-            Action::Release(names) => {
+            Action::Deprovision(names) => {
                 if ok {
                     self.note_cloud("returned", names.len());
                     for n in &names {
                         self.workers.remove(n);
                     }
                 }
-                leader.released(&names, told);
+                leader.deprovision_result(&names, told);
             }
             Action::Send(..) => {}
         }
@@ -316,18 +316,21 @@
         self.note_ready();
     }
 
-    pub(super) fn hire(&mut self, hire: &Hire) -> Vec<String> {
+    pub(super) fn provision(&mut self, request: &ProvisionRequest) -> Vec<String> {
         let here = self
             .workers
             .values()
             .filter(|w| {
-                !w.gone && w.kind == hire.kind && w.zone == hire.zone && w.spot == hire.spot
+                !w.gone
+                    && w.kind == request.kind
+                    && w.zone == request.zone
+                    && w.spot == request.spot
             })
             .count();
-        let offer = self.rich_offer(hire);
+        let offer = self.rich_offer(request);
         let most = offer.map_or(3, |(most, _)| most);
-        let n = (hire.count as usize).min(most.saturating_sub(here));
-        self.note_cloud("refused by the cloud", hire.count as usize - n);
+        let n = (request.count as usize).min(most.saturating_sub(here));
+        self.note_cloud("refused by the cloud", request.count as usize - n);
         let mut names = Vec::new();
         for _ in 0..n {
             self.hosts += 1;
@@ -335,9 +338,9 @@
             let boots_s = offer.map_or(0.0, |(_, boot_s)| (boot_s - 2.5).max(0.0));
             let up_at = self.now + 1.0 + self.rng.f64() * 3.0 + boots_s;
             let w = Worker {
-                kind: hire.kind.clone(),
-                zone: hire.zone.clone(),
-                spot: hire.spot,
+                kind: request.kind.clone(),
+                zone: request.zone.clone(),
+                spot: request.spot,
                 up_at,
                 gone: false,
                 hung_until: 0.0,
@@ -356,7 +359,7 @@
             self.workers.insert(machine.clone(), w);
             names.push(machine);
         }
-        self.trace.rented(self.now, &names);
+        self.trace.provisioned(self.now, &names);
         names
     }
 }
--- a/crates/model/src/world/trace.rs
+++ b/crates/model/src/world/trace.rs
@@ -200,7 +200,7 @@
     }
 
     /// The cloud gives machines.
-    pub(super) fn rented(&mut self, now: f64, machines: &[String]) {
+    pub(super) fn provisioned(&mut self, now: f64, machines: &[String]) {
         self.event(now, Event::Rented).bytes(&encode(&Names {
             machines: machines.to_vec(),
         }));
@@ -246,8 +246,8 @@
                 .raw(&[7])
                 .text(job)
                 .bytes(&encode(&binding(*attempt, places))),
-            Action::Hire(hire) => self.raw(&[8]).bytes(&encode(hire)),
-            Action::Release(machines) => self.raw(&[9]).bytes(&encode(&Names {
+            Action::Provision(request) => self.raw(&[8]).bytes(&encode(request)),
+            Action::Deprovision(machines) => self.raw(&[9]).bytes(&encode(&Names {
                 machines: machines.clone(),
             })),
         };
--- a/crates/model/tests/leader_and_owner.rs
+++ b/crates/model/tests/leader_and_owner.rs
@@ -309,7 +309,7 @@
             leader
                 .drain()
                 .iter()
-                .any(|d| matches!(d, Action::Release(names) if names.len() == silent))
+                .any(|d| matches!(d, Action::Deprovision(names) if names.len() == silent))
         })
     };
     assert!(
--- a/crates/model/tests/preemption.rs
+++ b/crates/model/tests/preemption.rs
@@ -20,7 +20,7 @@
     /// What each machine reports.
     tasks: BTreeMap<&'static str, Vec<TaskStatus>>,
     stopped: BTreeSet<TaskRef>,
-    rented: u32,
+    provisioned: u32,
     assigned: u32,
 }
 
@@ -41,7 +41,7 @@
 impl Scene {
     fn new(array: Job, gang: Job) -> Scene {
         let setup = Setup {
-            keep_boots: 1e6,
+            idle_retention_boots: 1e6,
             ..setup()
         };
         let record = RosterRecord {
@@ -77,11 +77,11 @@
             now: 0.0,
             tasks,
             stopped: BTreeSet::new(),
-            rented: 0,
+            provisioned: 0,
             assigned: 0,
         };
         scene.pass(1.0);
-        scene.rented = 0;
+        scene.provisioned = 0;
         scene.leader.add_job(open(gang, 2, Earlier::Untouched));
         scene
     }
@@ -102,7 +102,7 @@
                     Action::Send(_, ToOwner::Assign { .. } | ToOwner::AssignBacklog { .. }) => {
                         self.assigned += 1
                     }
-                    Action::Hire(hire) => self.rented += hire.count,
+                    Action::Provision(request) => self.provisioned += request.count,
                     _ => {}
                 }
             }
@@ -158,9 +158,9 @@
     );
     assert_eq!(scene.assigned, 0, "nothing else is placed there meanwhile");
     assert!(
-        scene.rented <= 2,
+        scene.provisioned <= 2,
         "{}: only for the tasks that were stopped",
-        scene.rented
+        scene.provisioned
     );
 }
 
@@ -170,7 +170,7 @@
     let mut scene = Scene::new(guest_array(), job(2, "red", Shape::Gang, 3, 2.5));
     scene.pass(4.0);
     assert!(scene.stopped.is_empty(), "{:?}", scene.stopped);
-    assert!(scene.rented > 0, "it is rented for instead");
+    assert!(scene.provisioned > 0, "it is rented for instead");
 }
 
 /// Work of the same priority that its team runs within its guarantee is left alone.
@@ -224,7 +224,7 @@
 }
 
 /// Machines are cordoned for a gang that waits long and for which nothing can be stopped: a younger
-/// one could not use what is stopped for it, and would not have been rented for.
+/// one could not use what is stopped for it, and would not have been provisioned for.
 #[test]
 fn nothing_is_stopped_for_a_gang_behind_one_that_cannot_be_helped() {
     let mut scene = Scene::new(guest_array(), job(2, "red", Shape::Gang, 3, 2.5));
@@ -234,14 +234,14 @@
         3,
         Earlier::Untouched,
     ));
-    scene.rented = 0;
+    scene.provisioned = 0;
     scene.pass(4.0);
     assert!(scene.stopped.is_empty(), "{:?}", scene.stopped);
-    assert!(scene.rented > 0, "it is rented for instead");
+    assert!(scene.provisioned > 0, "it is rented for instead");
 }
 
 /// The pass keeps machine types that alone fit some class for that class. What is free of them is no capacity
-/// for another gang: it was taken for such, and nothing was rented.
+/// for another gang: it was taken for such, and nothing was provisioned.
 #[test]
 fn a_gang_is_not_taken_to_have_room_where_the_pass_would_not_place_it() {
     let large_only = Job {
@@ -250,7 +250,7 @@
         ..job(1, "blue", Shape::Array, 1, 10.0)
     };
     let setup = Setup {
-        keep_boots: 1e6,
+        idle_retention_boots: 1e6,
         ..setup()
     };
     let record = RosterRecord {
@@ -267,13 +267,13 @@
         machine_type("large", 16.0, 64.0, 1.1),
     ]);
     let task = array_task(0, TaskState::Running, None);
-    let (mut now, mut rented) = (0.0, 0);
+    let (mut now, mut provisioned) = (0.0, 0);
     while now < 8.0 {
         now += 0.25;
         leader.tick(now, 0);
         for action in leader.drain() {
-            if let Action::Hire(hire) = action {
-                rented += hire.count;
+            if let Action::Provision(request) = action {
+                provisioned += request.count;
             }
         }
         let view = machine_status("host-9", "large", vec![task.clone()]);
@@ -287,7 +287,7 @@
         }
     }
     assert!(
-        rented >= 2,
-        "{rented}: machines of the small type for the gang"
+        provisioned >= 2,
+        "{provisioned}: machines of the small type for the gang"
     );
 }
--- a/crates/model/tests/scale_out.rs
+++ b/crates/model/tests/scale_out.rs
@@ -1,20 +1,20 @@
-//! Which machines are rented for a queue, when some types are kept for gangs and the cloud refuses.
+//! Which machines are provisioned for a queue, when some types are kept for gangs and the cloud refuses.
 
 use model::world::{job, machine_status, machine_type, setup};
 use sched::config::{Setup, Team};
 use sched::leader::{Action, Earlier, Leader, OpenJob};
 use std::collections::BTreeMap;
 use std::rc::Rc;
-use wire::cloud::Hire;
+use wire::cloud::ProvisionRequest;
 use wire::peers::ToLeader;
 use wire::store::RosterRecord;
 use wire::users::{Job, Shape};
 
-/// A leader alone, and the hires that it asked for.
+/// A leader alone, and the provision requests that it asked for.
 struct Scene {
     leader: Leader,
     now: f64,
-    hires: Vec<(f64, Hire)>,
+    requests: Vec<(f64, ProvisionRequest)>,
     machines: Vec<String>,
 }
 
@@ -28,7 +28,7 @@
         };
         let settings = Setup {
             teams: BTreeMap::from([("red".to_string(), wide)]),
-            keep_boots: 1e6,
+            idle_retention_boots: 1e6,
             ..setup()
         };
         let record = RosterRecord {
@@ -49,7 +49,7 @@
         let mut scene = Scene {
             leader,
             now: 0.0,
-            hires: Vec::new(),
+            requests: Vec::new(),
             machines,
         };
         scene.pass(1.0);
@@ -89,9 +89,10 @@
                 .on_owner("rung-0", ToLeader::MachineStatuses(views), self.now);
             for action in self.leader.drain() {
                 match action {
-                    Action::Hire(hire) => {
-                        self.hires.push((self.now, hire.clone()));
-                        self.leader.hired(&hire.name, Some(Vec::new()), self.now);
+                    Action::Provision(request) => {
+                        self.requests.push((self.now, request.clone()));
+                        self.leader
+                            .provision_result(&request.name, Some(Vec::new()), self.now);
                     }
                     Action::NewToken => self.leader.token_result(Some(2), self.now),
                     Action::Begin(record) => self.leader.begin_result(&record, true),
@@ -101,10 +102,10 @@
         }
     }
 
-    fn asked_for(&self, kind: &str) -> impl Iterator<Item = &Hire> {
-        let hires = self.hires.iter().map(|(_, hire)| hire);
+    fn asked_for(&self, kind: &str) -> impl Iterator<Item = &ProvisionRequest> {
+        let requests = self.requests.iter().map(|(_, request)| request);
         let kind = kind.to_string();
-        hires.filter(move |hire| hire.kind == kind)
+        requests.filter(move |request| request.kind == kind)
     }
 }
 
@@ -118,18 +119,22 @@
     scene.pass(20.0);
     let mut first_asked: BTreeMap<&str, f64> = BTreeMap::new();
     let mut probes = 0;
-    for (at, hire) in scene.hires.iter().filter(|(_, hire)| hire.kind == "small") {
-        let first = *first_asked.entry(&hire.zone).or_insert(*at);
+    for (at, request) in scene
+        .requests
+        .iter()
+        .filter(|(_, request)| request.kind == "small")
+    {
+        let first = *first_asked.entry(&request.zone).or_insert(*at);
         if *at > first {
-            assert_eq!(hire.count, 1, "asked again in full after {at} s");
+            assert_eq!(request.count, 1, "asked again in full after {at} s");
             probes += 1;
         }
     }
     assert!(probes > 1, "nothing was tried again");
     let (first, _) = scene
-        .hires
+        .requests
         .iter()
-        .find(|(_, hire)| hire.kind == "large")
+        .find(|(_, request)| request.kind == "large")
         .expect("a large machine");
     assert!(*first < 6.0, "only after {first} s");
 }
@@ -148,7 +153,7 @@
         scene.accept(job(2, "red", Shape::Array, 400, 1.0));
         scene.pass(20.0);
         // Of a gang's own two machines there is no more than a few tries.
-        let for_arrays = scene.asked_for("large").any(|hire| hire.count > 2);
+        let for_arrays = scene.asked_for("large").any(|request| request.count > 2);
         assert_eq!(for_arrays, expected, "a gang of {cpus} CPUs a task waits");
     }
 }
@@ -161,7 +166,7 @@
         let mut scene = Scene::new(10);
         scene.accept(job(1, "red", Shape::Array, 40, 1.0));
         scene.pass(2.0);
-        assert!(scene.hires.is_empty(), "all of it runs");
+        assert!(scene.requests.is_empty(), "all of it runs");
         // Forty tasks of 3 s free some 13 CPUs a second, and 40 while a machine boots for 3 s.
         for number in 0..arrays {
             scene.accept(job(2 + number, "red", Shape::Array, 30, 1.0));
@@ -170,6 +175,6 @@
                 .leader
                 .job_over(&job(2 + number, "red", Shape::Array, 30, 1.0).id);
         }
-        assert_eq!(!scene.hires.is_empty(), expected, "{arrays} arrays");
+        assert_eq!(!scene.requests.is_empty(), expected, "{arrays} arrays");
     }
 }
--- a/crates/model/tests/waits.rs
+++ b/crates/model/tests/waits.rs
@@ -17,7 +17,7 @@
         report_s: 10.0,
         lease_s: 45.0,
         cancel_s: 75.0,
-        keep_boots: 1e6,
+        idle_retention_boots: 1e6,
         ..setup()
     };
     let spec = Rc::new(job(1, "red", Shape::Array, 1, 1.0));
@@ -65,7 +65,7 @@
 }
 
 /// `one_zone` together with `spread`: a gang of several tasks can never be placed and an array only
-/// half at a time. The gang stays known, rents nothing and holds nobody up, until it is cancelled.
+/// half at a time. The gang stays known, provisions nothing and holds nobody up, until it is cancelled.
 #[test]
 fn what_no_zone_may_hold_stays_known_and_costs_nothing() {
     let both = |id: u32, shape, tasks| Job {
@@ -77,7 +77,7 @@
         let mut w = World::new(seed, Defect::None);
         w.submit(both(1, Shape::Gang, 2));
         w.pass(60.0);
-        assert_eq!(w.rented(), 0, "seed {seed}");
+        assert_eq!(w.provisioned(), 0, "seed {seed}");
         w.submit(both(2, Shape::Array, 4));
         w.submit(both(3, Shape::Gang, 1));
         w.submit(job(4, "red", Shape::Gang, 3, 1.0));
@@ -167,11 +167,11 @@
 }
 
 /// A job that was submitted with a mistake fails on every machine. Two such jobs made healthy machines
-/// look faulty, which were drained, and others were rented for what failed there again.
+/// look faulty, which were drained, and others were provisioned for what failed there again.
 #[test]
 fn a_job_that_fails_on_every_machine_drains_and_rents_none() {
     let s = sched::config::Setup {
-        keep_boots: 1e6,
+        idle_retention_boots: 1e6,
         ..setup()
     };
     let open = |id, revision| {
@@ -235,7 +235,7 @@
                         turn += 1;
                     }
                 }
-                Action::Hire(_) if now > 2.0 => bad.push(format!("{now}: rented")),
+                Action::Provision(_) if now > 2.0 => bad.push(format!("{now}: rented")),
                 Action::Send(
                     _,
                     ToOwner::SetUsable {
@@ -264,7 +264,7 @@
 #[test]
 fn idle_machines_are_returned_sooner_when_no_jobs_come() {
     let s = sched::config::Setup {
-        keep_boots: 20.0,
+        idle_retention_boots: 20.0,
         ..setup()
     };
     let record = RosterRecord {
@@ -329,7 +329,7 @@
         .map(|host| (host.to_string(), record.clone()))
         .into();
     let s = sched::config::Setup {
-        keep_boots: 1e6,
+        idle_retention_boots: 1e6,
         ..setup()
     };
     let mut leader = Leader::new(
--- a/crates/sched/src/autoscaler/mod.rs
+++ b/crates/sched/src/autoscaler/mod.rs
@@ -1,4 +1,4 @@
-//! Fleet: which machines to rent and which to return.
+//! Autoscaler: which machines to provision and which to return.
 
 mod scale_in;
 mod scale_out;
@@ -7,41 +7,41 @@
 use crate::leader::{Action, Leader};
 use crate::placement::Resources;
 use crate::Secs;
-use scale_in::MOST_RELEASED;
+use scale_in::MAX_MACHINES_PER_RELEASE;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use wire::cloud::{Hire, Listed, ListedMachine, MachineType};
+use wire::cloud::{Listed, ListedMachine, MachineType, ProvisionRequest};
 use wire::peers::TaskRequirements;
 use wire::users::{Job as Spec, Shape};
 
 /// The cloud charges at least this long for a machine (a figure of the protocol).
-const LEAST_CHARGE_S: f64 = 60.0;
+const MIN_CHARGE_S: f64 = 60.0;
 
 /// Idle capacity of up to so many times what the jobs need that came lately is worth keeping.
 const DEMAND_COVER: f64 = 4.0;
 
 /// Part of the time that idle machines are kept where no jobs came lately: they may come again.
-const LEAST_KEPT: f64 = 0.25;
+const MIN_RETENTION_SHARE: f64 = 0.25;
 
 /// Type, zone and kind (spot or ordinary).
 type Offer = (String, String, bool);
 
-pub(crate) struct Boot {
+pub(crate) struct BootingMachine {
     pub kind: String,
     pub zone: String,
     pub spot: bool,
-    pub hired_at: Secs,
+    pub requested_at: Secs,
 }
 
 /// What one task of a class takes, to know which machine types it needs.
 #[derive(Clone, Debug)]
-pub(crate) struct ClassShape {
+pub(crate) struct ClassProfile {
     resources: Resources,
     types: Option<Vec<String>>,
     pub spot: bool,
     gang: bool,
 }
 
-impl ClassShape {
+impl ClassProfile {
     pub fn fits(&self, t: &MachineType) -> bool {
         self.types.as_ref().is_none_or(|l| l.contains(&t.name))
             && Resources::of_type(t).can_fit(self.resources)
@@ -49,16 +49,16 @@
 }
 
 #[derive(Default)]
-pub(crate) struct Fleet {
-    pub booting: BTreeMap<String, Boot>,
+pub(crate) struct Autoscaler {
+    pub booting: BTreeMap<String, BootingMachine>,
     pub unmet: Vec<(String, u32)>,
-    pub shapes: BTreeMap<String, ClassShape>,
-    asked: BTreeMap<String, Hire>,
+    pub class_profiles: BTreeMap<String, ClassProfile>,
+    requested: BTreeMap<String, ProvisionRequest>,
     refused: BTreeMap<Offer, (Secs, u32)>,
-    /// The zone that each waiting gang's machines are rented in.
+    /// The zone that each waiting gang's machines are provisioned in.
     gang_zones: BTreeMap<String, Option<String>>,
     /// Machines that are there for waiting gangs: not returned meanwhile.
-    kept: BTreeSet<String>,
+    retained: BTreeSet<String>,
     released: BTreeSet<String>,
     releasing: BTreeSet<String>,
     counter: u64,
@@ -76,7 +76,7 @@
         && zone.as_ref().is_none_or(|z| *z == o.1)
 }
 
-impl Fleet {
+impl Autoscaler {
     pub fn gang_zone(&self, id: &str) -> Option<&String> {
         self.gang_zones.get(id)?.as_ref()
     }
@@ -94,9 +94,9 @@
             memory_gb: job.memory_gb,
         };
         let shape = self
-            .shapes
+            .class_profiles
             .entry(job.class.clone())
-            .or_insert_with(|| ClassShape {
+            .or_insert_with(|| ClassProfile {
                 resources,
                 types: job.types.clone(),
                 spot: job.spot,
@@ -117,7 +117,7 @@
             .rev()
             .take_while(|(at, _)| *at >= since);
         let cpus: f64 = arrived.map(|(_, cpus)| cpus).sum();
-        (cpus * DEMAND_COVER / idle_cpus.max(1.0)).clamp(LEAST_KEPT, 1.0)
+        (cpus * DEMAND_COVER / idle_cpus.max(1.0)).clamp(MIN_RETENTION_SHARE, 1.0)
     }
 
     /// CPUs of the tasks that came in a second, over some time.
@@ -137,9 +137,9 @@
     pub fn booted(&mut self, name: &str, now: Secs) {
         if let Some(b) = self.booting.remove(name) {
             log::info!(
-                "event=booted machine={name} kind={} after_s={:.1}",
+                "event=machine_booted machine={name} kind={} after_s={:.1}",
                 b.kind,
-                now - b.hired_at
+                now - b.requested_at
             );
         }
     }
@@ -161,51 +161,51 @@
 }
 
 impl Leader {
-    /// Rents for what does not fit, and returns what is idle. Paced by the report interval, but
+    /// Provisions for what does not fit, and returns what is idle. Paced by the report interval, but
     /// sooner when the cloud has answered all that was asked.
-    pub(crate) fn run_fleet(&mut self, now: Secs) {
+    pub(crate) fn autoscale(&mut self, now: Secs) {
         let pace = self.setup.report_s.min(1.0);
-        let soon = self.fleet.asked.is_empty()
-            && !self.fleet.unmet.is_empty()
-            && now - self.fleet.last >= pace / 4.0;
-        if now - self.fleet.last < pace && !soon || self.types.is_empty() {
+        let soon = self.autoscaler.requested.is_empty()
+            && !self.autoscaler.unmet.is_empty()
+            && now - self.autoscaler.last >= pace / 4.0;
+        if now - self.autoscaler.last < pace && !soon || self.types.is_empty() {
             return;
         }
-        self.fleet.last = now;
+        self.autoscaler.last = now;
         let scarce = self.scarce();
-        self.rent(&scarce, now);
-        self.return_idle(&scarce, now);
+        self.scale_out(&scarce, now);
+        self.scale_in(&scarce, now);
     }
 
-    /// The cloud's answer to a hire: machines, or none for no capacity. `None`: it was not
+    /// The cloud's answer to a provision request: machines, or none for no capacity. `None`: it was not
     /// carried out or its outcome stays unknown; what came of it will be listed or report.
-    pub fn hired(&mut self, name: &str, machines: Option<Vec<String>>, now: Secs) {
-        let Some(hire) = self.fleet.asked.remove(name) else {
+    pub fn provision_result(&mut self, name: &str, machines: Option<Vec<String>>, now: Secs) {
+        let Some(request) = self.autoscaler.requested.remove(name) else {
             return;
         };
-        let offer = (hire.kind.clone(), hire.zone.clone(), hire.spot);
+        let offer = (request.kind.clone(), request.zone.clone(), request.spot);
         let got = machines.as_ref().map_or(0, Vec::len) as u32;
-        if got < hire.count {
-            let n = self.fleet.refused.get(&offer).map_or(0, |(_, n)| *n);
+        if got < request.count {
+            let n = self.autoscaler.refused.get(&offer).map_or(0, |(_, n)| *n);
             let base = self.setup.list_lag_s / 2.0;
             let wait = if machines.is_some() {
                 base * f64::from(1u32 << n.min(2)) * (0.75 + 0.5 * self.rng.f64())
             } else {
                 base / 4.0
             };
-            self.fleet.refused.insert(offer, (now + wait, n + 1));
+            self.autoscaler.refused.insert(offer, (now + wait, n + 1));
         } else {
-            self.fleet.refused.remove(&offer);
+            self.autoscaler.refused.remove(&offer);
         }
         for m in machines.unwrap_or_default() {
             if !self.machines.contains_key(&m) {
-                self.fleet.booting.insert(
+                self.autoscaler.booting.insert(
                     m,
-                    Boot {
-                        kind: hire.kind.clone(),
-                        zone: hire.zone.clone(),
-                        spot: hire.spot,
-                        hired_at: now,
+                    BootingMachine {
+                        kind: request.kind.clone(),
+                        zone: request.zone.clone(),
+                        spot: request.spot,
+                        requested_at: now,
                     },
                 );
             }
@@ -213,12 +213,12 @@
     }
 
     /// The cloud has carried out a release, or it has to be asked again.
-    pub fn released(&mut self, names: &[String], ok: bool) {
+    pub fn deprovision_result(&mut self, names: &[String], ok: bool) {
         for name in names {
-            self.fleet.releasing.remove(name);
+            self.autoscaler.releasing.remove(name);
             if ok {
-                self.fleet.released.insert(name.clone());
-                self.fleet.booting.remove(name);
+                self.autoscaler.released.insert(name.clone());
+                self.autoscaler.booting.remove(name);
                 self.forget_machine(name);
             } else if let Some(m) = self.machines.get_mut(name) {
                 m.releasing = false;
@@ -230,35 +230,35 @@
     pub fn listed(&mut self, list: &[ListedMachine], now: Secs) {
         let mut failed = Vec::new();
         for l in list {
-            if self.fleet.is_released(&l.name) || self.machines.contains_key(&l.name) {
+            if self.autoscaler.is_released(&l.name) || self.machines.contains_key(&l.name) {
                 continue;
             }
             if l.state == Listed::Failed {
-                if self.fleet.releasing.insert(l.name.clone()) {
+                if self.autoscaler.releasing.insert(l.name.clone()) {
                     failed.push(l.name.clone());
                 }
                 continue;
             }
-            if !self.fleet.booting.contains_key(&l.name) {
-                log::info!("event=adopt machine={} kind={}", l.name, l.kind);
-                let hired_at = if l.state == Listed::Booting {
+            if !self.autoscaler.booting.contains_key(&l.name) {
+                log::info!("event=machine_adopted machine={} kind={}", l.name, l.kind);
+                let requested_at = if l.state == Listed::Booting {
                     now - l.age_s
                 } else {
                     now - self.types.get(&l.kind).map_or(0.0, |t| t.boot_s)
                 };
-                self.fleet.booting.insert(
+                self.autoscaler.booting.insert(
                     l.name.clone(),
-                    Boot {
+                    BootingMachine {
                         kind: l.kind.clone(),
                         zone: l.zone.clone(),
                         spot: l.spot,
-                        hired_at,
+                        requested_at,
                     },
                 );
             }
         }
-        for names in failed.chunks(MOST_RELEASED) {
-            self.actions.push(Action::Release(names.to_vec()));
+        for names in failed.chunks(MAX_MACHINES_PER_RELEASE) {
+            self.actions.push(Action::Deprovision(names.to_vec()));
         }
     }
 }
--- a/crates/sched/src/autoscaler/scale_in.rs
+++ b/crates/sched/src/autoscaler/scale_in.rs
@@ -1,27 +1,27 @@
 //! Returning machines: idle ones, faulty ones, lost ones, and those that never came up.
 
-use super::wait_estimates::SLOW_BOOT;
-use super::LEAST_CHARGE_S;
+use super::wait_estimates::SLOW_BOOT_FACTOR;
+use super::MIN_CHARGE_S;
 use crate::leader::{Action, Leader, Rostered};
 use crate::Secs;
 use std::collections::{BTreeMap, BTreeSet};
 use wire::cloud::MachineType;
 
 /// A machine that takes this many times its nominal boot time is given up.
-const BOOTS_TO_WAIT: f64 = 3.5;
+const MAX_BOOT_TIMES: f64 = 3.5;
 
 /// Report intervals for which an idle machine is kept at least: work that was given to it may
 /// show only then.
-const REPORTS_KEPT: f64 = 1.25;
+const MIN_RETENTION_HEARTBEATS: f64 = 1.25;
 
 /// Part of all machines that a new leader returns soon if they are the only ones not heard.
-const FEW_UNKNOWN: f64 = 0.02;
+const FEW_UNKNOWN_SHARE: f64 = 0.02;
 
 /// Most names of one release (a figure of the protocol).
-pub(super) const MOST_RELEASED: usize = 100;
+pub(super) const MAX_MACHINES_PER_RELEASE: usize = 100;
 
 /// How many times cheaper than an ordinary machine one of this type and kind is.
-fn cheapness(t: &MachineType, spot: bool) -> f64 {
+fn price_advantage(t: &MachineType, spot: bool) -> f64 {
     if spot {
         t.price / t.spot_price.max(1e-9)
     } else {
@@ -32,47 +32,52 @@
 impl Leader {
     /// How long machines are kept for the next gang of a class that has no other type, and that
     /// could hardly start in time on a machine that must boot first.
-    fn kept_warm(&self, scarce: &BTreeSet<(String, bool)>) -> BTreeMap<(String, bool), f64> {
+    fn gang_retention(&self, scarce: &BTreeSet<(String, bool)>) -> BTreeMap<(String, bool), f64> {
         let mut out: BTreeMap<(String, bool), f64> = BTreeMap::new();
-        for (class, shape) in self.fleet.shapes.iter().filter(|(_, s)| s.gang) {
+        for (class, shape) in self
+            .autoscaler
+            .class_profiles
+            .iter()
+            .filter(|(_, s)| s.gang)
+        {
             let Some(within) = self.setup.wait_s.get(class) else {
                 continue;
             };
             for t in self
                 .types
                 .values()
-                .filter(|t| shape.fits(t) && t.boot_s * SLOW_BOOT > within / 2.0)
+                .filter(|t| shape.fits(t) && t.boot_s * SLOW_BOOT_FACTOR > within / 2.0)
             {
                 for spot in [true, false]
                     .into_iter()
                     .filter(|spot| scarce.contains(&(t.name.clone(), *spot)))
                 {
-                    let keep = out.entry((t.name.clone(), spot)).or_default();
-                    *keep = keep.max(*within);
+                    let retention = out.entry((t.name.clone(), spot)).or_default();
+                    *retention = retention.max(*within);
                 }
             }
         }
         out
     }
 
-    pub(super) fn return_idle(&mut self, scarce: &BTreeSet<(String, bool)>, now: Secs) {
+    pub(super) fn scale_in(&mut self, scarce: &BTreeSet<(String, bool)>, now: Secs) {
         // While work waits until all machines are known, idle ones are not idle for lack of work.
         let blocked = self.waits_for_unknown();
-        let keeps = self.keeps(scarce, now);
-        let mut release = self.drain_and_release(&keeps, blocked, now);
-        if blocked && self.gives_up_unknown(now) {
+        let retention = self.retention(scarce, now);
+        let mut release = self.drain_and_release(&retention, blocked, now);
+        if blocked && self.should_give_up_unknown(now) {
             release.extend(self.release_unknown());
         }
         release.extend(self.late_boots(now));
-        release.retain(|n| self.fleet.releasing.insert(n.clone()));
-        for names in release.chunks(MOST_RELEASED) {
-            self.actions.push(Action::Release(names.to_vec()));
+        release.retain(|n| self.autoscaler.releasing.insert(n.clone()));
+        for names in release.chunks(MAX_MACHINES_PER_RELEASE) {
+            self.actions.push(Action::Deprovision(names.to_vec()));
         }
     }
 
     /// How long idle machines of each type are kept.
-    fn keeps(&mut self, scarce: &BTreeSet<(String, bool)>, now: Secs) -> Keeps {
-        let warm = self.kept_warm(scarce);
+    fn retention(&mut self, scarce: &BTreeSet<(String, bool)>, now: Secs) -> RetentionByType {
+        let warm = self.gang_retention(scarce);
         let idle = self
             .machines
             .values()
@@ -82,34 +87,35 @@
             .map(|capacity| capacity.cpus)
             .sum();
         let boots = self.types.values();
-        let longest_keep = boots
-            .map(|t| t.boot_s * cheapness(t, true))
+        let longest_retention = boots
+            .map(|t| t.boot_s * price_advantage(t, true))
             .fold(0.0, f64::max);
-        self.fleet
-            .forget_arrivals(now - longest_keep * self.setup.keep_boots);
-        let least = self.setup.report_s * REPORTS_KEPT;
-        let keep_s = |boot_s: f64, cheapness: f64, for_gangs: f64| {
-            let keep_s = boot_s * self.setup.keep_boots * cheapness;
-            let keep_s = keep_s * self.fleet.demand_share(now - keep_s, idle_cpus);
-            keep_s.max(for_gangs).max(least)
+        self.autoscaler
+            .forget_arrivals(now - longest_retention * self.setup.idle_retention_boots);
+        let least = self.setup.report_s * MIN_RETENTION_HEARTBEATS;
+        let retention_s = |boot_s: f64, price_advantage: f64, for_gangs: f64| {
+            let retention_s = boot_s * self.setup.idle_retention_boots * price_advantage;
+            let retention_s =
+                retention_s * self.autoscaler.demand_share(now - retention_s, idle_cpus);
+            retention_s.max(for_gangs).max(least)
         };
         let by_type = self.types.iter().map(|(kind, t)| {
-            let keep_of = |spot: bool| {
+            let retention_for = |spot: bool| {
                 let for_gangs = warm.get(&(kind.clone(), spot)).copied().unwrap_or(0.0);
-                keep_s(t.boot_s, cheapness(t, spot), for_gangs)
+                retention_s(t.boot_s, price_advantage(t, spot), for_gangs)
             };
-            let keep = Keep {
+            let retention = IdleRetention {
                 boot_s: t.boot_s,
-                ordinary_s: keep_of(false),
-                spot_s: keep_of(true),
+                ordinary_s: retention_for(false),
+                spot_s: retention_for(true),
             };
-            (kind.clone(), keep)
+            (kind.clone(), retention)
         });
-        let unknown_s = keep_s(LEAST_CHARGE_S, 1.0, 0.0);
-        Keeps {
+        let unknown_s = retention_s(MIN_CHARGE_S, 1.0, 0.0);
+        RetentionByType {
             by_type: by_type.collect(),
-            unknown_type: Keep {
-                boot_s: LEAST_CHARGE_S,
+            unknown_type: IdleRetention {
+                boot_s: MIN_CHARGE_S,
                 ordinary_s: unknown_s,
                 spot_s: unknown_s,
             },
@@ -118,18 +124,23 @@
 
     /// Has owners place nothing more on machines that were idle for too long, are faulty or lost; names
     /// those that can be returned now.
-    fn drain_and_release(&mut self, keeps: &Keeps, blocked: bool, now: Secs) -> Vec<String> {
+    fn drain_and_release(
+        &mut self,
+        retention: &RetentionByType,
+        blocked: bool,
+        now: Secs,
+    ) -> Vec<String> {
         let (mut drained, mut release) = (Vec::new(), Vec::new());
         for (name, m) in self.machines.iter_mut().filter(|(_, m)| !m.releasing) {
-            let keep = keeps.of(&m.kind);
+            let retention = retention.of(&m.kind);
             let in_use = !m.tasks.is_empty() || !m.reserved.is_empty() || !m.quiet;
-            if in_use || blocked || self.fleet.kept.contains(name) {
+            if in_use || blocked || self.autoscaler.retained.contains(name) {
                 m.idle_since = now;
             }
             let idle_s = now - m.idle_since;
             let faulty = m.failed_jobs.len() >= 2;
-            let lost = m.lapsed_at.is_some_and(|at| now - at > keep.boot_s);
-            let dispensable = idle_s > keep.keep_s(m.spot) || faulty;
+            let lost = m.lapsed_at.is_some_and(|at| now - at > retention.boot_s);
+            let dispensable = idle_s > retention.retention_s(m.spot) || faulty;
             if (lost || m.rostered == Rostered::Yes && dispensable) && !m.drain {
                 log::info!(
                     "event=drain machine={name} idle_s={idle_s:.0} faulty={faulty} lost={lost}"
@@ -155,8 +166,8 @@
     /// worker to give up twice on a controller that does not answer; or nearly all were heard, and the last
     /// of them a while ago, long enough for a worker whose report was lost to try again: the few that are
     /// left are dead, and all work would wait for them.
-    fn gives_up_unknown(&self, now: Secs) -> bool {
-        let few = self.unknown.len() as f64 <= self.machines.len() as f64 * FEW_UNKNOWN;
+    fn should_give_up_unknown(&self, now: Secs) -> bool {
+        let few = self.unknown.len() as f64 <= self.machines.len() as f64 * FEW_UNKNOWN_SHARE;
         let heard = now - self.known_at.max(self.epoch_at) <= wire::ANSWER_DROPPED_S * 1.25;
         let long = now - self.epoch_at > 2.0 * wire::ANSWER_DROPPED_S + 1.5 * self.setup.report_s;
         long || few && !heard
@@ -172,7 +183,7 @@
         });
         let names: Vec<String> = names.collect();
         for name in &names {
-            log::info!("event=unheard machine={name}");
+            log::info!("event=machine_silent machine={name}");
             // It may be heard after all before it is gone; nothing is to be placed on it.
             self.tell_usable(name);
         }
@@ -181,26 +192,26 @@
 
     /// Machines that should have come up long ago.
     fn late_boots(&self, now: Secs) -> Vec<String> {
-        let boot_s = |kind: &str| self.types.get(kind).map_or(LEAST_CHARGE_S, |t| t.boot_s);
-        let booting = self.fleet.booting.iter();
-        let late = booting.filter(|(_, b)| now - b.hired_at > BOOTS_TO_WAIT * boot_s(&b.kind));
+        let boot_s = |kind: &str| self.types.get(kind).map_or(MIN_CHARGE_S, |t| t.boot_s);
+        let booting = self.autoscaler.booting.iter();
+        let late = booting.filter(|(_, b)| now - b.requested_at > MAX_BOOT_TIMES * boot_s(&b.kind));
         let names: Vec<String> = late.map(|(name, _)| name.clone()).collect();
         for name in &names {
-            log::info!("event=never_booted machine={name}");
+            log::info!("event=boot_timeout machine={name}");
         }
         names
     }
 }
 
 /// How long idle machines of a type are kept, and its boot time.
-struct Keep {
+struct IdleRetention {
     boot_s: f64,
     ordinary_s: f64,
     spot_s: f64,
 }
 
-impl Keep {
-    fn keep_s(&self, spot: bool) -> f64 {
+impl IdleRetention {
+    fn retention_s(&self, spot: bool) -> f64 {
         if spot {
             self.spot_s
         } else {
@@ -210,14 +221,14 @@
 }
 
 /// The same for all types.
-struct Keeps {
-    by_type: BTreeMap<String, Keep>,
+struct RetentionByType {
+    by_type: BTreeMap<String, IdleRetention>,
     /// For machines whose type the cloud does not list.
-    unknown_type: Keep,
+    unknown_type: IdleRetention,
 }
 
-impl Keeps {
-    fn of(&self, kind: &str) -> &Keep {
+impl RetentionByType {
+    fn of(&self, kind: &str) -> &IdleRetention {
         self.by_type.get(kind).unwrap_or(&self.unknown_type)
     }
 }
--- a/crates/sched/src/autoscaler/scale_out.rs
+++ b/crates/sched/src/autoscaler/scale_out.rs
@@ -1,36 +1,36 @@
-//! Renting machines for work that finds none.
+//! Provisioning machines for work that finds none.
 
-use super::wait_estimates::Busy;
-use super::{allows, Offer, LEAST_CHARGE_S};
+use super::wait_estimates::BusyMachines;
+use super::{allows, Offer, MIN_CHARGE_S};
 use crate::leader::{Action, Leader, Rostered};
 use crate::placement::Resources;
 use crate::Secs;
 use std::collections::{BTreeMap, BTreeSet};
-use wire::cloud::Hire;
+use wire::cloud::ProvisionRequest;
 use wire::peers::{AllowedMachineType, TaskRequirements};
 
 /// Most machines of one request (a figure of the protocol).
-const MOST_AT_ONCE: u32 = 50;
+const MAX_MACHINES_PER_REQUEST: u32 = 50;
 
 /// An offer is not taken at this many times the price of one whose answer is still to come.
-const MUCH_DEARER: f64 = 1.3;
+const MAX_PRICE_RATIO: f64 = 1.3;
 
 /// Machines on their way that have the same capacity left.
-pub(super) struct Coming {
+pub(super) struct IncomingMachines {
     pub(super) offer: Offer,
     pub(super) free: Resources,
     pub(super) n: u32,
 }
 
 /// Takes capacity for up to `left` tasks out of what is on its way; says how many remain.
-fn take_coming(
-    coming: &mut Vec<Coming>,
+fn use_incoming(
+    incoming: &mut Vec<IncomingMachines>,
     allowed: impl Fn(&Offer) -> bool,
     resources: Resources,
     mut left: u32,
 ) -> u32 {
     let mut changed = Vec::new();
-    for c in coming.iter_mut().filter(|c| allowed(&c.offer)) {
+    for c in incoming.iter_mut().filter(|c| allowed(&c.offer)) {
         let slots = c.free.count_fitting(resources);
         if left == 0 || slots == 0 {
             continue;
@@ -41,7 +41,7 @@
             if n > 0 {
                 let mut free = c.free;
                 free.sub(resources.scaled(tasks));
-                changed.push(Coming {
+                changed.push(IncomingMachines {
                     offer: c.offer.clone(),
                     free,
                     n,
@@ -51,22 +51,22 @@
             }
         }
     }
-    coming.retain(|c| c.n > 0);
-    coming.append(&mut changed);
+    incoming.retain(|c| c.n > 0);
+    incoming.append(&mut changed);
     left
 }
 
 impl Leader {
-    fn coming(&self) -> Vec<Coming> {
+    fn incoming(&self) -> Vec<IncomingMachines> {
         let mut sums: BTreeMap<Offer, u32> = BTreeMap::new();
         let booting = self
-            .fleet
+            .autoscaler
             .booting
             .values()
             .map(|b| (&b.kind, &b.zone, b.spot, 1));
-        let asked = self
-            .fleet
-            .asked
+        let requested = self
+            .autoscaler
+            .requested
             .values()
             .map(|h| (&h.kind, &h.zone, h.spot, h.count));
         let fresh = self
@@ -74,12 +74,12 @@
             .values()
             .filter(|m| m.rostered != Rostered::Yes && m.lapsed_at.is_none() && !m.drain)
             .map(|m| (&m.kind, &m.zone, m.spot, 1));
-        for (kind, zone, spot, n) in booting.chain(asked).chain(fresh) {
+        for (kind, zone, spot, n) in booting.chain(requested).chain(fresh) {
             *sums.entry((kind.clone(), zone.clone(), spot)).or_default() += n;
         }
         sums.into_iter()
             .filter_map(|(offer, n)| {
-                Some(Coming {
+                Some(IncomingMachines {
                     free: self.capacity(&offer.0)?,
                     offer,
                     n,
@@ -88,16 +88,16 @@
             .collect()
     }
 
-    pub(super) fn rent(&mut self, scarce: &BTreeSet<(String, bool)>, now: Secs) {
-        let mut coming = self.coming();
+    pub(super) fn scale_out(&mut self, scarce: &BTreeSet<(String, bool)>, now: Secs) {
+        let mut incoming = self.incoming();
         // Running tasks free their capacity again and again while a machine boots.
         let turnover = self.turnover();
         let mut expected_free = 0.0;
         let gang_waits = self.waits_for_scarce(scarce);
-        let mut busy: Option<Busy> = None;
-        let mut wanted: BTreeMap<Offer, u32> = BTreeMap::new();
-        self.fleet.kept.clear();
-        for (id, n) in self.fleet.unmet.clone() {
+        let mut busy_machines: Option<BusyMachines> = None;
+        let mut planned: BTreeMap<Offer, u32> = BTreeMap::new();
+        self.autoscaler.retained.clear();
+        for (id, n) in self.autoscaler.unmet.clone() {
             let Some(job) = self.jobs.get(&id) else {
                 continue;
             };
@@ -107,18 +107,18 @@
                 continue;
             }
             if job.is_gang() {
-                let mut slots = busy
+                let mut slots = busy_machines
                     .take()
                     .unwrap_or_else(|| self.busy_until(&requirements, now));
                 if !self.can_wait(&id, &requirements, &mut slots, now) {
-                    self.rent_for_gang(&id, &requirements, &mut coming, &mut wanted, now);
+                    self.scale_out_for_gang(&id, &requirements, &mut incoming, &mut planned, now);
                 }
-                busy = Some(slots);
+                busy_machines = Some(slots);
                 continue;
             }
             let all = self.requirements(job, None);
-            let mut left = take_coming(
-                &mut coming,
+            let mut left = use_incoming(
+                &mut incoming,
                 |o| allows(&all, &requirements.zone, o),
                 resources,
                 n,
@@ -129,7 +129,7 @@
                     requirements.zone.as_deref(),
                     resources,
                     left,
-                    &wanted,
+                    &planned,
                     now,
                 );
                 if found.is_none() && !gang_waits && self.all_exhausted(&requirements) {
@@ -139,20 +139,17 @@
                         requirements.zone.as_deref(),
                         resources,
                         left,
-                        &wanted,
+                        &planned,
                         now,
                     );
                 }
                 let Some((offer, capacity)) = found else {
                     break;
                 };
-                let boot = self
-                    .types
-                    .get(&offer.0)
-                    .map_or(LEAST_CHARGE_S, |t| t.boot_s);
+                let boot = self.types.get(&offer.0).map_or(MIN_CHARGE_S, |t| t.boot_s);
                 // New jobs take a part of what becomes free meanwhile.
                 let net =
-                    (turnover - self.fleet.arrival_rate(now, boot.max(LEAST_CHARGE_S))).max(0.0);
+                    (turnover - self.autoscaler.arrival_rate(now, boot.max(MIN_CHARGE_S))).max(0.0);
                 let served = ((net * boot - expected_free) / resources.cpus.max(0.01))
                     .floor()
                     .clamp(0.0, f64::from(left));
@@ -161,66 +158,73 @@
                 if left == 0 || capacity.count_fitting(resources) == 0 {
                     break;
                 }
-                left = self.want(offer, capacity, resources, left, &mut coming, &mut wanted);
+                left = self.plan(
+                    offer,
+                    capacity,
+                    resources,
+                    left,
+                    &mut incoming,
+                    &mut planned,
+                );
             }
         }
-        for ((kind, zone, spot), mut count) in wanted {
+        for ((kind, zone, spot), mut count) in planned {
             while count > 0 {
-                self.fleet.counter += 1;
-                let name = format!("lr-{}-{}", self.token(), self.fleet.counter);
-                let hire = Hire {
+                self.autoscaler.counter += 1;
+                let name = format!("lr-{}-{}", self.token(), self.autoscaler.counter);
+                let request = ProvisionRequest {
                     name: name.clone(),
                     kind: kind.clone(),
                     zone: zone.clone(),
                     spot,
-                    count: count.min(MOST_AT_ONCE),
+                    count: count.min(MAX_MACHINES_PER_REQUEST),
                 };
-                count -= hire.count;
+                count -= request.count;
                 log::info!(
-                    "event=hire name={name} kind={} zone={} spot={} count={}",
-                    hire.kind,
-                    hire.zone,
-                    hire.spot,
-                    hire.count
+                    "event=provision name={name} kind={} zone={} spot={} count={}",
+                    request.kind,
+                    request.zone,
+                    request.spot,
+                    request.count
                 );
-                self.fleet.asked.insert(name, hire.clone());
-                self.actions.push(Action::Hire(hire));
+                self.autoscaler.requested.insert(name, request.clone());
+                self.actions.push(Action::Provision(request));
             }
         }
     }
 
-    /// Has machines of an offer rented for `left` tasks, as many as may be asked for at present; says
+    /// Has machines of an offer provisioned for `left` tasks, as many as may be asked for at present; says
     /// how many tasks remain. At least one task must fit.
-    fn want(
+    fn plan(
         &self,
         offer: Offer,
         capacity: Resources,
         resources: Resources,
         left: u32,
-        coming: &mut Vec<Coming>,
-        wanted: &mut BTreeMap<Offer, u32>,
+        incoming: &mut Vec<IncomingMachines>,
+        planned: &mut BTreeMap<Offer, u32>,
     ) -> u32 {
         let n = (left / capacity.count_fitting(resources))
-            .clamp(1, self.most_wanted(&offer, wanted).max(1));
-        coming.push(Coming {
+            .clamp(1, self.request_limit(&offer, planned).max(1));
+        incoming.push(IncomingMachines {
             offer: offer.clone(),
             free: capacity,
             n,
         });
-        *wanted.entry(offer.clone()).or_default() += n;
-        take_coming(coming, |o| *o == offer, resources, left)
+        *planned.entry(offer.clone()).or_default() += n;
+        use_incoming(incoming, |o| *o == offer, resources, left)
     }
 
     /// Whether any offer on which these tasks may run was not refused lately.
     fn any_offer(&self, requirements: &TaskRequirements, now: Secs) -> bool {
         self.offers(requirements)
-            .any(|o| self.fleet.available(&o, now))
+            .any(|o| self.autoscaler.available(&o, now))
     }
 
     /// Whether the cloud refused every offer on which these tasks may run when it was last asked for.
     fn all_exhausted(&self, requirements: &TaskRequirements) -> bool {
         self.offers(requirements)
-            .all(|o| self.fleet.is_exhausted(&o))
+            .all(|o| self.autoscaler.is_exhausted(&o))
     }
 
     /// The offers on which these tasks may run.
@@ -237,32 +241,32 @@
 
     /// How many more machines of an offer may be asked for at present: what is refused shows
     /// only in the answers, and requests are few.
-    fn most_wanted(&self, offer: &Offer, wanted: &BTreeMap<Offer, u32>) -> u32 {
-        let asked = self
-            .fleet
-            .asked
+    fn request_limit(&self, offer: &Offer, planned: &BTreeMap<Offer, u32>) -> u32 {
+        let requested = self
+            .autoscaler
+            .requested
             .values()
             .filter(|h| (&h.kind, &h.zone, h.spot) == (&offer.0, &offer.1, offer.2));
         let sum: u32 =
-            asked.map(|h| h.count).sum::<u32>() + wanted.get(offer).copied().unwrap_or(0);
+            requested.map(|h| h.count).sum::<u32>() + planned.get(offer).copied().unwrap_or(0);
         // One machine shows whether there are some again.
-        let most = if self.fleet.is_exhausted(offer) {
+        let most = if self.autoscaler.is_exhausted(offer) {
             1
         } else {
-            MOST_AT_ONCE * 2
+            MAX_MACHINES_PER_REQUEST * 2
         };
         most.saturating_sub(sum)
     }
 
-    /// Rents what a whole gang lacks. If its job wants one zone, that is the one which lacks
+    /// Provisions what a whole gang lacks. If its job wants one zone, that is the one which lacks
     /// least of those that are said to have machines, and it is kept to: half a gang's machines
     /// in each of two zones serve nobody. What is there for it already is not returned.
-    fn rent_for_gang(
+    fn scale_out_for_gang(
         &mut self,
         id: &str,
         requirements: &TaskRequirements,
-        coming: &mut Vec<Coming>,
-        wanted: &mut BTreeMap<Offer, u32>,
+        incoming: &mut Vec<IncomingMachines>,
+        planned: &mut BTreeMap<Offer, u32>,
         now: Secs,
     ) {
         let Some(job) = self.jobs.get(id) else { return };
@@ -274,7 +278,7 @@
             .flat_map(|t| t.zones.iter().cloned().map(Some))
             .collect();
         if requirements.zone.is_some() || !job.spec.one_zone && !spread {
-            self.rent_in_zone(requirements, resources, n, coming, wanted, now);
+            self.scale_out_in_zone(requirements, resources, n, incoming, planned, now);
             return;
         }
         let within = |zone: &Option<String>| TaskRequirements {
@@ -283,7 +287,7 @@
         };
         let has = |l: &Leader, zone: &Option<String>| {
             let here: u32 = l.index.fits(&within(zone)).iter().map(|f| f.slots).sum();
-            let on_way: u32 = coming
+            let on_way: u32 = incoming
                 .iter()
                 .filter(|c| allows(requirements, zone, &c.offer))
                 .map(|c| c.free.count_fitting(resources) * c.n)
@@ -303,7 +307,7 @@
             for (_, _, zone) in order {
                 let take = left.min(half);
                 left -= take;
-                self.rent_in_zone(&within(&zone), resources, take, coming, wanted, now);
+                self.scale_out_in_zone(&within(&zone), resources, take, incoming, planned, now);
             }
             return;
         }
@@ -312,7 +316,7 @@
         let good = |z: &&Option<String>| {
             every.contains(*z) && (long || lacks(self, z) == 0 || offers(self, z))
         };
-        let stays = self.fleet.gang_zones.get(id).filter(good).cloned();
+        let stays = self.autoscaler.gang_zones.get(id).filter(good).cloned();
         let best = || {
             every
                 .iter()
@@ -322,18 +326,18 @@
         let Some(zone) = stays.or_else(best) else {
             return;
         };
-        self.fleet.gang_zones.insert(id.into(), zone.clone());
-        self.rent_in_zone(&within(&zone), resources, n, coming, wanted, now);
+        self.autoscaler.gang_zones.insert(id.into(), zone.clone());
+        self.scale_out_in_zone(&within(&zone), resources, n, incoming, planned, now);
     }
 
-    /// Keeps what is free for `n` tasks, and rents what they lack beside what is on its way.
-    fn rent_in_zone(
+    /// Keeps what is free for `n` tasks, and provisions what they lack beside what is on its way.
+    fn scale_out_in_zone(
         &mut self,
         requirements: &TaskRequirements,
         resources: Resources,
         n: u32,
-        coming: &mut Vec<Coming>,
-        wanted: &mut BTreeMap<Offer, u32>,
+        incoming: &mut Vec<IncomingMachines>,
+        planned: &mut BTreeMap<Offer, u32>,
         now: Secs,
     ) {
         let mut left = n;
@@ -342,10 +346,10 @@
                 break;
             }
             left -= f.slots.min(left);
-            self.fleet.kept.insert(f.name.to_string());
+            self.autoscaler.retained.insert(f.name.to_string());
         }
-        left = take_coming(
-            coming,
+        left = use_incoming(
+            incoming,
             |o| allows(requirements, &requirements.zone, o),
             resources,
             left,
@@ -356,7 +360,7 @@
                 requirements.zone.as_deref(),
                 resources,
                 left,
-                wanted,
+                planned,
                 now,
             ) else {
                 break;
@@ -364,7 +368,7 @@
             if capacity.count_fitting(resources) == 0 {
                 break;
             }
-            left = self.want(offer, capacity, resources, left, coming, wanted);
+            left = self.plan(offer, capacity, resources, left, incoming, planned);
         }
     }
 
@@ -377,7 +381,7 @@
         zone: Option<&str>,
         resources: Resources,
         n: u32,
-        wanted: &BTreeMap<Offer, u32>,
+        planned: &BTreeMap<Offer, u32>,
         now: Secs,
     ) -> Option<(Offer, Resources)> {
         let mut best: Option<(f64, Offer, Resources)> = None;
@@ -393,7 +397,7 @@
             }
             // Boot time is paid as well; a peak pays for little more than the least charge.
             let hourly = if *spot { t.spot_price } else { t.price };
-            let price = hourly * (t.boot_s + LEAST_CHARGE_S) / f64::from(slots);
+            let price = hourly * (t.boot_s + MIN_CHARGE_S) / f64::from(slots);
             for z in t
                 .zones
                 .iter()
@@ -402,20 +406,20 @@
                 let offer = (kind.clone(), z.clone(), *spot);
                 // A little noise spreads machines over zones of the same price.
                 let price = price * (1.0 + 0.01 * self.rng.f64());
-                let is_probed =
-                    self.fleet.is_exhausted(&offer) && self.most_wanted(&offer, wanted) == 0;
-                if !self.fleet.available(&offer, now) || is_probed {
+                let is_probed = self.autoscaler.is_exhausted(&offer)
+                    && self.request_limit(&offer, planned) == 0;
+                if !self.autoscaler.available(&offer, now) || is_probed {
                     continue;
                 }
                 least = least.min(price);
-                if self.most_wanted(&offer, wanted) > 0
+                if self.request_limit(&offer, planned) > 0
                     && best.as_ref().is_none_or(|(p, _, _)| price < *p)
                 {
                     best = Some((price, offer, capacity));
                 }
             }
         }
-        best.filter(|(price, _, _)| *price <= least * MUCH_DEARER)
+        best.filter(|(price, _, _)| *price <= least * MAX_PRICE_RATIO)
             .map(|(_, offer, capacity)| (offer, capacity))
     }
 }
--- a/crates/sched/src/autoscaler/wait_estimates.rs
+++ b/crates/sched/src/autoscaler/wait_estimates.rs
@@ -1,4 +1,4 @@
-//! Whether work may wait for a machine in use rather than have one rented, and how long tasks run.
+//! Whether work may wait for a machine in use rather than have one provisioned, and how long tasks run.
 
 use crate::leader::{Job, Leader};
 use crate::placement::tier;
@@ -8,10 +8,10 @@
 use wire::users::Shape;
 
 /// What a slow boot takes of the nominal time, with the start of the gang's tasks.
-pub(super) const SLOW_BOOT: f64 = 1.25;
+pub(super) const SLOW_BOOT_FACTOR: f64 = 1.25;
 
 /// When machines in use are expected to be empty, the earliest first.
-pub(super) type Busy = Vec<(Secs, String)>;
+pub(super) type BusyMachines = Vec<(Secs, String)>;
 
 impl Leader {
     /// Whether a gang has waited so long that machines are cordoned for it.
@@ -25,12 +25,12 @@
             .get(&job.spec.class)
             .copied()
             .unwrap_or(self.setup.guarantee_s * 4.0);
-        now - job.seen > within * self.setup.patience
+        now - job.seen > within * self.setup.max_wait_share
     }
 
     /// When machines on which these tasks may run are expected to be empty, the earliest first.
-    pub(super) fn busy_until(&self, requirements: &TaskRequirements, now: Secs) -> Busy {
-        let mut out: Busy = self
+    pub(super) fn busy_until(&self, requirements: &TaskRequirements, now: Secs) -> BusyMachines {
+        let mut out: BusyMachines = self
             .machines
             .iter()
             .filter(|(_, m)| m.open() && tier(requirements, &m.kind, &m.zone, m.spot).is_some())
@@ -66,7 +66,7 @@
         &self,
         id: &str,
         requirements: &TaskRequirements,
-        busy: &mut Busy,
+        busy_machines: &mut BusyMachines,
         now: Secs,
     ) -> bool {
         let Some(job) = self.jobs.get(id) else {
@@ -75,17 +75,18 @@
         let Some(within) = self.setup.wait_s.get(&job.spec.class) else {
             return false;
         };
-        // What is rented at once must still be up in time, slow boots included.
+        // What is provisioned at once must still be up in time, slow boots included.
         let boot = requirements
             .kinds
             .iter()
             .filter_map(|a| self.types.get(&a.kind))
             .map(|t| t.boot_s)
             .fold(f64::MAX, f64::min);
-        let latest = job.seen + (within * self.setup.patience).min(within - boot * SLOW_BOOT);
+        let latest =
+            job.seen + (within * self.setup.max_wait_share).min(within - boot * SLOW_BOOT_FACTOR);
         let mut slots: BTreeMap<&str, (u32, Vec<usize>)> = BTreeMap::new();
         let mut found = None;
-        for (at, (until, name)) in busy.iter().enumerate() {
+        for (at, (until, name)) in busy_machines.iter().enumerate() {
             let Some(m) = self
                 .machines
                 .get(name)
@@ -110,8 +111,8 @@
         }
         let Some(chosen) = found else { return false };
         let run = self.run_s(job);
-        chosen.into_iter().for_each(|at| busy[at].0 += run);
-        busy.sort_by(|a, b| a.0.total_cmp(&b.0));
+        chosen.into_iter().for_each(|at| busy_machines[at].0 += run);
+        busy_machines.sort_by(|a, b| a.0.total_cmp(&b.0));
         true
     }
 
--- a/crates/sched/src/config.rs
+++ b/crates/sched/src/config.rs
@@ -27,11 +27,11 @@
     pub guarantee_s: f64,
     /// By class: within what time its gangs should start.
     pub wait_s: BTreeMap<String, f64>,
-    /// Part of that time that a gang may wait for a machine in use rather than have one rented.
-    pub patience: f64,
+    /// Part of that time that a gang may wait for a machine in use rather than have one provisioned.
+    pub max_wait_share: f64,
     /// How long an idle machine is kept, as a multiple of its boot time (at least the cloud's
     /// minimum charge).
-    pub keep_boots: f64,
+    pub idle_retention_boots: f64,
 }
 
 impl Setup {
--- a/crates/sched/src/leader/job.rs
+++ b/crates/sched/src/leader/job.rs
@@ -85,7 +85,7 @@
     pub clears: Vec<(String, TaskRef)>,
     pub within: bool,
     /// Tasks of others were told to stop so that this whole gang has capacity. Until then that capacity is
-    /// cordoned for it and nothing is rented.
+    /// cordoned for it and nothing is provisioned.
     pub reclaims_until: Secs,
 }
 
--- a/crates/sched/src/leader/jobs.rs
+++ b/crates/sched/src/leader/jobs.rs
@@ -55,7 +55,7 @@
             reclaims_until: 0.0,
             spec: j.spec,
         };
-        self.fleet.arrived(&job.spec, self.time);
+        self.autoscaler.arrived(&job.spec, self.time);
         self.by_age.insert((job.revision, job.spec.id.clone()));
         self.jobs.insert(job.spec.id.clone(), job);
         self.wake = true;
@@ -126,7 +126,7 @@
     pub(crate) fn forget_if_gone(&mut self, id: &str) {
         if let Some(j) = self.jobs.get(id).filter(|j| j.over && j.active.is_empty()) {
             self.by_age.remove(&(j.revision, id.to_string()));
-            self.fleet.forget_job(id);
+            self.autoscaler.forget_job(id);
             self.jobs.remove(id);
         }
     }
--- a/crates/sched/src/leader/mod.rs
+++ b/crates/sched/src/leader/mod.rs
@@ -24,7 +24,7 @@
 use crate::placement::Resources;
 use crate::Secs;
 use std::collections::{BTreeMap, BTreeSet};
-use wire::cloud::{Hire, MachineType};
+use wire::cloud::{MachineType, ProvisionRequest};
 use wire::peers::ToOwner;
 use wire::store::{BegunRecord, RosterRecord};
 
@@ -50,8 +50,8 @@
         attempt: u64,
         places: Vec<(String, u32, u32)>,
     },
-    Hire(Hire),
-    Release(Vec<String>),
+    Provision(ProvisionRequest),
+    Deprovision(Vec<String>),
 }
 
 pub(crate) struct OwnerLink {
@@ -113,7 +113,7 @@
     pub(crate) epoch_at: Secs,
     /// When a machine of unknown content was last reconciled.
     pub(crate) known_at: Secs,
-    pub(crate) fleet: crate::autoscaler::Fleet,
+    pub(crate) autoscaler: crate::autoscaler::Autoscaler,
     pub(crate) actions: Vec<Action>,
     pub(crate) wake: bool,
     pub(crate) flushed: Secs,
@@ -181,7 +181,7 @@
             lately_over: BTreeMap::new(),
             epoch_at: now,
             known_at: now,
-            fleet: crate::autoscaler::Fleet::default(),
+            autoscaler: crate::autoscaler::Autoscaler::default(),
             actions: Vec::new(),
             wake: false,
             flushed: now,
@@ -250,7 +250,7 @@
             self.schedule(now);
             self.preempt(now);
         }
-        self.run_fleet(now);
+        self.autoscale(now);
         // What is not recorded yet is still in the workers' reports, should this leader be lost.
         if now - self.flushed > self.setup.lease_s / 12.0 {
             self.flushed = now;
--- a/crates/sched/src/leader/summary.rs
+++ b/crates/sched/src/leader/summary.rs
@@ -45,7 +45,7 @@
             queued: self.jobs.values().map(|j| j.ready.len() as usize).sum(),
             running: self.jobs.values().map(|j| j.active.len()).sum(),
             machines: self.machines.len(),
-            booting: self.fleet.booting.len(),
+            booting: self.autoscaler.booting.len(),
             unreconciled: self.machines.values().filter(|m| !m.reconciled).count(),
             cpus: [false, true].map(|spot| {
                 self.machines
--- a/crates/sched/src/machine_status.rs
+++ b/crates/sched/src/machine_status.rs
@@ -50,7 +50,7 @@
             return;
         }
         if !self.machines.contains_key(&v.name) {
-            if self.fleet.is_released(&v.name) {
+            if self.autoscaler.is_released(&v.name) {
                 self.on_status_of_released(from, &v);
                 return;
             }
@@ -68,7 +68,7 @@
             let mut m = self.new_machine(&v.kind, &v.zone, v.spot, now);
             m.owner = from.to_string();
             self.machines.insert(v.name.clone(), m);
-            self.fleet.booted(&v.name, now);
+            self.autoscaler.booted(&v.name, now);
         }
         let token = self.token;
         let Some(m) = self.machines.get_mut(&v.name) else {
--- a/crates/sched/src/preempt.rs
+++ b/crates/sched/src/preempt.rs
@@ -13,7 +13,7 @@
 use wire::users::Priority;
 
 /// Part of the time allowed for a guaranteed start that is left to capacity freed by itself.
-const PATIENCE: f64 = 0.2;
+const GRACE_SHARE: f64 = 0.2;
 
 /// A job that missed its time waits for capacity to become free, which is soon as a rule and loses
 /// no work; after this many times the time allowed it may take capacity back again.
@@ -68,14 +68,14 @@
     /// Stops what the protocol allows for entries that the pass could not place. The look at
     /// all tasks is made only when there is somebody who may have others stopped.
     pub(crate) fn preempt(&mut self, now: Secs) {
-        if now - self.preempted_at < self.setup.guarantee_s * PATIENCE / 2.0 {
+        if now - self.preempted_at < self.setup.guarantee_s * GRACE_SHARE / 2.0 {
             return;
         }
         let due = |(id, n): &(String, u32)| {
             self.may_reclaim(self.jobs.get(id)?, now)
                 .then(|| (id.clone(), *n))
         };
-        let due: Vec<(String, u32)> = self.fleet.unmet.iter().filter_map(due).collect();
+        let due: Vec<(String, u32)> = self.autoscaler.unmet.iter().filter_map(due).collect();
         let mut used = self.used_after_stops();
         let over = |(team, used): (&String, &Resources)| {
             self.setup
@@ -136,9 +136,9 @@
     /// Whether others may be stopped for a job that found no capacity.
     fn may_reclaim(&self, job: &Job, now: Secs) -> bool {
         let waited = now - job.seen;
-        let mut window = self.setup.guarantee_s * PATIENCE..=self.setup.guarantee_s;
+        let mut window = self.setup.guarantee_s * GRACE_SHARE..=self.setup.guarantee_s;
         if job.is_multi_task_gang() {
-            // Many machines at once seldom become free by themselves, and would be rented meanwhile. It
+            // Many machines at once seldom become free by themselves, and would be provisioned meanwhile. It
             // is worth trying for as long as its class's objective can still be met.
             let objective = self
                 .setup
--- a/crates/sched/src/queue/arrays.rs
+++ b/crates/sched/src/queue/arrays.rs
@@ -127,7 +127,7 @@
         }
     }
 
-    /// What found no capacity counts as demand. For what fails wherever it is tried nothing is rented at
+    /// What found no capacity counts as demand. For what fails wherever it is tried nothing is provisioned at
     /// once, but should it be the machines' fault after all, it must not wait for ever.
     pub(super) fn note_unmet(&mut self, id: &str, tasks: u32, now: Secs) {
         if self
@@ -135,7 +135,7 @@
             .get(id)
             .is_some_and(|j| !j.is_broken() || now - j.backoff_until > LONGEST_BACKOFF_S)
         {
-            self.fleet.unmet.push((id.into(), tasks));
+            self.autoscaler.unmet.push((id.into(), tasks));
         }
     }
 
--- a/crates/sched/src/queue/gangs.rs
+++ b/crates/sched/src/queue/gangs.rs
@@ -30,7 +30,7 @@
         }
         let n = job.spec.tasks;
         if job.spec.one_zone && job.spec.spread && n.div_ceil(2) < n {
-            // No zone may hold all of it: it stays known until it is cancelled, and rents nothing.
+            // No zone may hold all of it: it stays known until it is cancelled, and provisions nothing.
             return;
         }
         let zones: Vec<Option<String>> = match (&requirements.zone, job.spec.one_zone) {
--- a/crates/sched/src/queue/mod.rs
+++ b/crates/sched/src/queue/mod.rs
@@ -53,7 +53,7 @@
         order.sort_unstable();
         // Machines kept for gangs take array tasks, last of all, while no such gang waits for capacity.
         let gang_waits = self.waits_for_scarce(&scarce);
-        self.fleet.unmet.clear();
+        self.autoscaler.unmet.clear();
         for (_, _, _, id) in order {
             let Some(job) = self.jobs.get(&id) else {
                 continue;
@@ -101,7 +101,7 @@
             whole && (now < job.reclaims_until || self.waits_long(&job.spec.id, now))
         };
         let unmet = self
-            .fleet
+            .autoscaler
             .unmet
             .iter()
             .filter_map(|(id, _)| Some((self.jobs.get(id)?, id)));
@@ -112,7 +112,7 @@
         let zone = requirements
             .zone
             .clone()
-            .or_else(|| self.fleet.gang_zone(id).cloned());
+            .or_else(|| self.autoscaler.gang_zone(id).cloned());
         Some((
             id.clone(),
             TaskRequirements {
--- a/crates/sched/src/queue/requirements.rs
+++ b/crates/sched/src/queue/requirements.rs
@@ -9,7 +9,7 @@
     /// Machine types that are the only ones on which some class's tasks fit: kept for those.
     pub(crate) fn scarce(&self) -> BTreeSet<(String, bool)> {
         let mut out = BTreeSet::new();
-        for shape in self.fleet.shapes.values() {
+        for shape in self.autoscaler.class_profiles.values() {
             let kinds: BTreeSet<&str> = self
                 .types
                 .values()
@@ -67,7 +67,7 @@
 
     /// Whether a gang that fits no other machine types waits for these.
     pub(crate) fn waits_for_scarce(&self, scarce: &BTreeSet<(String, bool)>) -> bool {
-        let unmet = self.fleet.unmet.iter();
+        let unmet = self.autoscaler.unmet.iter();
         let mut gangs = unmet.filter_map(|(id, _)| self.jobs.get(id).filter(|j| j.is_gang()));
         gangs.any(|job| self.requirements(job, Some(scarce)).kinds.is_empty())
     }
--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -34,7 +34,7 @@
 
 /// Asks for machines; `name` is never used for a second purpose.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Hire {
+pub struct ProvisionRequest {
     #[serde(rename = "hire")]
     pub name: String,
     #[serde(rename = "chassis")]
@@ -46,7 +46,7 @@
     pub count: u32,
 }
 
-/// Machine names: the answer to a hire, and the body of a release.
+/// Machine names: the answer to a provision request, and the body of a release.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Names {
     #[serde(rename = "rungs")]
--- a/crates/wire/tests/encodings/cloud.rs
+++ b/crates/wire/tests/encodings/cloud.rs
@@ -1,7 +1,9 @@
 //! Samples of the cloud's interface.
 
 use crate::sample::{body, fields, Sample};
-use wire::cloud::{Catalog, Hire, Listed, ListedMachine, MachineList, MachineType, Names};
+use wire::cloud::{
+    Catalog, Listed, ListedMachine, MachineList, MachineType, Names, ProvisionRequest,
+};
 
 /// A machine type in which no two fields are the same.
 pub fn machine_type() -> MachineType {
@@ -34,7 +36,7 @@
     let names = Names {
         machines: vec!["host-000001".into(), "host-000002".into()],
     };
-    let hire = Hire {
+    let hire = ProvisionRequest {
         name: "rung-1-41-7".into(),
         kind: "g8".into(),
         zone: "a".into(),
