--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -67,7 +67,7 @@
         body: &[u8],
         limit: Duration,
     ) -> Result<Answer, Failed> {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let kept = self.take();
         let fresh = kept.is_none();
         let stream = match kept {
@@ -81,7 +81,7 @@
                 None => return Err(Failed::NotSent("connecting took too long".into())),
             },
         };
-        let left = limit.saturating_sub(began.elapsed());
+        let left = limit.saturating_sub(started_at.elapsed());
         match within(left, self.exchange(stream, method, path, body)).await {
             Some(Ok(a)) => Ok(a),
             Some(Err(e)) => {
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -135,7 +135,7 @@
 
 /// Serves connections until the listener fails for good.
 pub async fn serve<H, F>(
-    ex: Rc<smol::LocalExecutor<'static>>,
+    executor: Rc<smol::LocalExecutor<'static>>,
     listener: TcpListener,
     limits: Limits,
     handler: Rc<H>,
@@ -163,19 +163,20 @@
             continue;
         };
         let (server, handler) = (server.clone(), handler.clone());
-        ex.spawn(async move {
-            let mut c = Connection {
-                server: &server,
-                stream,
-                id,
-                buf: Vec::new(),
-                taken: 0,
-            };
-            let _ = c.run(&*handler).await;
-            server.pool.give_back(c.taken);
-            server.pool.leave(id);
-        })
-        .detach();
+        executor
+            .spawn(async move {
+                let mut c = Connection {
+                    server: &server,
+                    stream,
+                    id,
+                    buf: Vec::new(),
+                    taken: 0,
+                };
+                let _ = c.run(&*handler).await;
+                server.pool.give_back(c.taken);
+                server.pool.leave(id);
+            })
+            .detach();
     }
 }
 
--- a/crates/http/tests/limits.rs
+++ b/crates/http/tests/limits.rs
@@ -21,10 +21,10 @@
     bytes: usize,
     test: impl FnOnce(SocketAddr, Rc<Cell<u32>>) -> F,
 ) {
-    let ex = Rc::new(smol::LocalExecutor::new());
+    let executor = Rc::new(smol::LocalExecutor::new());
     let served = Rc::new(Cell::new(0));
     let count = served.clone();
-    smol::block_on(ex.run(async {
+    smol::block_on(executor.run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let addr = listener.local_addr().unwrap();
         let limits = Limits {
@@ -44,7 +44,7 @@
                 })
             }
         });
-        let server = ex.spawn(serve(ex.clone(), listener, limits, handler));
+        let server = executor.spawn(serve(executor.clone(), listener, limits, handler));
         test(addr, served).await;
         drop(server);
     }));
--- a/crates/ladderroute/src/api.rs
+++ b/crates/ladderroute/src/api.rs
@@ -2,14 +2,14 @@
 
 use crate::counters::Counters;
 use crate::node::{Node, ReplicaJobs, State};
-use crate::submission::{cancel, later, query, refuse, submit};
+use crate::submission::{cancel, query, refuse, retry_later, submit};
 use http::pool::Rank;
 use http::server::{Limits, OnWritten, Request, Response};
-use sched::owner::Answer;
+use sched::owner::HeartbeatResponse;
 use std::rc::Rc;
 use std::time::Duration;
 use wire::cbor;
-use wire::workers::{Orders, Report, ReportTo};
+use wire::workers::{Heartbeat, Orders, Redirect};
 
 /// Part of the sockets left for connections from outside that is not used: a socket that was
 /// closed is counted a little longer.
@@ -20,8 +20,8 @@
 const CONNECTION_KB: f64 = 8.0;
 /// Part of the memory that open connections may take.
 const CONNECTIONS_SHARE: f64 = 0.4;
-/// Report intervals after which a silent worker's connection is given up.
-const REPORTS_IDLE: f64 = 3.0;
+/// Heartbeat intervals after which a silent worker's connection is given up.
+const IDLE_HEARTBEATS: f64 = 3.0;
 
 /// Sockets that this controller uses itself: its listeners, the other controllers, the store (as
 /// many requests as may be under way within their time limit, about) and the cloud.
@@ -30,7 +30,7 @@
 }
 
 /// Limits of the port, from what the settings allow.
-fn limits(q: &crate::settings::Quota, others: usize, store_rps: f64, report_s: f64) -> Limits {
+fn limits(q: &crate::settings::Quota, others: usize, store_rps: f64, heartbeat_s: f64) -> Limits {
     let sockets = q.max_sockets.saturating_sub(own_sockets(others, store_rps));
     let by_memory = (q.memory_mb * 1024.0 * CONNECTIONS_SHARE / CONNECTION_KB) as usize;
     Limits {
@@ -40,7 +40,9 @@
         body: wire::BODY_LIMIT,
         bytes: ((q.memory_mb * 1024.0 * 1024.0 * BYTES_SHARE) as usize).max(2 * wire::BODY_LIMIT),
         request: Duration::from_secs_f64(wire::ANSWER_DROPPED_S),
-        idle: Duration::from_secs_f64((report_s * REPORTS_IDLE).max(wire::ANSWER_DROPPED_S * 4.0)),
+        idle: Duration::from_secs_f64(
+            (heartbeat_s * IDLE_HEARTBEATS).max(wire::ANSWER_DROPPED_S * 4.0),
+        ),
     }
 }
 
@@ -50,14 +52,14 @@
         &p.quota,
         node.settings.known.len(),
         p.state.rps,
-        node.setup.report_s,
+        node.config.heartbeat_s,
     );
-    let ex = node.ex.clone();
+    let executor = node.executor.clone();
     let handler = Rc::new(move |request: Request| {
         let node = node.clone();
         async move { handle(&node, request).await }
     });
-    http::server::serve(ex, listener, limits, handler).await;
+    http::server::serve(executor, listener, limits, handler).await;
 }
 
 async fn handle(node: &Rc<Node>, request: Request) -> Response {
@@ -66,7 +68,7 @@
         |wanted: &str| (request.method != wanted).then(|| refuse(405, format!("use {wanted}")));
     match path {
         "/agent/beat" => only("POST")
-            .unwrap_or_else(|| report(node, &request.body))
+            .unwrap_or_else(|| heartbeat(node, &request.body))
             .of(Rank::Worker),
         "/ready" => only("GET").unwrap_or_else(|| ready(node)).of(Rank::Probe),
         "/v2/runs" => match only("POST") {
@@ -92,7 +94,7 @@
 
 /// What `/ready` judges by, beside what is known here.
 #[derive(Clone, Copy, Debug)]
-struct Standing {
+struct Readiness {
     /// The store has failed for a while, as seen from here.
     failing: bool,
     /// This controller leads, with how many owners connected, out of how many others.
@@ -105,7 +107,7 @@
 /// would only lengthen the outage for users, since it takes nodes back slowly; it does not fail
 /// for all if another one leads, nor, as far as a leader can tell, if all its owners have left it:
 /// they stay through an outage of the store and leave for a new leader, or it is cut off.
-fn others_fare_better(s: Standing) -> bool {
+fn others_fare_better(s: Readiness) -> bool {
     s.failing
         && match s.leads {
             Some((owners, others)) => others > 0 && owners == 0,
@@ -118,14 +120,14 @@
 fn ready(node: &Node) -> Response {
     let now = node.now();
     let s = node.lock();
-    let standing = Standing {
+    let standing = Readiness {
         failing: s
             .shared
-            .store_bad_since
+            .store_failing_since
             .is_some_and(|t| t.elapsed().as_secs_f64() > wire::ANSWER_DROPPED_S / 4.0),
         leads: s
             .shared
-            .lead
+            .leadership
             .as_ref()
             .map(|l| (l.links.len(), node.settings.known.len())),
         authority: s.owner.has_authority(now),
@@ -134,16 +136,16 @@
         Response::new(200, Vec::new())
     } else {
         drop(s);
-        later(node, "not ready")
+        retry_later(node, "not ready")
     }
 }
 
-/// A worker's report. The authority is checked here, right before the answer is written.
-fn report(node: &Node, body: &[u8]) -> Response {
-    let report: Report = match cbor::decode(body) {
+/// A worker's heartbeat. The authority is checked here, right before the answer is written.
+fn heartbeat(node: &Node, body: &[u8]) -> Response {
+    let heartbeat: Heartbeat = match cbor::decode(body) {
         Ok(r) => r,
         Err(e) => {
-            log::error!("event=report_malformed error=\"{e}\"");
+            log::error!("event=heartbeat_malformed error=\"{e}\"");
             return refuse(400, e.to_string());
         }
     };
@@ -152,34 +154,34 @@
     let mut guard = node.lock();
     let state = &mut *guard;
     let jobs = ReplicaJobs(state.shared.view.replica());
-    let answer = state.owner.on_report(&report, now, &jobs);
+    let answer = state.owner.on_heartbeat(&heartbeat, now, &jobs);
     let margin_s = state.owner.authority.answers_until() - now;
     let basis = Basis::of(state, now);
-    log_report(&report, &answer, &basis);
-    node.pump(state);
+    log_heartbeat(&heartbeat, &answer, &basis);
+    node.exchange_messages(state);
     match answer {
-        Answer::Orders(orders) => {
+        HeartbeatResponse::Orders(orders) => {
             if !state.owner.has_authority(node.now()) {
                 return no_authority(node);
             }
-            log_orders(&report, &orders, &basis);
+            log_orders(&heartbeat, &orders, &basis);
             node.counters.margin(margin_s);
             let mut response = Response::new(200, cbor::encode(&orders));
             response.on_written = Some(OnWritten::new(move || checked.written()));
             response
         }
-        Answer::Elsewhere(member) => Response::new(
+        HeartbeatResponse::Redirect(member) => Response::new(
             421,
-            cbor::encode(&ReportTo {
+            cbor::encode(&Redirect {
                 member: Some(member),
             }),
         ),
-        Answer::NotNow => no_authority(node),
+        HeartbeatResponse::Unavailable => no_authority(node),
     }
 }
 
 fn no_authority(node: &Node) -> Response {
-    Counters::count(&node.counters.reports_refused);
+    Counters::count(&node.counters.heartbeats_refused);
     refuse(503, "no authority at present")
 }
 
@@ -211,30 +213,30 @@
     fn fmt(&self, out: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(
             out,
-            "token={} revision={} known_age_s={:.2} authority_s={:.2} margin_s={:.2}",
+            "token={} revision={} staleness_s={:.2} authority_s={:.2} margin_s={:.2}",
             self.token, self.revision, self.known_age_s, self.authority_s, self.margin_s
         )
     }
 }
 
-fn log_report(report: &Report, answer: &Answer, basis: &Basis) {
+fn log_heartbeat(heartbeat: &Heartbeat, answer: &HeartbeatResponse, basis: &Basis) {
     log::debug!(
-        "event=report machine={} session={} seq={} seen_token={} tasks={} {basis} answer={answer:?}",
-        report.machine,
-        report.session,
-        report.seq,
-        report.token,
-        report.tasks.len()
+        "event=heartbeat machine={} incarnation={} seq={} seen_token={} tasks={} {basis} answer={answer:?}",
+        heartbeat.machine,
+        heartbeat.incarnation,
+        heartbeat.seq,
+        heartbeat.token,
+        heartbeat.tasks.len()
     );
 }
 
-fn log_orders(report: &Report, orders: &Orders, basis: &Basis) {
+fn log_orders(heartbeat: &Heartbeat, orders: &Orders, basis: &Basis) {
     if !orders.orders.is_empty() {
         log::debug!(
-            "event=orders machine={} session={} seq={} {basis} orders={:?}",
-            report.machine,
-            report.session,
-            report.seq,
+            "event=orders machine={} incarnation={} seq={} {basis} orders={:?}",
+            heartbeat.machine,
+            heartbeat.incarnation,
+            heartbeat.seq,
             orders.orders
         );
     }
@@ -287,7 +289,7 @@
     #[test]
     fn a_leader_that_is_alone_leaves_the_balancer_but_not_in_an_outage_for_all() {
         let judge = |failing, leads, authority| {
-            others_fare_better(Standing {
+            others_fare_better(Readiness {
                 failing,
                 leads,
                 authority,
--- a/crates/ladderroute/src/cluster_view.rs
+++ b/crates/ladderroute/src/cluster_view.rs
@@ -165,7 +165,12 @@
     }
 
     /// Takes a job's record, as the store holds it at a version.
-    pub fn learn_job(&mut self, id: &str, record: JobRecord, version: u64) -> Vec<JobChange> {
+    pub fn apply_job_record(
+        &mut self,
+        id: &str,
+        record: JobRecord,
+        version: u64,
+    ) -> Vec<JobChange> {
         self.replica.put_job(id, record, version);
         self.update(id)
     }
--- a/crates/ladderroute/src/counters.rs
+++ b/crates/ladderroute/src/counters.rs
@@ -12,11 +12,11 @@
     pub reloads: Cell<u64>,
     /// Reads of changes that were dropped because a reload had begun since they were sent.
     pub reads_dropped: Cell<u64>,
-    /// Workers' reports that were not answered for lack of authority or of a fresh view.
-    pub reports_refused: Cell<u64>,
+    /// Workers' heartbeats that were not answered for lack of authority or of a fresh view.
+    pub heartbeats_refused: Cell<u64>,
     /// Users' requests that were told to come back because the view could not be refreshed.
     pub answers_refused: Cell<u64>,
-    /// The least time that authority had left when a report was answered, in seconds.
+    /// The least time that authority had left when a heartbeat was answered, in seconds.
     least_margin_s: Cell<Option<f64>>,
     /// The longest time between a check and the moment when the answer was written to its connection.
     longest_effect: Rc<Cell<Duration>>,
@@ -42,7 +42,7 @@
         counter.set(counter.get() + 1);
     }
 
-    /// A report was answered while authority had so much time left.
+    /// A heartbeat was answered while authority had so much time left.
     pub fn margin(&self, margin_s: f64) {
         let least = self.least_margin_s.get().unwrap_or(f64::MAX);
         self.least_margin_s.set(Some(least.min(margin_s)));
@@ -61,10 +61,10 @@
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             out,
-            "reloads={} reads_dropped={} reports_refused={} answers_refused={}",
+            "reloads={} reads_dropped={} heartbeats_refused={} answers_refused={}",
             self.reloads.get(),
             self.reads_dropped.get(),
-            self.reports_refused.get(),
+            self.heartbeats_refused.get(),
             self.answers_refused.get()
         )?;
         if let Some(margin_s) = self.least_margin_s.get() {
--- a/crates/ladderroute/src/freshness.rs
+++ b/crates/ladderroute/src/freshness.rs
@@ -22,14 +22,14 @@
 
 /// Freshness reads of this controller.
 #[derive(Default)]
-pub struct Fresh {
+pub struct FreshnessReads {
     waiting: RefCell<Vec<Sender<bool>>>,
     busy: Cell<bool>,
     /// When the newest freshness read was answered.
     answered: Cell<Option<Instant>>,
 }
 
-impl Fresh {
+impl FreshnessReads {
     /// Whether freshness reads follow each other at least this closely, as when many users ask.
     fn reads_every(&self, interval: Duration) -> bool {
         self.answered
@@ -39,12 +39,12 @@
 }
 
 /// Brings the view up to the store's present state; false if that can't be done now.
-pub async fn freshen(node: &Rc<Node>) -> bool {
+pub async fn refresh_view(node: &Rc<Node>) -> bool {
     let (done, result) = smol::channel::bounded(1);
-    node.fresh.waiting.borrow_mut().push(done);
-    if !node.fresh.busy.replace(true) {
+    node.freshness_reads.waiting.borrow_mut().push(done);
+    if !node.freshness_reads.busy.replace(true) {
         let n = node.clone();
-        node.ex
+        node.executor
             .spawn(async move { serve_waiting(n).await })
             .detach();
     }
@@ -59,9 +59,9 @@
 async fn serve_waiting(node: Rc<Node>) {
     let pace = pace(&node, READS_SHARE);
     loop {
-        let waiting = node.fresh.waiting.take();
+        let waiting = node.freshness_reads.waiting.take();
         if waiting.is_empty() {
-            node.fresh.busy.set(false);
+            node.freshness_reads.busy.set(false);
             return;
         }
         let ok = once(&node).await;
@@ -80,8 +80,8 @@
     match ask(node, read, Duration::ZERO).await {
         Ok(changes) => {
             let taken = node.take_changes(&changes, read);
-            node.store_ok(true);
-            node.fresh.answered.set(Some(Instant::now()));
+            node.note_store_health(true);
+            node.freshness_reads.answered.set(Some(Instant::now()));
             taken
         }
         Err(StoreError::TooOld) => {
@@ -91,7 +91,7 @@
         Err(e) => {
             log::debug!("event=read_failed since={} error=\"{e}\"", read.since);
             if !matches!(e, StoreError::Budget(_)) {
-                node.store_ok(false);
+                node.note_store_health(false);
             }
             false
         }
@@ -116,21 +116,21 @@
 
 /// Loads the view and keeps it current for as long as the process lives.
 pub async fn follow(node: Rc<Node>) {
-    let pause = Duration::from_secs_f64(node.setup.report_s.min(1.0) / 5.0);
+    let pause = Duration::from_secs_f64(node.config.heartbeat_s.min(1.0) / 5.0);
     let mut reload = None;
     loop {
         if let Some(read) = begin_read(&node) {
             watch(&node, read, pause).await;
-        } else if let Err(e) = go_on_with_reload(&node, &mut reload).await {
+        } else if let Err(e) = continue_reload(&node, &mut reload).await {
             // Once is enough for people; it is tried again and again.
-            let level = if node.lock().shared.store_bad_since.is_none() {
+            let level = if node.lock().shared.store_failing_since.is_none() {
                 log::Level::Info
             } else {
                 log::Level::Debug
             };
             let pages = reload.as_ref().map_or(0, ViewReload::pages);
             log::log!(level, "event=load_failed pages={pages} error=\"{e}\"");
-            node.store_ok(false);
+            node.note_store_health(false);
             smol::Timer::after(pause).await;
         }
     }
@@ -143,10 +143,10 @@
     match ask(node, read, wait).await {
         Ok(changes) => {
             node.take_changes(&changes, read);
-            node.store_ok(true);
+            node.note_store_health(true);
             smol::Timer::after(pace).await;
             // Freshness reads bring the same; the requests are better spent on submissions.
-            while node.fresh.reads_every(pace) {
+            while node.freshness_reads.reads_every(pace) {
                 smol::Timer::after(pace / 2).await;
             }
         }
@@ -154,18 +154,18 @@
         Err(e @ (StoreError::TooOld | StoreError::TooLarge(_))) => too_old(node, read, &e),
         Err(e) => {
             log::debug!("event=follow_failed since={} error=\"{e}\"", read.since);
-            node.store_ok(false);
+            node.note_store_health(false);
             smol::Timer::after(pause).await;
         }
     }
 }
 
 /// Reads all keys, from where an earlier try got to, and takes them into the view.
-async fn go_on_with_reload(
+async fn continue_reload(
     node: &Rc<Node>,
-    under_way: &mut Option<ViewReload>,
+    in_progress: &mut Option<ViewReload>,
 ) -> Result<(), StoreError> {
-    let mut reload = match under_way.take() {
+    let mut reload = match in_progress.take() {
         Some(reload) => reload,
         None => node.lock().shared.view.begin_reload(node.now()),
     };
@@ -178,13 +178,13 @@
             Ok(page) if reload.take(&page) => break,
             Ok(_) => {}
             Err(e) => {
-                *under_way = Some(reload);
+                *in_progress = Some(reload);
                 return Err(e);
             }
         }
     }
     node.finish_reload(reload);
-    node.store_ok(true);
+    node.note_store_health(true);
     Ok(())
 }
 
@@ -199,7 +199,7 @@
             log::info!("event=read_dropped since={}", read.since);
             return false;
         };
-        self.tell_changes(&mut state.shared, news);
+        self.notify_leader_of_changes(&mut state.shared, news);
         self.act_on_view(state);
         true
     }
@@ -214,13 +214,13 @@
         let replica = state.shared.view.replica();
         let (jobs, revision) = (replica.jobs.len(), replica.revision);
         log::info!("event=loaded jobs={jobs} revision={revision} pages={pages} took_s={took_s:.2}");
-        self.tell_all_jobs(&mut state.shared);
+        self.notify_leader_of_all_jobs(&mut state.shared);
         self.act_on_view(state);
     }
 
-    /// What was cancelled is stopped before any report is answered on the strength of the view.
+    /// What was cancelled is stopped before any heartbeat is answered on the strength of the view.
     fn act_on_view(&self, state: &mut crate::node::State) {
-        self.pump(state);
+        self.exchange_messages(state);
         let read_at = state.shared.view.read_at();
         state.owner.authority.prove(read_at);
     }
--- a/crates/ladderroute/src/job_state.rs
+++ b/crates/ladderroute/src/job_state.rs
@@ -12,9 +12,9 @@
 //!   cancellation was confirmed long ago.
 
 use crate::counters::Counters;
-use crate::freshness::freshen;
+use crate::freshness::refresh_view;
 use crate::node::Node;
-use crate::submission::later;
+use crate::submission::retry_later;
 use http::server::Response;
 use std::rc::Rc;
 use store::replica::JobEntry;
@@ -32,35 +32,35 @@
     if let Some(terminal) = entry(node, id).filter(is_terminal) {
         return Ok(Some(terminal));
     }
-    if !freshen(node).await {
+    if !refresh_view(node).await {
         Counters::count(&node.counters.answers_refused);
-        return Err(later(node, "the state service does not answer"));
+        return Err(retry_later(node, "the state service does not answer"));
     }
     Ok(entry(node, id))
 }
 
 /// Answers with the state of a job whose record was read directly for this request.
-pub async fn tell_read(node: &Rc<Node>, id: &str) -> Response {
+pub async fn answer_read(node: &Rc<Node>, id: &str) -> Response {
     if let Some(own) = entry(node, id).filter(has_no_ancestors) {
         return accepted(node, 200, id, &own);
     }
-    tell(node, 200, id).await
+    answer_looked_up(node, 200, id).await
 }
 
 /// Answers with the state of a job whose record was written for this request.
-pub async fn tell_created(node: &Rc<Node>, id: &str) -> Response {
-    let is_fresh = node.view_age() <= node.setup.start_staleness_s();
+pub async fn answer_created(node: &Rc<Node>, id: &str) -> Response {
+    let is_fresh = node.view_age() <= node.config.start_staleness_s();
     let created = entry(node, id).filter(|entry| is_fresh || has_no_ancestors(entry));
     if let Some(created) = created {
         return accepted(node, 201, id, &created);
     }
-    tell(node, 201, id).await
+    answer_looked_up(node, 201, id).await
 }
 
-async fn tell(node: &Rc<Node>, status: u16, id: &str) -> Response {
+async fn answer_looked_up(node: &Rc<Node>, status: u16, id: &str) -> Response {
     match look_up(node, id).await {
         Ok(Some(entry)) => accepted(node, status, id, &entry),
-        Ok(None) => later(node, "not ready yet"),
+        Ok(None) => retry_later(node, "not ready yet"),
         Err(answer) => answer,
     }
 }
@@ -90,19 +90,19 @@
 /// The answer to a submission or a cancellation, from an entry of the view.
 pub fn accepted(node: &Node, status: u16, id: &str, entry: &JobEntry) -> Response {
     let state = state_of(node, id, entry);
-    log_told(node, status, id, state);
+    log_answer(node, status, id, state);
     let id = id.into();
     Response::new(status, cbor::encode(&Accepted { id, state }))
 }
 
 /// Logs what a user is told, and what it rests on.
-pub fn log_told(node: &Node, status: u16, id: &str, state: JobState) {
+pub fn log_answer(node: &Node, status: u16, id: &str, state: JobState) {
     if !log::log_enabled!(log::Level::Debug) {
         return;
     }
     let age_s = node.view_age();
     let revision = node.lock().shared.view.replica().revision;
     log::debug!(
-        "event=told job={id} status={status} state={state:?} revision={revision} view_age_s={age_s:.2}"
+        "event=answer job={id} status={status} state={state:?} revision={revision} view_age_s={age_s:.2}"
     );
 }
--- a/crates/ladderroute/src/leadership.rs
+++ b/crates/ladderroute/src/leadership.rs
@@ -1,10 +1,10 @@
 //! Leading: campaign, renewal, the leader's clock, and the writer of its decisions.
 
 use crate::leader_updates::open_job;
-use crate::node::{Lead, Node};
+use crate::node::{Leadership, Node};
 use crate::writer::batch::TxnLimits;
 use crate::writer::{writer, RecordPages};
-use sched::leader::{Earlier, Leader, OpenJob};
+use sched::leader::{Leader, OpenJob, PriorRuns};
 use sched::owner::Owner;
 use sched::placement::Resources;
 use std::collections::HashMap;
@@ -90,9 +90,9 @@
         }
         smol::Timer::after(ttl.mul_f64(0.03 * fastrand::f64())).await;
         match take(&node.store, &node.settings.member, ttl).await {
-            Ok(Some(leadership)) => {
+            Ok(Some(lease)) => {
                 node.store.set_shares(store_shares(true, others));
-                lead(&node, leadership, ttl).await;
+                lead_until_lost(&node, lease, ttl).await;
                 node.store.set_shares(store_shares(false, others));
             }
             Ok(None) => {
@@ -107,48 +107,47 @@
 }
 
 /// Leads until the lease is lost.
-async fn lead(node: &Rc<Node>, leadership: LeadershipLease, ttl: Duration) {
+async fn lead_until_lost(node: &Rc<Node>, lease: LeadershipLease, ttl: Duration) {
     log::info!(
         "event=leader member={} token={} version={} authority_s={:.2}",
         node.settings.member,
-        leadership.token,
-        leadership.version,
-        node.at(leadership.until) - node.now()
+        lease.token,
+        lease.version,
+        node.at(lease.until) - node.now()
     );
     // The view must hold all that was accepted and recorded before this leadership, and be fresh:
     // nothing is started on the strength of an old one.
     let behind = |node: &Node| {
         let (s, now) = (node.lock(), node.now());
         let view = &s.shared.view;
-        view.replica().revision < leadership.version
-            || now - view.read_at() > ttl.as_secs_f64() / 2.0
+        view.replica().revision < lease.version || now - view.read_at() > ttl.as_secs_f64() / 2.0
     };
     while behind(node) {
-        if Instant::now() > leadership.until {
-            let _ = node.store.revoke(leadership.lease).await;
+        if Instant::now() > lease.until {
+            let _ = node.store.revoke(lease.lease_id).await;
             return;
         }
         if !crate::freshness::once(node).await {
             smol::Timer::after(ttl / 40).await;
         }
     }
-    begin(node, &leadership);
+    begin_leadership(node, &lease);
     let tasks = [
-        node.ex.spawn(clock(node.clone())),
-        node.ex.spawn(writer(node.clone())),
-        node.ex
+        node.executor.spawn(clock(node.clone())),
+        node.executor.spawn(writer(node.clone())),
+        node.executor
             .spawn(keep_view_fresh(node.clone(), ttl / READS_PER_LEASE)),
-        node.ex
+        node.executor
             .spawn(crate::provisioning::carry_out_requests(node.clone())),
-        node.ex
+        node.executor
             .spawn(crate::provisioning::watch_cloud(node.clone())),
     ];
     renew(node, ttl).await;
     drop(tasks);
     let mut state = node.lock();
     state.owner.authority.set(f64::MIN);
-    if let Some(lead) = state.shared.lead.take() {
-        for link in lead.links.values() {
+    if let Some(leadership) = state.shared.leadership.take() {
+        for link in leadership.links.values() {
             link.frames.close();
         }
     }
@@ -156,27 +155,27 @@
     state.shared.view.leader_ended(&node.settings.member);
 }
 
-fn begin(node: &Rc<Node>, leadership: &LeadershipLease) {
+fn begin_leadership(node: &Rc<Node>, lease: &LeadershipLease) {
     let mut guard = node.lock();
     let state = &mut *guard;
     let replica = state.shared.view.replica();
     let value_kb = node.limits.value_kb;
     let dependencies = state.shared.view.dependencies();
-    let earlier = |spec: &wire::users::Job, version: u64| match (
+    let prior_runs = |spec: &wire::users::Job, version: u64| match (
         spec.shape,
         replica.bound_machines(&spec.id),
     ) {
-        (Shape::Gang, Some(machines)) => Earlier::Bound(machines),
-        (Shape::Gang, None) => Earlier::Untouched,
-        _ if replica.begun.covers(version) => Earlier::Anywhere,
-        _ => Earlier::Untouched,
+        (Shape::Gang, Some(machines)) => PriorRuns::Bound(machines),
+        (Shape::Gang, None) => PriorRuns::None,
+        _ if replica.started_arrays.covers(version) => PriorRuns::Anywhere,
+        _ => PriorRuns::None,
     };
     let open = |e: &store::replica::JobEntry| {
         let spec = e.job.clone()?;
         if dependencies.is_blocked(&spec.id) {
             return None;
         }
-        let before = earlier(&spec, e.version);
+        let before = prior_runs(&spec, e.version);
         Some(open_job(e, spec, before))
     };
     let jobs: Vec<OpenJob> = replica.jobs.values().filter_map(open).collect();
@@ -186,27 +185,27 @@
         .map(|job| (job.spec.id.clone(), priority(job)))
         .collect();
     let seed = node.seed.replace(node.seed.get().wrapping_add(1));
-    let (me, setup, begun) = (
+    let (member, config, started_arrays) = (
         &node.settings.member,
-        node.setup.clone(),
-        replica.begun.upto,
+        node.config.clone(),
+        replica.started_arrays.upto,
     );
     let mut leader = Leader::new(
-        me,
-        setup,
+        member,
+        config,
         seed,
-        leadership.token,
+        lease.token,
         value_kb,
         jobs,
         &replica.roster,
-        begun,
+        started_arrays,
         node.now(),
     );
     for (id, priority) in priorities {
         leader.set_priority(&id, priority);
     }
-    let cancelled = replica.lately_cancelled(Duration::from_secs_f64(
-        node.setup.lease_s + node.setup.cancel_s,
+    let cancelled = replica.recently_cancelled(Duration::from_secs_f64(
+        node.config.lease_s + node.config.cancel_s,
     ));
     let resources = |(id, team, (cpus, gpus))| {
         (
@@ -219,23 +218,23 @@
             },
         )
     };
-    leader.set_lately_cancelled(cancelled.into_iter().map(resources));
+    leader.set_recently_cancelled(cancelled.into_iter().map(resources));
     if let Some(types) = state.shared.catalog.clone() {
         leader.catalog(types);
     }
-    if node.now() < node.setup.lease_s {
+    if node.now() < node.config.lease_s {
         // Who leads so soon after its start is one of several that started together: else one that
         // ran on would lead.
         leader.expect_others();
     }
     // The book of earlier epochs must not answer on this leadership's authority.
-    state.owner = Owner::new(&node.settings.member, node.setup.clone());
-    state.owner.authority.set(node.at(leadership.until));
+    state.owner = Owner::new(&node.settings.member, node.config.clone());
+    state.owner.authority.set(node.at(lease.until));
     state.owner.authority.prove(state.shared.view.read_at());
     let records = RecordPages::load(replica, value_kb);
-    state.shared.lead = Some(Lead {
+    state.shared.leadership = Some(Leadership {
         leader,
-        leadership: leadership.clone(),
+        lease: lease.clone(),
         records,
         limits: TxnLimits {
             operations: node.limits.txn_ops,
@@ -251,8 +250,8 @@
 async fn renew(node: &Rc<Node>, ttl: Duration) {
     let mut paused = false;
     loop {
-        let lease = match &node.lock().shared.lead {
-            Some(l) => l.leadership.lease,
+        let lease = match &node.lock().shared.leadership {
+            Some(l) => l.lease.lease_id,
             None => return,
         };
         let sent = Instant::now();
@@ -301,28 +300,28 @@
 
 /// Lets time pass for the leader.
 async fn clock(node: Rc<Node>) {
-    let step = Duration::from_secs_f64((node.setup.report_s / 10.0).clamp(0.05, 0.1));
-    let mut told = sched::leader::Summary::default();
+    let step = Duration::from_secs_f64((node.config.heartbeat_s / 10.0).clamp(0.05, 0.1));
+    let mut logged = sched::leader::Summary::default();
     loop {
         smol::Timer::after(step).await;
         let now = node.now();
         let mut guard = node.lock();
         let state = &mut *guard;
-        let Some(lead) = &mut state.shared.lead else {
+        let Some(leadership) = &mut state.shared.leadership else {
             return;
         };
         if !state.owner.has_authority(now) {
             // Nothing is decided without authority; it may come back with a renewal and a read.
             continue;
         }
-        lead.leader.tick(now, node.settings.known.len());
+        leadership.leader.tick(now, node.settings.known.len());
         if log::log_enabled!(log::Level::Debug) {
-            let summary = lead.leader.summary();
-            if summary != told {
-                log::debug!("event=picture {summary}");
-                told = summary;
+            let summary = leadership.leader.summary();
+            if summary != logged {
+                log::debug!("event=cluster_summary {summary}");
+                logged = summary;
             }
         }
-        node.pump(state);
+        node.exchange_messages(state);
     }
 }
--- a/crates/ladderroute/src/logging.rs
+++ b/crates/ladderroute/src/logging.rs
@@ -9,14 +9,14 @@
         Ok("info") => log::LevelFilter::Info,
         _ => log::LevelFilter::Error,
     };
-    let began = Instant::now();
+    let started_at = Instant::now();
     env_logger::Builder::new()
         .filter_level(level)
         .format(move |out, record| {
             writeln!(
                 out,
                 "up={:.3} level={} {}",
-                began.elapsed().as_secs_f64(),
+                started_at.elapsed().as_secs_f64(),
                 record.level().as_str().to_lowercase(),
                 record.args()
             )
--- a/crates/ladderroute/src/main.rs
+++ b/crates/ladderroute/src/main.rs
@@ -36,7 +36,7 @@
         }
     };
     if args.check_config {
-        node::tell_if_tight(&settings.setup(&tuning));
+        node::warn_if_tight(&settings.scheduler_config(&tuning));
         println!("ladderroute: settings are valid");
         return std::process::ExitCode::SUCCESS;
     }
--- a/crates/ladderroute/src/node.rs
+++ b/crates/ladderroute/src/node.rs
@@ -6,7 +6,7 @@
 use crate::outbox::Outbox;
 use crate::settings::{Settings, StateLimits};
 use crate::writer::batch::TxnLimits;
-use sched::config::Setup;
+use sched::config::SchedulerConfig;
 use sched::leader::{Action, Leader};
 use sched::owner::{Jobs, Owner};
 use sched::placement::Resources;
@@ -29,9 +29,9 @@
 const OUTBOX_SHARE: f64 = 1.0 / 32.0;
 
 /// A leadership of this controller.
-pub struct Lead {
+pub struct Leadership {
     pub leader: Leader,
-    pub leadership: LeadershipLease,
+    pub lease: LeadershipLease,
     pub records: crate::writer::RecordPages,
     /// What its transactions may hold.
     pub limits: TxnLimits,
@@ -54,12 +54,12 @@
     /// What this controller knows of the store.
     pub view: ClusterView,
     pub catalog: Option<Vec<MachineType>>,
-    pub lead: Option<Lead>,
+    pub leadership: Option<Leadership>,
     /// Running tasks by job, as the leader last told.
     pub running: HashMap<String, u32>,
     /// Messages to the leader, while there is a connection.
     pub to_leader: Option<Outbox>,
-    pub store_bad_since: Option<Instant>,
+    pub store_failing_since: Option<Instant>,
 }
 
 /// All that lives behind the one lock.
@@ -73,25 +73,25 @@
         Shared {
             view,
             catalog: None,
-            lead: None,
+            leadership: None,
             running: HashMap::new(),
             to_leader: None,
-            store_bad_since: None,
+            store_failing_since: None,
         }
     }
 }
 
 pub struct Node {
     pub settings: Settings,
-    pub setup: Setup,
+    pub config: SchedulerConfig,
     /// The limits of the state service that this process keeps to.
     pub limits: StateLimits,
     pub store: Store,
     pub cloud: http::client::Client,
-    pub ex: Rc<smol::LocalExecutor<'static>>,
-    pub began: Instant,
+    pub executor: Rc<smol::LocalExecutor<'static>>,
+    pub started_at: Instant,
     pub state: Mutex<State>,
-    pub fresh: crate::freshness::Fresh,
+    pub freshness_reads: crate::freshness::FreshnessReads,
     pub counters: Counters,
     pub writer_wake: (Sender<()>, smol::channel::Receiver<()>),
     pub provisioning_wake: (Sender<()>, smol::channel::Receiver<()>),
@@ -113,7 +113,7 @@
     fn image(&self, job: &str) -> Option<String> {
         Some(self.0.jobs.get(job)?.job.as_ref()?.image.clone())
     }
-    fn over(&self, job: &str) -> bool {
+    fn is_terminal(&self, job: &str) -> bool {
         self.0
             .jobs
             .get(job)
@@ -123,12 +123,12 @@
 
 impl Node {
     pub fn now(&self) -> f64 {
-        self.began.elapsed().as_secs_f64()
+        self.started_at.elapsed().as_secs_f64()
     }
 
     /// An instant on the scale of `now`.
     pub fn at(&self, t: Instant) -> f64 {
-        t.saturating_duration_since(self.began).as_secs_f64()
+        t.saturating_duration_since(self.started_at).as_secs_f64()
     }
 
     /// For how long the view has not been proved to hold all that the store holds, in seconds.
@@ -150,55 +150,65 @@
 
     /// The leader's store lease.
     pub fn leader_ttl(&self) -> Duration {
-        Duration::from_secs_f64(self.setup.leader_lease_s)
+        Duration::from_secs_f64(self.config.leader_lease_s)
     }
 
     /// Notes whether the store answers, for `/ready`.
-    pub fn store_ok(&self, ok: bool) {
+    pub fn note_store_health(&self, ok: bool) {
         let mut s = self.lock();
-        match (ok, s.shared.store_bad_since) {
-            (true, _) => s.shared.store_bad_since = None,
-            (false, None) => s.shared.store_bad_since = Some(Instant::now()),
+        match (ok, s.shared.store_failing_since) {
+            (true, _) => s.shared.store_failing_since = None,
+            (false, None) => s.shared.store_failing_since = Some(Instant::now()),
             _ => {}
         }
     }
 
-    /// Moves what the owner's book and the leader have to say to each other and outside.
-    pub fn pump(&self, state: &mut State) {
+    /// Moves what the owner and the leader have to say to each other and outside.
+    pub fn exchange_messages(&self, state: &mut State) {
         let now = self.now();
         let State { owner, shared } = state;
         loop {
             let mut idle = true;
             for message in owner.drain() {
-                match (&mut shared.lead, &shared.to_leader) {
-                    (Some(lead), _) => lead.leader.on_owner(&self.settings.member, message, now),
+                match (&mut shared.leadership, &shared.to_leader) {
+                    (Some(leadership), _) => {
+                        leadership
+                            .leader
+                            .on_owner_message(&self.settings.member, message, now)
+                    }
                     (None, Some(link)) => link.send(frame(&message)),
                     _ => {}
                 }
                 idle = false;
             }
-            let Some(lead) = &mut shared.lead else { return };
-            for action in lead.leader.drain() {
+            let Some(leadership) = &mut shared.leadership else {
+                return;
+            };
+            for action in leadership.leader.drain() {
                 idle = false;
                 match action {
                     Action::Send(to, message) if to == self.settings.member => {
                         if let ToOwner::RunningCounts { running } = message {
                             shared.running = running.into_iter().collect();
                         } else {
-                            owner.on_leader(message, now, &ReplicaJobs(shared.view.replica()));
+                            owner.on_leader_message(
+                                message,
+                                now,
+                                &ReplicaJobs(shared.view.replica()),
+                            );
                         }
                     }
                     Action::Send(to, message) => {
-                        if let Some(link) = lead.links.get(&to) {
+                        if let Some(link) = leadership.links.get(&to) {
                             link.frames.send(frame(&message));
                         }
                     }
                     action @ (Action::Provision(_) | Action::Deprovision(_)) => {
-                        lead.cloud.push_back(action);
+                        leadership.cloud.push_back(action);
                         let _ = self.provisioning_wake.0.try_send(());
                     }
                     action => {
-                        lead.writes.push_back(action);
+                        leadership.writes.push_back(action);
                         let _ = self.writer_wake.0.try_send(());
                     }
                 }
@@ -211,8 +221,12 @@
 }
 
 /// A controller that has not begun to run.
-pub fn new(settings: Settings, tuning: &Tuning, ex: Rc<smol::LocalExecutor<'static>>) -> Rc<Node> {
-    let setup = settings.setup(tuning);
+pub fn new(
+    settings: Settings,
+    tuning: &Tuning,
+    executor: Rc<smol::LocalExecutor<'static>>,
+) -> Rc<Node> {
+    let config = settings.scheduler_config(tuning);
     let p = settings.settings.clone();
     let shares = crate::leadership::store_shares(false, settings.known.len());
     let limits = p.state.limits();
@@ -222,57 +236,66 @@
     };
     let chunk_bits = sched::leader::chunk_bits(p.state.value_kb);
     let shared = Shared::new(ClusterView::new(chunk_bits));
-    let limit = Duration::from_secs_f64((setup.lease_s * 0.1).clamp(0.5, 1.5));
+    let limit = Duration::from_secs_f64((config.lease_s * 0.1).clamp(0.5, 1.5));
     Rc::new(Node {
         store: Store::new(settings.services.state, rates, shares, limit),
         cloud: http::client::Client::new(settings.services.cloud, 2, 4 << 20),
-        ex,
-        began: Instant::now(),
+        executor,
+        started_at: Instant::now(),
         state: Mutex::new(State {
-            owner: Owner::new(&settings.member, setup.clone()),
+            owner: Owner::new(&settings.member, config.clone()),
             shared,
         }),
-        fresh: crate::freshness::Fresh::default(),
+        freshness_reads: crate::freshness::FreshnessReads::default(),
         counters: Counters::default(),
         writer_wake: smol::channel::bounded(1),
         provisioning_wake: smol::channel::bounded(1),
         seed: Cell::new(fastrand::u64(..)),
-        setup,
+        config,
         limits,
         settings,
     })
 }
 
 /// Says what the settings make impossible, though the service starts with them.
-pub fn tell_if_tight(setup: &Setup) {
-    if !setup.cancels_in_time() {
-        let (lease_s, cancel_s) = (setup.lease_s, setup.cancel_s);
+pub fn warn_if_tight(config: &SchedulerConfig) {
+    if !config.cancels_in_time() {
+        let (lease_s, cancel_s) = (config.lease_s, config.cancel_s);
         log::error!("event=settings_tight lease_s={lease_s} cancel_s={cancel_s} error=\"a cancelled task may run on for longer than cancel_s while the state service fails\"");
     }
 }
 
 /// Runs the controller until its listeners fail.
 pub fn run(settings: Settings, tuning: Tuning) -> std::io::Result<()> {
-    let ex = Rc::new(smol::LocalExecutor::new());
-    let node = new(settings, &tuning, ex.clone());
+    let executor = Rc::new(smol::LocalExecutor::new());
+    let node = new(settings, &tuning, executor.clone());
     log::info!(
         "event=start member={} api={} back={}",
         node.settings.member,
         node.settings.api_addr,
         node.settings.back
     );
-    tell_if_tight(&node.setup);
-    let run = ex.clone();
+    warn_if_tight(&node.config);
+    let run = executor.clone();
     smol::block_on(run.run(async move {
         let api = smol::net::TcpListener::bind(node.settings.api_addr).await?;
         let back = smol::net::TcpListener::bind(node.settings.back).await?;
-        ex.spawn(crate::freshness::follow(node.clone())).detach();
-        ex.spawn(crate::leadership::campaign(node.clone())).detach();
-        ex.spawn(crate::peers::serve(node.clone(), back)).detach();
-        ex.spawn(crate::peers::join_leader(node.clone())).detach();
-        ex.spawn(crate::provisioning::learn_catalog(node.clone()))
+        executor
+            .spawn(crate::freshness::follow(node.clone()))
+            .detach();
+        executor
+            .spawn(crate::leadership::campaign(node.clone()))
+            .detach();
+        executor
+            .spawn(crate::peers::serve(node.clone(), back))
+            .detach();
+        executor
+            .spawn(crate::peers::join_leader(node.clone()))
+            .detach();
+        executor
+            .spawn(crate::provisioning::learn_catalog(node.clone()))
             .detach();
-        ex.spawn(tick(node.clone())).detach();
+        executor.spawn(tick(node.clone())).detach();
         crate::api::serve(node, api).await;
         Ok(())
     }))
@@ -280,40 +303,40 @@
 
 /// Lets time pass for the owner's state.
 async fn tick(node: Rc<Node>) {
-    let step = Duration::from_secs_f64((node.setup.report_s / 20.0).clamp(0.05, 0.1));
-    let mut log = StandingLog::default();
+    let step = Duration::from_secs_f64((node.config.heartbeat_s / 20.0).clamp(0.05, 0.1));
+    let mut log = AuthorityLog::default();
     loop {
         smol::Timer::after(step).await;
         let now = node.now();
         let mut state = node.lock();
         state.owner.tick(now);
         log.look_at(&node, &state, now);
-        node.pump(&mut state);
+        node.exchange_messages(&mut state);
     }
 }
 
 /// Logs changes of authority and the running summary.
 #[derive(Default)]
-struct StandingLog {
+struct AuthorityLog {
     has_authority: bool,
     summary: String,
     summed_up_at: f64,
 }
 
-impl StandingLog {
+impl AuthorityLog {
     fn look_at(&mut self, node: &Node, state: &State, now: f64) {
         let has_authority = state.owner.has_authority(now);
         if std::mem::replace(&mut self.has_authority, has_authority) != has_authority {
             let authority = &state.owner.authority;
             log::info!(
-                "event=authority held={has_authority} token={} lasts_s={:.2} known_age_s={:.2} view_age_s={:.2}",
+                "event=authority held={has_authority} token={} lasts_s={:.2} staleness_s={:.2} view_age_s={:.2}",
                 state.owner.token(),
                 authority.until() - now,
                 now - authority.read_at(),
                 now - state.shared.view.read_at()
             );
         }
-        let is_due = now - self.summed_up_at >= node.setup.lease_s;
+        let is_due = now - self.summed_up_at >= node.config.lease_s;
         if !is_due || !log::log_enabled!(log::Level::Info) {
             return;
         }
--- a/crates/ladderroute/src/peers.rs
+++ b/crates/ladderroute/src/peers.rs
@@ -91,7 +91,7 @@
         }
         open.set(open.get() + 1);
         let (node, open) = (node.clone(), open.clone());
-        node.ex
+        node.executor
             .clone()
             .spawn(async move {
                 owner_connection(&node, stream).await;
@@ -122,23 +122,23 @@
     let sender = node.outbox();
     {
         let mut guard = node.lock();
-        let Some(lead) = &mut guard.shared.lead else {
+        let Some(leadership) = &mut guard.shared.leadership else {
             return;
         };
-        if lead
+        if leadership
             .links
             .get(&member)
             .is_some_and(|l| l.start == start && l.count >= count)
         {
             return;
         }
-        if let Some(old) = lead.links.remove(&member) {
+        if let Some(old) = leadership.links.remove(&member) {
             old.frames.close();
-            lead.leader.owner_lost(&member);
+            leadership.leader.owner_lost(&member);
         }
         log::info!("event=owner_joined member={member}");
-        lead.leader.owner_heard(&member, node.now());
-        lead.links.insert(
+        leadership.leader.owner_heard(&member, node.now());
+        leadership.links.insert(
             member.clone(),
             Link {
                 frames: sender.clone(),
@@ -148,7 +148,7 @@
         );
     }
     let writer = node
-        .ex
+        .executor
         .spawn(write_frames(stream.clone(), sender.clone(), limit));
     loop {
         // An owner pings often; long silence ends the connection.
@@ -164,15 +164,15 @@
     }
     drop(writer);
     let mut guard = node.lock();
-    if let Some(lead) = &mut guard.shared.lead {
-        if lead
+    if let Some(leadership) = &mut guard.shared.leadership {
+        if leadership
             .links
             .get(&member)
             .is_some_and(|l| l.start == start && l.count == count)
         {
             log::info!("event=owner_left member={member}");
-            lead.links.remove(&member);
-            lead.leader.owner_lost(&member);
+            leadership.links.remove(&member);
+            leadership.leader.owner_lost(&member);
         }
     }
 }
@@ -182,19 +182,19 @@
     let now = node.now();
     let mut guard = node.lock();
     let state = &mut *guard;
-    let Some(lead) = &mut state.shared.lead else {
+    let Some(leadership) = &mut state.shared.leadership else {
         return false;
     };
-    lead.leader.owner_heard(member, now);
+    leadership.leader.owner_heard(member, now);
     match message {
         ToLeader::Ping { n } => {
             // Authority of an owner ends before the leader's own, and soon after the last ping.
             let authority = &state.owner.authority;
             let until = authority
                 .answers_until()
-                .min(now + node.setup.owner_silence_s() * 1.25);
-            if let Some(valid) = lead.leader.grant(member, now, until) {
-                let token = lead.leader.token();
+                .min(now + node.config.owner_silence_s() * 1.25);
+            if let Some(valid) = leadership.leader.grant(member, now, until) {
+                let token = leadership.leader.token();
                 link.send_first(&frame(&ToOwner::Grant {
                     n,
                     token,
@@ -208,8 +208,8 @@
             }
         }
         other => {
-            lead.leader.on_owner(member, other, now);
-            node.pump(state);
+            leadership.leader.on_owner_message(member, other, now);
+            node.exchange_messages(state);
         }
     }
     true
@@ -219,7 +219,7 @@
 pub async fn join_leader(node: Rc<Node>) {
     let start = fastrand::u64(..);
     let mut count = 0;
-    let pause = Duration::from_secs_f64(node.setup.report_s.min(1.0) / 5.0);
+    let pause = Duration::from_secs_f64(node.config.heartbeat_s.min(1.0) / 5.0);
     loop {
         let leader = node
             .lock()
@@ -237,7 +237,7 @@
             count += 1;
             let limit = Duration::from_secs_f64(wire::ANSWER_DROPPED_S / 4.0);
             if let Some(Ok(stream)) = within(limit, TcpStream::connect(addr)).await {
-                stay(&node, &leader, stream, start, count).await;
+                follow_leader(&node, &leader, stream, start, count).await;
                 log::info!("event=left_leader member={leader}");
             }
         }
@@ -245,7 +245,7 @@
     }
 }
 
-async fn stay(node: &Rc<Node>, leader: &str, stream: TcpStream, start: u64, count: u64) {
+async fn follow_leader(node: &Rc<Node>, leader: &str, stream: TcpStream, start: u64, count: u64) {
     let _ = stream.set_nodelay(true);
     let limit = Duration::from_secs_f64(wire::ANSWER_DROPPED_S / 2.0);
     let sender = node.outbox();
@@ -256,7 +256,7 @@
     };
     sender.send_first(&frame(&hello));
     let writer = node
-        .ex
+        .executor
         .spawn(write_frames(stream.clone(), sender.clone(), limit));
     let mut frames = Frames::new(stream);
     let pings: Rc<std::cell::RefCell<HashMap<u64, Instant>>> = Rc::default();
@@ -274,8 +274,8 @@
     };
     let pinger = {
         let ping = ping.clone();
-        let every = Duration::from_secs_f64(node.setup.owner_silence_s() / 4.0);
-        node.ex.spawn(async move {
+        let every = Duration::from_secs_f64(node.config.owner_silence_s() / 4.0);
+        node.executor.spawn(async move {
             loop {
                 ping();
                 smol::Timer::after(every).await;
@@ -335,10 +335,12 @@
                     }
                     ping();
                 }
-                state
-                    .owner
-                    .on_leader(message, now, &ReplicaJobs(state.shared.view.replica()));
-                node.pump(state);
+                state.owner.on_leader_message(
+                    message,
+                    now,
+                    &ReplicaJobs(state.shared.view.replica()),
+                );
+                node.exchange_messages(state);
             }
         }
     }
--- a/crates/ladderroute/src/provisioning.rs
+++ b/crates/ladderroute/src/provisioning.rs
@@ -35,11 +35,11 @@
     };
     let mut guard = node.lock();
     let state = &mut *guard;
-    if let Some(lead) = &mut state.shared.lead {
-        lead.leader.catalog(catalog.types.clone());
+    if let Some(leadership) = &mut state.shared.leadership {
+        leadership.leader.catalog(catalog.types.clone());
     }
     state.shared.catalog = Some(catalog.types);
-    node.pump(state);
+    node.exchange_messages(state);
     true
 }
 
@@ -96,7 +96,7 @@
         let action = node
             .lock()
             .shared
-            .lead
+            .leadership
             .as_mut()
             .and_then(|l| l.cloud.pop_front());
         let Some(action) = action else {
@@ -133,9 +133,9 @@
     let now = node.now();
     let mut guard = node.lock();
     let state = &mut *guard;
-    if let Some(lead) = &mut state.shared.lead {
-        f(&mut lead.leader, now);
-        node.pump(state);
+    if let Some(leadership) = &mut state.shared.leadership {
+        f(&mut leadership.leader, now);
+        node.exchange_messages(state);
     }
 }
 
--- a/crates/ladderroute/src/settings.rs
+++ b/crates/ladderroute/src/settings.rs
@@ -1,7 +1,7 @@
 //! The platform's settings file (TOML). Fields that are not known are skipped; a field that is
 //! missing or wrong is refused by name.
 
-use sched::config::{Setup, Team};
+use sched::config::{SchedulerConfig, Team};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -262,7 +262,7 @@
     }
 
     /// What the decisions need to know.
-    pub fn setup(&self, tuning: &crate::operator::Tuning) -> Setup {
+    pub fn scheduler_config(&self, tuning: &crate::operator::Tuning) -> SchedulerConfig {
         let p = &self.settings;
         let teams: BTreeMap<String, Team> =
             p.teams.iter().map(|t| (t.name.clone(), t.team())).collect();
@@ -284,9 +284,9 @@
                 .and_modify(|least| *least = least.min(s))
                 .or_insert(s);
         }
-        Setup {
+        SchedulerConfig {
             teams,
-            report_s: p.workers.report_s,
+            heartbeat_s: p.workers.report_s,
             lease_s: p.workers.lease_s,
             cancel_s: p.workers.cancel_s,
             list_lag_s: p.cloud.list_lag_s,
--- a/crates/ladderroute/src/submission.rs
+++ b/crates/ladderroute/src/submission.rs
@@ -1,7 +1,9 @@
 //! Users' requests: submit, query, cancel.
 
-use crate::freshness::freshen;
-use crate::job_state::{accepted, entry, log_told, look_up, state_of, tell_created, tell_read};
+use crate::freshness::refresh_view;
+use crate::job_state::{
+    accepted, answer_created, answer_read, entry, log_answer, look_up, state_of,
+};
 use crate::node::Node;
 use http::server::Response;
 use std::rc::Rc;
@@ -27,9 +29,9 @@
 }
 
 /// "Not now", at once, with when to come back.
-pub fn later(node: &Node, error: &str) -> Response {
+pub fn retry_later(node: &Node, error: &str) -> Response {
     // A read of the store is possible again after about this long.
-    let s = (node.setup.report_s / 2.0).ceil().clamp(1.0, 30.0) as u32;
+    let s = (node.config.heartbeat_s / 2.0).ceil().clamp(1.0, 30.0) as u32;
     // Closing lets the balancer choose again: another controller may be able to.
     Response {
         close: true,
@@ -49,14 +51,14 @@
 
 pub async fn submit(node: &Rc<Node>, body: &[u8]) -> Response {
     if !loaded(node) {
-        return later(node, "not ready yet");
+        return retry_later(node, "not ready yet");
     }
     // A repeat gets the accepted job's state, whatever else it says.
     if let Ok(OnlyId { id }) = cbor::decode::<OnlyId>(body) {
         if entry(node, &id).is_some() {
             return match look_up(node, &id).await {
                 Ok(Some(e)) => accepted(node, 200, &id, &e),
-                Ok(None) => later(node, "not ready yet"),
+                Ok(None) => retry_later(node, "not ready yet"),
                 Err(r) => r,
             };
         }
@@ -76,11 +78,11 @@
         s.shared
             .catalog
             .as_ref()
-            .map(|types| never_runs(&node.setup, types, &job))
+            .map(|types| never_runs(&node.config, types, &job))
             .map(|verdict| verdict.and_then(|()| fits_store(node, &job)))
     };
     match verdict {
-        None => return later(node, "the machine types are not known yet"),
+        None => return retry_later(node, "the machine types are not known yet"),
         // Known to the store perhaps, through another controller: then it is a repeat.
         Some(Err(why)) => {
             return match look_up(node, &job.id).await {
@@ -116,8 +118,8 @@
     if unknown().is_none() {
         return Ok(());
     }
-    if !loaded(node) || !freshen(node).await {
-        return Err(later(node, "the state service does not answer"));
+    if !loaded(node) || !refresh_view(node).await {
+        return Err(retry_later(node, "the state service does not answer"));
     }
     match unknown() {
         None => Ok(()),
@@ -154,28 +156,28 @@
     };
     match node.store.txn(&txn, Rank::Submission).await {
         Ok(Decided::Applied(version)) => {
-            node.store_ok(true);
+            node.note_store_health(true);
             log::info!(
                 "event=accepted job={id} class={} tasks={} team={} revision={version}",
                 record.job.class,
                 record.job.tasks,
                 record.job.team
             );
-            node.learn_job(&mut node.lock(), &id, record, version);
+            node.apply_job_record(&mut node.lock(), &id, record, version);
             // One that needs a cancelled job is accepted all the same, and cancelled with it.
-            tell_created(node, &id).await
+            answer_created(node, &id).await
         }
         Ok(Decided::Conflict(_)) | Err(StoreError::Unknown(_)) => {
             match node.store.get(&key, Rank::Decision).await {
                 // Never guessed: it is accepted if the store has it.
                 Ok(Some(item)) => match from_value::<JobRecord>(&item.value) {
                     Some(r) => {
-                        node.learn_job(&mut node.lock(), &id, r, item.version);
-                        tell_read(node, &id).await
+                        node.apply_job_record(&mut node.lock(), &id, r, item.version);
+                        answer_read(node, &id).await
                     }
-                    None => later(node, "the record can't be read"),
+                    None => retry_later(node, "the record can't be read"),
                 },
-                _ => later(node, "the outcome is not known yet"),
+                _ => retry_later(node, "the outcome is not known yet"),
             }
         }
         Err(StoreError::Refused(TOO_MANY_REQUESTS)) => {
@@ -187,19 +189,19 @@
             refuse(429, "too many submissions at present").retry(s.ceil().clamp(1.0, 30.0) as u32)
         }
         Err(_) => {
-            node.store_ok(false);
-            later(node, "the state service does not answer")
+            node.note_store_health(false);
+            retry_later(node, "the state service does not answer")
         }
     }
 }
 
 /// Why a job can never run, if so.
 fn never_runs(
-    setup: &sched::config::Setup,
+    config: &sched::config::SchedulerConfig,
     types: &[wire::cloud::MachineType],
     job: &Job,
 ) -> Result<(), String> {
-    let team = setup
+    let team = config
         .teams
         .get(&job.team)
         .ok_or_else(|| format!("crew: no team {}", job.team))?;
@@ -241,7 +243,7 @@
     match look_up(node, id).await {
         Ok(Some(e)) => {
             let state = state_of(node, id, &e);
-            log_told(node, 200, id, state);
+            log_answer(node, 200, id, state);
             let running = match state {
                 JobState::Running => node.lock().shared.running.get(id).copied().unwrap_or(0),
                 _ => 0,
@@ -265,7 +267,7 @@
 fn confirm_cancellation(node: &Node, id: &str, record: JobRecord, version: u64) {
     let mut guard = node.lock();
     let state = &mut *guard;
-    node.learn_job(state, id, record, version);
+    node.apply_job_record(state, id, record, version);
     if let Some(leader) = &state.shared.to_leader {
         // The shorter way only: the leader's own read of the store is the proof.
         leader.send(frame(&ToLeader::Cancelled { job: id.into() }));
@@ -306,18 +308,18 @@
                 match node.store.get(&key, Rank::Decision).await {
                     Ok(Some(item)) => {
                         if let Some(r) = from_value::<JobRecord>(&item.value) {
-                            node.learn_job(&mut node.lock(), id, r, item.version);
+                            node.apply_job_record(&mut node.lock(), id, r, item.version);
                         }
                         match entry(node, id) {
                             Some(e) => found = e,
-                            None => return later(node, "not ready yet"),
+                            None => return retry_later(node, "not ready yet"),
                         }
                     }
-                    _ => return later(node, "the outcome is not known yet"),
+                    _ => return retry_later(node, "the outcome is not known yet"),
                 }
             }
-            Err(_) => return later(node, "the state service does not answer"),
+            Err(_) => return retry_later(node, "the state service does not answer"),
         }
     }
-    later(node, "the job changes at present")
+    retry_later(node, "the job changes at present")
 }
--- a/crates/ladderroute/src/writer/batch.rs
+++ b/crates/ladderroute/src/writer/batch.rs
@@ -6,7 +6,8 @@
 use store::keys::{self, Kind};
 use store::replica::Replica;
 use wire::store::{
-    to_value, BegunRecord, BindingRecord, Condition, JobRecord, Recorded, RosterRecord, Write,
+    to_value, BindingRecord, Condition, JobRecord, Recorded, RosterRecord, StartedArraysRecord,
+    Write,
 };
 
 /// Least bytes of a value for each place of a binding.
@@ -23,7 +24,7 @@
     Admission,
     /// A user waits to hear it.
     Finish,
-    /// Workers' reports hold it until it is.
+    /// Workers' heartbeats hold it until it is.
     Progress,
 }
 
@@ -33,7 +34,7 @@
         match action {
             Action::NewToken => Urgency::Token,
             Action::Bind { .. } => Urgency::Binding,
-            Action::Roster(_, Some(_)) | Action::Begin(_) => Urgency::Admission,
+            Action::Roster(_, Some(_)) | Action::RecordStartedArrays(_) => Urgency::Admission,
             Action::Finish { .. } => Urgency::Finish,
             _ => Urgency::Progress,
         }
@@ -219,7 +220,7 @@
                 first_task,
                 bits,
             } => self.join_progress(job, *first_task, bits),
-            Action::Begin(record) => self.join_begun(record),
+            Action::RecordStartedArrays(record) => self.join_started_arrays(record),
             Action::Send(..) | Action::Provision(_) | Action::Deprovision(_) => Joined::Nothing,
         }
     }
@@ -265,8 +266,8 @@
         )
     }
 
-    fn join_begun(&mut self, record: &BegunRecord) -> Joined {
-        self.put(keys::BEGUN.into(), to_value(record));
+    fn join_started_arrays(&mut self, record: &StartedArraysRecord) -> Joined {
+        self.put(keys::STARTED_ARRAYS.into(), to_value(record));
         Joined::Yes
     }
 
--- a/crates/ladderroute/src/writer/mod.rs
+++ b/crates/ladderroute/src/writer/mod.rs
@@ -24,7 +24,7 @@
 
 /// Writes decisions, one transaction after the other.
 pub async fn writer(node: Rc<Node>) {
-    let pause = Duration::from_secs_f64(node.setup.report_s.min(1.0) / 10.0);
+    let pause = Duration::from_secs_f64(node.config.heartbeat_s.min(1.0) / 10.0);
     let collect = Duration::from_secs_f64(DONE_TOLD_S * COLLECT_SHARE);
     let mut last = None::<Instant>;
     loop {
@@ -33,12 +33,12 @@
             let _ = within(collect - since, node.writer_wake.1.recv()).await;
             continue;
         }
-        let Some((batch, leadership)) = next_batch(&node) else {
+        let Some((batch, lease)) = next_batch(&node) else {
             let _ = node.writer_wake.1.recv().await;
             continue;
         };
         last = Some(Instant::now());
-        let result = outcome::write(&node, &batch, &leadership).await;
+        let result = outcome::write(&node, &batch, &lease).await;
         let retry = matches!(result, Err(StoreError::Budget(_) | StoreError::Refused(_)));
         let overtaken = result.as_ref().is_ok_and(Outcome::is_overtaken);
         outcome::apply(&node, batch, result).await;
@@ -56,10 +56,11 @@
 /// Whether a decision waits that has to be durable before something starts.
 fn starts_wait(node: &Node) -> bool {
     let state = node.lock();
-    let Some(lead) = &state.shared.lead else {
+    let Some(leadership) = &state.shared.leadership else {
         return true;
     };
-    lead.writes
+    leadership
+        .writes
         .iter()
         .any(|action| Urgency::of(action).holds_up_starts())
 }
@@ -68,13 +69,13 @@
 fn next_batch(node: &Node) -> Option<(Batch, LeadershipLease)> {
     let mut guard = node.lock();
     let shared = &mut guard.shared;
-    let lead = shared.lead.as_mut()?;
+    let leadership = shared.leadership.as_mut()?;
     let batch = batch::next_batch(
-        &mut lead.writes,
-        &mut lead.records,
+        &mut leadership.writes,
+        &mut leadership.records,
         shared.view.replica(),
-        &mut lead.leader,
-        lead.limits,
+        &mut leadership.leader,
+        leadership.limits,
     );
-    (!batch.is_empty()).then(|| (batch, lead.leadership.clone()))
+    (!batch.is_empty()).then(|| (batch, leadership.lease.clone()))
 }
--- a/crates/ladderroute/src/writer/outcome.rs
+++ b/crates/ladderroute/src/writer/outcome.rs
@@ -1,7 +1,7 @@
 //! The outcome of a transaction, and what the leader makes of it.
 
 use super::batch::Batch;
-use crate::node::{Lead, Node, State};
+use crate::node::{Leadership, Node, State};
 use sched::leader::Action;
 use sched::ranges::Ranges;
 use std::rc::Rc;
@@ -41,16 +41,16 @@
 pub async fn write(
     node: &Rc<Node>,
     batch: &Batch,
-    leadership: &LeadershipLease,
+    lease: &LeadershipLease,
 ) -> Result<Outcome, StoreError> {
     if batch.is_token() {
-        let token = next_token(&node.store, &node.settings.member, leadership).await?;
+        let token = next_token(&node.store, &node.settings.member, lease).await?;
         return Ok(match token {
             Some((token, version)) => Outcome::Token { token, version },
             None => Outcome::Lost,
         });
     }
-    let leads = std::iter::once(still_leader(leadership.version));
+    let leads = std::iter::once(still_leader(lease.version));
     let txn = Txn {
         conditions: leads.chain(batch.conditions.iter().cloned()).collect(),
         writes: batch.writes.clone(),
@@ -83,21 +83,24 @@
     let mut guard = node.lock();
     let state = &mut *guard;
     let State { shared, .. } = state;
-    let Some(lead) = &mut shared.lead else { return };
+    let Some(leadership) = &mut shared.leadership else {
+        return;
+    };
     if matches!(result, Err(StoreError::Refused(400))) {
-        keep_to_less(lead, &batch);
+        lower_limits(leadership, &batch);
     }
     if let Ok(Outcome::Written(revision)) = result {
         shared.view.written(&batch.writes, revision);
-        lead.records.written(&batch.roster, &batch.progress);
+        leadership.records.written(&batch.roster, &batch.progress);
         if let Some(part) = batch.binding {
-            lead.records
+            leadership
+                .records
                 .set_bound_places(part.attempt, Some(part.places));
         }
     }
     if let Ok(Outcome::Token { token, version }) = result {
-        lead.leadership.token = token;
-        lead.leadership.version = version;
+        leadership.lease.token = token;
+        leadership.lease.version = version;
         let member = node.settings.member.clone();
         shared
             .view
@@ -105,19 +108,19 @@
     }
     let finished: Vec<String> = batch.actions.iter().filter_map(finished_job).collect();
     for action in batch.actions {
-        apply_one(node, lead, action, &result);
+        apply_one(node, leadership, action, &result);
     }
-    if lead.records.dirty() {
+    if leadership.records.dirty() {
         let _ = node.writer_wake.0.try_send(());
     }
     if let Ok(Outcome::Written(revision)) = result {
         // What waited for these jobs may start now, without waiting for the watch.
         for id in finished {
             let changes = shared.view.job_done(&id, revision);
-            node.tell_changes(shared, changes);
+            node.notify_leader_of_changes(shared, changes);
         }
     }
-    node.pump(state);
+    node.exchange_messages(state);
 }
 
 fn finished_job(action: &Action) -> Option<String> {
@@ -129,7 +132,7 @@
 
 /// The store calls a transaction malformed: its limits are lower than this controller was told. The
 /// next ones hold less, so that what is too large stands alone and the rest is written.
-fn keep_to_less(lead: &mut Lead, batch: &Batch) {
+fn lower_limits(leadership: &mut Leadership, batch: &Batch) {
     let sizes = batch.writes.iter().map(|write| match write {
         Write::Put { key, value, .. } => (value_bytes(value), key),
         Write::Drop { key } => (0, key),
@@ -139,20 +142,30 @@
     };
     let writes = batch.writes.len();
     log::error!("event=write_refused key={key} bytes={bytes} writes={writes}");
-    lead.limits = lead.limits.lowered(writes, bytes);
-    lead.records.shrink(lead.limits.value_kb);
+    leadership.limits = leadership.limits.lowered(writes, bytes);
+    leadership.records.shrink(leadership.limits.value_kb);
 }
 
 /// Ends the lease, so that the renewal finds it gone and the next leader can come.
 async fn give_up_leadership(node: &Rc<Node>) {
     log::info!("event=leadership_lost");
-    let lease = node.lock().shared.lead.as_ref().map(|l| l.leadership.lease);
+    let lease = node
+        .lock()
+        .shared
+        .leadership
+        .as_ref()
+        .map(|l| l.lease.lease_id);
     if let Some(lease) = lease {
         let _ = node.store.revoke(lease).await;
     }
 }
 
-fn apply_one(node: &Node, lead: &mut Lead, action: Action, result: &Result<Outcome, StoreError>) {
+fn apply_one(
+    node: &Node,
+    leadership: &mut Leadership,
+    action: Action,
+    result: &Result<Outcome, StoreError>,
+) {
     let written = matches!(result, Ok(Outcome::Written(_)));
     match action {
         Action::NewToken => {
@@ -160,15 +173,19 @@
                 Ok(Outcome::Token { token, .. }) => Some(*token),
                 _ => None,
             };
-            lead.leader.token_result(token, node.now());
+            leadership.leader.token_result(token, node.now());
         }
         Action::Bind { job, attempt, .. } => {
-            lead.records.set_bound_places(attempt, None);
-            lead.leader.bind_result(&job, attempt, written, node.now());
+            leadership.records.set_bound_places(attempt, None);
+            leadership
+                .leader
+                .bind_result(&job, attempt, written, node.now());
+        }
+        Action::Finish { job } => apply_finish(node, leadership, job, result),
+        Action::RecordStartedArrays(record) => {
+            leadership.leader.start_record_result(&record, written)
         }
-        Action::Finish { job } => apply_finish(node, lead, job, result),
-        Action::Begin(record) => lead.leader.begin_result(&record, written),
-        Action::Roster(name, _) => lead.leader.roster_result(&name, true, written),
+        Action::Roster(name, _) => leadership.leader.roster_result(&name, true, written),
         Action::Progress {
             job,
             first_task,
@@ -176,7 +193,8 @@
         } => {
             let mut done = Ranges::default();
             done.add_bits(first_task, &store::replica::bits(&bits), u32::MAX);
-            lead.leader
+            leadership
+                .leader
                 .progress_result(&job, first_task, written.then_some(&done));
         }
         Action::Send(..) | Action::Provision(_) | Action::Deprovision(_) => {}
@@ -185,19 +203,24 @@
 
 /// Of several ends of jobs, only those whose own condition failed have changed meanwhile: the
 /// others are written again.
-fn apply_finish(node: &Node, lead: &mut Lead, job: String, result: &Result<Outcome, StoreError>) {
+fn apply_finish(
+    node: &Node,
+    leadership: &mut Leadership,
+    job: String,
+    result: &Result<Outcome, StoreError>,
+) {
     match result {
         Ok(Outcome::Written(_)) => {
             log::info!("event=done job={job}");
-            lead.leader.finish_result(&job, true);
+            leadership.leader.finish_result(&job, true);
         }
         Ok(Outcome::Conflict(failed)) if failed.contains(&keys::job(&job)) => {
-            lead.leader.finish_result(&job, false);
+            leadership.leader.finish_result(&job, false);
         }
         // Not at once again: the leader comes back to it, and what else waits is written meanwhile.
-        Err(StoreError::Refused(400)) => lead.leader.finish_result(&job, false),
+        Err(StoreError::Refused(400)) => leadership.leader.finish_result(&job, false),
         _ => {
-            lead.writes.push_back(Action::Finish { job });
+            leadership.writes.push_back(Action::Finish { job });
             let _ = node.writer_wake.0.try_send(());
         }
     }
--- a/crates/ladderroute/src/writer/pages.rs
+++ b/crates/ladderroute/src/writer/pages.rs
@@ -110,7 +110,7 @@
     }
 
     /// A job is over: its progress leaves its page when that is written next.
-    pub fn job_over(&mut self, id: &str) {
+    pub fn on_job_terminal(&mut self, id: &str) {
         let first = (id.to_string(), 0);
         let mine: Vec<_> = self
             .progress
--- a/crates/ladderroute/tests/answers.rs
+++ b/crates/ladderroute/tests/answers.rs
@@ -8,7 +8,7 @@
 mod stand_in;
 
 use ladderroute::submission::{cancel, query, submit};
-use stand_in::requests::{accepted, body, finish, set, told, with};
+use stand_in::requests::{accepted, answered, body, finish, set, with};
 use stand_in::Fate;
 use wire::cbor;
 use wire::store::Value;
@@ -20,14 +20,17 @@
         let sent = body("wk-1", |_| ());
         assert_eq!(query(&a, "wk-1").await.status, 404);
         assert_eq!(accepted(&submit(&a, &sent).await), (201, JobState::Queued));
-        assert_eq!(told(&query(&b, "wk-1").await), (200, JobState::Queued));
+        assert_eq!(answered(&query(&b, "wk-1").await), (200, JobState::Queued));
         assert_eq!(accepted(&submit(&b, &sent).await), (200, JobState::Queued));
         assert_eq!(
             accepted(&cancel(&b, "wk-1").await),
             (200, JobState::Cancelled)
         );
         for n in [&a, &b] {
-            assert_eq!(told(&query(n, "wk-1").await), (200, JobState::Cancelled));
+            assert_eq!(
+                answered(&query(n, "wk-1").await),
+                (200, JobState::Cancelled)
+            );
             assert_eq!(
                 accepted(&cancel(n, "wk-1").await),
                 (200, JobState::Cancelled)
@@ -69,14 +72,17 @@
         );
         assert_eq!(store.carry_out_kept(), vec![409]);
         for n in [&a, &b] {
-            assert_eq!(told(&query(n, "wk-2").await), (200, JobState::Cancelled));
+            assert_eq!(
+                answered(&query(n, "wk-2").await),
+                (200, JobState::Cancelled)
+            );
         }
         // It alone, late: the job is known by every route from then on.
         store.fate.set(Fate::Kept);
         assert_eq!(submit(&a, &body("wk-3", |_| ())).await.status, 503);
         assert_eq!(query(&b, "wk-3").await.status, 404);
         assert_eq!(store.carry_out_kept(), vec![200]);
-        assert_eq!(told(&query(&b, "wk-3").await), (200, JobState::Queued));
+        assert_eq!(answered(&query(&b, "wk-3").await), (200, JobState::Queued));
         assert_eq!(
             accepted(&submit(&a, &body("wk-3", |_| ())).await),
             (200, JobState::Queued)
@@ -130,7 +136,7 @@
                 ("wk-3", JobState::Done),
                 ("wk-4", JobState::Cancelled),
             ] {
-                assert_eq!(told(&query(n, id).await), (200, state), "{id}");
+                assert_eq!(answered(&query(n, id).await), (200, state), "{id}");
                 assert_eq!(accepted(&cancel(n, id).await), (200, state), "{id}");
                 assert_eq!(
                     accepted(&submit(n, &body(id, |_| ())).await),
@@ -150,7 +156,10 @@
         }
         assert_eq!(cancel(&a, "wk-1").await.status, 200);
         store.refuses.set(true);
-        assert_eq!(told(&query(&a, "wk-1").await), (200, JobState::Cancelled));
+        assert_eq!(
+            answered(&query(&a, "wk-1").await),
+            (200, JobState::Cancelled)
+        );
         assert_eq!(
             accepted(&cancel(&a, "wk-1").await),
             (200, JobState::Cancelled)
@@ -176,7 +185,7 @@
             assert_eq!((r.status, r.retry_after_s.is_some()), (503, true));
         }
         store.refuses.set(false);
-        assert_eq!(told(&query(&a, "wk-2").await), (200, JobState::Queued));
+        assert_eq!(answered(&query(&a, "wk-2").await), (200, JobState::Queued));
         assert_eq!(query(&a, "wk-3").await.status, 404);
     });
 }
--- a/crates/ladderroute/tests/batches.rs
+++ b/crates/ladderroute/tests/batches.rs
@@ -2,13 +2,13 @@
 
 use ladderroute::writer::batch::{next_batch, Batch, TxnLimits};
 use ladderroute::writer::RecordPages;
-use sched::config::Setup;
+use sched::config::SchedulerConfig;
 use sched::leader::{Action, Leader};
 use std::collections::{BTreeMap, VecDeque};
 use store::replica::Replica;
 use wire::store::{
-    to_value, value_bytes, BegunRecord, BindingRecord, Change, Changes, JobRecord, ProgressPage,
-    Recorded, RosterPage, RosterRecord, Value, Write,
+    to_value, value_bytes, BindingRecord, Change, Changes, JobRecord, ProgressPage, Recorded,
+    RosterPage, RosterRecord, StartedArraysRecord, Value, Write,
 };
 use wire::users::{Job, Priority, Shape};
 
@@ -36,9 +36,9 @@
     }
 
     fn new(waiting: impl IntoIterator<Item = Action>) -> Scene {
-        let setup = Setup {
+        let config = SchedulerConfig {
             teams: BTreeMap::new(),
-            report_s: 1.0,
+            heartbeat_s: 1.0,
             lease_s: 10.0,
             cancel_s: 30.0,
             list_lag_s: 5.0,
@@ -56,7 +56,7 @@
             records: RecordPages::load(&replica, LIMITS.value_kb),
             leader: Leader::new(
                 "rung-0",
-                setup,
+                config,
                 1,
                 1,
                 LIMITS.value_kb,
@@ -148,8 +148,8 @@
     Action::Finish { job: job.into() }
 }
 
-fn begun() -> Action {
-    Action::Begin(BegunRecord {
+fn started_arrays() -> Action {
+    Action::RecordStartedArrays(StartedArraysRecord {
         upto: 3,
         waiting: vec![],
     })
@@ -172,7 +172,7 @@
         progress("wk-000002"),
         machine("host-1"),
         machine("host-2"),
-        begun(),
+        started_arrays(),
         binding("wk-000001", 1),
     ]);
     let batch = scene.next();
@@ -197,12 +197,15 @@
     let mut scene = Scene::new([
         binding("wk-000001", long),
         binding("wk-000002", long),
-        begun(),
+        started_arrays(),
     ]);
     let batch = scene.next();
     assert_eq!(batch.actions, [binding("wk-000001", long)]);
     assert_eq!(batch.writes.len(), 3, "three records of 64 places each");
-    assert_eq!(scene.waiting, [binding("wk-000002", long), begun()]);
+    assert_eq!(
+        scene.waiting,
+        [binding("wk-000002", long), started_arrays()]
+    );
 }
 
 /// The ends of jobs have conditions that may fail, so that they share no transaction with the rest.
@@ -386,7 +389,7 @@
 #[test]
 fn a_binding_longer_than_a_transaction_is_written_in_parts() {
     let machines = 400;
-    let mut scene = Scene::new([binding("wk-000001", machines), begun()]);
+    let mut scene = Scene::new([binding("wk-000001", machines), started_arrays()]);
     scene.limits = LOWER;
     let mut places = 0;
     for _ in 0..3 {
--- a/crates/ladderroute/tests/chains.rs
+++ b/crates/ladderroute/tests/chains.rs
@@ -7,7 +7,7 @@
 
 use ladderroute::node::Node;
 use ladderroute::submission::{cancel, query, submit};
-use stand_in::requests::{accepted, body, finish, told, with};
+use stand_in::requests::{accepted, answered, body, finish, with};
 use stand_in::{is_loaded, job_entry, Fate};
 use std::rc::Rc;
 use wire::store::{JobRecord, Recorded, Value};
@@ -49,7 +49,7 @@
         for node in [&a, &b] {
             for id in ["wk-2", "wk-3", "wk-4"] {
                 assert_eq!(
-                    told(&query(node, id).await),
+                    answered(&query(node, id).await),
                     (200, JobState::Cancelled),
                     "{id}"
                 );
@@ -61,7 +61,7 @@
             }
             for id in ["wk-1", "wk-5"] {
                 assert_eq!(
-                    told(&query(node, id).await),
+                    answered(&query(node, id).await),
                     (200, JobState::Queued),
                     "{id}"
                 );
@@ -80,7 +80,7 @@
         }
         for node in [&a, &b] {
             let answer = query(node, "wk-late-rung-0").await;
-            assert_eq!(told(&answer), (200, JobState::Cancelled));
+            assert_eq!(answered(&answer), (200, JobState::Cancelled));
         }
     });
 }
@@ -95,7 +95,10 @@
         assert_eq!(finish(&store, "wk-1"), 200);
         assert_eq!(accepted(&cancel(&b, "wk-1").await), (200, JobState::Done));
         for node in [&a, &b] {
-            assert_eq!(told(&query(node, "wk-2").await), (200, JobState::Queued));
+            assert_eq!(
+                answered(&query(node, "wk-2").await),
+                (200, JobState::Queued)
+            );
             assert!(!is_blocked(node, "wk-2"));
         }
         // The same request again, though what it names is over; and a job submitted only now.
@@ -118,12 +121,15 @@
             accepted(&cancel(&a, "wk-1").await),
             (200, JobState::Cancelled)
         );
-        assert_eq!(told(&query(&b, "wk-3").await), (200, JobState::Cancelled));
+        assert_eq!(
+            answered(&query(&b, "wk-3").await),
+            (200, JobState::Cancelled)
+        );
         store.refuses.set(true);
         for node in [&a, &b] {
             for id in ["wk-1", "wk-2", "wk-3"] {
                 assert_eq!(
-                    told(&query(node, id).await),
+                    answered(&query(node, id).await),
                     (200, JobState::Cancelled),
                     "{id}"
                 );
@@ -253,7 +259,10 @@
             (200, JobState::Cancelled)
         );
         for node in [&b, &a] {
-            assert_eq!(told(&query(node, "wk-2").await), (200, JobState::Cancelled));
+            assert_eq!(
+                answered(&query(node, "wk-2").await),
+                (200, JobState::Cancelled)
+            );
         }
         // Carried out late, when what it names has been cancelled meanwhile.
         accept(&a, "wk-3", &[]).await;
@@ -265,7 +274,10 @@
         );
         assert_eq!(store.carry_out_kept(), vec![200]);
         for node in [&b, &a] {
-            assert_eq!(told(&query(node, "wk-4").await), (200, JobState::Cancelled));
+            assert_eq!(
+                answered(&query(node, "wk-4").await),
+                (200, JobState::Cancelled)
+            );
         }
     });
 }
@@ -302,7 +314,7 @@
             ("wk-2", JobState::Queued, false),
             ("wk-3", JobState::Queued, true),
         ] {
-            assert_eq!(told(&query(&b, id).await), (200, state), "{id}");
+            assert_eq!(answered(&query(&b, id).await), (200, state), "{id}");
             assert_eq!(is_blocked(&b, id), blocked, "{id}");
         }
     });
--- a/crates/ladderroute/tests/cluster_view.rs
+++ b/crates/ladderroute/tests/cluster_view.rs
@@ -144,7 +144,7 @@
             Answer::TooOld(read) => self.view.too_old(read),
             Answer::Job(record, version) => {
                 let id = record.job.id.clone();
-                self.view.learn_job(&id, *record, version);
+                self.view.apply_job_record(&id, *record, version);
             }
             Answer::OwnEnd(id, version) => {
                 self.view.job_done(&id, version);
--- a/crates/ladderroute/tests/command.rs
+++ b/crates/ladderroute/tests/command.rs
@@ -82,8 +82,10 @@
         (tuning.idle_retention_boots, tuning.max_wait_share),
         (3.25, 0.75)
     );
-    let setup = Settings::parse(FULL, "f").unwrap().setup(&tuning);
-    let teams = setup.teams.iter().map(|(name, t)| {
+    let config = Settings::parse(FULL, "f")
+        .unwrap()
+        .scheduler_config(&tuning);
+    let teams = config.teams.iter().map(|(name, t)| {
         let figures = [t.cpus, t.cpus_max, t.gpus, t.gpus_max];
         (name.as_str(), figures)
     });
@@ -93,12 +95,12 @@
         ("red", [10.5, 20.5, 2.5, 4.5]),
     ];
     assert_eq!(teams.collect::<Vec<_>>(), expected);
-    assert_eq!((setup.report_s, setup.lease_s), (1.5, 12.5));
-    assert_eq!((setup.cancel_s, setup.list_lag_s), (40.5, 8.5));
-    assert_eq!((setup.reservation_s, setup.leader_lease_s), (4.5, 1.25));
-    assert_eq!((setup.guarantee_s, setup.wait_s["train"]), (7.5, 90.5));
+    assert_eq!((config.heartbeat_s, config.lease_s), (1.5, 12.5));
+    assert_eq!((config.cancel_s, config.list_lag_s), (40.5, 8.5));
+    assert_eq!((config.reservation_s, config.leader_lease_s), (4.5, 1.25));
+    assert_eq!((config.guarantee_s, config.wait_s["train"]), (7.5, 90.5));
     assert_eq!(
-        (setup.max_wait_share, setup.idle_retention_boots),
+        (config.max_wait_share, config.idle_retention_boots),
         (0.75, 3.25)
     );
 }
--- a/crates/ladderroute/tests/refusals.rs
+++ b/crates/ladderroute/tests/refusals.rs
@@ -99,21 +99,21 @@
 #[test]
 fn refusals_are_told_word_for_word() {
     with(|store, [a, _]| async move {
-        let mut told = Vec::new();
+        let mut answered = Vec::new();
         for (name, sent) in submissions() {
-            told.push(line(&name, &submit(&a, &sent).await));
+            answered.push(line(&name, &submit(&a, &sent).await));
         }
-        told.push(line("unknown query", &query(&a, "wk-2").await));
-        told.push(line("unknown cancel", &cancel(&a, "wk-2").await));
+        answered.push(line("unknown query", &query(&a, "wk-2").await));
+        answered.push(line("unknown cancel", &cancel(&a, "wk-2").await));
         store.refuses.set(true);
         let sent = body("wk-2", |_| ());
         let later = submit(&a, &sent).await;
         assert_eq!((later.status, later.retry_after_s.is_some()), (503, true));
         let expected: Vec<&str> = include_str!("refusals/told.txt").lines().collect();
-        let told: Vec<&str> = told.iter().map(String::as_str).collect();
-        let wrong = told.iter().zip(&expected).filter(|(is, was)| is != was);
+        let answered: Vec<&str> = answered.iter().map(String::as_str).collect();
+        let wrong = answered.iter().zip(&expected).filter(|(is, was)| is != was);
         let wrong: Vec<String> = wrong.map(|(is, was)| format!("{is}\n{was}")).collect();
         assert!(wrong.is_empty(), "\n{}", wrong.join("\n"));
-        assert_eq!(told.len(), expected.len());
+        assert_eq!(answered.len(), expected.len());
     });
 }
--- a/crates/ladderroute/tests/reload.rs
+++ b/crates/ladderroute/tests/reload.rs
@@ -47,8 +47,8 @@
 
 fn leader_knows(node: &Node, id: &str) -> bool {
     let state = node.lock();
-    let lead = state.shared.lead.as_ref();
-    lead.is_some_and(|lead| lead.leader.knows(id))
+    let leadership = state.shared.leadership.as_ref();
+    leadership.is_some_and(|leadership| leadership.leader.knows(id))
 }
 
 /// A job ends while the keys are read again, by a write of this controller that was under way: the pages
@@ -57,9 +57,10 @@
 #[test]
 fn what_ends_during_a_reload_stays_terminal() {
     with_fronts(|store, [a, b], [front, _]| async move {
-        a.ex.spawn(ladderroute::leadership::campaign(a.clone()))
+        a.executor
+            .spawn(ladderroute::leadership::campaign(a.clone()))
             .detach();
-        until(|| a.lock().shared.lead.is_some()).await;
+        until(|| a.lock().shared.leadership.is_some()).await;
         for id in ["wk-1", "wk-2", "wk-3"] {
             accept(&a, id, &[]).await;
         }
@@ -75,7 +76,7 @@
             assert_eq!(end(&store, id, ended), 200);
             let item = store.get(&store::keys::job(id)).unwrap();
             let record: JobRecord = from_value(&item.value).unwrap();
-            a.learn_job(&mut a.lock(), id, record, item.version);
+            a.apply_job_record(&mut a.lock(), id, record, item.version);
         }
         assert!(!leader_knows(&a, "wk-1") && leader_knows(&a, "wk-5"));
         // Nothing that comes after the reload mends it.
--- a/crates/ladderroute/tests/stale_view.rs
+++ b/crates/ladderroute/tests/stale_view.rs
@@ -10,7 +10,7 @@
 use http::server::Response;
 use ladderroute::node::Node;
 use ladderroute::submission::{cancel, query, submit};
-use stand_in::requests::{accepted, body, finish, told, with_fronts};
+use stand_in::requests::{accepted, answered, body, finish, with_fronts};
 use stand_in::{Fate, Front, Store};
 use std::rc::Rc;
 use std::time::Duration;
@@ -36,7 +36,7 @@
 
 /// The changes of the store do not reach a controller any more, once it has seen those so far.
 async fn fall_behind(node: &Rc<Node>, front: &Front) {
-    assert!(ladderroute::freshness::freshen(node).await);
+    assert!(ladderroute::freshness::refresh_view(node).await);
     front.refuses_changes.set(true);
     // A request that was under way is refused, too, once one sent later was.
     let asked = front.changes_asked.get();
@@ -48,7 +48,7 @@
 /// The view of a controller is from so long ago that it proves nothing any more.
 fn read_long_ago(node: &Node, store: &Store) {
     let view = &mut node.lock().shared.view;
-    let mut reload = view.begin_reload(node.now() - node.setup.start_staleness_s());
+    let mut reload = view.begin_reload(node.now() - node.config.start_staleness_s());
     assert!(reload.take(&store.items_after("")));
     view.finish_reload(reload);
 }
@@ -65,7 +65,10 @@
         fall_behind(&b, &front_b).await;
         accept(&a, "wk-2", &["wk-1"]).await;
         cancel_confirmed(&a, "wk-1").await;
-        assert_eq!(told(&query(&a, "wk-2").await), (200, JobState::Cancelled));
+        assert_eq!(
+            answered(&query(&a, "wk-2").await),
+            (200, JobState::Cancelled)
+        );
         // The record of wk-2 is open, and so is wk-1 as far as this controller knows.
         let again = body_after("wk-2", &["wk-1"]);
         assert!(is_told_to_come_back(&submit(&b, &again).await));
@@ -85,7 +88,10 @@
         store.fate.set(Fate::AnswerLost);
         let late = body_after("wk-2", &["wk-1"]);
         assert!(is_told_to_come_back(&submit(&b, &late).await));
-        assert_eq!(told(&query(&a, "wk-2").await), (200, JobState::Cancelled));
+        assert_eq!(
+            answered(&query(&a, "wk-2").await),
+            (200, JobState::Cancelled)
+        );
         front_b.refuses_changes.set(false);
         assert_eq!(
             accepted(&submit(&b, &late).await),
--- a/crates/ladderroute/tests/stand_in/mod.rs
+++ b/crates/ladderroute/tests/stand_in/mod.rs
@@ -41,7 +41,7 @@
     kept: RefCell<Vec<Txn>>,
 }
 
-/// One controller's way to the store, with troubles that only this controller has.
+/// One controller's way to the store, with faults that only this controller has.
 // Not every test uses all of them.
 #[allow(dead_code)]
 #[derive(Default)]
@@ -79,7 +79,7 @@
     /// Opens a way to the store.
     pub async fn open(
         self: &Rc<Store>,
-        ex: &Rc<smol::LocalExecutor<'static>>,
+        executor: &Rc<smol::LocalExecutor<'static>>,
     ) -> (Rc<Front>, SocketAddr) {
         let front = Rc::new(Front::default());
         let listener = smol::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -97,7 +97,13 @@
             let (store, front) = (store.clone(), served.clone());
             async move { store.handle(&front, request).await }
         });
-        ex.spawn(http::server::serve(ex.clone(), listener, limits, handler))
+        executor
+            .spawn(http::server::serve(
+                executor.clone(),
+                listener,
+                limits,
+                handler,
+            ))
             .detach();
         (front, addr)
     }
@@ -269,7 +275,7 @@
 
 /// A controller with a replica that is loaded and kept current; nothing else of it runs.
 pub async fn controller(
-    ex: &Rc<smol::LocalExecutor<'static>>,
+    executor: &Rc<smol::LocalExecutor<'static>>,
     i: usize,
     store: SocketAddr,
 ) -> Rc<Node> {
@@ -281,7 +287,7 @@
         "settings",
     )
     .unwrap();
-    let node = ladderroute::node::new(settings, &Tuning::default(), ex.clone());
+    let node = ladderroute::node::new(settings, &Tuning::default(), executor.clone());
     node.lock().shared.catalog = Some(vec![wire::cloud::MachineType {
         name: "g8".into(),
         cpus: 96.0,
@@ -294,7 +300,8 @@
         boot_s: 45.0,
         zones: vec!["a".into(), "b".into()],
     }]);
-    ex.spawn(ladderroute::freshness::follow(node.clone()))
+    executor
+        .spawn(ladderroute::freshness::follow(node.clone()))
         .detach();
     while !is_loaded(&node) {
         smol::Timer::after(Duration::from_millis(5)).await;
--- a/crates/ladderroute/tests/stand_in/requests.rs
+++ b/crates/ladderroute/tests/stand_in/requests.rs
@@ -21,14 +21,14 @@
 pub fn with_fronts<F: Future<Output = ()>>(
     test: impl FnOnce(Rc<Store>, [Rc<Node>; 2], [Rc<Front>; 2]) -> F,
 ) {
-    let ex = Rc::new(smol::LocalExecutor::new());
-    smol::block_on(ex.clone().run(async move {
+    let executor = Rc::new(smol::LocalExecutor::new());
+    smol::block_on(executor.clone().run(async move {
         let store = Store::new();
-        let (front_a, addr_a) = store.open(&ex).await;
-        let (front_b, addr_b) = store.open(&ex).await;
+        let (front_a, addr_a) = store.open(&executor).await;
+        let (front_b, addr_b) = store.open(&executor).await;
         let nodes = [
-            controller(&ex, 0, addr_a).await,
-            controller(&ex, 1, addr_b).await,
+            controller(&executor, 0, addr_a).await,
+            controller(&executor, 1, addr_b).await,
         ];
         test(store, nodes, [front_a, front_b]).await;
     }));
@@ -75,7 +75,7 @@
     (r.status, cbor::decode::<Accepted>(&r.body).unwrap().state)
 }
 
-pub fn told(r: &Response) -> (u16, JobState) {
+pub fn answered(r: &Response) -> (u16, JobState) {
     (r.status, cbor::decode::<Progress>(&r.body).unwrap().state)
 }
 
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -1,8 +1,8 @@
 //! A simulated world around the real decisions of `sched`.
 
-use sched::config::{Setup, Team};
-use sched::leader::{Action, Earlier, Leader, OpenJob};
-use sched::owner::{Answer, Jobs, Owner};
+use sched::config::{SchedulerConfig, Team};
+use sched::leader::{Action, Leader, OpenJob, PriorRuns};
+use sched::owner::{HeartbeatResponse, Jobs, Owner};
 use sched::placement::Resources;
 use sched::ranges::Ranges;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -11,7 +11,7 @@
 use wire::peers::{MachineStatus, TaskStatus, ToLeader, ToOwner};
 use wire::store::RosterRecord;
 use wire::users::{Job, Priority, Shape};
-use wire::workers::{Order, Orders, Report, TaskReport, TaskState, Why};
+use wire::workers::{Heartbeat, Order, Orders, ReportedTask, TaskState, Why};
 
 mod chains;
 mod controllers;
@@ -28,7 +28,7 @@
 use chains::ChainView;
 use controllers::{disconnect, new_controller};
 use fixtures::random_job;
-pub use fixtures::{job, machine_status, machine_type, report, setup};
+pub use fixtures::{config, heartbeat, job, machine_status, machine_type};
 use store::Pending;
 pub use trace::Trace;
 
@@ -37,7 +37,7 @@
 pub enum Defect {
     /// None: the decisions as they are.
     None,
-    /// Every report counts, also those held up from before a change of owners.
+    /// Every heartbeat counts, also those held up from before a change of owners.
     TrustAnyReport,
     /// A new leader does not wait until the rostered machines are reconciled.
     ForgetRoster,
@@ -91,7 +91,7 @@
 
 struct InFlight {
     sent: f64,
-    session: u64,
+    incarnation: u64,
     seq: u64,
 }
 
@@ -102,13 +102,13 @@
     up_at: f64,
     gone: bool,
     hung_until: f64,
-    /// Until then its reports arrive, but no answer reaches it.
-    unreachable_until: f64,
-    /// Until then none of its reports arrives anywhere.
-    mute_until: f64,
+    /// Until then its heartbeats arrive, but no answer reaches it.
+    inbound_cut_until: f64,
+    /// Until then none of its heartbeats arrives anywhere.
+    outbound_cut_until: f64,
     /// When the cloud takes the machine back, once it has given notice.
     taken_at: Option<f64>,
-    session: u64,
+    incarnation: u64,
     seq: u64,
     token: u64,
     lease_from: f64,
@@ -119,15 +119,15 @@
 }
 
 enum Message {
-    Report {
+    Heartbeat {
         to: usize,
-        report: Box<Report>,
+        heartbeat: Box<Heartbeat>,
     },
     Answer {
         worker: String,
-        session: u64,
+        incarnation: u64,
         seq: u64,
-        answer: Answer,
+        answer: HeartbeatResponse,
     },
 }
 
@@ -165,11 +165,11 @@
     spec: Rc<Job>,
     accepted: f64,
     /// When its first task began to run.
-    begun_at: Option<f64>,
+    started_at: Option<f64>,
     revision: u64,
     done: Ranges,
     /// Since when it is over, by its own record or because a job that it needs is cancelled.
-    over: Option<f64>,
+    terminal_at: Option<f64>,
     /// Since when its own record says that it is over.
     own_end: Option<f64>,
     /// The controller that wrote that end.
@@ -177,15 +177,15 @@
     /// Since when all jobs that it needs are done.
     ready_at: Option<f64>,
     cancelled: bool,
-    earlier: Earlier,
+    prior_runs: PriorRuns,
 }
 
 /// The jobs as a controller's replica has them, which is as old as its last read of the store.
-struct Book<'a>(&'a BTreeMap<String, JobState>, f64);
+struct JobsAsRead<'a>(&'a BTreeMap<String, JobState>, f64);
 
-impl Jobs for Book<'_> {
+impl Jobs for JobsAsRead<'_> {
     fn resources(&self, job: &str) -> Option<Resources> {
-        let s = &self.0.get(job).filter(|_| !self.over(job))?.spec;
+        let s = &self.0.get(job).filter(|_| !self.is_terminal(job))?.spec;
         Some(Resources {
             cpus: s.cpus,
             gpus: s.gpus,
@@ -196,16 +196,16 @@
         Some(
             self.0
                 .get(job)
-                .filter(|_| !self.over(job))?
+                .filter(|_| !self.is_terminal(job))?
                 .spec
                 .image
                 .clone(),
         )
     }
-    fn over(&self, job: &str) -> bool {
+    fn is_terminal(&self, job: &str) -> bool {
         self.0
             .get(job)
-            .is_some_and(|j| j.over.is_some_and(|at| at <= self.1))
+            .is_some_and(|j| j.terminal_at.is_some_and(|at| at <= self.1))
     }
 }
 
@@ -215,7 +215,7 @@
     pub now: f64,
     rng: fastrand::Rng,
     defect: Defect,
-    setup: Setup,
+    config: SchedulerConfig,
     /// The teams' true limits.
     limits: BTreeMap<String, Team>,
     types: Vec<MachineType>,
@@ -228,7 +228,7 @@
     free_at: f64,
     term: u64,
     revision: u64,
-    begun: u64,
+    started_upto: u64,
     roster: BTreeMap<String, RosterRecord>,
     jobs: BTreeMap<String, JobState>,
     messages: Vec<(f64, Message)>,
@@ -241,14 +241,14 @@
     /// The next outage of the store: when it begins, and for how long.
     outage_at: Option<(f64, f64)>,
     /// A controller without the store and the other controllers, but with its workers.
-    alone: Option<(usize, f64)>,
+    isolated: Option<(usize, f64)>,
     /// Troubles so far by kind, to see that all happened.
-    pub troubles: BTreeMap<&'static str, u32>,
+    pub faults: BTreeMap<&'static str, u32>,
     /// Messages in a hundred that are lost.
     pub lost: u32,
     /// Messages in a hundred that are held up for long.
     pub held_up: u32,
-    /// Reports in a hundred of which a copy comes late, up to three leases.
+    /// Heartbeats in a hundred of which a copy comes late, up to three leases.
     pub late_copies: u32,
     /// Writes in a hundred that get no answer and are carried out 2 to 12 s later.
     pub late_writes: u32,
@@ -282,7 +282,7 @@
 const TTL: f64 = 2.0;
 /// After this long without an answer about it a job is forgotten (a figure of the users).
 const FORGOTTEN_S: f64 = 75.0;
-/// Once troubles are over, no job waits so long while a machine has capacity for it (a figure of the users).
+/// Once faults are over, no job waits so long while a machine has capacity for it (a figure of the users).
 const WAITS_S: f64 = 90.0;
 /// Within this time also the largest jobs must begin (a figure of the users).
 const BEGIN_S: f64 = 240.0;
@@ -291,12 +291,12 @@
 impl World {
     /// A world with the usual settings.
     pub fn new(seed: u64, defect: Defect) -> World {
-        World::with(seed, defect, setup())
+        World::with(seed, defect, config())
     }
 
     /// A world with other settings.
-    pub fn with(seed: u64, defect: Defect, setup: Setup) -> World {
-        let mut believed = setup.clone();
+    pub fn with(seed: u64, defect: Defect, config: SchedulerConfig) -> World {
+        let mut believed = config.clone();
         if defect == Defect::DoubleLimit {
             believed.teams.values_mut().for_each(|t| t.cpus_max *= 2.0);
         }
@@ -305,8 +305,8 @@
             now: 0.0,
             rng: fastrand::Rng::with_seed(seed),
             defect,
-            setup: believed,
-            limits: setup.teams,
+            config: believed,
+            limits: config.teams,
             types: vec![
                 machine_type("small", 4.0, 16.0, 0.3),
                 machine_type("large", 16.0, 64.0, 1.1),
@@ -318,7 +318,7 @@
             free_at: 0.0,
             term: 0,
             revision: 0,
-            begun: 0,
+            started_upto: 0,
             roster: BTreeMap::new(),
             jobs: BTreeMap::new(),
             messages: Vec::new(),
@@ -328,8 +328,8 @@
             hosts: 0,
             store_down_until: 0.0,
             outage_at: None,
-            alone: None,
-            troubles: BTreeMap::new(),
+            isolated: None,
+            faults: BTreeMap::new(),
             lost: 3,
             held_up: 3,
             late_copies: 0,
@@ -369,15 +369,15 @@
         let state = JobState {
             spec: Rc::new(spec),
             accepted: self.now,
-            begun_at: None,
+            started_at: None,
             revision: self.revision,
             done: Ranges::default(),
-            over: None,
+            terminal_at: None,
             own_end: None,
             ended_by: None,
             ready_at: None,
             cancelled: false,
-            earlier: Earlier::Untouched,
+            prior_runs: PriorRuns::None,
         };
         self.jobs.insert(id, state);
         self.cancel_descendants();
@@ -407,10 +407,10 @@
             return false;
         }
         let by = able[self.rng.usize(0..able.len())];
-        let Some(j) = self.jobs.get_mut(id).filter(|j| j.over.is_none()) else {
+        let Some(j) = self.jobs.get_mut(id).filter(|j| j.terminal_at.is_none()) else {
             return false;
         };
-        j.over = Some(now);
+        j.terminal_at = Some(now);
         j.own_end = Some(now);
         j.ended_by = Some(by);
         j.cancelled = true;
@@ -421,7 +421,7 @@
             return true;
         }
         match &mut self.leader {
-            Some((me, leader, _)) if *me == by => leader.job_over(id),
+            Some((leading, leader, _)) if *leading == by => leader.on_job_terminal(id),
             _ if self.hints && self.controllers[by].joined => {
                 let at = self.controllers[by]
                     .to_leader
@@ -442,10 +442,10 @@
         let up = self.now >= self.controllers[i].down_until
             && self.now >= self.controllers[i].refused_until
             && !self.is_frozen(i);
-        up && self.now >= self.store_down_until && !self.is_alone(i)
+        up && self.now >= self.store_down_until && !self.is_isolated(i)
     }
 
-    /// Random jobs, cancellations and troubles for `seconds`, then quiet for `calm`.
+    /// Random jobs, cancellations and faults for `seconds`, then quiet for `calm`.
     pub fn live(&mut self, seconds: f64, calm: f64) {
         let mut n = self.jobs.len() as u32;
         let end = self.now + seconds;
@@ -460,14 +460,14 @@
                 let id = format!("wk-{:06}", self.rng.u32(1..=n));
                 self.cancel(&id);
             }
-            self.trouble();
+            self.inject_fault();
             self.step();
         }
-        let over = self.now;
-        let end = over + calm;
+        let quiet_since = self.now;
+        let end = quiet_since + calm;
         while self.now < end {
             self.step();
-            if self.now - over > FORGOTTEN_S {
+            if self.now - quiet_since > FORGOTTEN_S {
                 self.check_known();
             }
             self.check_waiting();
@@ -492,7 +492,7 @@
 
     /// What the leader knows, in words.
     pub fn explain(&self) -> String {
-        let Some((me, l, _)) = &self.leader else {
+        let Some((leading, l, _)) = &self.leader else {
             return "no leader".into();
         };
         let owners = self.controllers.iter().enumerate().map(|(i, c)| {
@@ -508,14 +508,14 @@
         });
         let head = format!(
             "leader {} token={} members={:?}",
-            name(*me),
+            name(*leading),
             l.token(),
             l.members()
         );
         let workers = self.workers.iter().map(|(n, w)| {
             format!(
-                "{n} gone={} up={:.1} session={} seq={} token={} lease={:.1} next={:.1} target={} now={:.1} tasks={:?}",
-                w.gone, w.up_at, w.session, w.seq, w.token, w.lease_from, w.next, w.target, self.now, w.tasks
+                "{n} gone={} up={:.1} incarnation={} seq={} token={} lease={:.1} next={:.1} target={} now={:.1} tasks={:?}",
+                w.gone, w.up_at, w.incarnation, w.seq, w.token, w.lease_from, w.next, w.target, self.now, w.tasks
             )
         });
         [head]
@@ -531,7 +531,7 @@
     pub fn open_jobs(&self) -> Vec<String> {
         self.jobs
             .iter()
-            .filter(|(_, j)| j.over.is_none())
+            .filter(|(_, j)| j.terminal_at.is_none())
             .map(|(id, _)| id.clone())
             .collect()
     }
--- a/crates/model/src/world/chains.rs
+++ b/crates/model/src/world/chains.rs
@@ -78,13 +78,13 @@
             .collect();
         news.sort_by(|a, b| a.0.total_cmp(&b.0));
         let mut view = std::mem::take(&mut self.controllers[i].chains);
-        let mut leading = self.leader.take_if(|(me, _, _)| *me == i);
+        let mut leading = self.leader.take_if(|(leading, _, _)| *leading == i);
         for (_, id) in news {
             let effects = view.update(&self.jobs, &id, read_at);
             if let Some((_, leader, _)) = &mut leading {
-                self.tell_leader(leader, &view, &id, read_at);
+                self.notify_leader(leader, &view, &id, read_at);
                 for effect in effects {
-                    self.tell_effect(leader, &view, effect, read_at);
+                    self.notify_of_effect(leader, &view, effect, read_at);
                 }
             }
         }
@@ -108,15 +108,15 @@
         for id in &own {
             view.update(&self.jobs, id, now);
         }
-        if let Some((me, mut leader, id)) = self.leader.take() {
-            if me == i {
+        if let Some((leading, mut leader, id)) = self.leader.take() {
+            if leading == i {
                 let read = self.jobs.values().filter(|job| job.accepted <= read_at);
                 for job in read {
                     let known_at = if wrote(job) { now } else { read_at };
-                    self.tell_leader(&mut leader, &view, &job.spec.id, known_at);
+                    self.notify_leader(&mut leader, &view, &job.spec.id, known_at);
                 }
             }
-            self.leader = Some((me, leader, id));
+            self.leader = Some((leading, leader, id));
         }
         self.check_orphaned(&view, read_at);
         let controller = &mut self.controllers[i];
@@ -125,32 +125,38 @@
         controller.owner.authority.prove(read_at);
     }
 
-    fn tell_leader(&self, leader: &mut Leader, view: &ChainView, id: &str, read_at: f64) {
+    fn notify_leader(&self, leader: &mut Leader, view: &ChainView, id: &str, read_at: f64) {
         let job = &self.jobs[id];
         if job.own_end.is_some_and(|at| at <= read_at) {
             if !matches!(self.defect, Defect::IgnoreCancel | Defect::HalfDoneUnseen) {
-                leader.job_over(id);
+                leader.on_job_terminal(id);
             }
-        } else if self.may_be_told(view, job) {
+        } else if self.is_known_to_leader(view, job) {
             // No earlier leader gave out a job that is new to this one.
             leader.add_job(OpenJob {
-                earlier: Earlier::Untouched,
-                ..self.told(job)
+                prior_runs: PriorRuns::None,
+                ..self.open_job(job)
             });
             leader.set_priority(id, view.priority(&job.spec));
         }
     }
 
-    fn tell_effect(&self, leader: &mut Leader, view: &ChainView, effect: Effect, read_at: f64) {
+    fn notify_of_effect(
+        &self,
+        leader: &mut Leader,
+        view: &ChainView,
+        effect: Effect,
+        read_at: f64,
+    ) {
         match effect {
-            Effect::Unblocked(id) => self.tell_leader(leader, view, &id, read_at),
-            Effect::Cancelled(id) => leader.job_over(&id),
+            Effect::Unblocked(id) => self.notify_leader(leader, view, &id, read_at),
+            Effect::Cancelled(id) => leader.on_job_terminal(&id),
             Effect::Reprioritized(id, priority) => leader.set_priority(&id, priority),
         }
     }
 
     /// Whether the leader gets to know an open job.
-    pub(super) fn may_be_told(&self, view: &ChainView, job: &JobState) -> bool {
+    pub(super) fn is_known_to_leader(&self, view: &ChainView, job: &JobState) -> bool {
         let starts_blocked = self.defect == Defect::StartBlocked;
         (starts_blocked || view.is_runnable(&job.spec.id)) && !self.kept_from_leader(&job.spec)
     }
@@ -160,17 +166,16 @@
         let now = self.now;
         loop {
             let is_cancelled = |id: &String| self.jobs.get(id).is_some_and(|job| job.cancelled);
-            let orphans = self
-                .jobs
-                .values()
-                .filter(|job| job.over.is_none() && job.spec.dependencies.iter().any(is_cancelled));
+            let orphans = self.jobs.values().filter(|job| {
+                job.terminal_at.is_none() && job.spec.dependencies.iter().any(is_cancelled)
+            });
             let orphans: Vec<String> = orphans.map(|job| job.spec.id.clone()).collect();
             if orphans.is_empty() {
                 return;
             }
             for id in orphans {
                 if let Some(job) = self.jobs.get_mut(&id) {
-                    job.over = Some(now);
+                    job.terminal_at = Some(now);
                     job.cancelled = true;
                     self.trace.ended(now, &id, true);
                     self.cancelled_with_others += 1;
@@ -184,7 +189,7 @@
         let now = self.now;
         let is_done = |id: &String| {
             let job = self.jobs.get(id);
-            job.is_some_and(|job| job.over.is_some() && !job.cancelled)
+            job.is_some_and(|job| job.terminal_at.is_some() && !job.cancelled)
         };
         let ready = self
             .jobs
@@ -209,10 +214,11 @@
     fn check_orphaned(&mut self, view: &ChainView, read_at: f64) {
         let derives_nothing = self.defect == Defect::IgnoreChains;
         let is_orphan = |job: &JobState| {
-            let known_to_be_over = job.cancelled && job.over.is_some_and(|at| at <= read_at);
+            let known_to_be_terminal =
+                job.cancelled && job.terminal_at.is_some_and(|at| at <= read_at);
             let called_open = job.own_end.is_none()
                 && (derives_nothing || !view.cancelled.contains(&job.spec.id));
-            known_to_be_over && called_open
+            known_to_be_terminal && called_open
         };
         if self.jobs.values().any(is_orphan) {
             self.break_rule("orphaned");
--- a/crates/model/src/world/controllers.rs
+++ b/crates/model/src/world/controllers.rs
@@ -17,13 +17,13 @@
         due.sort_by(|a, b| a.0.total_cmp(&b.0));
         for (_, m) in due {
             match m {
-                Message::Report { to, report } => self.answer_report(to, report),
+                Message::Heartbeat { to, heartbeat } => self.answer_heartbeat(to, heartbeat),
                 Message::Answer {
                     worker,
-                    session,
+                    incarnation,
                     seq,
                     answer,
-                } => self.take_answer(&worker, session, seq, answer),
+                } => self.take_answer(&worker, incarnation, seq, answer),
             }
         }
     }
@@ -63,7 +63,8 @@
                     c.owner.authority.set(f64::MIN);
                 }
                 let seen = if ignorant { f64::MIN } else { c.seen };
-                c.owner.on_leader(message, now, &Book(&self.jobs, seen));
+                c.owner
+                    .on_leader_message(message, now, &JobsAsRead(&self.jobs, seen));
             }
             while c.knows.front().is_some_and(|(at, _)| *at <= now) {
                 let Some((_, known)) = c.knows.pop_front() else {
@@ -89,19 +90,19 @@
         if self.leader.is_none() {
             self.elect();
         }
-        let Some((me, mut leader, id)) = self.leader.take() else {
+        let Some((leading, mut leader, id)) = self.leader.take() else {
             return;
         };
-        if self.is_alone(me) {
+        if self.is_isolated(leading) {
             // Its owners left at once; its own authority runs out, and then the key is free.
-            for i in (0..self.controllers.len()).filter(|i| *i != me) {
+            for i in (0..self.controllers.len()).filter(|i| *i != leading) {
                 leader.owner_lost(&name(i));
                 disconnect(&mut self.controllers[i], now + 0.2);
             }
         }
-        if self.reaches_store(me) {
+        if self.reaches_store(leading) {
             self.lease_end = now + TTL;
-            self.controllers[me]
+            self.controllers[leading]
                 .owner
                 .authority
                 .renew(now + TTL * 0.95, now);
@@ -112,17 +113,17 @@
             self.end_leader();
             return;
         }
-        if self.is_frozen(me) {
-            self.leader = Some((me, leader, id));
+        if self.is_frozen(leading) {
+            self.leader = Some((leading, leader, id));
             return;
         }
         let (answers_until, known) = {
-            let a = &self.controllers[me].owner.authority;
+            let a = &self.controllers[leading].owner.authority;
             (a.answers_until(), a.read_at())
         };
         for i in 0..self.controllers.len() {
             let c = &mut self.controllers[i];
-            if i == me || now < c.down_until || !c.joined {
+            if i == leading || now < c.down_until || !c.joined {
                 continue;
             }
             while c.pings.front().is_some_and(|(at, _)| *at <= now) {
@@ -130,7 +131,7 @@
                     break;
                 };
                 leader.owner_heard(&name(i), now);
-                let until = answers_until.min(now + self.setup.owner_silence_s() * 1.25);
+                let until = answers_until.min(now + self.config.owner_silence_s() * 1.25);
                 let granted = leader.grant(&name(i), now, until);
                 self.trace.granted(now, i, sent, granted);
                 if let Some(valid) = granted {
@@ -146,7 +147,7 @@
                 let Some((_, m)) = c.to_leader.pop_front() else {
                     break;
                 };
-                leader.on_owner(&name(i), m, now);
+                leader.on_owner_message(&name(i), m, now);
             }
         }
         if now < answers_until {
@@ -157,10 +158,10 @@
         }
         loop {
             let mut idle = true;
-            for m in self.controllers[me].owner.drain() {
+            for m in self.controllers[leading].owner.drain() {
                 idle = false;
-                self.trace.sent_to_leader(now, me, now, &m);
-                leader.on_owner(&name(me), m, now);
+                self.trace.sent_to_leader(now, leading, now, &m);
+                leader.on_owner_message(&name(leading), m, now);
             }
             for action in leader.drain() {
                 idle = false;
@@ -168,12 +169,12 @@
                 match action {
                     Action::Send(to, message) => {
                         let i = (0..3).find(|i| name(*i) == to).unwrap_or(0);
-                        if i == me {
-                            let seen = self.known_to(me);
-                            self.controllers[me].owner.on_leader(
+                        if i == leading {
+                            let seen = self.known_to(leading);
+                            self.controllers[leading].owner.on_leader_message(
                                 message,
                                 now,
-                                &Book(&self.jobs, seen),
+                                &JobsAsRead(&self.jobs, seen),
                             );
                         } else if self.controllers[i].joined {
                             let wait = 0.02 + self.rng.f64() * 0.15;
@@ -199,7 +200,7 @@
                 break;
             }
         }
-        self.leader = Some((me, leader, id));
+        self.leader = Some((leading, leader, id));
     }
 
     pub(super) fn elect(&mut self) {
@@ -208,22 +209,22 @@
             return;
         }
         let up: Vec<usize> = (0..3).filter(|i| self.reaches_store(*i)).collect();
-        let Some(me) = (!up.is_empty()).then(|| up[self.rng.usize(0..up.len())]) else {
+        let Some(leading) = (!up.is_empty()).then(|| up[self.rng.usize(0..up.len())]) else {
             return;
         };
         self.term += 1;
         self.revision += 1;
         self.leaders += 1;
-        self.trace.elected(now, me, self.term, self.revision);
-        let mut chains = std::mem::take(&mut self.controllers[me].chains);
+        self.trace.elected(now, leading, self.term, self.revision);
+        let mut chains = std::mem::take(&mut self.controllers[leading].chains);
         chains.reload(&self.jobs, now);
-        let open = |j: &JobState| self.told(j);
+        let open = |j: &JobState| self.open_job(j);
         let ignore = self.defect == Defect::IgnoreCancel;
         let lost = |j: &JobState| self.defect == Defect::LoseJobs && j.revision & 1 == 0;
         let known = |j: &&JobState| {
             (j.own_end.is_none() || ignore && j.cancelled)
                 && !lost(j)
-                && self.may_be_told(&chains, j)
+                && self.is_known_to_leader(&chains, j)
         };
         let jobs: Vec<OpenJob> = self.jobs.values().filter(known).map(open).collect();
         let priorities = jobs
@@ -238,24 +239,24 @@
         };
         let seed = self.rng.u64(..);
         let mut leader = Leader::new(
-            &name(me),
-            self.setup.clone(),
+            &name(leading),
+            self.config.clone(),
             seed,
             self.term,
-            self.controllers[me].value_kb,
+            self.controllers[leading].value_kb,
             jobs,
             roster,
-            self.begun,
+            self.started_upto,
             now,
         );
         for (id, priority) in priorities {
             leader.set_priority(&id, priority);
         }
-        let lately = |j: &&JobState| {
+        let recently = |j: &&JobState| {
             j.cancelled
                 && j.own_end.is_some()
-                && j.over
-                    .is_some_and(|at| now - at < self.setup.lease_s + self.setup.cancel_s)
+                && j.terminal_at
+                    .is_some_and(|at| now - at < self.config.lease_s + self.config.cancel_s)
         };
         let resources = |s: &Job| {
             Resources {
@@ -265,18 +266,18 @@
             }
             .scaled(s.tasks)
         };
-        let lately = self
+        let recently = self
             .jobs
             .values()
-            .filter(lately)
+            .filter(recently)
             .map(|j| (j.spec.id.clone(), j.spec.team.clone(), resources(&j.spec)));
         if self.defect != Defect::ForgetCancelled {
-            leader.set_lately_cancelled(lately);
+            leader.set_recently_cancelled(recently);
         }
         leader.catalog(self.types.clone());
         self.lease_end = now + TTL;
-        let c = &mut self.controllers[me];
-        c.owner = Owner::new(&name(me), self.setup.clone());
+        let c = &mut self.controllers[leading];
+        c.owner = Owner::new(&name(leading), self.config.clone());
         c.owner.authority.set(now + TTL * 0.95);
         c.owner.authority.prove(now);
         self.known_versions = self.versions.clone();
@@ -286,11 +287,11 @@
         for c in &mut self.controllers {
             disconnect(c, now + 0.1);
         }
-        self.leader = Some((me, leader, self.revision));
+        self.leader = Some((leading, leader, self.revision));
     }
 
     /// A job as the leader gets to know it.
-    pub(super) fn told(&self, j: &JobState) -> OpenJob {
+    pub(super) fn open_job(&self, j: &JobState) -> OpenJob {
         let mut spec = (*j.spec).clone();
         if self.defect == Defect::IgnoreTypes {
             spec.types = None;
@@ -300,14 +301,14 @@
             spec: Rc::new(spec),
             revision: j.revision,
             done: j.done.clone(),
-            earlier: j.earlier.clone(),
+            prior_runs: j.prior_runs.clone(),
         }
     }
 }
 
-pub(super) fn new_controller(i: usize, setup: &Setup) -> Controller {
+pub(super) fn new_controller(i: usize, config: &SchedulerConfig) -> Controller {
     Controller {
-        owner: Owner::new(&name(i), setup.clone()),
+        owner: Owner::new(&name(i), config.clone()),
         down_until: 0.0,
         link_at: 0.0,
         joined: false,
--- a/crates/model/src/world/faults.rs
+++ b/crates/model/src/world/faults.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl World {
-    pub(super) fn trouble(&mut self) {
+    pub(super) fn inject_fault(&mut self) {
         let now = self.now;
         let kind = match self.rng.u32(0..3000) {
             0..=9 => "crash",
@@ -26,7 +26,7 @@
             175..=178 => "leader stands still with an answer",
             _ => return,
         };
-        *self.troubles.entry(kind).or_default() += 1;
+        *self.faults.entry(kind).or_default() += 1;
         let at = self.rng.usize(0..self.workers.len().max(1));
         let long = self.rng.f64();
         let i = self.rng.usize(0..self.controllers.len());
@@ -55,21 +55,21 @@
                     self.cancel(&id);
                 }
             }
-            ("machine mute", Some(w)) => w.mute_until = now + long * 20.0,
+            ("machine mute", Some(w)) => w.outbound_cut_until = now + long * 20.0,
             ("alone with its workers", _) => {
-                self.alone = Some((i, now + 1.0 + long * 12.0));
+                self.isolated = Some((i, now + 1.0 + long * 12.0));
                 self.cut_link(i, 1.0 + long * 12.0);
             }
             ("hang", Some(w)) => w.hung_until = now + long * 14.0,
-            ("answers lost", Some(w)) => w.unreachable_until = now + long * 20.0,
+            ("answers lost", Some(w)) => w.inbound_cut_until = now + long * 20.0,
             ("machine gone", Some(w)) => {
                 w.gone = true;
                 w.tasks.clear();
             }
             ("worker back at once", Some(w)) => {
-                // The same name, a new session, nothing left of the old one.
+                // The same name, a new incarnation, nothing left of the old one.
                 w.tasks.clear();
-                w.session += 1;
+                w.incarnation += 1;
                 w.flight = None;
                 w.lease_from = now;
                 w.next = now + long * 0.5;
@@ -85,7 +85,7 @@
         };
         self.jobs
             .values()
-            .find(|j| j.over.is_none() && all(j))
+            .find(|j| j.terminal_at.is_none() && all(j))
             .map(|j| j.spec.id.clone())
     }
 
@@ -99,7 +99,7 @@
         let back = self.now + for_s;
         let leading = self.leader.as_ref().is_some_and(|(l, _, _)| *l == i);
         let value_kb = self.controllers[i].value_kb;
-        self.controllers[i] = new_controller(i, &self.setup);
+        self.controllers[i] = new_controller(i, &self.config);
         self.controllers[i].value_kb = value_kb;
         self.controllers[i].down_until = back;
         if leading {
@@ -110,8 +110,8 @@
     }
 
     /// Whether a controller reaches neither the store nor the others.
-    pub(super) fn is_alone(&self, i: usize) -> bool {
-        self.alone
+    pub(super) fn is_isolated(&self, i: usize) -> bool {
+        self.isolated
             .is_some_and(|(a, until)| a == i && self.now < until)
     }
 
--- a/crates/model/src/world/fixtures.rs
+++ b/crates/model/src/world/fixtures.rs
@@ -1,4 +1,4 @@
-//! Settings, jobs and reports as tests use them.
+//! Settings, jobs and heartbeats as tests use them.
 
 use super::*;
 
@@ -19,19 +19,19 @@
 }
 
 /// The usual settings: two teams, short times.
-pub fn setup() -> Setup {
+pub fn config() -> SchedulerConfig {
     let team = |cpus: f64, cpus_max: f64| Team {
         cpus,
         cpus_max,
         gpus: 0.0,
         gpus_max: 0.0,
     };
-    Setup {
+    SchedulerConfig {
         teams: BTreeMap::from([
             ("red".into(), team(8.0, 24.0)),
             ("blue".into(), team(12.0, 32.0)),
         ]),
-        report_s: 1.0,
+        heartbeat_s: 1.0,
         lease_s: 8.0,
         cancel_s: 25.0,
         list_lag_s: 4.0,
@@ -44,15 +44,21 @@
     }
 }
 
-/// A report of a machine of type `small` in zone `a`.
-pub fn report(machine: &str, session: u64, seq: u64, token: u64, tasks: Vec<TaskReport>) -> Report {
-    Report {
+/// A heartbeat of a machine of type `small` in zone `a`.
+pub fn heartbeat(
+    machine: &str,
+    incarnation: u64,
+    seq: u64,
+    token: u64,
+    tasks: Vec<ReportedTask>,
+) -> Heartbeat {
+    Heartbeat {
         machine: machine.into(),
         addr: String::new(),
         kind: "small".into(),
         zone: "a".into(),
         spot: false,
-        session,
+        incarnation,
         seq,
         token,
         notice_s: None,
@@ -68,7 +74,7 @@
         kind: kind.into(),
         zone: "a".into(),
         spot: false,
-        session: 1,
+        incarnation: 1,
         lapsed: false,
         notice_s: None,
         tasks,
--- a/crates/model/src/world/freeze.rs
+++ b/crates/model/src/world/freeze.rs
@@ -20,32 +20,33 @@
         self.now < self.controllers[i].frozen_until
     }
 
-    /// A report has reached a controller: the answer goes out after some time, or is lost.
-    pub(super) fn answer_report(&mut self, to: usize, mut report: Box<Report>) {
+    /// A heartbeat has reached a controller: the answer goes out after some time, or is lost.
+    pub(super) fn answer_heartbeat(&mut self, to: usize, mut heartbeat: Box<Heartbeat>) {
         let now = self.now;
         if now < self.controllers[to].down_until {
             return;
         }
         if self.is_frozen(to) {
             let again = self.controllers[to].frozen_until;
-            self.messages.push((again, Message::Report { to, report }));
+            self.messages
+                .push((again, Message::Heartbeat { to, heartbeat }));
             return;
         }
         if self.defect == Defect::TrustAnyReport {
-            report.token = u64::MAX;
+            heartbeat.token = u64::MAX;
         }
-        let book = Book(&self.jobs, self.known_to(to));
+        let jobs = JobsAsRead(&self.jobs, self.known_to(to));
         let controller = &mut self.controllers[to];
-        let answer = controller.owner.on_report(&report, now, &book);
-        self.trace.answered(now, to, &report, &answer);
+        let answer = controller.owner.on_heartbeat(&heartbeat, now, &jobs);
+        self.trace.answered(now, to, &heartbeat, &answer);
         let held_s = controller.freezes_for.take().unwrap_or(0.0);
         controller.frozen_until = controller.frozen_until.max(now + held_s);
         if let Some(delay) = self.delay() {
-            let (session, seq) = (report.session, report.seq);
-            let worker = report.machine;
+            let (incarnation, seq) = (heartbeat.incarnation, heartbeat.seq);
+            let worker = heartbeat.machine;
             let answer = Message::Answer {
                 worker,
-                session,
+                incarnation,
                 seq,
                 answer,
             };
--- a/crates/model/src/world/rich.rs
+++ b/crates/model/src/world/rich.rs
@@ -26,7 +26,7 @@
         world
     }
 
-    /// Random jobs and notices for `seconds`, as many jobs in a thousand steps as given, with troubles if
+    /// Random jobs and notices for `seconds`, as many jobs in a thousand steps as given, with faults if
     /// asked for.
     pub fn live_richly(&mut self, seconds: f64, jobs: u32, with_troubles: bool) {
         let end = self.now + seconds;
@@ -40,7 +40,7 @@
                 self.give_notice();
             }
             if with_troubles {
-                self.trouble();
+                self.inject_fault();
             }
             self.step();
         }
@@ -80,7 +80,7 @@
     }
 
     fn count(&mut self, what: &'static str) {
-        *self.troubles.entry(what).or_default() += 1;
+        *self.faults.entry(what).or_default() += 1;
     }
 
     /// Machines are taken back at the end of their notice, and tasks save.
@@ -152,7 +152,7 @@
     /// Counts what the cloud refused and what was returned to it.
     pub(super) fn note_cloud(&mut self, what: &'static str, machines: usize) {
         if self.rich.is_some() && machines > 0 {
-            *self.troubles.entry(what).or_default() += machines as u32;
+            *self.faults.entry(what).or_default() += machines as u32;
         }
     }
 }
@@ -182,7 +182,7 @@
 }
 
 /// Three teams, one of which owns little and may borrow much; classes of gangs that should start in time.
-fn rich_setup() -> Setup {
+fn rich_setup() -> SchedulerConfig {
     let team = |cpus: f64, cpus_max: f64, gpus: f64, gpus_max: f64| Team {
         cpus,
         cpus_max,
@@ -190,14 +190,14 @@
         gpus_max,
     };
     let within = [("train", 20.0), ("wide", 24.0), ("heavy", 16.0)];
-    Setup {
+    SchedulerConfig {
         teams: BTreeMap::from([
             ("red".into(), team(24.0, 64.0, 4.0, 12.0)),
             ("blue".into(), team(32.0, 80.0, 4.0, 8.0)),
             ("green".into(), team(4.0, 640.0, 0.0, 8.0)),
         ]),
         wait_s: within.map(|(class, s)| (class.to_string(), s)).into(),
-        ..setup()
+        ..config()
     }
 }
 
--- a/crates/model/src/world/rules.rs
+++ b/crates/model/src/world/rules.rs
@@ -14,11 +14,11 @@
         self.check_too_early(job);
         let mut broken = Vec::new();
         // Only an answer that was under way, from a leader that could not know yet.
-        let allowed = self.setup.start_staleness_s() + wire::ANSWER_DROPPED_S;
+        let allowed = self.config.start_staleness_s() + wire::ANSWER_DROPPED_S;
         if self
             .jobs
             .get(job)
-            .is_some_and(|j| j.cancelled && j.over.is_some_and(|at| self.now > at + allowed))
+            .is_some_and(|j| j.cancelled && j.terminal_at.is_some_and(|at| self.now > at + allowed))
         {
             broken.push("started_cancelled");
         }
@@ -65,7 +65,9 @@
                 let team = used.entry(j.spec.team.as_str()).or_default();
                 team.0 += j.spec.cpus;
                 team.1 += j.spec.gpus;
-                if j.over.is_some_and(|at| self.now > at + self.setup.cancel_s) {
+                if j.terminal_at
+                    .is_some_and(|at| self.now > at + self.config.cancel_s)
+                {
                     // Of a job that is done, no controller knows the task any more.
                     broken.push(if j.cancelled {
                         "ran_cancelled"
@@ -86,7 +88,7 @@
         broken.into_iter().for_each(|r| self.break_rule(r));
     }
 
-    /// Once troubles are over, every accepted job that may run and is not over is known to the leader,
+    /// Once faults are over, every accepted job that may run and is not over is known to the leader,
     /// as soon as it has read what made it ready.
     pub(super) fn check_known(&mut self) {
         let Some((_, leader, _)) = &self.leader else {
@@ -94,7 +96,7 @@
         };
         if self.jobs.iter().any(|(id, j)| {
             let is_ready = j.ready_at.is_some_and(|at| self.now - at > TTL);
-            j.over.is_none() && is_ready && !leader.knows(id)
+            j.terminal_at.is_none() && is_ready && !leader.knows(id)
         }) {
             self.break_rule("forgotten");
         }
@@ -126,11 +128,9 @@
             free.push((name, w, left));
         }
         let mut fitting: BTreeSet<(String, String)> = BTreeSet::new();
-        for (id, j) in self
-            .jobs
-            .iter()
-            .filter(|(id, j)| j.over.is_none() && j.ready_at.is_some() && self.live_tasks(id) == 0)
-        {
+        for (id, j) in self.jobs.iter().filter(|(id, j)| {
+            j.terminal_at.is_none() && j.ready_at.is_some() && self.live_tasks(id) == 0
+        }) {
             let s = &j.spec;
             let done = (0..s.tasks)
                 .filter(|i| self.completed.contains(&(id.clone(), *i)))
@@ -205,7 +205,7 @@
             .filter(|j| !j.cancelled)
             .filter_map(|j| Some((j, j.ready_at?)));
         for (j, ready_at) in ready.filter(|(_, at)| self.now - at > BEGIN_S) {
-            let late = j.begun_at.is_none_or(|at| at - ready_at > BEGIN_S);
+            let late = j.started_at.is_none_or(|at| at - ready_at > BEGIN_S);
             let mut of = vec![
                 format!("{:?}", j.spec.shape),
                 format!("{:?} of {}", j.spec.shape, j.spec.team),
--- a/crates/model/src/world/script.rs
+++ b/crates/model/src/world/script.rs
@@ -1,4 +1,4 @@
-//! What tests bring about on purpose, one trouble at a time.
+//! What tests bring about on purpose, one fault at a time.
 
 use super::*;
 
@@ -27,8 +27,8 @@
     }
 
     /// A controller loses the store and the others, not its workers.
-    pub fn leave_alone(&mut self, i: usize, for_s: f64) {
-        self.alone = Some((i, self.now + for_s));
+    pub fn isolate(&mut self, i: usize, for_s: f64) {
+        self.isolated = Some((i, self.now + for_s));
         self.cut_link(i, for_s);
     }
 
@@ -66,16 +66,16 @@
         self.on_machines(names, |w| w.hung_until = until);
     }
 
-    /// Reports arrive, answers are lost.
-    pub fn make_unreachable(&mut self, names: &[String], for_s: f64) {
+    /// Heartbeats arrive, answers are lost.
+    pub fn cut_inbound(&mut self, names: &[String], for_s: f64) {
         let until = self.now + for_s;
-        self.on_machines(names, |w| w.unreachable_until = until);
+        self.on_machines(names, |w| w.inbound_cut_until = until);
     }
 
-    /// No report arrives.
-    pub fn mute(&mut self, names: &[String], for_s: f64) {
+    /// No heartbeat arrives.
+    pub fn cut_outbound(&mut self, names: &[String], for_s: f64) {
         let until = self.now + for_s;
-        self.on_machines(names, |w| w.mute_until = until);
+        self.on_machines(names, |w| w.outbound_cut_until = until);
     }
 
     /// Machines die without a word.
@@ -95,8 +95,8 @@
             .map(|(n, _)| n.clone())
             .collect();
         match controller {
-            Some(i) => self.leave_alone(i, for_s),
-            None => self.mute(&names, for_s),
+            Some(i) => self.isolate(i, for_s),
+            None => self.cut_outbound(&names, for_s),
         }
     }
 
@@ -139,18 +139,18 @@
     /// What the store says of a job: done, cancelled, or neither yet.
     pub fn outcome(&self, id: &str) -> Option<&'static str> {
         let j = self.jobs.get(id)?;
-        j.over
+        j.terminal_at
             .map(|_| if j.cancelled { "cancelled" } else { "done" })
     }
 
-    /// Runs on without troubles until all is done, for `seconds` at most.
+    /// Runs on without faults until all is done, for `seconds` at most.
     pub fn calm(&mut self, seconds: f64) {
-        let over = self.now;
+        let quiet_since = self.now;
         (self.lost, self.held_up, self.late_copies, self.late_writes) = (0, 0, 0, 0);
         self.slow_reads = 0.0;
-        while self.now < over + seconds && !self.open_jobs().is_empty() {
+        while self.now < quiet_since + seconds && !self.open_jobs().is_empty() {
             self.step();
-            if self.now - over > FORGOTTEN_S {
+            if self.now - quiet_since > FORGOTTEN_S {
                 self.check_known();
             }
             self.check_waiting();
--- a/crates/model/src/world/store.rs
+++ b/crates/model/src/world/store.rs
@@ -17,7 +17,7 @@
     match action {
         Action::Roster(machine, _) => Some(format!("roster/{machine}")),
         Action::Bind { job, .. } => Some(format!("binding/{job}")),
-        Action::Begin(_) => Some("begun".into()),
+        Action::RecordStartedArrays(_) => Some("begun".into()),
         Action::Progress {
             job, first_task, ..
         } => Some(format!("progress/{job}/{first_task}")),
@@ -93,15 +93,15 @@
                 continue;
             }
             let write = self.writes.remove(i);
-            let Some((me, mut leader, id)) = self.leader.take() else {
+            let Some((leading, mut leader, id)) = self.leader.take() else {
                 self.trace.refused(now, write.by, &write.action);
                 continue;
             };
-            if self.is_frozen(me) {
+            if self.is_frozen(leading) {
                 // Its answer is read when the leader moves again.
-                let at = self.controllers[me].frozen_until;
+                let at = self.controllers[leading].frozen_until;
                 self.writes.push(Pending { at, ..write });
-                self.leader = Some((me, leader, id));
+                self.leader = Some((leading, leader, id));
                 continue;
             }
             // A write of an earlier leader fails on its condition.
@@ -109,22 +109,22 @@
                 if write.late {
                     self.carry_out_late(&mut leader, write);
                 } else {
-                    self.carry_out_now(me, &mut leader, write);
+                    self.carry_out_now(leading, &mut leader, write);
                 }
             } else {
                 self.trace.refused(now, write.by, &write.action);
             }
-            self.leader = Some((me, leader, id));
+            self.leader = Some((leading, leader, id));
         }
     }
 
-    pub(super) fn carry_out_now(&mut self, me: usize, leader: &mut Leader, write: Pending) {
-        let reached = self.reaches_store(me);
+    pub(super) fn carry_out_now(&mut self, leading: usize, leader: &mut Leader, write: Pending) {
+        let reached = self.reaches_store(leading);
         // No answer, and it is carried out later: after newer ones.
         if reached && key(&write.action).is_some() && self.rng.u32(0..100) < self.late_writes {
             let at = self.now + 2.0 + self.rng.f64() * 10.0;
             self.trace.postponed(self.now, at, &write.action);
-            *self.troubles.entry("late write").or_default() += 1;
+            *self.faults.entry("late write").or_default() += 1;
             self.writes.push(Pending {
                 at,
                 late: true,
@@ -136,28 +136,32 @@
         }
         let ok = reached && self.rng.u32(0..100) >= 3 && self.admits(&write);
         // Now and then it is carried out, but the answer is lost.
-        let told = ok && self.rng.u32(0..100) >= 2;
+        let open_job = ok && self.rng.u32(0..100) >= 2;
         if ok {
             self.moved(&write.action);
-            self.note_writer(me, &write.action);
+            self.note_writer(leading, &write.action);
         }
-        if told || reached && !ok {
+        if open_job || reached && !ok {
             // It was carried out, or refused and then looked at.
             if let Some(k) = key(&write.action) {
                 let version = self.versions.get(&k).copied().unwrap_or(0);
                 self.known_versions.insert(k, version);
             }
         }
-        self.carry_out(leader, write.action, ok, told);
+        self.carry_out(leader, write.action, ok, open_job);
     }
 
     /// An end that a leader writes is known at its controller from then on.
-    fn note_writer(&mut self, me: usize, action: &Action) {
+    fn note_writer(&mut self, leading: usize, action: &Action) {
         let Action::Finish { job } = action else {
             return;
         };
-        if let Some(job) = self.jobs.get_mut(job).filter(|job| job.over.is_none()) {
-            job.ended_by = Some(me);
+        if let Some(job) = self
+            .jobs
+            .get_mut(job)
+            .filter(|job| job.terminal_at.is_none())
+        {
+            job.ended_by = Some(leading);
         }
     }
 
@@ -170,7 +174,7 @@
         self.moved(&write.action);
         let mut nobody = Leader::new(
             "nobody",
-            self.setup.clone(),
+            self.config.clone(),
             0,
             leader.token(),
             4.0,
@@ -198,15 +202,21 @@
     }
 
     /// Carries an action out if `ok`, and tells the leader its outcome, or that it is not known.
-    pub(super) fn carry_out(&mut self, leader: &mut Leader, action: Action, ok: bool, told: bool) {
+    pub(super) fn carry_out(
+        &mut self,
+        leader: &mut Leader,
+        action: Action,
+        ok: bool,
+        open_job: bool,
+    ) {
         let now = self.now;
-        self.trace.carried_out(now, &action, ok, told);
+        self.trace.carried_out(now, &action, ok, open_job);
         match action {
             Action::NewToken => {
                 if ok {
                     self.term += 1;
                 }
-                leader.token_result(told.then_some(self.term), now);
+                leader.token_result(open_job.then_some(self.term), now);
             }
             Action::Roster(machine, record) => {
                 let put = record.is_some();
@@ -215,7 +225,7 @@
                 } else if ok {
                     self.roster.remove(&machine);
                 }
-                leader.roster_result(&machine, put, told);
+                leader.roster_result(&machine, put, open_job);
             }
             Action::Progress {
                 job,
@@ -234,31 +244,31 @@
                         });
                     }
                 }
-                leader.progress_result(&job, first_task, told.then_some(&written));
+                leader.progress_result(&job, first_task, open_job.then_some(&written));
             }
             Action::Finish { job } => {
-                let open = self.jobs.get(&job).is_some_and(|j| j.over.is_none());
+                let open = self.jobs.get(&job).is_some_and(|j| j.terminal_at.is_none());
                 if ok && open {
                     self.finish(&job);
                 }
                 leader.finish_result(&job, ok && open);
             }
-            Action::Begin(record) => {
+            Action::RecordStartedArrays(record) => {
                 for j in self
                     .jobs
                     .values_mut()
                     .filter(|j| ok && j.spec.shape != Shape::Gang)
                 {
-                    j.earlier = if record.covers(j.revision) {
-                        Earlier::Anywhere
+                    j.prior_runs = if record.covers(j.revision) {
+                        PriorRuns::Anywhere
                     } else {
-                        Earlier::Untouched
+                        PriorRuns::None
                     };
                 }
                 if ok {
-                    self.begun = self.begun.max(record.upto);
+                    self.started_upto = self.started_upto.max(record.upto);
                 }
-                leader.begin_result(&record, told);
+                leader.start_record_result(&record, open_job);
             }
             Action::Bind {
                 job,
@@ -266,13 +276,14 @@
                 places,
             } => {
                 if let Some(j) = self.jobs.get_mut(&job).filter(|_| ok) {
-                    j.earlier = Earlier::Bound(places.into_iter().map(|(m, _, _)| m).collect());
+                    j.prior_runs =
+                        PriorRuns::Bound(places.into_iter().map(|(m, _, _)| m).collect());
                 }
-                leader.bind_result(&job, attempt, told, now);
+                leader.bind_result(&job, attempt, open_job, now);
             }
             Action::Provision(request) => {
                 let names = ok.then(|| self.provision(&request));
-                leader.provision_result(&request.name, names.filter(|_| told), now);
+                leader.provision_result(&request.name, names.filter(|_| open_job), now);
             }
             Action::Deprovision(names) => {
                 if ok {
@@ -281,7 +292,7 @@
                         self.workers.remove(n);
                     }
                 }
-                leader.deprovision_result(&names, told);
+                leader.deprovision_result(&names, open_job);
             }
             Action::Send(..) => {}
         }
@@ -289,7 +300,7 @@
             let half: Vec<String> = self
                 .jobs
                 .iter()
-                .filter(|(_, j)| j.over.is_none() && j.done.len() * 2 >= j.spec.tasks)
+                .filter(|(_, j)| j.terminal_at.is_none() && j.done.len() * 2 >= j.spec.tasks)
                 .map(|(id, _)| id.clone())
                 .collect();
             half.iter().for_each(|id| self.finish(id));
@@ -306,7 +317,7 @@
             .filter(|i| self.completed.contains(&(id.to_string(), *i)))
             .count() as u32;
         let all = completed == j.spec.tasks || j.spec.shape == Shape::Gang && completed > 0;
-        j.over = Some(now);
+        j.terminal_at = Some(now);
         j.own_end = Some(now);
         self.done += 1;
         self.trace.ended(now, id, false);
@@ -344,10 +355,10 @@
                 up_at,
                 gone: false,
                 hung_until: 0.0,
-                unreachable_until: 0.0,
-                mute_until: 0.0,
+                inbound_cut_until: 0.0,
+                outbound_cut_until: 0.0,
                 taken_at: None,
-                session: 1,
+                incarnation: 1,
                 seq: 0,
                 token: 0,
                 lease_from: up_at,
--- a/crates/model/src/world/tests.rs
+++ b/crates/model/src/world/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Days on which most jobs need earlier ones, with every trouble, while the controllers are replaced one
+/// Days on which most jobs need earlier ones, with every fault, while the controllers are replaced one
 /// after the other by ones with smaller records.
 fn chained_day(seed: u64, defect: Defect) -> World {
     let mut w = World::new(seed, defect);
@@ -109,9 +109,9 @@
         let mut w = World::with(
             seed,
             Defect::None,
-            Setup {
+            SchedulerConfig {
                 lease_s: 24.0,
-                ..setup()
+                ..config()
             },
         );
         (1..9).for_each(|i| {
@@ -133,7 +133,7 @@
         let unreachable: Vec<String> = w.workers.keys().take(2).cloned().collect();
         unreachable
             .iter()
-            .for_each(|n| w.workers.get_mut(n).unwrap().unreachable_until = 1e9);
+            .for_each(|n| w.workers.get_mut(n).unwrap().inbound_cut_until = 1e9);
         (9..17).for_each(|i| {
             w.submit(job(
                 i,
@@ -180,10 +180,10 @@
     let mut w = World::with(
         3,
         Defect::None,
-        Setup {
+        SchedulerConfig {
             teams,
             wait_s,
-            ..setup()
+            ..config()
         },
     );
     w.held_up = 0;
@@ -206,9 +206,11 @@
     }
     let large = &w.jobs["wk-009999"];
     assert!(
-        large.begun_at.is_some_and(|at| at - large.accepted < 60.0),
+        large
+            .started_at
+            .is_some_and(|at| at - large.accepted < 60.0),
         "it began at {:?}",
-        large.begun_at
+        large.started_at
     );
     assert!(w.open_jobs().len() > 20, "the machines were never short");
     assert!(w.broken.is_empty(), "{:?}", w.broken);
@@ -220,7 +222,7 @@
     for seed in 0..10 {
         let mut w = World::new(seed, Defect::None);
         w.live(150.0, 0.0);
-        w.troubles
+        w.faults
             .into_iter()
             .for_each(|(k, n)| *seen.entry(k).or_default() += n);
     }
--- a/crates/model/src/world/trace.rs
+++ b/crates/model/src/world/trace.rs
@@ -1,4 +1,4 @@
-//! A running digest of all that crosses an edge of the simulated world: reports and answers, messages
+//! A running digest of all that crosses an edge of the simulated world: heartbeats and answers, messages
 //! between controllers, writes, requests to the cloud, what users are told, ends of jobs, elections.
 //!
 //! Two worlds of equal digest took the same decisions at the same times. Everything is hashed as the bytes
@@ -7,13 +7,13 @@
 //! Recording draws no random numbers and changes nothing but the digest.
 
 use sched::leader::Action;
-use sched::owner::Answer;
+use sched::owner::HeartbeatResponse;
 use wire::cbor::encode;
 use wire::cloud::Names;
 use wire::peers::{frame, ToLeader, ToOwner};
 use wire::store::{BindingRecord, ProgressPage};
 use wire::users::Job;
-use wire::workers::{Order, Report, ReportTo};
+use wire::workers::{Heartbeat, Order, Redirect};
 
 /// What happened. The numbers are part of the digest and never change.
 #[derive(Clone, Copy)]
@@ -112,26 +112,34 @@
         self.event(now, Event::Ended).text(job).flag(cancelled);
     }
 
-    /// A worker sends a report.
-    pub(super) fn reported(&mut self, now: f64, to: usize, report: &Report) {
+    /// A worker sends a heartbeat.
+    pub(super) fn reported(&mut self, now: f64, to: usize, heartbeat: &Heartbeat) {
         self.event(now, Event::Reported)
             .number(to as u64)
-            .bytes(&encode(report));
+            .bytes(&encode(heartbeat));
     }
 
-    /// A controller has decided its answer to a report.
-    pub(super) fn answered(&mut self, now: f64, by: usize, report: &Report, answer: &Answer) {
+    /// A controller has decided its answer to a heartbeat.
+    pub(super) fn answered(
+        &mut self,
+        now: f64,
+        by: usize,
+        heartbeat: &Heartbeat,
+        answer: &HeartbeatResponse,
+    ) {
         self.event(now, Event::Answered)
             .number(by as u64)
-            .text(&report.machine)
-            .number(report.session)
-            .number(report.seq);
+            .text(&heartbeat.machine)
+            .number(heartbeat.incarnation)
+            .number(heartbeat.seq);
         match answer {
-            Answer::Orders(orders) => self.raw(&[1]).bytes(&encode(orders)),
-            Answer::Elsewhere(member) => self.raw(&[2]).bytes(&encode(&ReportTo {
+            HeartbeatResponse::Orders(orders) => self.raw(&[1]).bytes(&encode(orders)),
+            HeartbeatResponse::Redirect(member) => self.raw(&[2]).bytes(&encode(&Redirect {
                 member: Some(member.clone()),
             })),
-            Answer::NotNow => self.raw(&[3]).bytes(&encode(&ReportTo { member: None })),
+            HeartbeatResponse::Unavailable => {
+                self.raw(&[3]).bytes(&encode(&Redirect { member: None }))
+            }
         };
     }
 
@@ -181,11 +189,11 @@
             .bytes(&frame(message));
     }
 
-    /// A request was carried out if `ok`, and the leader is told so if `told`.
-    pub(super) fn carried_out(&mut self, now: f64, action: &Action, ok: bool, told: bool) {
+    /// A request was carried out if `ok`, and the leader is told so if `open_job`.
+    pub(super) fn carried_out(&mut self, now: f64, action: &Action, ok: bool, open_job: bool) {
         self.event(now, Event::CarriedOut)
             .flag(ok)
-            .flag(told)
+            .flag(open_job)
             .action(action);
     }
 
@@ -229,7 +237,7 @@
                 .text(machine)
                 .flag(record.is_some())
                 .bytes(&record.as_ref().map(encode).unwrap_or_default()),
-            Action::Begin(record) => self.raw(&[4]).bytes(&encode(record)),
+            Action::RecordStartedArrays(record) => self.raw(&[4]).bytes(&encode(record)),
             Action::Progress {
                 job,
                 first_task,
--- a/crates/model/src/world/workers.rs
+++ b/crates/model/src/world/workers.rs
@@ -1,10 +1,10 @@
-//! The workers: they run tasks, report, and carry out what answers to their reports say.
+//! The workers: they run tasks, heartbeat, and carry out what answers to their heartbeats say.
 
 use super::*;
 
 impl World {
     pub(super) fn run_workers(&mut self) {
-        let (now, lease_s, report_s) = (self.now, self.setup.lease_s, self.setup.report_s);
+        let (now, lease_s, heartbeat_s) = (self.now, self.config.lease_s, self.config.heartbeat_s);
         let whole = self.whole_gangs();
         let mut began: BTreeSet<String> = BTreeSet::new();
         let names: Vec<String> = self.workers.keys().cloned().collect();
@@ -19,7 +19,7 @@
                 // Kills and forgets all tasks, also while it hangs: nothing of it runs on.
                 self.lapses += 1;
                 w.tasks.clear();
-                w.session += 1;
+                w.incarnation += 1;
                 w.lease_from = now;
                 w.flight = None;
             }
@@ -60,24 +60,24 @@
                 w.seq += 1;
                 w.flight = Some(InFlight {
                     sent: now,
-                    session: w.session,
+                    incarnation: w.incarnation,
                     seq: w.seq,
                 });
-                w.next = now + report_s;
-                let report = report_of(&machine, w, now);
+                w.next = now + heartbeat_s;
+                let heartbeat = heartbeat_of(&machine, w, now);
                 let to = w.target;
-                if now < w.mute_until {
+                if now < w.outbound_cut_until {
                     continue;
                 }
-                self.trace.reported(now, to, &report);
+                self.trace.reported(now, to, &heartbeat);
                 let again = self.rng.u32(0..100) < 2;
                 for _ in 0..=u32::from(again) {
                     if let Some(d) = self.delay() {
                         self.messages.push((
                             now + d,
-                            Message::Report {
+                            Message::Heartbeat {
                                 to,
-                                report: Box::new(report.clone()),
+                                heartbeat: Box::new(heartbeat.clone()),
                             },
                         ));
                     }
@@ -87,21 +87,21 @@
                     let d = 1.0 + self.rng.f64() * lease_s * 3.0;
                     self.messages.push((
                         now + d,
-                        Message::Report {
+                        Message::Heartbeat {
                             to,
-                            report: Box::new(report),
+                            heartbeat: Box::new(heartbeat),
                         },
                     ));
                 }
             }
         }
-        self.note_begun(began);
+        self.note_started(began);
     }
 
-    pub(super) fn note_begun(&mut self, began: BTreeSet<String>) {
+    pub(super) fn note_started(&mut self, began: BTreeSet<String>) {
         for id in began {
             if let Some(j) = self.jobs.get_mut(&id) {
-                j.begun_at.get_or_insert(self.now);
+                j.started_at.get_or_insert(self.now);
             }
         }
     }
@@ -127,7 +127,13 @@
             .collect()
     }
 
-    pub(super) fn take_answer(&mut self, machine: &str, session: u64, seq: u64, answer: Answer) {
+    pub(super) fn take_answer(
+        &mut self,
+        machine: &str,
+        incarnation: u64,
+        seq: u64,
+        answer: HeartbeatResponse,
+    ) {
         let now = self.now;
         let Some(w) = self.workers.get_mut(machine) else {
             return;
@@ -138,7 +144,7 @@
                 w.hung_until + STEP,
                 Message::Answer {
                     worker: machine.into(),
-                    session,
+                    incarnation,
                     seq,
                     answer,
                 },
@@ -146,11 +152,11 @@
             return;
         }
         if w.gone
-            || now < w.unreachable_until
+            || now < w.inbound_cut_until
             || w.flight
                 .as_ref()
-                .is_none_or(|f| f.seq != seq || f.session != session)
-            || w.session != session
+                .is_none_or(|f| f.seq != seq || f.incarnation != incarnation)
+            || w.incarnation != incarnation
         {
             return;
         }
@@ -158,7 +164,7 @@
             return;
         };
         match answer {
-            Answer::Orders(Orders { token, orders }) => {
+            HeartbeatResponse::Orders(Orders { token, orders }) => {
                 if token < w.token {
                     return;
                 }
@@ -171,11 +177,11 @@
                     self.execute(machine, order);
                 }
             }
-            Answer::Elsewhere(member) => {
+            HeartbeatResponse::Redirect(member) => {
                 w.target = (0..3).find(|i| name(*i) == member).unwrap_or(0);
                 w.next = now + 0.1;
             }
-            Answer::NotNow => {
+            HeartbeatResponse::Unavailable => {
                 w.target = (w.target + 1) % 3;
                 w.next = now + 1.0;
             }
@@ -251,21 +257,21 @@
     }
 }
 
-fn report_of(machine: &str, w: &Worker, now: f64) -> Report {
-    Report {
+fn heartbeat_of(machine: &str, w: &Worker, now: f64) -> Heartbeat {
+    Heartbeat {
         machine: machine.into(),
         addr: String::new(),
         kind: w.kind.clone(),
         zone: w.zone.clone(),
         spot: w.spot,
-        session: w.session,
+        incarnation: w.incarnation,
         seq: w.seq,
         token: w.token,
         notice_s: w.taken_at.map(|at| (at - now).max(0.0)),
         tasks: w
             .tasks
             .iter()
-            .map(|((j, i, a), t)| TaskReport {
+            .map(|((j, i, a), t)| ReportedTask {
                 task: wire::task_name(j, *i),
                 attempt: *a,
                 state: t.state,
--- a/crates/model/tests/chains.rs
+++ b/crates/model/tests/chains.rs
@@ -1,4 +1,4 @@
-//! Jobs that need others meet a trouble at the wrong moment, each meeting brought about on purpose. The
+//! Jobs that need others meet a fault at the wrong moment, each meeting brought about on purpose. The
 //! rules, `too_early` and `orphaned` among them, hold, and every job ends as its chain says.
 
 use model::world::{job, Defect, World};
@@ -152,7 +152,7 @@
     for seed in 0..SEEDS {
         let mut w = chain(seed);
         let i = seed as usize % 3;
-        w.leave_alone(i, 15.0);
+        w.isolate(i, 15.0);
         w.pass(20.0);
         ends_well(w, seed, ["done"; 4]);
     }
--- a/crates/model/tests/dependencies.rs
+++ b/crates/model/tests/dependencies.rs
@@ -170,18 +170,18 @@
 
 /// A new job that needs up to four earlier ones, whatever became of them.
 fn submit(rng: &mut fastrand::Rng, plain: &mut Plain, number: u32) -> String {
-    let earlier: Vec<String> = plain.jobs.keys().cloned().collect();
+    let prior_runs: Vec<String> = plain.jobs.keys().cloned().collect();
     let mut job = job(number, "red", Shape::Array, 1, 1.0);
     // Ids come in no order, so that a page of records has dependents before what they need.
     job.id = format!("wk-{:03}-{number}", rng.u32(0..1000));
     job.priority = URGENCIES[rng.usize(0..URGENCIES.len())];
-    let needed = if earlier.is_empty() {
+    let needed = if prior_runs.is_empty() {
         0
     } else {
         rng.usize(0..5)
     };
     let names: BTreeSet<String> = (0..needed)
-        .map(|_| earlier[rng.usize(0..earlier.len())].clone())
+        .map(|_| prior_runs[rng.usize(0..prior_runs.len())].clone())
         .collect();
     job.dependencies = names.into_iter().collect();
     let id = job.id.clone();
--- a/crates/model/tests/leader_and_owner.rs
+++ b/crates/model/tests/leader_and_owner.rs
@@ -1,9 +1,9 @@
 //! Cases of the leader and of owners, one by one.
 
 use model::world::{job, machine_type};
-use sched::config::{Setup, Team};
-use sched::leader::{Action, Earlier, Leader, OpenJob};
-use sched::owner::{Answer, Jobs, Owner};
+use sched::config::{SchedulerConfig, Team};
+use sched::leader::{Action, Leader, OpenJob, PriorRuns};
+use sched::owner::{HeartbeatResponse, Jobs, Owner};
 use sched::placement::Resources;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -12,20 +12,20 @@
     AllowedMachineType, MachineDescriptor, MachineStatus, TaskRef, TaskRequirements, TaskStatus,
     ToLeader, ToOwner,
 };
-use wire::store::{BegunRecord, RosterRecord};
+use wire::store::{RosterRecord, StartedArraysRecord};
 use wire::users::{Job, Shape};
-use wire::workers::{Report, TaskReport, TaskState, Why};
+use wire::workers::{Heartbeat, ReportedTask, TaskState, Why};
 
-fn setup() -> Setup {
+fn config() -> SchedulerConfig {
     let team = Team {
         cpus: 8.0,
         cpus_max: 16.0,
         gpus: 0.0,
         gpus_max: 0.0,
     };
-    Setup {
+    SchedulerConfig {
         teams: BTreeMap::from([("red".to_string(), team)]),
-        ..model::world::setup()
+        ..model::world::config()
     }
 }
 
@@ -38,18 +38,18 @@
     fn image(&self, _: &str) -> Option<String> {
         None
     }
-    fn over(&self, _: &str) -> bool {
+    fn is_terminal(&self, _: &str) -> bool {
         false
     }
 }
 
-fn report(session: u64, seq: u64, token: u64) -> Report {
-    model::world::report(
+fn heartbeat(incarnation: u64, seq: u64, token: u64) -> Heartbeat {
+    model::world::heartbeat(
         "host-1",
-        session,
+        incarnation,
         seq,
         token,
-        vec![TaskReport {
+        vec![ReportedTask {
             task: "wk-1/0".into(),
             attempt: 3,
             state: TaskState::Exited,
@@ -61,7 +61,7 @@
 
 /// An owner whose part is one machine, since token 5.
 fn owner_of_host_1() -> Owner {
-    let mut owner = Owner::new("rung-1", setup());
+    let mut owner = Owner::new("rung-1", config());
     let descriptor = MachineDescriptor {
         name: "host-1".into(),
         kind: "small".into(),
@@ -76,42 +76,42 @@
         extra_ms: 0,
         machines: vec![descriptor],
     };
-    owner.on_leader(epoch, 10.0, &NoJobs);
+    owner.on_leader_message(epoch, 10.0, &NoJobs);
     owner.authority.set(1e9);
     owner.authority.prove(1e9);
     owner
 }
 
-/// A new owner's only answer tells the worker the token; the next report, which shows it, is held
-/// up until after the lease has ended. The worker has then forgotten what that report shows, and
+/// A new owner's only answer tells the worker the token; the next heartbeat, which shows it, is held
+/// up until after the lease has ended. The worker has then forgotten what that heartbeat shows, and
 /// the leader has given it to another machine.
 #[test]
 fn a_report_of_a_lease_that_is_over_does_not_count_though_none_counted_before() {
     let mut owner = owner_of_host_1();
     assert!(
-        matches!(owner.on_report(&report(2, 57, 4), 10.5, &NoJobs), Answer::Orders(o) if o.token == 5 && o.orders.is_empty())
+        matches!(owner.on_heartbeat(&heartbeat(2, 57, 4), 10.5, &NoJobs), HeartbeatResponse::Orders(o) if o.token == 5 && o.orders.is_empty())
     );
-    owner.tick(10.5 + setup().lease_certainly_over_s() + 0.1);
+    owner.tick(10.5 + config().lease_expiry_s() + 0.1);
     owner.drain();
     assert_eq!(
-        owner.on_report(&report(2, 58, 5), 25.0, &NoJobs),
-        Answer::NotNow
+        owner.on_heartbeat(&heartbeat(2, 58, 5), 25.0, &NoJobs),
+        HeartbeatResponse::Unavailable
     );
-    // The worker itself is back, in a new session, and learns the token first.
+    // The worker itself is back, in a new incarnation, and learns the token first.
     assert!(matches!(
-        owner.on_report(&report(3, 60, 4), 26.0, &NoJobs),
-        Answer::Orders(_)
+        owner.on_heartbeat(&heartbeat(3, 60, 4), 26.0, &NoJobs),
+        HeartbeatResponse::Orders(_)
     ));
     assert_eq!(
-        owner.on_report(&report(2, 59, 5), 26.5, &NoJobs),
-        Answer::NotNow
+        owner.on_heartbeat(&heartbeat(2, 59, 5), 26.5, &NoJobs),
+        HeartbeatResponse::Unavailable
     );
     assert!(matches!(
-        owner.on_report(&report(3, 61, 5), 27.0, &NoJobs),
-        Answer::Orders(_)
+        owner.on_heartbeat(&heartbeat(3, 61, 5), 27.0, &NoJobs),
+        HeartbeatResponse::Orders(_)
     ));
     owner.tick(28.0);
-    let back = |m: &ToLeader| matches!(m, ToLeader::MachineStatuses(v) if v.iter().any(|v| v.session == 3 && !v.lapsed));
+    let back = |m: &ToLeader| matches!(m, ToLeader::MachineStatuses(v) if v.iter().any(|v| v.incarnation == 3 && !v.lapsed));
     assert!(owner.drain().iter().any(back));
 }
 
@@ -153,7 +153,7 @@
 #[test]
 fn an_attempt_stays_charged_when_another_one_is_done() {
     let spec = array("wk-1");
-    let open = OpenJob::new(spec, 1, Earlier::Anywhere);
+    let open = OpenJob::new(spec, 1, PriorRuns::Anywhere);
     let record = RosterRecord {
         kind: "small".into(),
         zone: "a".into(),
@@ -163,11 +163,11 @@
         ("host-1".to_string(), record.clone()),
         ("host-2".to_string(), record),
     ]);
-    let mut leader = Leader::new("rung-0", setup(), 1, 1, 4.0, vec![open], &roster, 1, 0.0);
+    let mut leader = Leader::new("rung-0", config(), 1, 1, 4.0, vec![open], &roster, 1, 0.0);
     leader.catalog(vec![small()]);
     leader.tick(0.0, 0);
     let running = view_of(0, 9, TaskState::Running, None);
-    leader.on_owner(
+    leader.on_owner_message(
         "rung-0",
         ToLeader::MachineStatuses(vec![machine_status("host-1", vec![running])]),
         1.0,
@@ -175,7 +175,7 @@
     assert_eq!(leader.used_by("red").cpus, 4.0);
     leader.drain();
     let done = view_of(0, 7, TaskState::Exited, Some(Why::Done));
-    leader.on_owner(
+    leader.on_owner_message(
         "rung-0",
         ToLeader::MachineStatuses(vec![machine_status("host-2", vec![done])]),
         1.1,
@@ -198,18 +198,18 @@
     let roster: BTreeMap<_, _> = ["host-1", "host-2", "host-3"]
         .map(|n| (n.to_string(), record.clone()))
         .into();
-    let open = |id: &str, revision, earlier| OpenJob::new(array(id), revision, earlier);
-    let old = open("wk-1", 1, Earlier::Anywhere);
-    let mut leader = Leader::new("rung-0", setup(), 1, 1, 4.0, vec![old], &roster, 1, 0.0);
+    let open = |id: &str, revision, prior_runs| OpenJob::new(array(id), revision, prior_runs);
+    let old = open("wk-1", 1, PriorRuns::Anywhere);
+    let mut leader = Leader::new("rung-0", config(), 1, 1, 4.0, vec![old], &roster, 1, 0.0);
     leader.catalog(vec![small()]);
     leader.tick(0.0, 0);
     let known = ["host-2", "host-3"].map(|n| machine_status(n, Vec::new()));
-    leader.on_owner("rung-0", ToLeader::MachineStatuses(known.into()), 1.0);
-    leader.job_over("wk-1");
-    leader.add_job(open("wk-2", 2, Earlier::Untouched));
-    leader.add_job(open("wk-3", 3, Earlier::Untouched));
-    leader.begin_result(
-        &BegunRecord {
+    leader.on_owner_message("rung-0", ToLeader::MachineStatuses(known.into()), 1.0);
+    leader.on_job_terminal("wk-1");
+    leader.add_job(open("wk-2", 2, PriorRuns::None));
+    leader.add_job(open("wk-3", 3, PriorRuns::None));
+    leader.start_record_result(
+        &StartedArraysRecord {
             upto: 3,
             waiting: Vec::new(),
         },
@@ -232,7 +232,7 @@
     let epochs = |starting: bool| {
         let mut leader = Leader::new(
             "rung-0",
-            setup(),
+            config(),
             1,
             1,
             4.0,
@@ -281,12 +281,12 @@
         };
         let names: Vec<String> = (0..100).map(|i| format!("host-{i}")).collect();
         let roster: BTreeMap<_, _> = names.iter().map(|n| (n.clone(), record.clone())).collect();
-        let old = OpenJob::new(array("wk-1"), 1, Earlier::Anywhere);
+        let old = OpenJob::new(array("wk-1"), 1, PriorRuns::Anywhere);
         let mut leader = Leader::new(
             "rung-0",
-            Setup {
-                report_s: 10.0,
-                ..setup()
+            SchedulerConfig {
+                heartbeat_s: 10.0,
+                ..config()
             },
             1,
             1,
@@ -302,7 +302,7 @@
             .iter()
             .map(|n| machine_status(n, Vec::new()))
             .collect();
-        leader.on_owner("rung-0", ToLeader::MachineStatuses(known), 2.0);
+        leader.on_owner_message("rung-0", ToLeader::MachineStatuses(known), 2.0);
         leader.drain();
         (20..400).map(|t| f64::from(t) / 10.0).find(|now| {
             leader.tick(*now, 0);
@@ -325,12 +325,12 @@
 }
 
 /// An array that waits for its turn is named as untouched, so that a later leader starts it at
-/// once, while it still has to learn what runs on some machine that does not report.
+/// once, while it still has to learn what runs on some machine that does not heartbeat.
 #[test]
 fn arrays_that_wait_their_turn_are_not_recorded_as_begun() {
     let mut leader = Leader::new(
         "rung-0",
-        setup(),
+        config(),
         1,
         1,
         4.0,
@@ -341,12 +341,12 @@
     );
     leader.tick(0.0, 0);
     for (i, id) in ["wk-1", "wk-2", "wk-3"].iter().enumerate() {
-        let earlier = Earlier::Untouched;
-        leader.add_job(OpenJob::new(array(id), 10 + i as u64, earlier));
+        let prior_runs = PriorRuns::None;
+        leader.add_job(OpenJob::new(array(id), 10 + i as u64, prior_runs));
     }
     leader.tick(1.0, 0);
     let record = leader.drain().into_iter().find_map(|d| match d {
-        Action::Begin(record) => Some(record),
+        Action::RecordStartedArrays(record) => Some(record),
         _ => None,
     });
     let record = record.expect("the first in the queue begins");
@@ -359,12 +359,12 @@
         [true, true, false, false, false]
     );
     // Of unknown outcome: it is asked for again.
-    leader.begin_result(&record, false);
+    leader.start_record_result(&record, false);
     leader.tick(2.0, 0);
     assert!(leader
         .drain()
         .iter()
-        .any(|d| matches!(d, Action::Begin(again) if *again == record)));
+        .any(|d| matches!(d, Action::RecordStartedArrays(again) if *again == record)));
 }
 
 struct OneJob;
@@ -380,36 +380,36 @@
     fn image(&self, job: &str) -> Option<String> {
         (job == "wk-1").then(|| "i".into())
     }
-    fn over(&self, job: &str) -> bool {
+    fn is_terminal(&self, job: &str) -> bool {
         job != "wk-1"
     }
 }
 
-/// Reports are seldom where tasks are short: a task that waits for capacity starts with the answer to
-/// the very report that shows it; one that finds none in time goes back; a job that is over gets
+/// Heartbeats are seldom where tasks are short: a task that waits for capacity starts with the answer to
+/// the very heartbeat that shows it; one that finds none in time goes back; a job that is over gets
 /// nothing.
 #[test]
 fn tasks_that_wait_at_an_owner_fill_what_a_report_shows_to_be_free() {
     let mut owner = owner_of_host_1();
-    owner.on_leader(
+    owner.on_leader_message(
         ToOwner::Catalog {
             types: vec![small()],
         },
         10.0,
         &OneJob,
     );
-    let starts = |answer: Answer| match answer {
-        Answer::Orders(o) => o
+    let starts = |answer: HeartbeatResponse| match answer {
+        HeartbeatResponse::Orders(o) => o
             .orders
             .iter()
             .filter(|o| matches!(o, wire::workers::Order::Start { .. }))
             .count(),
         _ => 0,
     };
-    let mut busy = report(1, 1, 5);
+    let mut busy = heartbeat(1, 1, 5);
     busy.tasks = vec![("wk-1/8", 3), ("wk-1/9", 3)]
         .into_iter()
-        .map(|(t, attempt)| TaskReport {
+        .map(|(t, attempt)| ReportedTask {
             task: t.into(),
             attempt,
             state: TaskState::Running,
@@ -417,7 +417,7 @@
             saved: None,
         })
         .collect();
-    assert_eq!(starts(owner.on_report(&busy, 11.0, &OneJob)), 0);
+    assert_eq!(starts(owner.on_heartbeat(&busy, 11.0, &OneJob)), 0);
     let requirements = TaskRequirements {
         cpus: 4.0,
         gpus: 0.0,
@@ -438,11 +438,11 @@
         tasks: vec![(0, 3)],
         wait_ms: 4000,
     };
-    owner.on_leader(backlog("wk-2"), 11.1, &OneJob);
-    owner.on_leader(backlog("wk-1"), 11.2, &OneJob);
+    owner.on_leader_message(backlog("wk-2"), 11.1, &OneJob);
+    owner.on_leader_message(backlog("wk-1"), 11.2, &OneJob);
     (busy.seq, busy.tasks) = (2, busy.tasks[..1].to_vec());
     assert_eq!(
-        starts(owner.on_report(&busy, 12.0, &OneJob)),
+        starts(owner.on_heartbeat(&busy, 12.0, &OneJob)),
         1,
         "one has ended, one takes its place"
     );
--- a/crates/model/tests/notices.rs
+++ b/crates/model/tests/notices.rs
@@ -1,7 +1,7 @@
 //! What is saved when the cloud announces that it takes a machine back.
 
-use model::world::{job, machine_status, machine_type, setup};
-use sched::leader::{Action, Earlier, Leader, OpenJob};
+use model::world::{config, job, machine_status, machine_type};
+use sched::leader::{Action, Leader, OpenJob, PriorRuns};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use wire::peers::{TaskRef, TaskStatus, ToLeader, ToOwner};
@@ -19,11 +19,11 @@
         save_s: 2.0,
         ..job(1, "red", shape, 4, 1.0)
     };
-    let earlier = match shape {
-        Shape::Gang => Earlier::Bound(BTreeSet::from(["host-1".into(), "host-2".into()])),
-        _ => Earlier::Anywhere,
+    let prior_runs = match shape {
+        Shape::Gang => PriorRuns::Bound(BTreeSet::from(["host-1".into(), "host-2".into()])),
+        _ => PriorRuns::Anywhere,
     };
-    let open = OpenJob::new(Rc::new(spec), 1, earlier);
+    let open = OpenJob::new(Rc::new(spec), 1, prior_runs);
     let record = RosterRecord {
         kind: "small".into(),
         zone: "a".into(),
@@ -32,7 +32,7 @@
     let roster: BTreeMap<_, _> = ["host-1", "host-2"]
         .map(|host| (host.to_string(), record.clone()))
         .into();
-    let mut leader = Leader::new("rung-0", setup(), 1, 1, 4.0, vec![open], &roster, 1, 0.0);
+    let mut leader = Leader::new("rung-0", config(), 1, 1, 4.0, vec![open], &roster, 1, 0.0);
     leader.catalog(vec![machine_type("small", 4.0, 16.0, 0.3)]);
     let running = |index| TaskStatus {
         task: TaskRef {
@@ -59,7 +59,7 @@
             machine_status("host-2", "small", vec![running(2), running(3)]),
         ];
         views[0].notice_s = (now > 3.0).then_some(4.0);
-        leader.on_owner("rung-0", ToLeader::MachineStatuses(views), now);
+        leader.on_owner_message("rung-0", ToLeader::MachineStatuses(views), now);
     }
     stopped
 }
--- a/crates/model/tests/overlapping_faults.rs
+++ b/crates/model/tests/overlapping_faults.rs
@@ -1,14 +1,14 @@
-//! Two troubles at a time, each meeting brought about on purpose, over a few seeds: the rules of the
+//! Two faults at a time, each meeting brought about on purpose, over a few seeds: the rules of the
 //! protocol and of the users hold, and all that was accepted is done or cancelled in the end.
 
-use model::world::{job, setup, Defect, World};
-use sched::config::Setup;
+use model::world::{config, job, Defect, World};
+use sched::config::SchedulerConfig;
 use wire::users::{Job, Shape};
 
 /// A day with short and long jobs of both teams on machines that run, arrays and gangs; long ones
-/// outlast `cancel_s` and every trouble.
-fn busy(seed: u64, defect: Defect, setup: Setup) -> World {
-    let mut w = World::with(seed, defect, setup);
+/// outlast `cancel_s` and every fault.
+fn busy(seed: u64, defect: Defect, config: SchedulerConfig) -> World {
+    let mut w = World::with(seed, defect, config);
     w.late_copies = 5;
     for i in 1..=4 {
         let team = if i % 2 == 0 { "red" } else { "blue" };
@@ -29,12 +29,12 @@
 
 /// Brings a meeting about on several seeds, and judges the days.
 fn meeting(seeds: u64, script: impl Fn(&mut World)) {
-    meeting_with(seeds, setup(), script);
+    meeting_with(seeds, config(), script);
 }
 
-fn meeting_with(seeds: u64, setup: Setup, script: impl Fn(&mut World)) {
+fn meeting_with(seeds: u64, config: SchedulerConfig, script: impl Fn(&mut World)) {
     for seed in 0..seeds {
-        let mut w = busy(seed, Defect::None, setup.clone());
+        let mut w = busy(seed, Defect::None, config.clone());
         script(&mut w);
         assert!(w.cancelled > 0, "seed {seed}: nothing was cancelled");
         w.calm(400.0);
@@ -57,9 +57,14 @@
 const DEFECT_SEEDS: u64 = 60;
 
 /// Whether a day with a defect breaks a rule on one of several seeds: the checks can fail.
-fn breaks(rule: &str, defect: Defect, setup: Setup, script: impl Fn(&mut World)) -> bool {
+fn breaks(
+    rule: &str,
+    defect: Defect,
+    config: SchedulerConfig,
+    script: impl Fn(&mut World),
+) -> bool {
     (0..DEFECT_SEEDS).any(|seed| {
-        let mut w = busy(seed, defect, setup.clone());
+        let mut w = busy(seed, defect, config.clone());
         script(&mut w);
         w.pass(60.0);
         w.broken.contains(rule)
@@ -94,7 +99,7 @@
 
 #[test]
 fn the_store_refuses_the_leader_then_everybody() {
-    let (lease, cancel) = (setup().lease_s, setup().cancel_s);
+    let (lease, cancel) = (config().lease_s, config().cancel_s);
     for hints in [true, false] {
         for (refused_s, out_s) in [
             (0.5, 0.5 * lease),
@@ -117,7 +122,7 @@
     w.lost = 0;
     w.pass(2.0);
     for _ in 0..10 {
-        gap(w, 0.8, 0.4 * setup().lease_s);
+        gap(w, 0.8, 0.4 * config().lease_s);
         w.pass(0.5);
     }
 }
@@ -127,9 +132,9 @@
     // Each outage is shorter than a lease, and together they last longer than `cancel_s`.
     meeting(6, slow_gaps);
     meeting(4, |w| {
-        gap(w, 1.0, 1.2 * setup().cancel_s);
+        gap(w, 1.0, 1.2 * config().cancel_s);
         w.pass(2.0);
-        gap(w, 1.0, 1.2 * setup().cancel_s);
+        gap(w, 1.0, 1.2 * config().cancel_s);
     });
 }
 
@@ -143,31 +148,36 @@
         w.cancel_running(4);
         (0..3).filter(|i| *i != l).for_each(|i| w.end(i, 0.4));
         w.pass(0.5);
-        w.outage(1.3 * setup().cancel_s);
-        w.pass(1.4 * setup().cancel_s);
+        w.outage(1.3 * config().cancel_s);
+        w.pass(1.4 * config().cancel_s);
     });
     // The leader is cut from its peers as well.
     meeting(4, |w| {
         let l = leader(w);
-        w.leave_alone(l, 14.0);
+        w.isolate(l, 14.0);
         w.pass(0.6);
         w.cancel_running(4);
         w.pass(0.6);
-        w.outage(1.3 * setup().cancel_s);
-        w.pass(1.4 * setup().cancel_s);
+        w.outage(1.3 * config().cancel_s);
+        w.pass(1.4 * config().cancel_s);
     });
     // Machines hang through its start, and go on within their leases.
     meeting(4, |w| {
         let names = w.busy_machines(6);
         w.hang(&names, 6.0);
-        gap(w, 1.0, 1.3 * setup().cancel_s);
+        gap(w, 1.0, 1.3 * config().cancel_s);
     });
 }
 
 #[test]
 fn trusting_a_picture_from_before_an_outage_is_noticed() {
     assert!(
-        breaks("ran_cancelled", Defect::TrustOldPicture, setup(), slow_gaps),
+        breaks(
+            "ran_cancelled",
+            Defect::TrustOldPicture,
+            config(),
+            slow_gaps
+        ),
         "it went unnoticed"
     );
 }
@@ -176,12 +186,12 @@
 fn a_leader_ends_while_machines_with_long_tasks_cannot_be_reached() {
     meeting(6, |w| {
         let names = w.busy_machines(5);
-        w.mute(&names, 7.0);
+        w.cut_outbound(&names, 7.0);
         let l = leader(w);
         w.end(l, 4.0);
         w.pass(6.0);
-        // Now they report, and don't hear the next leader's answer.
-        w.make_unreachable(&names, 12.0);
+        // Now they heartbeat, and don't hear the next leader's answer.
+        w.cut_inbound(&names, 12.0);
         let l = leader(w);
         w.end(l, 0.1);
         w.pass(0.3);
@@ -200,9 +210,9 @@
             w.pass(5.0);
             w.cancel_running(1);
         }
-        // Machines begin a new session meanwhile.
+        // Machines begin a new incarnation meanwhile.
         let names = w.busy_machines(4);
-        w.mute(&names, 10.0);
+        w.cut_outbound(&names, 10.0);
         w.pass(25.0);
     });
 }
@@ -211,7 +221,7 @@
 fn a_cancellation_meets_the_end_of_the_last_task() {
     let (mut met, mut kept) = (0, 0);
     for seed in 0..12 {
-        let mut w = busy(seed, Defect::None, setup());
+        let mut w = busy(seed, Defect::None, config());
         let mut called_off = Vec::new();
         for i in 0..60 {
             w.submit(job(100 + i, "red", Shape::Array, 1 + i % 3, 1.0));
@@ -264,8 +274,8 @@
 fn all_controllers_are_away_for_longer_than_a_lease() {
     meeting(6, |w| {
         w.cancel_running(2);
-        (0..3).for_each(|i| w.end(i, if i == 0 { 1.3 * setup().lease_s } else { 20.0 }));
-        w.pass(1.2 * setup().lease_s);
+        (0..3).for_each(|i| w.end(i, if i == 0 { 1.3 * config().lease_s } else { 20.0 }));
+        w.pass(1.2 * config().lease_s);
         assert!(w.lapses > 0);
         w.pass(15.0);
         w.cancel_running(1);
@@ -327,10 +337,10 @@
     meeting(6, |w| {
         let l = leader(w);
         for inside in [Some(l), None, Some((l + 1) % 3)] {
-            w.cut_zone("a", inside, 1.5 * setup().lease_s);
+            w.cut_zone("a", inside, 1.5 * config().lease_s);
             w.pass(3.0);
             w.cancel_running(2);
-            w.pass(1.5 * setup().lease_s);
+            w.pass(1.5 * config().lease_s);
         }
     });
 }
@@ -340,7 +350,7 @@
     meeting(8, |w| {
         for _ in 0..3 {
             let l = leader(w);
-            w.leave_alone(l, 25.0);
+            w.isolate(l, 25.0);
             w.pass(1.0);
             w.cancel_running(2);
             w.pass(4.0);
@@ -374,7 +384,7 @@
         });
         w.pass(6.0);
         let names = w.busy_machines(4);
-        w.mute(&names, 9.0);
+        w.cut_outbound(&names, 9.0);
         w.pass(1.0);
         cancel_one(w);
         w.kill(&names[..names.len().min(2)]);
@@ -408,14 +418,14 @@
     });
 }
 
-/// Reports every 6 s, leaders every 3: no report shows the token of the day.
+/// Heartbeats every 6 s, leaders every 3: no heartbeat shows the token of the day.
 #[test]
 fn leaders_change_faster_than_machines_report() {
-    let slow = Setup {
-        report_s: 6.0,
+    let slow = SchedulerConfig {
+        heartbeat_s: 6.0,
         lease_s: 14.0,
         cancel_s: 30.0,
-        ..setup()
+        ..config()
     };
     let script = |w: &mut World| {
         w.hints = false;
@@ -440,7 +450,7 @@
 /// jobs are cancelled through the others; then it goes on.
 fn standstills(w: &mut World) {
     w.hints = false;
-    let lease = setup().lease_s;
+    let lease = config().lease_s;
     for for_s in [0.4, 1.5, 0.4 * lease, 0.8 * lease, 1.2 * lease] {
         let l = leader(w);
         w.freeze_with_an_answer(l, for_s);
@@ -463,7 +473,7 @@
         ("ran_cancelled", Defect::IgnoreCancel),
     ] {
         assert!(
-            breaks(rule, defect, setup(), standstills),
+            breaks(rule, defect, config(), standstills),
             "{rule}: the check can't fail"
         );
     }
@@ -472,7 +482,7 @@
 /// All stand still for longer than a lease, and longer than a cancellation may take.
 #[test]
 fn all_controllers_stand_still_and_go_on() {
-    let (lease, cancel) = (setup().lease_s, setup().cancel_s);
+    let (lease, cancel) = (config().lease_s, config().cancel_s);
     for for_s in [0.5 * lease, 1.2 * lease, 1.2 * cancel] {
         meeting(4, |w| {
             w.cancel_running(2);
@@ -488,8 +498,8 @@
 fn machines_reach_no_controller_or_hear_none_while_the_leader_changes() {
     meeting(6, |w| {
         let names = w.busy_machines(6);
-        w.mute(&names[..names.len() / 2], 20.0);
-        w.make_unreachable(&names[names.len() / 2..], 20.0);
+        w.cut_outbound(&names[..names.len() / 2], 20.0);
+        w.cut_inbound(&names[names.len() / 2..], 20.0);
         w.pass(2.0);
         w.cancel_running(3);
         let l = leader(w);
@@ -534,7 +544,7 @@
         }
     }
     w.late_writes = 0;
-    assert!(w.troubles["late write"] > 5, "{:?}", w.troubles);
+    assert!(w.faults["late write"] > 5, "{:?}", w.faults);
 }
 
 #[test]
@@ -546,7 +556,7 @@
 fn writes_without_the_versions_of_their_keys_are_noticed() {
     // An old page of the roster or an old binding makes the next leader start tasks again.
     assert!(
-        breaks("ran_twice", Defect::NoVersions, setup(), late_writes),
+        breaks("ran_twice", Defect::NoVersions, config(), late_writes),
         "it went unnoticed"
     );
 }
@@ -554,7 +564,7 @@
 /// Work of the other team keeps machines in use that have capacity to spare.
 #[test]
 fn letting_work_wait_beside_free_room_is_noticed() {
-    let mut w = busy(1, Defect::NeverRed, setup());
+    let mut w = busy(1, Defect::NeverRed, config());
     (0..3).for_each(|i| {
         w.submit(Job {
             estimate_s: 200.0,
@@ -586,7 +596,7 @@
         w.pass(30.0);
     };
     assert!(
-        breaks("started_cancelled", Defect::IgnoreCancel, setup(), script),
+        breaks("started_cancelled", Defect::IgnoreCancel, config(), script),
         "it went unnoticed"
     );
 }
--- a/crates/model/tests/plain.rs
+++ b/crates/model/tests/plain.rs
@@ -4,8 +4,8 @@
 #![allow(clippy::unwrap_used)]
 
 use model::plain::*;
-use model::world::{job, machine_status, machine_type, setup};
-use sched::leader::{Action, Earlier, Leader, OpenJob};
+use model::world::{config, job, machine_status, machine_type};
+use sched::leader::{Action, Leader, OpenJob, PriorRuns};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use wire::peers::{MachineStatus, ToLeader, ToOwner};
@@ -13,19 +13,19 @@
 
 /// A leader that is its only owner, with empty machines that are known and rostered.
 fn leader(machines: &[(&str, &str)], limit: f64) -> Leader {
-    let mut s = setup();
+    let mut s = config();
     s.teams.get_mut("red").unwrap().cpus_max = limit;
     leader_with(s, machines)
 }
 
-fn all_begun(upto: u64) -> wire::store::BegunRecord {
-    wire::store::BegunRecord {
+fn all_started(upto: u64) -> wire::store::StartedArraysRecord {
+    wire::store::StartedArraysRecord {
         upto,
         waiting: Vec::new(),
     }
 }
 
-fn leader_with(s: sched::config::Setup, machines: &[(&str, &str)]) -> Leader {
+fn leader_with(s: sched::config::SchedulerConfig, machines: &[(&str, &str)]) -> Leader {
     let mut l = Leader::new("rung-0", s, 1, 1, 4.0, Vec::new(), &BTreeMap::new(), 0, 0.0);
     l.catalog(vec![
         machine_type("small", 4.0, 16.0, 0.3),
@@ -38,7 +38,7 @@
             usable: false,
             ..machine_status(name, kind, Vec::new())
         };
-        l.on_owner("rung-0", ToLeader::MachineStatuses(vec![v]), 5.0);
+        l.on_owner_message("rung-0", ToLeader::MachineStatuses(vec![v]), 5.0);
         l.roster_result(name, true, true);
     }
     l.drain();
@@ -97,10 +97,10 @@
             l.add_job(OpenJob::new(
                 Rc::new(j.clone()),
                 i as u64 + 1,
-                Earlier::Untouched,
+                PriorRuns::None,
             ));
         }
-        l.begin_result(&all_begun(jobs.len() as u64), true);
+        l.start_record_result(&all_started(jobs.len() as u64), true);
         l.tick(5.1, 0);
         let mut order: Vec<Job> = Vec::new();
         // Within the guarantee first, each in order of creation.
@@ -150,7 +150,7 @@
 /// what is within their guarantees; its own limit bounds them.
 #[test]
 fn one_teams_large_arrays_leave_the_others_their_guarantees() {
-    let mut s = setup();
+    let mut s = config();
     let team = |cpus: f64, cpus_max: f64| sched::config::Team {
         cpus,
         cpus_max,
@@ -166,9 +166,9 @@
     for i in 0..13 {
         let (team, tasks) = if i < 3 { (0, 800) } else { (i - 3, 4) };
         let spec = Rc::new(job(i, &format!("team-{team}"), Shape::Array, tasks, 1.0));
-        l.add_job(OpenJob::new(spec, u64::from(i) + 1, Earlier::Untouched));
+        l.add_job(OpenJob::new(spec, u64::from(i) + 1, PriorRuns::None));
     }
-    l.begin_result(&all_begun(13), true);
+    l.start_record_result(&all_started(13), true);
     l.tick(5.1, 0);
     let got = placed(&l.drain());
     for i in 4..13 {
@@ -192,7 +192,7 @@
         spot: false,
     };
     let roster = BTreeMap::from([("host-1".to_string(), record)]);
-    let mut l = Leader::new("rung-0", setup(), 1, 7, 4.0, Vec::new(), &roster, 0, 0.0);
+    let mut l = Leader::new("rung-0", config(), 1, 7, 4.0, Vec::new(), &roster, 0, 0.0);
     l.catalog(vec![machine_type("small", 4.0, 16.0, 0.3)]);
     l.tick(5.0, 0);
     let usable = l.drain().into_iter().any(
@@ -213,7 +213,7 @@
     red: Priority,
     inherited: &BTreeMap<&str, Priority>,
 ) -> usize {
-    let mut s = setup();
+    let mut s = config();
     s.teams.get_mut("blue").unwrap().cpus = blue_guarantee;
     let mut l = Leader::new("rung-0", s, 1, 1, 4.0, Vec::new(), &BTreeMap::new(), 0, 0.0);
     l.catalog(vec![machine_type("small", 4.0, 16.0, 0.3)]);
@@ -221,15 +221,15 @@
     let view = |tasks: Vec<wire::peers::TaskStatus>| {
         ToLeader::MachineStatuses(vec![machine_status("host-1", "small", tasks)])
     };
-    l.on_owner("rung-0", view(Vec::new()), 5.0);
+    l.on_owner_message("rung-0", view(Vec::new()), 5.0);
     l.roster_result("host-1", true, true);
     let add = |l: &mut Leader, spec: Job, revision: u64| {
         let id = spec.id.clone();
-        l.add_job(OpenJob::new(Rc::new(spec), revision, Earlier::Untouched));
+        l.add_job(OpenJob::new(Rc::new(spec), revision, PriorRuns::None));
         if let Some(priority) = inherited.get(id.as_str()) {
             l.set_priority(&id, *priority);
         }
-        l.begin_result(&all_begun(revision), true);
+        l.start_record_result(&all_started(revision), true);
     };
     add(&mut l, job(1, "blue", Shape::Array, 4, 1.0), 1);
     l.tick(6.0, 0);
@@ -247,7 +247,7 @@
         why: None,
         saved: false,
     });
-    l.on_owner("rung-0", view(running.collect()), 6.5);
+    l.on_owner_message("rung-0", view(running.collect()), 6.5);
     let urgent = Job {
         priority: red,
         ..job(2, "red", Shape::Array, 1, 2.0)
