--- a/crates/model/tests/preemption.rs
+++ b/crates/model/tests/preemption.rs
@@ -1,8 +1,8 @@
 //! Resources taken back for gangs of several tasks: for the whole gang or not at all.
 
-use model::world::{job, machine_status, machine_type, setup};
-use sched::config::Setup;
-use sched::leader::{Action, Earlier, Leader, OpenJob};
+use model::world::{config, job, machine_status, machine_type};
+use sched::config::SchedulerConfig;
+use sched::leader::{Action, Leader, OpenJob, PriorRuns};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use wire::peers::{TaskRef, TaskStatus, ToLeader, ToOwner};
@@ -17,7 +17,7 @@
 struct Scene {
     leader: Leader,
     now: f64,
-    /// What each machine reports.
+    /// What each machine heartbeats.
     tasks: BTreeMap<&'static str, Vec<TaskStatus>>,
     stopped: BTreeSet<TaskRef>,
     provisioned: u32,
@@ -40,9 +40,9 @@
 
 impl Scene {
     fn new(array: Job, gang: Job) -> Scene {
-        let setup = Setup {
+        let config = SchedulerConfig {
             idle_retention_boots: 1e6,
-            ..setup()
+            ..config()
         };
         let record = RosterRecord {
             kind: "small".into(),
@@ -53,14 +53,15 @@
             .iter()
             .map(|host| (host.to_string(), record.clone()))
             .collect();
-        let open = |job: Job, revision, earlier| OpenJob::new(Rc::new(job), revision, earlier);
+        let open =
+            |job: Job, revision, prior_runs| OpenJob::new(Rc::new(job), revision, prior_runs);
         let mut leader = Leader::new(
             "rung-0",
-            setup,
+            config,
             1,
             1,
             4.0,
-            vec![open(array, 1, Earlier::Anywhere)],
+            vec![open(array, 1, PriorRuns::Anywhere)],
             &roster,
             1,
             0.0,
@@ -82,7 +83,7 @@
         };
         scene.pass(1.0);
         scene.provisioned = 0;
-        scene.leader.add_job(open(gang, 2, Earlier::Untouched));
+        scene.leader.add_job(open(gang, 2, PriorRuns::None));
         scene
     }
 
@@ -112,7 +113,7 @@
                 .map(|(host, tasks)| machine_status(host, "small", tasks.clone()))
                 .collect();
             self.leader
-                .on_owner("rung-0", ToLeader::MachineStatuses(views), self.now);
+                .on_owner_message("rung-0", ToLeader::MachineStatuses(views), self.now);
         }
         reserved
     }
@@ -201,7 +202,7 @@
     };
     scene
         .leader
-        .add_job(OpenJob::new(Rc::new(loses), 3, Earlier::Untouched));
+        .add_job(OpenJob::new(Rc::new(loses), 3, PriorRuns::None));
     scene.pass(20.0);
     let state = TaskState::Running;
     let task = TaskStatus {
@@ -216,7 +217,7 @@
     scene.leader.add_job(OpenJob::new(
         Rc::new(job(2, "red", Shape::Array, 1, 3.0)),
         4,
-        Earlier::Untouched,
+        PriorRuns::None,
     ));
     scene.pass(3.0);
     let stopped: Vec<&str> = scene.stopped.iter().map(|t| t.job.as_str()).collect();
@@ -232,7 +233,7 @@
     scene.leader.add_job(OpenJob::new(
         Rc::new(job(3, "red", Shape::Gang, 2, 3.0)),
         3,
-        Earlier::Untouched,
+        PriorRuns::None,
     ));
     scene.provisioned = 0;
     scene.pass(4.0);
@@ -249,9 +250,9 @@
         priority: Priority::BestEffort,
         ..job(1, "blue", Shape::Array, 1, 10.0)
     };
-    let setup = Setup {
+    let config = SchedulerConfig {
         idle_retention_boots: 1e6,
-        ..setup()
+        ..config()
     };
     let record = RosterRecord {
         kind: "large".into(),
@@ -259,9 +260,9 @@
         spot: false,
     };
     let roster = BTreeMap::from([("host-9".to_string(), record)]);
-    let open = |job: Job, revision, earlier| OpenJob::new(Rc::new(job), revision, earlier);
-    let earlier = vec![open(large_only, 1, Earlier::Anywhere)];
-    let mut leader = Leader::new("rung-0", setup, 1, 1, 4.0, earlier, &roster, 1, 0.0);
+    let open = |job: Job, revision, prior_runs| OpenJob::new(Rc::new(job), revision, prior_runs);
+    let prior_runs = vec![open(large_only, 1, PriorRuns::Anywhere)];
+    let mut leader = Leader::new("rung-0", config, 1, 1, 4.0, prior_runs, &roster, 1, 0.0);
     leader.catalog(vec![
         machine_type("small", 4.0, 16.0, 0.3),
         machine_type("large", 16.0, 64.0, 1.1),
@@ -277,13 +278,9 @@
             }
         }
         let view = machine_status("host-9", "large", vec![task.clone()]);
-        leader.on_owner("rung-0", ToLeader::MachineStatuses(vec![view]), now);
+        leader.on_owner_message("rung-0", ToLeader::MachineStatuses(vec![view]), now);
         if now == 2.0 {
-            leader.add_job(open(
-                job(2, "red", Shape::Gang, 2, 3.0),
-                3,
-                Earlier::Untouched,
-            ));
+            leader.add_job(open(job(2, "red", Shape::Gang, 2, 3.0), 3, PriorRuns::None));
         }
     }
     assert!(
--- a/crates/model/tests/scale_out.rs
+++ b/crates/model/tests/scale_out.rs
@@ -1,8 +1,8 @@
 //! Which machines are provisioned for a queue, when some types are kept for gangs and the cloud refuses.
 
-use model::world::{job, machine_status, machine_type, setup};
-use sched::config::{Setup, Team};
-use sched::leader::{Action, Earlier, Leader, OpenJob};
+use model::world::{config, job, machine_status, machine_type};
+use sched::config::{SchedulerConfig, Team};
+use sched::leader::{Action, Leader, OpenJob, PriorRuns};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use wire::cloud::ProvisionRequest;
@@ -26,10 +26,10 @@
             gpus: 0.0,
             gpus_max: 0.0,
         };
-        let settings = Setup {
+        let settings = SchedulerConfig {
             teams: BTreeMap::from([("red".to_string(), wide)]),
             idle_retention_boots: 1e6,
-            ..setup()
+            ..config()
         };
         let record = RosterRecord {
             kind: "small".into(),
@@ -65,13 +65,12 @@
         };
         let id = gang.id.clone();
         self.accept(gang);
-        self.leader.job_over(&id);
+        self.leader.on_job_terminal(&id);
     }
 
     fn accept(&mut self, job: Job) {
         let job = Rc::new(Job { spot: false, ..job });
-        self.leader
-            .add_job(OpenJob::new(job, 1, Earlier::Untouched));
+        self.leader.add_job(OpenJob::new(job, 1, PriorRuns::None));
     }
 
     /// Time passes; the cloud has no machines at all, and the store takes what is written.
@@ -86,7 +85,7 @@
                 .map(|machine| machine_status(machine, "small", vec![]))
                 .collect();
             self.leader
-                .on_owner("rung-0", ToLeader::MachineStatuses(views), self.now);
+                .on_owner_message("rung-0", ToLeader::MachineStatuses(views), self.now);
             for action in self.leader.drain() {
                 match action {
                     Action::Provision(request) => {
@@ -95,7 +94,9 @@
                             .provision_result(&request.name, Some(Vec::new()), self.now);
                     }
                     Action::NewToken => self.leader.token_result(Some(2), self.now),
-                    Action::Begin(record) => self.leader.begin_result(&record, true),
+                    Action::RecordStartedArrays(record) => {
+                        self.leader.start_record_result(&record, true)
+                    }
                     _ => {}
                 }
             }
@@ -173,7 +174,7 @@
             scene.pass(2.0);
             scene
                 .leader
-                .job_over(&job(2 + number, "red", Shape::Array, 30, 1.0).id);
+                .on_job_terminal(&job(2 + number, "red", Shape::Array, 30, 1.0).id);
         }
         assert_eq!(!scene.requests.is_empty(), expected, "{arrays} arrays");
     }
--- a/crates/model/tests/staleness.rs
+++ b/crates/model/tests/staleness.rs
@@ -1,17 +1,17 @@
-//! How old knowledge may be where reports are answered and tasks started, and what is stopped.
+//! How old knowledge may be where heartbeats are answered and tasks started, and what is stopped.
 
-use model::world::setup;
+use model::world::config;
 use sched::authority::Authority;
-use sched::config::Setup;
-use sched::leader::{Action, Earlier, Leader, OpenJob};
-use sched::owner::{Answer, Jobs, Owner};
+use sched::config::SchedulerConfig;
+use sched::leader::{Action, Leader, OpenJob, PriorRuns};
+use sched::owner::{HeartbeatResponse, Jobs, Owner};
 use sched::placement::Resources;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use wire::peers::{AllowedMachineType, MachineDescriptor, TaskRequirements, ToLeader, ToOwner};
 use wire::store::RosterRecord;
 use wire::users::Shape;
-use wire::workers::{Order, Report, TaskReport, TaskState, Why};
+use wire::workers::{Heartbeat, Order, ReportedTask, TaskState, Why};
 
 /// A replica that knows wk-1 as open or as over.
 struct Replica {
@@ -29,7 +29,7 @@
     fn image(&self, job: &str) -> Option<String> {
         (job == "wk-1" && !self.over).then(|| "i".into())
     }
-    fn over(&self, job: &str) -> bool {
+    fn is_terminal(&self, job: &str) -> bool {
         job == "wk-1" && self.over
     }
 }
@@ -44,7 +44,7 @@
     fn image(&self, _: &str) -> Option<String> {
         None
     }
-    fn over(&self, _: &str) -> bool {
+    fn is_terminal(&self, _: &str) -> bool {
         false
     }
 }
@@ -54,7 +54,7 @@
 
 /// An owner whose part is one machine, since token 5.
 fn owner() -> Owner {
-    let mut owner = Owner::new("rung-1", setup());
+    let mut owner = Owner::new("rung-1", config());
     let descriptor = MachineDescriptor {
         name: "host-1".into(),
         kind: "small".into(),
@@ -69,8 +69,8 @@
         extra_ms: 0,
         machines: vec![descriptor],
     };
-    owner.on_leader(epoch, 10.0, &OPEN);
-    owner.on_leader(
+    owner.on_leader_message(epoch, 10.0, &OPEN);
+    owner.on_leader_message(
         ToOwner::Catalog {
             types: vec![model::world::machine_type("small", 4.0, 16.0, 0.3)],
         },
@@ -82,16 +82,16 @@
     owner
 }
 
-fn report(seq: u64, token: u64, state: Option<TaskState>) -> Report {
+fn heartbeat(seq: u64, token: u64, state: Option<TaskState>) -> Heartbeat {
     let why = (state == Some(TaskState::Exited)).then_some(Why::Stopped);
-    let task = |state| TaskReport {
+    let task = |state| ReportedTask {
         task: "wk-1/0".into(),
         attempt: 3,
         state,
         why,
         saved: None,
     };
-    model::world::report(
+    model::world::heartbeat(
         "host-1",
         1,
         seq,
@@ -100,9 +100,9 @@
     )
 }
 
-fn orders(answer: Answer) -> Vec<Order> {
+fn orders(answer: HeartbeatResponse) -> Vec<Order> {
     match answer {
-        Answer::Orders(o) => o.orders,
+        HeartbeatResponse::Orders(o) => o.orders,
         other => panic!("no orders: {other:?}"),
     }
 }
@@ -162,7 +162,7 @@
         wait_ms: 60_000,
     };
     owner.drain();
-    owner.on_leader(reserve, now, &Behind);
+    owner.on_leader_message(reserve, now, &Behind);
     let answered = owner.drain().into_iter().find_map(|message| match message {
         ToLeader::ReserveResult { reserved, .. } => Some(reserved),
         _ => None,
@@ -176,15 +176,15 @@
 fn an_answer_to_a_report_that_does_not_count_stops_what_is_over() {
     let mut o = owner();
     assert_eq!(
-        orders(o.on_report(&report(1, 4, Some(TaskState::Running)), 11.0, &OPEN)),
+        orders(o.on_heartbeat(&heartbeat(1, 4, Some(TaskState::Running)), 11.0, &OPEN)),
         vec![]
     );
     assert_eq!(
-        orders(o.on_report(&report(2, 4, Some(TaskState::Running)), 12.0, &OVER)),
+        orders(o.on_heartbeat(&heartbeat(2, 4, Some(TaskState::Running)), 12.0, &OVER)),
         vec![stop()]
     );
     // The leader said so, and this controller's own replica is blind.
-    o.on_leader(
+    o.on_leader_message(
         ToOwner::Terminal {
             jobs: vec!["wk-1".into()],
         },
@@ -192,24 +192,24 @@
         &OPEN,
     );
     assert_eq!(
-        orders(o.on_report(&report(3, 4, Some(TaskState::Fetching)), 13.0, &OPEN)),
+        orders(o.on_heartbeat(&heartbeat(3, 4, Some(TaskState::Fetching)), 13.0, &OPEN)),
         vec![stop()]
     );
     assert_eq!(
-        orders(o.on_report(&report(4, 4, Some(TaskState::Exited)), 14.0, &OPEN)),
+        orders(o.on_heartbeat(&heartbeat(4, 4, Some(TaskState::Exited)), 14.0, &OPEN)),
         vec![]
     );
 }
 
-/// A stop goes with every answer until a report shows the task gone, though the leader never asks
+/// A stop goes with every answer until a heartbeat shows the task gone, though the leader never asks
 /// for it: it may have begun after the job's record was over.
 #[test]
 fn what_is_over_is_stopped_until_it_is_seen_to_be_gone() {
     let mut o = owner();
     for seq in 1..4 {
         assert_eq!(
-            orders(o.on_report(
-                &report(seq, 5, Some(TaskState::Running)),
+            orders(o.on_heartbeat(
+                &heartbeat(seq, 5, Some(TaskState::Running)),
                 10.0 + seq as f64,
                 &OVER
             )),
@@ -218,7 +218,7 @@
     }
     // A new epoch under which the records go on, and one under which they begin anew.
     for (token, prev) in [(6, 5), (7, 0)] {
-        o.on_leader(
+        o.on_leader_message(
             ToOwner::Epoch {
                 token,
                 prev,
@@ -230,12 +230,16 @@
             &OVER,
         );
         assert_eq!(
-            orders(o.on_report(&report(token, token, Some(TaskState::Running)), 14.0, &OVER)),
+            orders(o.on_heartbeat(
+                &heartbeat(token, token, Some(TaskState::Running)),
+                14.0,
+                &OVER
+            )),
             vec![stop()]
         );
     }
     assert_eq!(
-        orders(o.on_report(&report(8, 7, Some(TaskState::Exited)), 15.0, &OVER)),
+        orders(o.on_heartbeat(&heartbeat(8, 7, Some(TaskState::Exited)), 15.0, &OVER)),
         vec![]
     );
 }
@@ -245,10 +249,10 @@
 fn nothing_of_what_is_over_starts() {
     for told in [false, true] {
         let mut o = owner();
-        o.on_report(&report(1, 5, None), 11.0, &OPEN);
-        o.on_leader(assign(), 11.0, &OPEN);
+        o.on_heartbeat(&heartbeat(1, 5, None), 11.0, &OPEN);
+        o.on_leader_message(assign(), 11.0, &OPEN);
         let replica = if told {
-            o.on_leader(
+            o.on_leader_message(
                 ToOwner::Terminal {
                     jobs: vec!["wk-1".into()],
                 },
@@ -260,7 +264,7 @@
             OVER
         };
         assert_eq!(
-            orders(o.on_report(&report(2, 5, None), 11.5, &replica)),
+            orders(o.on_heartbeat(&heartbeat(2, 5, None), 11.5, &replica)),
             vec![]
         );
         o.tick(12.0);
@@ -275,10 +279,10 @@
     }
     // The same, when nothing is over: the check above can fail.
     let mut o = owner();
-    o.on_report(&report(1, 5, None), 11.0, &OPEN);
-    o.on_leader(assign(), 11.0, &OPEN);
+    o.on_heartbeat(&heartbeat(1, 5, None), 11.0, &OPEN);
+    o.on_leader_message(assign(), 11.0, &OPEN);
     assert_eq!(
-        orders(o.on_report(&report(2, 5, None), 11.5, &OPEN)),
+        orders(o.on_heartbeat(&heartbeat(2, 5, None), 11.5, &OPEN)),
         vec![Order::Start {
             task: "wk-1/0".into(),
             attempt: 3
@@ -291,18 +295,18 @@
 #[test]
 fn an_owner_whose_view_stayed_behind_knows_what_it_started() {
     let mut o = owner();
-    o.on_report(&report(1, 5, None), 11.0, &Behind);
-    o.on_leader(assign(), 11.0, &Behind);
+    o.on_heartbeat(&heartbeat(1, 5, None), 11.0, &Behind);
+    o.on_leader_message(assign(), 11.0, &Behind);
     assert_eq!(
-        orders(o.on_report(&report(2, 5, None), 11.5, &Behind)).len(),
+        orders(o.on_heartbeat(&heartbeat(2, 5, None), 11.5, &Behind)).len(),
         1
     );
-    o.on_report(&report(3, 5, Some(TaskState::Running)), 12.0, &Behind);
+    o.on_heartbeat(&heartbeat(3, 5, Some(TaskState::Running)), 12.0, &Behind);
     assert!(reserves(&mut o, 8, 3.0, 12.0));
     assert!(!reserves(&mut o, 9, 1.0, 12.0), "the machine has four CPUs");
     // Of what was not given through this owner it can't know what it takes.
     let mut o = owner();
-    o.on_report(&report(1, 5, Some(TaskState::Running)), 11.0, &Behind);
+    o.on_heartbeat(&heartbeat(1, 5, Some(TaskState::Running)), 11.0, &Behind);
     assert!(!reserves(&mut o, 8, 1.0, 11.0));
 }
 
@@ -311,13 +315,13 @@
 fn an_owner_whose_view_stayed_behind_starts_what_waits() {
     let starts = |over: bool, jobs: &dyn Jobs, job: &str| {
         let mut o = owner();
-        o.on_report(&report(1, 5, Some(TaskState::Running)), 11.0, &OPEN);
-        o.on_leader(backlog(job), 11.0, &OPEN);
+        o.on_heartbeat(&heartbeat(1, 5, Some(TaskState::Running)), 11.0, &OPEN);
+        o.on_leader_message(backlog(job), 11.0, &OPEN);
         if over {
             let jobs = vec![job.into()];
-            o.on_leader(ToOwner::Terminal { jobs }, 11.2, &OPEN);
+            o.on_leader_message(ToOwner::Terminal { jobs }, 11.2, &OPEN);
         }
-        let orders = orders(o.on_report(&report(2, 5, None), 11.5, jobs));
+        let orders = orders(o.on_heartbeat(&heartbeat(2, 5, None), 11.5, jobs));
         let is_start = |order: &&Order| matches!(order, Order::Start { .. });
         orders.iter().filter(is_start).count()
     };
@@ -331,29 +335,29 @@
 /// that what was cancelled since is gone in time.
 #[test]
 fn old_knowledge_ends_starts_first_and_then_answers() {
-    let s = setup();
+    let s = config();
     let mut o = owner();
-    o.on_report(&report(1, 5, None), 10.5, &OPEN);
-    o.on_leader(assign(), 10.5, &OPEN);
+    o.on_heartbeat(&heartbeat(1, 5, None), 10.5, &OPEN);
+    o.on_leader_message(assign(), 10.5, &OPEN);
     let stale = 10.0 + s.start_staleness_s() + 0.01;
     assert_eq!(
-        orders(o.on_report(&report(2, 5, None), stale, &OPEN)),
+        orders(o.on_heartbeat(&heartbeat(2, 5, None), stale, &OPEN)),
         vec![]
     );
     // It was only put off.
     o.authority.prove(stale);
     assert_eq!(
-        orders(o.on_report(&report(3, 5, None), stale + 0.1, &OPEN)).len(),
+        orders(o.on_heartbeat(&heartbeat(3, 5, None), stale + 0.1, &OPEN)).len(),
         1
     );
     let end = stale + s.answer_staleness_s();
     assert!(matches!(
-        o.on_report(&report(4, 5, None), end - 0.01, &OPEN),
-        Answer::Orders(_)
+        o.on_heartbeat(&heartbeat(4, 5, None), end - 0.01, &OPEN),
+        HeartbeatResponse::Orders(_)
     ));
     assert_eq!(
-        o.on_report(&report(5, 5, None), end + 0.01, &OPEN),
-        Answer::NotNow
+        o.on_heartbeat(&heartbeat(5, 5, None), end + 0.01, &OPEN),
+        HeartbeatResponse::Unavailable
     );
     // The last lease that such an answer can prolong ends within cancel_s of the read.
     assert!(end + s.lease_s * 1.0005 <= stale + s.cancel_s);
@@ -363,7 +367,7 @@
 /// read that was sent after it.
 #[test]
 fn authority_that_ran_out_comes_back_with_a_read_sent_after_the_renewal() {
-    let mut a = Authority::new(&setup());
+    let mut a = Authority::new(&config());
     a.prove(0.5);
     a.renew(3.0, 1.0);
     assert_eq!(a.answers_until(), f64::MIN, "it had none before");
@@ -382,11 +386,11 @@
 
 #[test]
 fn settings_without_time_between_lease_and_cancel_keep_the_freshest_bound() {
-    let s = Setup {
+    let s = SchedulerConfig {
         cancel_s: 9.0,
-        ..setup()
+        ..config()
     };
-    assert!(!s.cancels_in_time() && setup().cancels_in_time());
+    assert!(!s.cancels_in_time() && config().cancels_in_time());
     assert_eq!(s.answer_staleness_s(), s.start_staleness_s());
 }
 
@@ -394,12 +398,12 @@
 /// owners at once and at each new epoch.
 #[test]
 fn a_cancellation_reaches_the_owners_once_and_with_each_new_epoch() {
-    let setup = Setup {
+    let config = SchedulerConfig {
         teams: BTreeMap::new(),
-        ..setup()
+        ..config()
     };
     let spec = Rc::new(model::world::job(1, "red", Shape::Array, 4, 1.0));
-    let open = OpenJob::new(spec, 1, Earlier::Anywhere);
+    let open = OpenJob::new(spec, 1, PriorRuns::Anywhere);
     // What it may have begun on that machine is not known yet.
     let roster = BTreeMap::from([(
         "host-1".to_string(),
@@ -409,8 +413,8 @@
             spot: false,
         },
     )]);
-    let mut leader = Leader::new("rung-0", setup, 1, 1, 4.0, vec![open], &roster, 1, 0.0);
-    leader.set_lately_cancelled([(
+    let mut leader = Leader::new("rung-0", config, 1, 1, 4.0, vec![open], &roster, 1, 0.0);
+    leader.set_recently_cancelled([(
         "wk-000009".to_string(),
         "red".to_string(),
         Resources::default(),
@@ -425,7 +429,7 @@
         leader.drain().into_iter().filter_map(over).collect()
     };
     assert_eq!(told(&mut leader), vec![vec!["wk-000009".to_string()]]);
-    leader.on_owner(
+    leader.on_owner_message(
         "rung-1",
         ToLeader::Cancelled {
             job: "wk-000001".into(),
@@ -433,7 +437,7 @@
         1.5,
     );
     assert_eq!(told(&mut leader), vec![vec!["wk-000001".to_string()]]);
-    leader.job_over("wk-000001");
+    leader.on_job_terminal("wk-000001");
     assert_eq!(told(&mut leader), Vec::<Vec<String>>::new());
     leader.owner_lost("rung-1");
     leader.owner_heard("rung-1", 2.0);
@@ -450,7 +454,7 @@
 #[test]
 fn a_start_that_is_given_up_before_it_was_shown_is_handed_back() {
     let mut o = owner();
-    o.on_report(&report(1, 5, None), 10.5, &OPEN);
+    o.on_heartbeat(&heartbeat(1, 5, None), 10.5, &OPEN);
     o.tick(11.0);
     o.drain();
     let ToOwner::Assign {
@@ -462,7 +466,7 @@
     else {
         unreachable!()
     };
-    o.on_leader(
+    o.on_leader_message(
         ToOwner::AssignBacklog {
             job,
             attempt,
@@ -475,10 +479,10 @@
     );
     o.drain();
     assert_eq!(
-        orders(o.on_report(&report(2, 5, None), 11.01, &OPEN)).len(),
+        orders(o.on_heartbeat(&heartbeat(2, 5, None), 11.01, &OPEN)).len(),
         1
     );
-    o.on_leader(
+    o.on_leader_message(
         ToOwner::SetUsable {
             machine: "host-1".into(),
             usable: false,
@@ -487,7 +491,7 @@
         &OPEN,
     );
     assert_eq!(
-        orders(o.on_report(&report(3, 5, None), 11.03, &OPEN)),
+        orders(o.on_heartbeat(&heartbeat(3, 5, None), 11.03, &OPEN)),
         vec![]
     );
     let back = |m: &ToLeader| matches!(m, ToLeader::HandBack { job, attempt: 3, tasks } if job == "wk-1" && *tasks == [(0, 1)]);
--- a/crates/model/tests/trace.rs
+++ b/crates/model/tests/trace.rs
@@ -11,7 +11,7 @@
 /// So small that a bitmap of progress holds eight tasks.
 const SMALL_VALUE_KB: f64 = 0.004;
 
-/// A day with every trouble at random, then quiet.
+/// A day with every fault at random, then quiet.
 fn plain_day(seed: u64) -> World {
     let mut world = World::new(seed, Defect::None);
     world.live(150.0, 60.0);
@@ -90,7 +90,7 @@
 }
 
 /// Many machine types, few of each: notices, checkpoints, GPUs, work that is stopped for other teams' or
-/// for more urgent work, and quiet spells in which machines are returned. Every other day has troubles, too.
+/// for more urgent work, and quiet spells in which machines are returned. Every other day has faults, too.
 fn rich_day(seed: u64) -> World {
     let mut world = World::rich(seed);
     world.live_richly(15.0, 50, false);
@@ -101,7 +101,7 @@
     world.live_richly(60.0, 50, seed % 2 == 1);
     world.calm(300.0);
     world.pass(45.0);
-    let happened = |what: &str| world.troubles.get(what).copied().unwrap_or(0);
+    let happened = |what: &str| world.faults.get(what).copied().unwrap_or(0);
     for what in ["notice", "save", "stop", "refused by the cloud", "returned"] {
         assert!(happened(what) > 0, "no {what} on day {seed}");
     }
--- a/crates/model/tests/waits.rs
+++ b/crates/model/tests/waits.rs
@@ -1,7 +1,7 @@
 //! Work that waits: for how long at most, and what is never placed.
 
-use model::world::{job, machine_status, setup, Defect, World};
-use sched::leader::{Action, Earlier, Leader, OpenJob};
+use model::world::{config, job, machine_status, Defect, World};
+use sched::leader::{Action, Leader, OpenJob, PriorRuns};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use wire::peers::{TaskRef, TaskStatus, ToLeader, ToOwner};
@@ -9,19 +9,19 @@
 use wire::users::{Job, Shape};
 use wire::workers::{TaskState, Why};
 
-/// A job's tasks fail again and again; with reports every 10 s the back-off grew to 800 s, so that
+/// A job's tasks fail again and again; with heartbeats every 10 s the back-off grew to 800 s, so that
 /// it waited beside a free machine long after the faulty one was gone.
 #[test]
 fn a_job_that_failed_often_is_tried_again_within_the_users_time() {
-    let s = sched::config::Setup {
-        report_s: 10.0,
+    let s = sched::config::SchedulerConfig {
+        heartbeat_s: 10.0,
         lease_s: 45.0,
         cancel_s: 75.0,
         idle_retention_boots: 1e6,
-        ..setup()
+        ..config()
     };
     let spec = Rc::new(job(1, "red", Shape::Array, 1, 1.0));
-    let open = OpenJob::new(spec, 1, Earlier::Anywhere);
+    let open = OpenJob::new(spec, 1, PriorRuns::Anywhere);
     let roster = BTreeMap::from([(
         "host-1".to_string(),
         RosterRecord {
@@ -55,8 +55,8 @@
         }
         seq += 1;
         let mut view = machine_status("host-1", "small", exits);
-        view.session = seq;
-        leader.on_owner("rung-0", ToLeader::MachineStatuses(vec![view]), now);
+        view.incarnation = seq;
+        leader.on_owner_message("rung-0", ToLeader::MachineStatuses(vec![view]), now);
     }
     let waits: Vec<f64> = tries.windows(2).map(|w| w[1] - w[0]).collect();
     assert!(waits.len() > 8, "{tries:?}");
@@ -112,13 +112,13 @@
         spot: false,
     };
     let roster: BTreeMap<_, _> = hosts.iter().map(|h| (h.clone(), record.clone())).collect();
-    let open = OpenJob::new(spec, 1, Earlier::Untouched);
-    let mut leader = Leader::new("rung-0", setup(), 1, 1, 4.0, vec![open], &roster, 1, 0.0);
+    let open = OpenJob::new(spec, 1, PriorRuns::None);
+    let mut leader = Leader::new("rung-0", config(), 1, 1, 4.0, vec![open], &roster, 1, 0.0);
     leader.catalog(vec![model::world::machine_type("small", 4.0, 16.0, 0.3)]);
     members.iter().for_each(|m| leader.owner_heard(m, 0.5));
     leader.tick(0.6, 2);
     for (m, h) in members.iter().zip(&hosts) {
-        leader.on_owner(
+        leader.on_owner_message(
             m,
             ToLeader::MachineStatuses(vec![machine_status(h, "small", vec![])]),
             0.7,
@@ -136,7 +136,7 @@
             });
             if let Some(attempt) = reserved {
                 members.iter().for_each(|m| {
-                    leader.on_owner(
+                    leader.on_owner_message(
                         m,
                         ToLeader::ReserveResult {
                             attempt,
@@ -147,7 +147,7 @@
                 });
                 leader.bind_result("wk-000001", attempt, true, now);
                 members.iter().for_each(|m| {
-                    leader.on_owner(
+                    leader.on_owner_message(
                         m,
                         ToLeader::ReserveResult {
                             attempt,
@@ -170,13 +170,13 @@
 /// look faulty, which were drained, and others were provisioned for what failed there again.
 #[test]
 fn a_job_that_fails_on_every_machine_drains_and_rents_none() {
-    let s = sched::config::Setup {
+    let s = sched::config::SchedulerConfig {
         idle_retention_boots: 1e6,
-        ..setup()
+        ..config()
     };
     let open = |id, revision| {
         let spec = Rc::new(job(id, "red", Shape::Array, 12, 1.0));
-        OpenJob::new(spec, revision, Earlier::Anywhere)
+        OpenJob::new(spec, revision, PriorRuns::Anywhere)
     };
     let record = RosterRecord {
         kind: "small".into(),
@@ -250,7 +250,7 @@
             .iter()
             .map(|h| machine_status(h, "small", waiting.remove(h).unwrap_or_default()))
             .collect();
-        leader.on_owner("rung-0", ToLeader::MachineStatuses(views), now);
+        leader.on_owner_message("rung-0", ToLeader::MachineStatuses(views), now);
     }
     assert_eq!(bad, Vec::<String>::new());
     // After the first ones, one task at a time shows whether it still fails.
@@ -263,9 +263,9 @@
 /// Machines stood idle for as long after the last job of a day as between the jobs of a busy hour.
 #[test]
 fn idle_machines_are_returned_sooner_when_no_jobs_come() {
-    let s = sched::config::Setup {
+    let s = sched::config::SchedulerConfig {
         idle_retention_boots: 20.0,
-        ..setup()
+        ..config()
     };
     let record = RosterRecord {
         kind: "small".into(),
@@ -294,7 +294,7 @@
                 .keys()
                 .map(|host| machine_status(host, "small", vec![]))
                 .collect();
-            leader.on_owner("rung-0", ToLeader::MachineStatuses(views), now);
+            leader.on_owner_message("rung-0", ToLeader::MachineStatuses(views), now);
             if now >= f64::from(jobs + 1) * every_s {
                 // A job of another type: it comes, and leaves these machines idle.
                 jobs += 1;
@@ -302,7 +302,7 @@
                     types: Some(vec!["large".into()]),
                     ..job(jobs, "red", Shape::Array, 2, 4.0)
                 };
-                let open = OpenJob::new(Rc::new(elsewhere), u64::from(jobs), Earlier::Untouched);
+                let open = OpenJob::new(Rc::new(elsewhere), u64::from(jobs), PriorRuns::None);
                 leader.add_job(open);
             }
         }
@@ -318,7 +318,7 @@
 fn only_the_machine_of_a_failure_is_blamed_for_it() {
     let open = |id, revision| {
         let spec = Rc::new(job(id, "red", Shape::Array, 6, 1.0));
-        OpenJob::new(spec, revision, Earlier::Anywhere)
+        OpenJob::new(spec, revision, PriorRuns::Anywhere)
     };
     let record = RosterRecord {
         kind: "small".into(),
@@ -328,9 +328,9 @@
     let roster = ["host-1", "host-2"]
         .map(|host| (host.to_string(), record.clone()))
         .into();
-    let s = sched::config::Setup {
+    let s = sched::config::SchedulerConfig {
         idle_retention_boots: 1e6,
-        ..setup()
+        ..config()
     };
     let mut leader = Leader::new(
         "rung-0",
@@ -369,7 +369,7 @@
             machine_status("host-1", "small", host_1),
             machine_status("host-2", "small", host_2),
         ];
-        leader.on_owner("rung-0", ToLeader::MachineStatuses(views), now);
+        leader.on_owner_message("rung-0", ToLeader::MachineStatuses(views), now);
         leader.tick(now + 0.9, 0);
         leader.drain().iter().any(|action| {
             matches!(
--- a/crates/sched/src/authority.rs
+++ b/crates/sched/src/authority.rs
@@ -1,15 +1,15 @@
-//! How long a controller may answer workers' reports and start tasks: until its authority ends,
+//! How long a controller may answer workers' heartbeats and start tasks: until its authority ends,
 //! and no longer than its knowledge of the store allows.
 //!
 //! A cancellation is confirmed by any controller on the store's word alone. What was confirmed
 //! after the last answered read was sent is not known here. An answer that prolongs a lease at `t`
 //! lets a task run until `t` + lease, so it is given only while that ends within `cancel_s` of the
-//! read (`Setup::answer_staleness_s`); starts need knowledge as fresh as the leadership itself
-//! (`Setup::start_staleness_s`). An outage preserves the store's leases, so that a leader may come
+//! read (`SchedulerConfig::answer_staleness_s`); starts need knowledge as fresh as the leadership itself
+//! (`SchedulerConfig::start_staleness_s`). An outage preserves the store's leases, so that a leader may come
 //! back with a view from before it: its authority then counts only with a read sent after the
 //! renewal was answered.
 
-use crate::config::Setup;
+use crate::config::SchedulerConfig;
 use crate::Secs;
 
 /// Authority and the age of what is known.
@@ -25,8 +25,8 @@
 }
 
 impl Authority {
-    pub fn new(setup: &Setup) -> Authority {
-        let (answer_s, start_s) = (setup.answer_staleness_s(), setup.start_staleness_s());
+    pub fn new(config: &SchedulerConfig) -> Authority {
+        let (answer_s, start_s) = (config.answer_staleness_s(), config.start_staleness_s());
         Authority {
             until: f64::MIN,
             read_at: f64::MIN,
@@ -63,7 +63,7 @@
         self.read_at
     }
 
-    /// Until when reports may be answered.
+    /// Until when heartbeats may be answered.
     pub fn answers_until(&self) -> Secs {
         self.bounded(self.answer_s)
     }
--- a/crates/sched/src/autoscaler/mod.rs
+++ b/crates/sched/src/autoscaler/mod.rs
@@ -123,8 +123,8 @@
     /// CPUs of the tasks that came in a second, over some time.
     fn arrival_rate(&self, now: Secs, over_s: Secs) -> f64 {
         let arrived = self.arrivals.iter().rev();
-        let lately = arrived.take_while(|(at, _)| now - at <= over_s);
-        lately.map(|(_, cpus)| cpus).sum::<f64>() / over_s.max(1.0)
+        let recent = arrived.take_while(|(at, _)| now - at <= over_s);
+        recent.map(|(_, cpus)| cpus).sum::<f64>() / over_s.max(1.0)
     }
 
     /// Forgets arrivals before an instant.
@@ -161,10 +161,10 @@
 }
 
 impl Leader {
-    /// Provisions for what does not fit, and returns what is idle. Paced by the report interval, but
+    /// Provisions for what does not fit, and returns what is idle. Paced by the heartbeat interval, but
     /// sooner when the cloud has answered all that was asked.
     pub(crate) fn autoscale(&mut self, now: Secs) {
-        let pace = self.setup.report_s.min(1.0);
+        let pace = self.config.heartbeat_s.min(1.0);
         let soon = self.autoscaler.requested.is_empty()
             && !self.autoscaler.unmet.is_empty()
             && now - self.autoscaler.last >= pace / 4.0;
@@ -178,7 +178,7 @@
     }
 
     /// The cloud's answer to a provision request: machines, or none for no capacity. `None`: it was not
-    /// carried out or its outcome stays unknown; what came of it will be listed or report.
+    /// carried out or its outcome stays unknown; what came of it will be listed or heartbeat.
     pub fn provision_result(&mut self, name: &str, machines: Option<Vec<String>>, now: Secs) {
         let Some(request) = self.autoscaler.requested.remove(name) else {
             return;
@@ -187,7 +187,7 @@
         let got = machines.as_ref().map_or(0, Vec::len) as u32;
         if got < request.count {
             let n = self.autoscaler.refused.get(&offer).map_or(0, |(_, n)| *n);
-            let base = self.setup.list_lag_s / 2.0;
+            let base = self.config.list_lag_s / 2.0;
             let wait = if machines.is_some() {
                 base * f64::from(1u32 << n.min(2)) * (0.75 + 0.5 * self.rng.f64())
             } else {
--- a/crates/sched/src/autoscaler/scale_in.rs
+++ b/crates/sched/src/autoscaler/scale_in.rs
@@ -10,7 +10,7 @@
 /// A machine that takes this many times its nominal boot time is given up.
 const MAX_BOOT_TIMES: f64 = 3.5;
 
-/// Report intervals for which an idle machine is kept at least: work that was given to it may
+/// Heartbeat intervals for which an idle machine is kept at least: work that was given to it may
 /// show only then.
 const MIN_RETENTION_HEARTBEATS: f64 = 1.25;
 
@@ -40,7 +40,7 @@
             .iter()
             .filter(|(_, s)| s.gang)
         {
-            let Some(within) = self.setup.wait_s.get(class) else {
+            let Some(within) = self.config.wait_s.get(class) else {
                 continue;
             };
             for t in self
@@ -62,7 +62,7 @@
 
     pub(super) fn scale_in(&mut self, scarce: &BTreeSet<(String, bool)>, now: Secs) {
         // While work waits until all machines are known, idle ones are not idle for lack of work.
-        let blocked = self.waits_for_unknown();
+        let blocked = self.waits_for_unknown_machines();
         let retention = self.retention(scarce, now);
         let mut release = self.drain_and_release(&retention, blocked, now);
         if blocked && self.should_give_up_unknown(now) {
@@ -91,10 +91,10 @@
             .map(|t| t.boot_s * price_advantage(t, true))
             .fold(0.0, f64::max);
         self.autoscaler
-            .forget_arrivals(now - longest_retention * self.setup.idle_retention_boots);
-        let least = self.setup.report_s * MIN_RETENTION_HEARTBEATS;
+            .forget_arrivals(now - longest_retention * self.config.idle_retention_boots);
+        let least = self.config.heartbeat_s * MIN_RETENTION_HEARTBEATS;
         let retention_s = |boot_s: f64, price_advantage: f64, for_gangs: f64| {
-            let retention_s = boot_s * self.setup.idle_retention_boots * price_advantage;
+            let retention_s = boot_s * self.config.idle_retention_boots * price_advantage;
             let retention_s =
                 retention_s * self.autoscaler.demand_share(now - retention_s, idle_cpus);
             retention_s.max(for_gangs).max(least)
@@ -133,7 +133,7 @@
         let (mut drained, mut release) = (Vec::new(), Vec::new());
         for (name, m) in self.machines.iter_mut().filter(|(_, m)| !m.releasing) {
             let retention = retention.of(&m.kind);
-            let in_use = !m.tasks.is_empty() || !m.reserved.is_empty() || !m.quiet;
+            let in_use = !m.tasks.is_empty() || !m.reserved.is_empty() || !m.is_idle;
             if in_use || blocked || self.autoscaler.retained.contains(name) {
                 m.idle_since = now;
             }
@@ -151,29 +151,30 @@
             }
             // Also of a lost machine its owner must show first that it places nothing there: it
             // may have come back meanwhile, and what is placed on a returned machine is lost.
-            if m.drain && m.closed && m.reconciled && !in_use {
+            if m.drain && m.confirmed_unusable && m.reconciled && !in_use {
                 m.releasing = true;
                 release.push(name.clone());
             }
         }
         for name in drained {
-            self.tell_usable(&name);
+            self.send_usable(&name);
         }
         release
     }
 
     /// Whether machines that were not heard under this leader are given up. Either it is long enough for a
     /// worker to give up twice on a controller that does not answer; or nearly all were heard, and the last
-    /// of them a while ago, long enough for a worker whose report was lost to try again: the few that are
+    /// of them a while ago, long enough for a worker whose heartbeat was lost to try again: the few that are
     /// left are dead, and all work would wait for them.
     fn should_give_up_unknown(&self, now: Secs) -> bool {
         let few = self.unknown.len() as f64 <= self.machines.len() as f64 * FEW_UNKNOWN_SHARE;
-        let heard = now - self.known_at.max(self.epoch_at) <= wire::ANSWER_DROPPED_S * 1.25;
-        let long = now - self.epoch_at > 2.0 * wire::ANSWER_DROPPED_S + 1.5 * self.setup.report_s;
-        long || few && !heard
+        let last_heard = now - self.known_at.max(self.epoch_at) <= wire::ANSWER_DROPPED_S * 1.25;
+        let long =
+            now - self.epoch_at > 2.0 * wire::ANSWER_DROPPED_S + 1.5 * self.config.heartbeat_s;
+        long || few && !last_heard
     }
 
-    /// Work waits for machines that do not report: once returned they are reconciled.
+    /// Work waits for machines that do not heartbeat: once returned they are reconciled.
     fn release_unknown(&mut self) -> Vec<String> {
         let silent = self.machines.iter_mut();
         let silent = silent.filter(|(_, m)| m.unknown && !m.releasing);
@@ -185,7 +186,7 @@
         for name in &names {
             log::info!("event=machine_silent machine={name}");
             // It may be heard after all before it is gone; nothing is to be placed on it.
-            self.tell_usable(name);
+            self.send_usable(name);
         }
         names
     }
--- a/crates/sched/src/autoscaler/scale_out.rs
+++ b/crates/sched/src/autoscaler/scale_out.rs
@@ -69,12 +69,12 @@
             .requested
             .values()
             .map(|h| (&h.kind, &h.zone, h.spot, h.count));
-        let fresh = self
+        let freshness_reads = self
             .machines
             .values()
             .filter(|m| m.rostered != Rostered::Yes && m.lapsed_at.is_none() && !m.drain)
             .map(|m| (&m.kind, &m.zone, m.spot, 1));
-        for (kind, zone, spot, n) in booting.chain(requested).chain(fresh) {
+        for (kind, zone, spot, n) in booting.chain(requested).chain(freshness_reads) {
             *sums.entry((kind.clone(), zone.clone(), spot)).or_default() += n;
         }
         sums.into_iter()
--- a/crates/sched/src/autoscaler/wait_estimates.rs
+++ b/crates/sched/src/autoscaler/wait_estimates.rs
@@ -20,12 +20,12 @@
             return false;
         };
         let within = self
-            .setup
+            .config
             .wait_s
             .get(&job.spec.class)
             .copied()
-            .unwrap_or(self.setup.guarantee_s * 4.0);
-        now - job.seen > within * self.setup.max_wait_share
+            .unwrap_or(self.config.guarantee_s * 4.0);
+        now - job.seen > within * self.config.max_wait_share
     }
 
     /// When machines on which these tasks may run are expected to be empty, the earliest first.
@@ -72,7 +72,7 @@
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
-        let Some(within) = self.setup.wait_s.get(&job.spec.class) else {
+        let Some(within) = self.config.wait_s.get(&job.spec.class) else {
             return false;
         };
         // What is provisioned at once must still be up in time, slow boots included.
@@ -83,7 +83,7 @@
             .map(|t| t.boot_s)
             .fold(f64::MAX, f64::min);
         let latest =
-            job.seen + (within * self.setup.max_wait_share).min(within - boot * SLOW_BOOT_FACTOR);
+            job.seen + (within * self.config.max_wait_share).min(within - boot * SLOW_BOOT_FACTOR);
         let mut slots: BTreeMap<&str, (u32, Vec<usize>)> = BTreeMap::new();
         let mut found = None;
         for (at, (until, name)) in busy_machines.iter().enumerate() {
--- a/crates/sched/src/config.rs
+++ b/crates/sched/src/config.rs
@@ -13,9 +13,9 @@
 
 /// What the platform's and the operators' settings say to the decisions.
 #[derive(Clone, Debug)]
-pub struct Setup {
+pub struct SchedulerConfig {
     pub teams: BTreeMap<String, Team>,
-    pub report_s: f64,
+    pub heartbeat_s: f64,
     pub lease_s: f64,
     pub cancel_s: f64,
     pub list_lag_s: f64,
@@ -34,15 +34,15 @@
     pub idle_retention_boots: f64,
 }
 
-impl Setup {
+impl SchedulerConfig {
     /// After how long without a word an owner counts as lost.
     pub fn owner_silence_s(&self) -> f64 {
         (self.lease_s * 0.18).min(wire::ANSWER_DROPPED_S * 0.5)
     }
 
-    /// After how long without an answered report a worker's lease has certainly ended: the
+    /// After how long without an answered heartbeat a worker's lease has certainly ended: the
     /// lease, what both clocks may drift, and a margin.
-    pub fn lease_certainly_over_s(&self) -> f64 {
+    pub fn lease_expiry_s(&self) -> f64 {
         self.lease_s * 1.002 + 0.2
     }
 
@@ -50,12 +50,12 @@
     /// cancelled since then is gone in time. Where the settings leave no such time, what is as
     /// fresh as the leadership has to do (see `cancels_in_time`).
     pub fn answer_staleness_s(&self) -> f64 {
-        (self.cancel_s - self.lease_certainly_over_s()).max(self.start_staleness_s())
+        (self.cancel_s - self.lease_expiry_s()).max(self.start_staleness_s())
     }
 
     /// For how long a job that is over is remembered: by then its last task is gone.
-    pub fn over_remembered_s(&self) -> f64 {
-        self.cancel_s + self.lease_certainly_over_s()
+    pub fn terminal_retention_s(&self) -> f64 {
+        self.cancel_s + self.lease_expiry_s()
     }
 
     /// How old knowledge of the store may be for a start.
@@ -65,6 +65,6 @@
 
     /// Whether the settings leave time enough between a worker's lease and `cancel_s`.
     pub fn cancels_in_time(&self) -> bool {
-        self.cancel_s - self.lease_certainly_over_s() >= self.start_staleness_s()
+        self.cancel_s - self.lease_expiry_s() >= self.start_staleness_s()
     }
 }
--- a/crates/sched/src/epoch.rs
+++ b/crates/sched/src/epoch.rs
@@ -7,17 +7,17 @@
 use wire::peers::{MachineDescriptor, ToOwner};
 
 /// Most jobs in one message of what is over, so that it stays small.
-const OVER_AT_ONCE: usize = 1000;
+const TERMINAL_JOBS_PER_MESSAGE: usize = 1000;
 
 impl Leader {
     /// A controller has connected, or was heard.
     pub fn owner_heard(&mut self, member: &str, now: Secs) {
         let link = self.links.entry(member.into()).or_insert(OwnerLink {
             since: now,
-            heard: now,
+            last_heard: now,
             granted_until: f64::MIN,
         });
-        link.heard = now;
+        link.last_heard = now;
     }
 
     /// How long this owner may be granted authority that ends before `until`; none if it is
@@ -36,10 +36,10 @@
     }
 
     /// The other controllers are probably starting as well: the first epoch waits for them a
-    /// little. Each epoch that moves a machine to another owner costs two of its reports before
+    /// little. Each epoch that moves a machine to another owner costs two of its heartbeats before
     /// it is reconciled, and a worker makes haste for a new token only once in half a lease.
     pub fn expect_others(&mut self) {
-        self.others_start = true;
+        self.others_starting = true;
     }
 
     /// The connection to an owner is lost.
@@ -57,7 +57,7 @@
     pub(crate) fn wanted_members(&self) -> Vec<String> {
         let mut v: Vec<String> = self.links.keys().cloned().collect();
         if v.is_empty() {
-            v.push(self.me.clone());
+            v.push(self.member.clone());
         }
         v
     }
@@ -66,7 +66,7 @@
         let silent: Vec<String> = self
             .links
             .iter()
-            .filter(|(_, l)| now - l.heard > self.setup.owner_silence_s())
+            .filter(|(_, l)| now - l.last_heard > self.config.owner_silence_s())
             .map(|(m, _)| m.clone())
             .collect();
         for m in silent {
@@ -74,15 +74,16 @@
             self.owner_lost(&m);
         }
         let wanted = self.wanted_members();
-        if self.token_asked || (self.epoch_set && !self.epoch_broken && wanted == self.members) {
+        if self.token_requested || (self.epoch_set && !self.epoch_broken && wanted == self.members)
+        {
             return;
         }
-        let mut settle = self.setup.owner_silence_s() / 8.0;
-        if self.others_start
+        let mut settling_s = self.config.owner_silence_s() / 8.0;
+        if self.others_starting
             && !self.epoch_set
-            && now - self.started_at < self.setup.owner_silence_s() * 2.0
+            && now - self.started_at < self.config.owner_silence_s() * 2.0
         {
-            settle = self.setup.owner_silence_s();
+            settling_s = self.config.owner_silence_s();
         }
         let lost =
             self.epoch_broken || self.epoch_set && self.members.iter().any(|m| !wanted.contains(m));
@@ -91,11 +92,11 @@
             .values()
             .map(|l| l.since)
             .fold(self.started_at, f64::max);
-        if !lost && self.links.len() < known && now - newest < settle {
+        if !lost && self.links.len() < known && now - newest < settling_s {
             return;
         }
         if self.epoch_set {
-            self.token_asked = true;
+            self.token_requested = true;
             self.actions.push(Action::NewToken);
         } else {
             self.begin_epoch(now);
@@ -104,7 +105,7 @@
 
     /// A new token is durable, or could not be had for now.
     pub fn token_result(&mut self, token: Option<u64>, now: Secs) {
-        self.token_asked = false;
+        self.token_requested = false;
         if let Some(token) = token {
             self.token = token;
             self.begin_epoch(now);
@@ -159,7 +160,7 @@
             let group = self.next_group;
             self.next_group += 1;
             for (id, i) in &tasks {
-                if let Some(mut a) = self.unset_active(id, *i) {
+                if let Some(mut a) = self.remove_active(id, *i) {
                     a.location = TaskLocation::Unresolved(group);
                     self.set_active(id, *i, a);
                 }
@@ -174,10 +175,10 @@
                 .insert(group, UnresolvedGroup { machines, tasks });
         }
         let token = self.token;
-        self.stale.extend(self.machines.keys().cloned());
+        self.dirty_machines.extend(self.machines.keys().cloned());
         for (name, m) in self.machines.iter_mut() {
             let owner = shard::owner(name, &self.members)
-                .unwrap_or(&self.me)
+                .unwrap_or(&self.member)
                 .to_string();
             if owner != m.owner || broken.contains(&owner) {
                 m.owner = owner;
@@ -185,9 +186,9 @@
             }
             m.reconciled = false;
             // Owners learn from the cards what they may use; also what an earlier leader rostered.
-            m.usable_told = m.rostered == Rostered::Yes && !m.drain && !m.releasing;
+            m.usable_sent = m.rostered == Rostered::Yes && !m.drain && !m.releasing;
             m.cleared.clear();
-            m.closed = false;
+            m.confirmed_unusable = false;
         }
         for j in self.jobs.values_mut() {
             j.clears.clear();
@@ -201,13 +202,13 @@
                 kind: m.kind.clone(),
                 zone: m.zone.clone(),
                 spot: m.spot,
-                usable: m.usable_told,
+                usable: m.usable_sent,
             })
             .collect();
         let catalog = ToOwner::Catalog {
             types: self.types.values().cloned().collect(),
         };
-        let over: Vec<String> = self.lately_over.keys().cloned().collect();
+        let terminal: Vec<String> = self.recently_terminal.keys().cloned().collect();
         for member in self.members.clone() {
             let continues = old_members.contains(&member) && !broken.contains(&member);
             let mine = |c: &&MachineDescriptor| {
@@ -227,7 +228,7 @@
                 },
             );
             self.send(&member, catalog.clone());
-            for jobs in over.chunks(OVER_AT_ONCE) {
+            for jobs in terminal.chunks(TERMINAL_JOBS_PER_MESSAGE) {
                 self.send(
                     &member,
                     ToOwner::Terminal {
@@ -237,10 +238,10 @@
             }
         }
         // Controllers that are no owners learn it too, so that they can redirect workers.
-        let me = self.me.clone();
-        if !self.members.contains(&me) {
+        let member = self.member.clone();
+        if !self.members.contains(&member) {
             self.send(
-                &me,
+                &member,
                 ToOwner::Epoch {
                     token,
                     prev: 0,
@@ -250,7 +251,7 @@
                 },
             );
         }
-        self.settle();
+        self.reconcile();
         self.wake = true;
     }
 }
--- a/crates/sched/src/leader/active_tasks.rs
+++ b/crates/sched/src/leader/active_tasks.rs
@@ -12,7 +12,7 @@
     }
 
     pub(crate) fn set_active(&mut self, id: &str, index: u32, active: Active) {
-        self.unset_active(id, index);
+        self.remove_active(id, index);
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -26,7 +26,7 @@
                 if m.tasks.insert((id.into(), index), active.attempt).is_none() {
                     m.used.add(resources);
                 }
-                self.stale.insert(name.clone());
+                self.dirty_machines.insert(name.clone());
             }
         }
         self.team_used
@@ -36,7 +36,7 @@
         job.active.insert(index, active);
     }
 
-    pub(crate) fn unset_active(&mut self, id: &str, index: u32) -> Option<Active> {
+    pub(crate) fn remove_active(&mut self, id: &str, index: u32) -> Option<Active> {
         let job = self.jobs.get_mut(id)?;
         let active = job.active.remove(&index)?;
         let resources = job.resources();
@@ -53,7 +53,7 @@
                     // Sums of decimals drift; an empty machine is empty.
                     m.used = Resources::default();
                 }
-                self.stale.insert(name.clone());
+                self.dirty_machines.insert(name.clone());
             }
         }
         if let Some(u) = self.team_used.get_mut(&job.spec.team) {
@@ -63,18 +63,18 @@
     }
 
     /// A task is certainly nowhere any more and not done.
-    pub(crate) fn gone(&mut self, id: &str, index: u32) {
-        if self.unset_active(id, index).is_none() {
+    pub(crate) fn requeue_task(&mut self, id: &str, index: u32) {
+        if self.remove_active(id, index).is_none() {
             return;
         }
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
         self.wake = true;
-        if !job.over && !job.done.contains(index) {
+        if !job.terminal && !job.done.contains(index) {
             job.ready.insert(index);
         }
-        if job.is_gang() && !job.over && job.done.is_empty() {
+        if job.is_gang() && !job.terminal && job.done.is_empty() {
             if job.active.is_empty() {
                 job.phase = Phase::Idle;
             } else if !job.uncertain {
@@ -82,6 +82,6 @@
                 self.stop_all(id, 0.0);
             }
         }
-        self.forget_if_gone(id);
+        self.forget_if_terminal(id);
     }
 }
--- a/crates/sched/src/leader/job.rs
+++ b/crates/sched/src/leader/job.rs
@@ -51,11 +51,11 @@
 
 /// Whether the store says that tasks of an array may have been given out.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum Begun {
-    No,
+pub(crate) enum StartRecord {
+    None,
     /// There is capacity for it, so that a record is due, or on its way.
-    Asked,
-    Yes,
+    Requested,
+    Written,
 }
 
 pub(crate) struct Job {
@@ -65,7 +65,7 @@
     pub revision: u64,
     /// When this leader learned of it.
     pub seen: Secs,
-    pub over: bool,
+    pub terminal: bool,
     pub finishing: bool,
     pub done: Ranges,
     pub durable: Ranges,
@@ -76,14 +76,14 @@
     pub uncertain: bool,
     /// Machines on which it may be, if it was started; none stands for any.
     pub suspects: Option<BTreeSet<String>>,
-    pub begun: Begun,
+    pub start_record: StartRecord,
     pub backoff_until: Secs,
     pub failures: u32,
     /// Machines on which its tasks failed since one of them was last done, a few.
     pub failed_on: BTreeSet<String>,
     pub phase: Phase,
     pub clears: Vec<(String, TaskRef)>,
-    pub within: bool,
+    pub within_guarantee: bool,
     /// Tasks of others were told to stop so that this whole gang has capacity. Until then that capacity is
     /// cordoned for it and nothing is provisioned.
     pub reclaims_until: Secs,
@@ -134,26 +134,26 @@
     pub spec: Rc<Spec>,
     pub revision: u64,
     pub done: Ranges,
-    pub earlier: Earlier,
+    pub prior_runs: PriorRuns,
 }
 
 impl OpenJob {
     /// A job of which no task is done.
-    pub fn new(spec: Rc<Spec>, revision: u64, earlier: Earlier) -> OpenJob {
+    pub fn new(spec: Rc<Spec>, revision: u64, prior_runs: PriorRuns) -> OpenJob {
         OpenJob {
             spec,
             revision,
             done: Ranges::default(),
-            earlier,
+            prior_runs,
         }
     }
 }
 
 /// What earlier leaders may have done with a job, as the store shows it.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Earlier {
+pub enum PriorRuns {
     /// Nothing: no record says that any of its tasks was given out.
-    Untouched,
+    None,
     /// Its tasks may be on any machine of the roster.
     Anywhere,
     /// A gang: its tasks may be on the machines of its newest binding. Every earlier attempt
--- a/crates/sched/src/leader/jobs.rs
+++ b/crates/sched/src/leader/jobs.rs
@@ -1,6 +1,6 @@
 //! Jobs come, are stopped, and end.
 
-use super::{Action, Begun, Earlier, Job, Leader, OpenJob, Phase, TaskLocation};
+use super::{Action, Job, Leader, OpenJob, Phase, PriorRuns, StartRecord, TaskLocation};
 use crate::placement::Resources;
 use crate::ranges::Ranges;
 use crate::Secs;
@@ -17,7 +17,7 @@
     /// A job that was accepted.
     pub fn add_job(&mut self, j: OpenJob) {
         // What a controller has confirmed to be cancelled may still be open in the replica here.
-        if self.jobs.contains_key(&j.spec.id) || self.lately_over.contains_key(&j.spec.id) {
+        if self.jobs.contains_key(&j.spec.id) || self.recently_terminal.contains_key(&j.spec.id) {
             return;
         }
         let n = j.spec.tasks;
@@ -29,21 +29,21 @@
             priority: j.spec.priority,
             revision: j.revision,
             seen: self.time,
-            over: false,
+            terminal: false,
             finishing: false,
             durable: j.done.clone(),
             done: j.done,
             dirty: BTreeSet::new(),
             ready,
             active: BTreeMap::new(),
-            uncertain: j.earlier != Earlier::Untouched,
-            begun: if j.earlier == Earlier::Untouched {
-                Begun::No
+            uncertain: j.prior_runs != PriorRuns::None,
+            start_record: if j.prior_runs == PriorRuns::None {
+                StartRecord::None
             } else {
-                Begun::Yes
+                StartRecord::Written
             },
-            suspects: match j.earlier {
-                Earlier::Bound(machines) => Some(machines),
+            suspects: match j.prior_runs {
+                PriorRuns::Bound(machines) => Some(machines),
                 _ => None,
             },
             backoff_until: 0.0,
@@ -51,12 +51,12 @@
             failed_on: BTreeSet::new(),
             phase: Phase::Idle,
             clears: Vec::new(),
-            within: false,
+            within_guarantee: false,
             reclaims_until: 0.0,
             spec: j.spec,
         };
         self.autoscaler.arrived(&job.spec, self.time);
-        self.by_age.insert((job.revision, job.spec.id.clone()));
+        self.by_creation.insert((job.revision, job.spec.id.clone()));
         self.jobs.insert(job.spec.id.clone(), job);
         self.wake = true;
     }
@@ -74,22 +74,22 @@
     /// be known here either, because it waits for others.
     pub(crate) fn cancel_confirmed(&mut self, id: &str) {
         if !self.jobs.contains_key(id) {
-            self.lately_over.insert(id.into(), self.time);
+            self.recently_terminal.insert(id.into(), self.time);
         }
-        self.job_over(id);
+        self.on_job_terminal(id);
     }
 
     /// The store says that a job is over (done or cancelled).
-    pub fn job_over(&mut self, id: &str) {
+    pub fn on_job_terminal(&mut self, id: &str) {
         // It may be told twice: by the controller that confirmed it, and by the store.
-        let Some(job) = self.jobs.get_mut(id).filter(|j| !j.over) else {
+        let Some(job) = self.jobs.get_mut(id).filter(|j| !j.terminal) else {
             return;
         };
-        job.over = true;
+        job.terminal = true;
         job.ready = Ranges::default();
         if job.uncertain || !job.active.is_empty() {
             // Owners hold starts that no view has shown yet.
-            self.lately_over.insert(id.into(), self.time);
+            self.recently_terminal.insert(id.into(), self.time);
             for member in self.members.clone() {
                 self.send(
                     &member,
@@ -107,7 +107,7 @@
             let unseen = (job.spec.tasks - job.done.len().min(job.spec.tasks))
                 .saturating_sub(job.active.len() as u32);
             let (team, resources) = (job.spec.team.clone(), job.resources().scaled(unseen));
-            self.lately_cancelled
+            self.recently_cancelled
                 .entry(team)
                 .or_default()
                 .add(resources);
@@ -119,13 +119,17 @@
             self.clear(&machine, task);
         }
         self.stop_all(id, 0.0);
-        self.forget_if_gone(id);
+        self.forget_if_terminal(id);
         self.wake = true;
     }
 
-    pub(crate) fn forget_if_gone(&mut self, id: &str) {
-        if let Some(j) = self.jobs.get(id).filter(|j| j.over && j.active.is_empty()) {
-            self.by_age.remove(&(j.revision, id.to_string()));
+    pub(crate) fn forget_if_terminal(&mut self, id: &str) {
+        if let Some(j) = self
+            .jobs
+            .get(id)
+            .filter(|j| j.terminal && j.active.is_empty())
+        {
+            self.by_creation.remove(&(j.revision, id.to_string()));
             self.autoscaler.forget_job(id);
             self.jobs.remove(id);
         }
@@ -229,18 +233,18 @@
             s.run_s += (now - since - s.run_s) * weight;
         }
         if same {
-            self.unset_active(id, index);
+            self.remove_active(id, index);
         } else {
             self.stop_task(id, index, 0.0);
         }
-        self.maybe_finish(id);
-        self.forget_if_gone(id);
+        self.finish_if_done(id);
+        self.forget_if_terminal(id);
         self.wake = true;
     }
 
-    pub(crate) fn maybe_finish(&mut self, id: &str) {
+    pub(crate) fn finish_if_done(&mut self, id: &str) {
         if let Some(job) = self.jobs.get_mut(id) {
-            if !job.over && !job.finishing && job.done.len() == job.spec.tasks {
+            if !job.terminal && !job.finishing && job.done.len() == job.spec.tasks {
                 job.finishing = true;
                 self.actions.push(Action::Finish { job: id.into() });
             }
@@ -250,29 +254,29 @@
     /// The record of a finished job is durable, or could not be written (then try again).
     pub fn finish_result(&mut self, id: &str, written: bool) {
         if written {
-            self.job_over(id);
+            self.on_job_terminal(id);
         } else if let Some(job) = self.jobs.get_mut(id) {
             job.finishing = false;
         }
     }
 
     /// Jobs whose tasks may be on unknown machines though they are over: id, team and capacity.
-    pub fn set_lately_cancelled(
+    pub fn set_recently_cancelled(
         &mut self,
         jobs: impl IntoIterator<Item = (String, String, Resources)>,
     ) {
-        self.lately_cancelled.clear();
+        self.recently_cancelled.clear();
         for (id, team, resources) in jobs {
-            self.lately_cancelled
+            self.recently_cancelled
                 .entry(team)
                 .or_default()
                 .add(resources);
-            self.lately_over.insert(id, self.time);
+            self.recently_terminal.insert(id, self.time);
         }
     }
 
     /// Whether work waits for machines of unknown content.
-    pub(crate) fn waits_for_unknown(&self) -> bool {
+    pub(crate) fn waits_for_unknown_machines(&self) -> bool {
         self.start_open && self.jobs.values().any(|j| j.uncertain)
     }
 }
--- a/crates/sched/src/leader/machine.rs
+++ b/crates/sched/src/leader/machine.rs
@@ -25,14 +25,14 @@
     pub lapsed_at: Option<Secs>,
     pub notice_until: Option<Secs>,
     pub rostered: Rostered,
-    pub usable_told: bool,
+    pub usable_sent: bool,
     /// The owner has shown that it places nothing there any more.
-    pub closed: bool,
-    pub quiet: bool,
-    /// Its reports arrive, but answers don't reach it.
+    pub confirmed_unusable: bool,
+    pub is_idle: bool,
+    /// Its heartbeats arrive, but answers don't reach it.
     pub unreachable: bool,
     /// Tasks of jobs that are over and not known here any more: nothing is placed beside them.
-    pub foreign: bool,
+    pub has_unknown_jobs: bool,
     pub drain: bool,
     pub releasing: bool,
     pub tasks: BTreeMap<(String, u32), u64>,
@@ -50,9 +50,9 @@
     pub fn open(&self) -> bool {
         let present = self.reconciled && self.lapsed_at.is_none() && self.notice_until.is_none();
         self.rostered == Rostered::Yes
-            && self.usable_told
+            && self.usable_sent
             && present
-            && !self.foreign
+            && !self.has_unknown_jobs
             && !self.unreachable
     }
 
--- a/crates/sched/src/leader/machines.rs
+++ b/crates/sched/src/leader/machines.rs
@@ -19,11 +19,11 @@
             lapsed_at: None,
             notice_until: None,
             rostered: Rostered::No,
-            usable_told: false,
-            closed: false,
-            quiet: true,
+            usable_sent: false,
+            confirmed_unusable: false,
+            is_idle: true,
             unreachable: false,
-            foreign: false,
+            has_unknown_jobs: false,
             drain: false,
             releasing: false,
             tasks: BTreeMap::new(),
@@ -46,22 +46,22 @@
             return;
         }
         m.rostered = if written { Rostered::Yes } else { Rostered::No };
-        self.stale.insert(machine.into());
+        self.dirty_machines.insert(machine.into());
         if written {
-            self.tell_usable(machine);
+            self.send_usable(machine);
             self.wake = true;
         }
     }
 
     /// Tells the owner whether it may place tasks on a machine.
-    pub(crate) fn tell_usable(&mut self, machine: &str) {
+    pub(crate) fn send_usable(&mut self, machine: &str) {
         let Some(m) = self.machines.get_mut(machine) else {
             return;
         };
         let usable = m.rostered == Rostered::Yes && !m.drain && !m.releasing;
-        if usable != m.usable_told {
-            m.usable_told = usable;
-            self.stale.insert(machine.into());
+        if usable != m.usable_sent {
+            m.usable_sent = usable;
+            self.dirty_machines.insert(machine.into());
             let owner = m.owner.clone();
             self.send(
                 &owner,
@@ -79,13 +79,13 @@
             return;
         };
         for (id, i) in m.tasks.keys().cloned().collect::<Vec<_>>() {
-            self.gone(&id, i);
+            self.requeue_task(&id, i);
         }
         self.machines.remove(name);
-        self.stale.insert(name.into());
+        self.dirty_machines.insert(name.into());
         self.unknown.remove(name);
         self.actions.push(Action::Roster(name.into(), None));
-        self.settle();
+        self.reconcile();
         self.wake = true;
     }
 }
--- a/crates/sched/src/leader/mod.rs
+++ b/crates/sched/src/leader/mod.rs
@@ -13,20 +13,20 @@
 mod progress;
 mod summary;
 
-pub(crate) use job::{Active, Begun, Job, Phase, TaskLocation};
-pub use job::{Earlier, OpenJob};
+pub(crate) use job::{Active, Job, Phase, StartRecord, TaskLocation};
+pub use job::{OpenJob, PriorRuns};
 pub(crate) use machine::{Machine, Rostered};
 pub use progress::chunk_bits;
 pub use summary::Summary;
 
 use crate::capacity_index::Index;
-use crate::config::Setup;
+use crate::config::SchedulerConfig;
 use crate::placement::Resources;
 use crate::Secs;
 use std::collections::{BTreeMap, BTreeSet};
 use wire::cloud::{MachineType, ProvisionRequest};
 use wire::peers::ToOwner;
-use wire::store::{BegunRecord, RosterRecord};
+use wire::store::{RosterRecord, StartedArraysRecord};
 
 /// What the leader wants done outside.
 #[derive(Clone, Debug, PartialEq)]
@@ -35,7 +35,7 @@
     NewToken,
     Roster(String, Option<RosterRecord>),
     /// Record of which arrays tasks may be given out from now on.
-    Begin(BegunRecord),
+    RecordStartedArrays(StartedArraysRecord),
     /// Which of a job's tasks are done, from `first_task` on, as a bitmap in hexadecimal.
     Progress {
         job: String,
@@ -56,7 +56,7 @@
 
 pub(crate) struct OwnerLink {
     pub since: Secs,
-    pub heard: Secs,
+    pub last_heard: Secs,
     pub granted_until: Secs,
 }
 
@@ -66,8 +66,8 @@
 }
 
 pub struct Leader {
-    pub(crate) me: String,
-    pub(crate) setup: Setup,
+    pub(crate) member: String,
+    pub(crate) config: SchedulerConfig,
     pub(crate) rng: fastrand::Rng,
     pub(crate) token: u64,
     /// Token of the present epoch; 0 before the first.
@@ -81,23 +81,23 @@
     pub(crate) time: Secs,
     pub(crate) members: Vec<String>,
     pub(crate) epoch_set: bool,
-    pub(crate) token_asked: bool,
-    pub(crate) others_start: bool,
+    pub(crate) token_requested: bool,
+    pub(crate) others_starting: bool,
     pub(crate) links: BTreeMap<String, OwnerLink>,
     pub(crate) lost_until: Secs,
     pub(crate) types: BTreeMap<String, MachineType>,
     pub(crate) jobs: BTreeMap<String, Job>,
     pub(crate) machines: BTreeMap<String, Machine>,
     /// Open jobs by creation.
-    pub(crate) by_age: BTreeSet<(u64, String)>,
+    pub(crate) by_creation: BTreeSet<(u64, String)>,
     /// Machines with capacity, as the pass looks at them, and those that changed since.
     pub(crate) index: Index,
-    pub(crate) stale: BTreeSet<String>,
+    pub(crate) dirty_machines: BTreeSet<String>,
     /// Machines of unknown content.
     pub(crate) unknown: BTreeSet<String>,
     /// No array accepted later is recorded as begun; and a new record is on its way to the store.
-    pub(crate) begun_upto: u64,
-    pub(crate) begun_asked: bool,
+    pub(crate) started_upto: u64,
+    pub(crate) start_record_pending: bool,
     pub(crate) team_used: BTreeMap<String, Resources>,
     /// CPUs of tasks that wait for capacity, by owner.
     pub(crate) backlog: BTreeMap<String, f64>,
@@ -106,22 +106,22 @@
     pub(crate) start_open: bool,
     /// By team: what jobs that were cancelled so lately that their tasks may still be on unknown
     /// machines could use together.
-    pub(crate) lately_cancelled: BTreeMap<String, Resources>,
+    pub(crate) recently_cancelled: BTreeMap<String, Resources>,
     /// Jobs that are over, of which tasks may still run, and since when this leader knows: owners
     /// are told, those of later epochs too.
-    pub(crate) lately_over: BTreeMap<String, Secs>,
+    pub(crate) recently_terminal: BTreeMap<String, Secs>,
     pub(crate) epoch_at: Secs,
     /// When a machine of unknown content was last reconciled.
     pub(crate) known_at: Secs,
     pub(crate) autoscaler: crate::autoscaler::Autoscaler,
     pub(crate) actions: Vec<Action>,
     pub(crate) wake: bool,
-    pub(crate) flushed: Secs,
+    pub(crate) progress_flushed_at: Secs,
     pub(crate) chunk_bits: u32,
-    pub(crate) last_display: Vec<(String, u32)>,
-    pub(crate) display_at: Secs,
-    pub(crate) placed_at: Secs,
-    pub(crate) preempted_at: Secs,
+    pub(crate) last_running_counts: Vec<(String, u32)>,
+    pub(crate) running_counts_sent_at: Secs,
+    pub(crate) pass_at: Secs,
+    pub(crate) preemption_at: Secs,
     pub(crate) classes: BTreeMap<String, ClassStats>,
 }
 
@@ -136,19 +136,19 @@
     /// A new leader with a new token. Jobs in `jobs` may have been started by an earlier one.
     #[allow(clippy::too_many_arguments)]
     pub fn new(
-        me: &str,
-        setup: Setup,
+        member: &str,
+        config: SchedulerConfig,
         seed: u64,
         token: u64,
         value_kb: f64,
         jobs: Vec<OpenJob>,
         roster: &BTreeMap<String, RosterRecord>,
-        begun_upto: u64,
+        started_upto: u64,
         now: Secs,
     ) -> Leader {
         let mut l = Leader {
-            me: me.into(),
-            setup,
+            member: member.into(),
+            config,
             rng: fastrand::Rng::with_seed(seed),
             token,
             epoch_token: 0,
@@ -159,37 +159,37 @@
             time: now,
             members: Vec::new(),
             epoch_set: false,
-            token_asked: false,
-            others_start: false,
+            token_requested: false,
+            others_starting: false,
             links: BTreeMap::new(),
             lost_until: now,
             types: BTreeMap::new(),
             jobs: BTreeMap::new(),
             machines: BTreeMap::new(),
-            by_age: BTreeSet::new(),
+            by_creation: BTreeSet::new(),
             index: Index::default(),
-            stale: BTreeSet::new(),
+            dirty_machines: BTreeSet::new(),
             unknown: BTreeSet::new(),
-            begun_upto,
-            begun_asked: false,
+            started_upto,
+            start_record_pending: false,
             team_used: BTreeMap::new(),
             backlog: BTreeMap::new(),
             groups: BTreeMap::new(),
             next_group: 0,
             start_open: true,
-            lately_cancelled: BTreeMap::new(),
-            lately_over: BTreeMap::new(),
+            recently_cancelled: BTreeMap::new(),
+            recently_terminal: BTreeMap::new(),
             epoch_at: now,
             known_at: now,
             autoscaler: crate::autoscaler::Autoscaler::default(),
             actions: Vec::new(),
             wake: false,
-            flushed: now,
+            progress_flushed_at: now,
             chunk_bits: chunk_bits(value_kb),
-            last_display: Vec::new(),
-            display_at: now,
-            placed_at: f64::MIN,
-            preempted_at: f64::MIN,
+            last_running_counts: Vec::new(),
+            running_counts_sent_at: now,
+            pass_at: f64::MIN,
+            preemption_at: f64::MIN,
             classes: BTreeMap::new(),
         };
         for j in jobs {
@@ -225,8 +225,8 @@
     /// Does what is due: `known` is the number of other controllers in the settings.
     pub fn tick(&mut self, now: Secs, known: usize) {
         self.time = now;
-        let remembered = self.setup.over_remembered_s();
-        self.lately_over
+        let remembered = self.config.terminal_retention_s();
+        self.recently_terminal
             .retain(|_, since| now - *since < remembered);
         self.review_epoch(now, known);
         if !self.epoch_set {
@@ -242,23 +242,23 @@
             log::info!("event=reservation_expired job={id}");
             self.end_reservation(&id, now, true);
         }
-        self.mind_notices(now);
+        self.handle_spot_notices(now);
         if std::mem::take(&mut self.wake)
-            || now - self.placed_at > self.setup.report_s.min(1.0) / 2.0
+            || now - self.pass_at > self.config.heartbeat_s.min(1.0) / 2.0
         {
-            self.placed_at = now;
+            self.pass_at = now;
             self.schedule(now);
             self.preempt(now);
         }
         self.autoscale(now);
-        // What is not recorded yet is still in the workers' reports, should this leader be lost.
-        if now - self.flushed > self.setup.lease_s / 12.0 {
-            self.flushed = now;
-            self.flush();
+        // What is not recorded yet is still in the workers' heartbeats, should this leader be lost.
+        if now - self.progress_flushed_at > self.config.lease_s / 12.0 {
+            self.progress_flushed_at = now;
+            self.flush_progress();
         }
-        if now - self.display_at > 1.0 {
-            self.display_at = now;
-            self.display();
+        if now - self.running_counts_sent_at > 1.0 {
+            self.running_counts_sent_at = now;
+            self.send_running_counts();
         }
     }
 
@@ -282,7 +282,7 @@
         self.types = types.into_iter().map(|t| (t.name.clone(), t)).collect();
         if !same {
             self.index.clear();
-            self.stale.extend(self.machines.keys().cloned());
+            self.dirty_machines.extend(self.machines.keys().cloned());
         }
         if !same && self.epoch_set {
             let message = ToOwner::Catalog {
--- a/crates/sched/src/leader/notices.rs
+++ b/crates/sched/src/leader/notices.rs
@@ -5,7 +5,7 @@
 
 impl Leader {
     /// Saves what can be saved before the cloud takes a machine.
-    pub(crate) fn mind_notices(&mut self, now: Secs) {
+    pub(crate) fn handle_spot_notices(&mut self, now: Secs) {
         for (machine, id, index) in self.due_to_save(now) {
             log::info!("event=save_before_notice task={id}/{index} machine={machine}");
             let grace_s = self.grace_s(&id);
@@ -31,7 +31,7 @@
                 let Some(job) = self.jobs.get(id).filter(|j| j.spec.checkpoint_s > 0.0) else {
                     continue;
                 };
-                let spare_s = job.spec.save_s * 1.5 + self.setup.report_s * 2.5 + 1.0;
+                let spare_s = job.spec.save_s * 1.5 + self.config.heartbeat_s * 2.5 + 1.0;
                 let running = |a: &Active| a.running && !a.stop_sent;
                 if until - now < spare_s && job.active.get(index).is_some_and(running) {
                     due.push((name.clone(), id.clone(), *index));
--- a/crates/sched/src/leader/progress.rs
+++ b/crates/sched/src/leader/progress.rs
@@ -1,12 +1,12 @@
 //! What of the jobs' progress is to be recorded: which tasks are done, and which arrays may have begun.
 
-use super::{Action, Begun, Leader, Rostered};
+use super::{Action, Leader, Rostered, StartRecord};
 use crate::ranges::Ranges;
-use wire::store::BegunRecord;
+use wire::store::StartedArraysRecord;
 
 /// Bits of a progress record for each revision that the record of begun arrays may name: half of
 /// what a value holds.
-const BITS_PER_WAITING: usize = 48;
+const BITS_PER_WAITING_REVISION: usize = 48;
 
 /// Tasks per progress record: a bitmap in hexadecimal takes half of what a value may hold. Records say
 /// where each bitmap begins, since other controllers may have other limits.
@@ -47,11 +47,11 @@
     }
 
     /// Writes progress of jobs with newly done tasks, coalesced.
-    pub(crate) fn flush(&mut self) {
+    pub(crate) fn flush_progress(&mut self) {
         let bits = self.chunk_bits;
         for (id, job) in self.jobs.iter_mut().filter(|(_, j)| !j.dirty.is_empty()) {
             let dirty = std::mem::take(&mut job.dirty);
-            if job.over || job.finishing {
+            if job.terminal || job.finishing {
                 continue;
             }
             for chunk in dirty {
@@ -78,46 +78,60 @@
         let retry: Vec<String> = self
             .jobs
             .iter()
-            .filter(|(_, j)| !j.over && !j.finishing && !j.uncertain)
+            .filter(|(_, j)| !j.terminal && !j.finishing && !j.uncertain)
             .map(|(id, _)| id.clone())
             .collect();
         for id in retry {
-            self.maybe_finish(&id);
+            self.finish_if_done(&id);
         }
     }
 
     /// Has it recorded which arrays begin, if any are to and no record is on its way.
-    pub(crate) fn ask_begin(&mut self) {
-        if self.begun_asked || !self.jobs.values().any(|j| j.begun == Begun::Asked) {
+    pub(crate) fn request_start_record(&mut self) {
+        if self.start_record_pending
+            || !self
+                .jobs
+                .values()
+                .any(|j| j.start_record == StartRecord::Requested)
+        {
             return;
         }
-        self.begun_asked = true;
-        let arrays = || self.jobs.values().filter(|j| !j.is_gang() && !j.over);
-        let upto = arrays().map(|j| j.revision).fold(self.begun_upto, u64::max);
+        self.start_record_pending = true;
+        let arrays = || self.jobs.values().filter(|j| !j.is_gang() && !j.terminal);
+        let upto = arrays()
+            .map(|j| j.revision)
+            .fold(self.started_upto, u64::max);
         let mut waiting: Vec<u64> = arrays()
-            .filter(|j| j.begun == Begun::No)
+            .filter(|j| j.start_record == StartRecord::None)
             .map(|j| j.revision)
             .collect();
         waiting.sort_unstable();
         // One that is not named is only taken to have begun.
-        waiting.truncate(self.chunk_bits as usize / BITS_PER_WAITING);
+        waiting.truncate(self.chunk_bits as usize / BITS_PER_WAITING_REVISION);
         self.actions
-            .push(Action::Begin(BegunRecord { upto, waiting }));
+            .push(Action::RecordStartedArrays(StartedArraysRecord {
+                upto,
+                waiting,
+            }));
     }
 
     /// The record of what has begun is durable, or its outcome is not known (the next pass asks
     /// again).
-    pub fn begin_result(&mut self, record: &BegunRecord, written: bool) {
-        self.begun_asked = false;
+    pub fn start_record_result(&mut self, record: &StartedArraysRecord, written: bool) {
+        self.start_record_pending = false;
         if written {
-            self.begun_upto = self.begun_upto.max(record.upto);
+            self.started_upto = self.started_upto.max(record.upto);
         }
         for j in self
             .jobs
             .values_mut()
-            .filter(|j| j.begun != Begun::Yes && record.covers(j.revision))
+            .filter(|j| j.start_record != StartRecord::Written && record.covers(j.revision))
         {
-            j.begun = if written { Begun::Yes } else { Begun::No };
+            j.start_record = if written {
+                StartRecord::Written
+            } else {
+                StartRecord::None
+            };
         }
         self.wake = true;
     }
--- a/crates/sched/src/leader/summary.rs
+++ b/crates/sched/src/leader/summary.rs
@@ -95,7 +95,7 @@
         let machine = |(n, m): (&String, &Machine)| {
             format!(
                 "{n} {} {} spot={} owner={} reconciled={} usable={} lapsed={:?} foreign={} used={} rostered={:?} drain={} closed={} quiet={} releasing={}",
-                m.kind, m.zone, m.spot, m.owner, m.reconciled, m.usable_told, m.lapsed_at, m.foreign, m.used.cpus, m.rostered, m.drain, m.closed, m.quiet, m.releasing
+                m.kind, m.zone, m.spot, m.owner, m.reconciled, m.usable_sent, m.lapsed_at, m.has_unknown_jobs, m.used.cpus, m.rostered, m.drain, m.confirmed_unusable, m.is_idle, m.releasing
             )
         };
         self.jobs
@@ -106,7 +106,7 @@
             .join("\n")
     }
 
-    pub(crate) fn display(&mut self) {
+    pub(crate) fn send_running_counts(&mut self) {
         let running: Vec<(String, u32)> = self
             .jobs
             .iter()
@@ -118,9 +118,15 @@
             })
             .filter(|(_, n)| *n > 0)
             .collect();
-        if running != self.last_display {
-            let me = self.me.clone();
-            for m in self.links.keys().cloned().chain([me]).collect::<Vec<_>>() {
+        if running != self.last_running_counts {
+            let member = self.member.clone();
+            for m in self
+                .links
+                .keys()
+                .cloned()
+                .chain([member])
+                .collect::<Vec<_>>()
+            {
                 self.send(
                     &m,
                     ToOwner::RunningCounts {
@@ -128,7 +134,7 @@
                     },
                 );
             }
-            self.last_display = running;
+            self.last_running_counts = running;
         }
     }
 }
--- a/crates/sched/src/machine_status.rs
+++ b/crates/sched/src/machine_status.rs
@@ -14,13 +14,13 @@
 
 impl Leader {
     /// Takes a message of an owner.
-    pub fn on_owner(&mut self, from: &str, message: ToLeader, now: Secs) {
+    pub fn on_owner_message(&mut self, from: &str, message: ToLeader, now: Secs) {
         match message {
             ToLeader::MachineStatuses(views) => {
                 for v in views {
                     self.apply_status(from, v, now);
                 }
-                self.settle();
+                self.reconcile();
             }
             ToLeader::HandBack {
                 job,
@@ -33,7 +33,7 @@
                         a.attempt == attempt
                             && matches!(&a.location, TaskLocation::Assigned(o, _) if o == from)
                     }) {
-                        self.gone(&job, i);
+                        self.requeue_task(&job, i);
                     }
                 }
             }
@@ -55,7 +55,7 @@
                 return;
             }
             if v.token != self.token || v.lapsed {
-                // Known by a late copy of a report only, or seen under an earlier epoch; its owner will show it again under this one.
+                // Known by a late copy of a heartbeat only, or seen under an earlier epoch; its owner will show it again under this one.
                 return;
             }
             log::info!(
@@ -87,7 +87,7 @@
         }
         m.lapsed_at = v.lapsed.then(|| m.lapsed_at.unwrap_or(now));
         m.notice_until = v.notice_s.map(|s| m.notice_until.unwrap_or(now + s));
-        m.closed = !v.usable;
+        m.confirmed_unusable = !v.usable;
         if v.unreachable != m.unreachable {
             log::info!(
                 "event=machine_{} machine={}",
@@ -100,7 +100,7 @@
             );
             m.unreachable = v.unreachable;
         }
-        m.quiet = v.pending.is_empty() && v.tasks.iter().all(|t| t.state == TaskState::Exited);
+        m.is_idle = v.pending.is_empty() && v.tasks.iter().all(|t| t.state == TaskState::Exited);
         // Only a view of this very epoch proves that nothing else was placed there meanwhile.
         if v.token == token {
             m.reconciled = true;
@@ -109,12 +109,12 @@
                 self.known_at = now;
             }
         }
-        self.stale.insert(v.name.clone());
+        self.dirty_machines.insert(v.name.clone());
         self.roster(&v.name);
         if let Some(usable) = self
             .machines
             .get(&v.name)
-            .map(|m| m.usable_told)
+            .map(|m| m.usable_sent)
             .filter(|u| *u != v.usable && v.token == token)
         {
             // The owner began anew after it was told.
@@ -175,7 +175,7 @@
                 .and_then(|j| j.active.get(&t.index))
                 .is_some_and(|a| a.attempt == t.attempt && here(a))
             {
-                self.gone(&t.job, t.index);
+                self.requeue_task(&t.job, t.index);
             }
         }
     }
@@ -183,14 +183,14 @@
     pub(crate) fn apply_tasks(&mut self, v: &MachineStatus, now: Secs) {
         let name = v.name.as_str();
         let mut listed: BTreeSet<(String, u32)> = BTreeSet::new();
-        let mut foreign = false;
+        let mut has_unknown_jobs = false;
         for t in v.tasks.iter().filter(|t| t.state != TaskState::Exited) {
             listed.insert((t.task.job.clone(), t.task.index));
-            foreign |= !self.note_live(name, &t.task, t.state, now);
+            has_unknown_jobs |= !self.note_live(name, &t.task, t.state, now);
         }
         for t in &v.pending {
             listed.insert((t.job.clone(), t.index));
-            foreign |= !self.note_live(name, t, TaskState::Fetching, now);
+            has_unknown_jobs |= !self.note_live(name, t, TaskState::Fetching, now);
         }
         for t in v.tasks.iter().filter(|t| t.state == TaskState::Exited) {
             self.note_exit(name, t, now);
@@ -198,7 +198,7 @@
         let Some(m) = self.machines.get_mut(name) else {
             return;
         };
-        m.foreign = foreign;
+        m.has_unknown_jobs = has_unknown_jobs;
         let old: Vec<(String, u32)> = m
             .tasks
             .keys()
@@ -212,7 +212,7 @@
                 .and_then(|j| j.active.get(&i))
                 .is_some_and(|a| matches!(&a.location, TaskLocation::OnMachine(_)));
             if on {
-                self.gone(&id, i);
+                self.requeue_task(&id, i);
             }
         }
         if let Some(m) = self.machines.get_mut(name) {
@@ -237,7 +237,7 @@
         };
         // A gang that lost a task before this one was seen: what is stopped is only what was seen.
         let ending = job.is_gang() && job.phase == Phase::Ending;
-        let unwanted = job.over || ending || job.done.contains(task.index) && !job.is_gang();
+        let unwanted = job.terminal || ending || job.done.contains(task.index) && !job.is_gang();
         let running = state == TaskState::Running || state == TaskState::Saving;
         match job.active.get_mut(&task.index) {
             Some(a) if a.attempt == task.attempt => {
@@ -253,7 +253,7 @@
             }
             Some(a) => {
                 log::error!(
-                    "event=second_attempt task={}/{} machine={machine} attempt={} known={}",
+                    "event=conflicting_attempt task={}/{} machine={machine} attempt={} known={}",
                     task.job,
                     task.index,
                     task.attempt,
@@ -299,7 +299,7 @@
             if let Some(m) = self.machines.get_mut(machine) {
                 m.failed_jobs.clear();
             }
-            let durable = job.over || job.durable.contains(task.index);
+            let durable = job.terminal || job.durable.contains(task.index);
             let entry = (machine.to_string(), task.clone());
             if !durable && !job.clears.contains(&entry) {
                 job.clears.push(entry);
@@ -328,7 +328,7 @@
                 task.index,
                 t.saved
             );
-            let base = self.setup.report_s;
+            let base = self.config.heartbeat_s;
             match why {
                 Why::Error | Why::NoSuch => {
                     // The many tasks of an array that fail together are one failure.
@@ -345,7 +345,7 @@
                 Why::Full | Why::InUse => job.backoff_until = job.backoff_until.max(now + base),
                 _ => {}
             }
-            self.gone(&task.job, task.index);
+            self.requeue_task(&task.job, task.index);
         }
         self.clear(machine, task.clone());
     }
@@ -373,7 +373,7 @@
     }
 
     /// Settles what waited for machines to be reconciled.
-    pub(crate) fn settle(&mut self) {
+    pub(crate) fn reconcile(&mut self) {
         let mut ready = Vec::new();
         let machines = &self.machines;
         self.groups.retain(|id, g| {
@@ -392,7 +392,7 @@
                     .and_then(|j| j.active.get(&i))
                     .is_some_and(|a| a.location == TaskLocation::Unresolved(group));
                 if still {
-                    self.gone(&id, i);
+                    self.requeue_task(&id, i);
                 }
             }
         }
@@ -416,19 +416,19 @@
             log::info!("event=reconciled machines={}", self.machines.len());
         }
         for id in ids {
-            self.certain(&id);
+            self.resolve_prior_runs(&id);
             self.wake = true;
         }
     }
 
     /// All machines are known: decides whether a gang that was found is whole.
-    pub(crate) fn certain(&mut self, id: &str) {
+    pub(crate) fn resolve_prior_runs(&mut self, id: &str) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
         job.uncertain = false;
-        if !job.is_gang() || job.over || !job.done.is_empty() {
-            self.maybe_finish(id);
+        if !job.is_gang() || job.terminal || !job.done.is_empty() {
+            self.finish_if_done(id);
             return;
         }
         let first = job.active.values().next().map(|a| a.attempt);
--- a/crates/sched/src/owner/machine.rs
+++ b/crates/sched/src/owner/machine.rs
@@ -1,4 +1,4 @@
-//! A machine as its owner sees it: what its newest report shows, and what it is to start, stop and clear.
+//! A machine as its owner sees it: what its newest heartbeat shows, and what it is to start, stop and clear.
 
 use crate::placement::Resources;
 use crate::Secs;
@@ -8,7 +8,7 @@
 use wire::workers::{Order, TaskState};
 
 /// A machine that lost this many answers in a row gets no more tasks until it is seen to get one.
-const ANSWERS_LOST: u32 = 2;
+const MAX_MISSED_RESPONSES: u32 = 2;
 
 /// Most starts in one answer, so that it stays below the protocol's limit.
 pub(super) const STARTS_AT_ONCE: usize = 400;
@@ -24,19 +24,19 @@
     /// Token under which this controller became the owner.
     pub(super) since: u64,
     pub(super) known: bool,
-    pub(super) session: u64,
+    pub(super) incarnation: u64,
     pub(super) seq: u64,
-    /// The newest session that got an answer before the lease was over. A report of it that comes
-    /// after the lease's end is a late copy, also if no report has counted until then.
-    pub(super) heard: u64,
+    /// The newest incarnation that got an answer before the lease was over. A heartbeat of it that comes
+    /// after the lease's end is a late copy, also if no heartbeat has counted until then.
+    pub(super) last_heard: u64,
     /// The newest instant at which an answer may have prolonged the worker's lease.
     pub(super) answered: Secs,
     pub(super) lapsed: bool,
     pub(super) notice_s: Option<f64>,
-    /// (session, seq) of the last report that was answered with orders, and how many since came
+    /// (incarnation, seq) of the last heartbeat that was answered with orders, and how many since came
     /// from a worker that had not stayed here, so that the answer did not reach it.
-    pub(super) asked: (u64, u64),
-    pub(super) unheard: u32,
+    pub(super) last_ordered: (u64, u64),
+    pub(super) missed_responses: u32,
     pub(super) tasks: BTreeMap<TaskRef, TaskStatus>,
     pub(super) pending: BTreeMap<TaskRef, Resources>,
     pub(super) stops: BTreeMap<TaskRef, f64>,
@@ -56,7 +56,7 @@
     }
 
     pub(super) fn is_unreachable(&self) -> bool {
-        self.unheard >= ANSWERS_LOST
+        self.missed_responses >= MAX_MISSED_RESPONSES
     }
 }
 
@@ -74,14 +74,14 @@
         usable: false,
         since,
         known: false,
-        session: 0,
+        incarnation: 0,
         seq: 0,
-        heard: 0,
+        last_heard: 0,
         answered,
         lapsed: false,
         notice_s: None,
-        asked: (0, 0),
-        unheard: 0,
+        last_ordered: (0, 0),
+        missed_responses: 0,
         tasks: BTreeMap::new(),
         pending: BTreeMap::new(),
         stops: BTreeMap::new(),
@@ -91,7 +91,7 @@
     }
 }
 
-/// A machine is to start tasks of a job, with the answers to its reports; says how many.
+/// A machine is to start tasks of a job, with the answers to its heartbeats; says how many.
 pub(super) fn add_starts(
     m: &mut Machine,
     job: &str,
@@ -132,7 +132,7 @@
         kind: m.kind.clone(),
         zone: m.zone.clone(),
         spot: m.spot,
-        session: m.session,
+        incarnation: m.incarnation,
         lapsed: m.lapsed,
         notice_s: m.notice_s,
         tasks: m.tasks.values().cloned().collect(),
@@ -167,23 +167,29 @@
     changed
 }
 
-/// The newest report of a machine has just been taken. It settles every earlier order: a start that
+/// The newest heartbeat of a machine has just been taken. It settles every earlier order: a start that
 /// it lacks did not take effect and never will. What it shows of jobs that are over is to be stopped,
-/// in every answer until a report shows it gone, whoever owned the machine before and whether or not
+/// in every answer until a heartbeat shows it gone, whoever owned the machine before and whether or not
 /// the leader has said so.
-pub(super) fn settle(m: &mut Machine, over: impl Fn(&str) -> bool, out: &mut Vec<ToLeader>) {
+pub(super) fn reconcile_orders(
+    m: &mut Machine,
+    is_terminal: impl Fn(&str) -> bool,
+    out: &mut Vec<ToLeader>,
+) {
     for t in m
         .tasks
         .values()
-        .filter(|t| t.state != TaskState::Exited && over(&t.task.job))
+        .filter(|t| t.state != TaskState::Exited && is_terminal(&t.task.job))
     {
         m.stops.insert(t.task.clone(), 0.0);
     }
-    let (stops, closed) = (
+    let (stops, unusable) = (
         std::mem::take(&mut m.stops),
         !m.usable || m.notice_s.is_some(),
     );
-    withdraw_starts(m, out, |t| closed || stops.contains_key(t) || over(&t.job));
+    withdraw_starts(m, out, |t| {
+        unusable || stops.contains_key(t) || is_terminal(&t.job)
+    });
     m.stops = stops;
     let tasks = &m.tasks;
     let before = m.pending.len();
@@ -195,7 +201,7 @@
         .retain(|t, _| tasks.get(t).is_some_and(|v| v.state != TaskState::Exited));
 }
 
-/// Orders for a machine whose newest report was settled; starts only if they are allowed now.
+/// Orders for a machine whose newest heartbeat was settled; starts only if they are allowed now.
 pub(super) fn orders(m: &Machine, starts: bool) -> Vec<Order> {
     let mut out = Vec::new();
     for t in &m.clears {
--- a/crates/sched/src/owner/mod.rs
+++ b/crates/sched/src/owner/mod.rs
@@ -1,9 +1,9 @@
-//! A shard's owner: answers the reports of its machines and alone starts tasks there.
+//! A shard's owner: answers the heartbeats of its machines and alone starts tasks there.
 //!
-//! A report counts only if it shows a token at least as high as the one under which this
+//! A heartbeat counts only if it shows a token at least as high as the one under which this
 //! controller became the machine's owner: it was then sent after the worker had begun to drop
-//! the orders of every earlier owner, and later ones are ordered by (session, seq). So a
-//! report that was held up in the network is never taken for the present.
+//! the orders of every earlier owner, and later ones are ordered by (incarnation, seq). So a
+//! heartbeat that was held up in the network is never taken for the present.
 
 mod assigned_jobs;
 mod heartbeats;
@@ -12,7 +12,7 @@
 
 use crate::authority::Authority;
 use crate::capacity_index::Index;
-use crate::config::Setup;
+use crate::config::SchedulerConfig;
 use crate::placement::Resources;
 use crate::shard;
 use crate::Secs;
@@ -29,32 +29,32 @@
     fn resources(&self, job: &str) -> Option<Resources>;
     fn image(&self, job: &str) -> Option<String>;
     /// Whether the job is known to be done or cancelled.
-    fn over(&self, job: &str) -> bool;
+    fn is_terminal(&self, job: &str) -> bool;
 }
 
-/// The answer to a report.
+/// The answer to a heartbeat.
 #[derive(Debug, PartialEq)]
-pub enum Answer {
+pub enum HeartbeatResponse {
     Orders(Orders),
-    /// Report to that member instead.
-    Elsewhere(String),
+    /// Heartbeat to that member instead.
+    Redirect(String),
     /// Not entitled to act at present.
-    NotNow,
+    Unavailable,
 }
 
 /// A closed machine that is lost stays in the book for this many leases.
-const LEASES_REMEMBERED: f64 = 20.0;
+const LEASES_RETAINED: f64 = 20.0;
 
 /// Most machines in one message to the leader, so that it stays small.
 const STATUSES_PER_MESSAGE: usize = 64;
 
-/// Parts of a report interval for which changes that reports bring are collected.
+/// Parts of a heartbeat interval for which changes that heartbeats bring are collected.
 pub(crate) const STATUS_ROUNDS_PER_HEARTBEAT: f64 = 20.0;
 
-/// The owner's book.
+/// The owner.
 pub struct Owner {
-    me: String,
-    setup: Setup,
+    member: String,
+    config: SchedulerConfig,
     token: u64,
     members: Vec<String>,
     types: BTreeMap<String, MachineType>,
@@ -69,22 +69,22 @@
     assigned: AssignedJobs,
     /// Jobs that the leader said are over, and when: their tasks are stopped and never started,
     /// whether this controller's own replica knows it or not.
-    over: BTreeMap<String, Secs>,
+    terminal_jobs: BTreeMap<String, Secs>,
     out: Vec<ToLeader>,
     /// Machines as placement looks at them, and those that changed since.
     index: Index,
-    stale: BTreeSet<String>,
+    dirty_machines: BTreeSet<String>,
     /// What has changed is to be shown to the leader now.
     show: bool,
     shown_at: Secs,
 }
 
 impl Owner {
-    pub fn new(me: &str, setup: Setup) -> Owner {
+    pub fn new(member: &str, config: SchedulerConfig) -> Owner {
         Owner {
-            me: me.into(),
-            authority: Authority::new(&setup),
-            setup,
+            member: member.into(),
+            authority: Authority::new(&config),
+            config,
             token: 0,
             members: Vec::new(),
             types: BTreeMap::new(),
@@ -94,10 +94,10 @@
             reservations: BTreeMap::new(),
             backlog: VecDeque::new(),
             assigned: AssignedJobs::default(),
-            over: BTreeMap::new(),
+            terminal_jobs: BTreeMap::new(),
             out: Vec::new(),
             index: Index::default(),
-            stale: BTreeSet::new(),
+            dirty_machines: BTreeSet::new(),
             show: false,
             shown_at: f64::MIN,
         }
@@ -107,11 +107,11 @@
     pub fn explain(&self) -> String {
         let line = |(n, m): (&String, &Machine)| {
             format!(
-                "{n} usable={} since={} known={} session={} seq={} answered={:.1} lapsed={} tasks={} pending={} stops={}",
+                "{n} usable={} since={} known={} incarnation={} seq={} answered={:.1} lapsed={} tasks={} pending={} stops={}",
                 m.usable,
                 m.since,
                 m.known,
-                m.session,
+                m.incarnation,
                 m.seq,
                 m.answered,
                 m.lapsed,
@@ -131,13 +131,13 @@
         self.token
     }
 
-    /// Whether reports may be answered now.
+    /// Whether heartbeats may be answered now.
     pub fn has_authority(&self, now: Secs) -> bool {
         now < self.authority.answers_until()
     }
 
-    /// What is to be told to the leader. What reports change is collected for a short while;
-    /// what the leader's own messages change is shown at once, before any later report.
+    /// What is to be told to the leader. What heartbeats change is collected for a short while;
+    /// what the leader's own messages change is shown at once, before any later heartbeat.
     pub fn drain(&mut self) -> Vec<ToLeader> {
         if std::mem::take(&mut self.show) {
             let token = self.token;
@@ -160,7 +160,7 @@
     }
 
     /// Takes a message of the leader (its grants are the caller's business).
-    pub fn on_leader(&mut self, message: ToOwner, now: Secs, jobs: &dyn Jobs) {
+    pub fn on_leader_message(&mut self, message: ToOwner, now: Secs, jobs: &dyn Jobs) {
         self.show = true;
         match message {
             ToOwner::Epoch {
@@ -180,7 +180,7 @@
                 if let Some(m) = self.machines.get_mut(&machine) {
                     m.usable = usable;
                     m.dirty = true;
-                    self.stale.insert(machine);
+                    self.dirty_machines.insert(machine);
                 }
             }
             ToOwner::Assign {
@@ -223,7 +223,8 @@
             ToOwner::Bind { attempt } => self.bind(attempt, now),
             ToOwner::ReleaseReservation { attempt } => {
                 if let Some(h) = self.reservations.remove(&attempt) {
-                    self.stale.extend(h.places.into_iter().map(|(m, _, _)| m));
+                    self.dirty_machines
+                        .extend(h.places.into_iter().map(|(m, _, _)| m));
                 }
             }
             ToOwner::Stop {
@@ -244,7 +245,7 @@
             ToOwner::Terminal { jobs: ids } => {
                 for id in ids {
                     self.hand_back(|backlog| backlog.job == id);
-                    self.over.insert(id, now);
+                    self.terminal_jobs.insert(id, now);
                 }
             }
             ToOwner::Grant { .. } | ToOwner::ViewAge { .. } | ToOwner::RunningCounts { .. } => {}
@@ -254,7 +255,7 @@
     fn catalog(&mut self, types: &[MachineType]) {
         self.types = types.iter().map(|t| (t.name.clone(), t.clone())).collect();
         self.index.clear();
-        self.stale.extend(self.machines.keys().cloned());
+        self.dirty_machines.extend(self.machines.keys().cloned());
     }
 
     fn epoch(
@@ -278,11 +279,11 @@
         self.members = members;
         self.epoch_at = now;
         self.extra_s = extra_ms as f64 / 1000.0;
-        let (me, members) = (&self.me, &self.members);
+        let (member, members) = (&self.member, &self.members);
         self.machines
-            .retain(|name, _| shard::owner(name, members) == Some(me.as_str()));
+            .retain(|name, _| shard::owner(name, members) == Some(member.as_str()));
         for descriptor in descriptors {
-            if shard::owner(&descriptor.name, &self.members) != Some(self.me.as_str()) {
+            if shard::owner(&descriptor.name, &self.members) != Some(self.member.as_str()) {
                 continue;
             }
             let m = self.machines.entry(descriptor.name).or_insert_with(|| {
@@ -300,40 +301,40 @@
             m.dirty = true;
         }
         self.index.clear();
-        self.stale = self.machines.keys().cloned().collect();
+        self.dirty_machines = self.machines.keys().cloned().collect();
     }
 
     /// Lets reservations and leases run out.
     pub fn tick(&mut self, now: Secs) {
         self.hand_back(|a| now >= a.until);
-        let remembered = self.setup.over_remembered_s();
-        self.over.retain(|_, at| now - *at < remembered);
-        if self.assigned.is_due(now, self.setup.lease_s) {
+        let remembered = self.config.terminal_retention_s();
+        self.terminal_jobs.retain(|_, at| now - *at < remembered);
+        if self.assigned.is_due(now, self.config.lease_s) {
             self.forget_unused_jobs();
         }
-        if now - self.shown_at >= self.setup.report_s / STATUS_ROUNDS_PER_HEARTBEAT {
+        if now - self.shown_at >= self.config.heartbeat_s / STATUS_ROUNDS_PER_HEARTBEAT {
             self.shown_at = now;
             self.show = true;
         }
-        let stale = &mut self.stale;
+        let dirty_machines = &mut self.dirty_machines;
         self.reservations.retain(|_, h| {
             let keep = now < h.until;
             if !keep {
-                stale.extend(h.places.iter().map(|(m, _, _)| m.clone()));
+                dirty_machines.extend(h.places.iter().map(|(m, _, _)| m.clone()));
             }
             keep
         });
-        let over = self.setup.lease_certainly_over_s();
-        // A closed machine that was not heard for many leases is forgotten; should it report
+        let lease_expiry_s = self.config.lease_expiry_s();
+        // A closed machine that was not heard for many leases is forgotten; should it heartbeat
         // again, it is taken up as a new one.
         self.machines.retain(|_, m| {
-            !m.lapsed || m.usable || m.dirty || now <= m.answered + over * LEASES_REMEMBERED
+            !m.lapsed || m.usable || m.dirty || now <= m.answered + lease_expiry_s * LEASES_RETAINED
         });
         for (name, m) in self.machines.iter_mut() {
-            if !m.lapsed && now > m.answered + over {
-                // The worker has killed and forgotten its tasks; only a later session counts.
+            if !m.lapsed && now > m.answered + lease_expiry_s {
+                // The worker has killed and forgotten its tasks; only a later incarnation counts.
                 log::info!(
-                    "event=machine_lapsed machine={name} tasks={}",
+                    "event=machine_lease_expired machine={name} tasks={}",
                     m.tasks.len()
                 );
                 m.lapsed = true;
@@ -343,7 +344,7 @@
                 m.clears.clear();
                 m.images.clear();
                 m.dirty = true;
-                self.stale.insert(name.clone());
+                self.dirty_machines.insert(name.clone());
             }
         }
     }
--- a/crates/sched/src/owner/placing.rs
+++ b/crates/sched/src/owner/placing.rs
@@ -47,7 +47,7 @@
 
     /// Brings the index up to what has changed since it was last looked at.
     pub(super) fn refresh_index(&mut self, jobs: &dyn Jobs) {
-        for name in std::mem::take(&mut self.stale) {
+        for name in std::mem::take(&mut self.dirty_machines) {
             let found = self
                 .machines
                 .get(&name)
@@ -73,10 +73,10 @@
                 empty,
             };
             self.index
-                .put(&name, t, &m.zone, m.spot, self.setup.guarantee_s, spot);
+                .put(&name, t, &m.zone, m.spot, self.config.guarantee_s, spot);
             if free.is_none() {
                 // A job that is not known here yet: look again next time.
-                self.stale.insert(name);
+                self.dirty_machines.insert(name);
             }
         }
     }
@@ -136,9 +136,9 @@
             .flat_map(|(a, n)| *a..a.saturating_add(*n))
             .peekable();
         let mut found = self.index.fits(requirements);
-        // A start goes with the answer to a report: of machines that suit alike, the one that
-        // reports next starts first.
-        let quarter = self.setup.report_s / 4.0;
+        // A start goes with the answer to a heartbeat: of machines that suit alike, the one that
+        // heartbeats next starts first.
+        let quarter = self.config.heartbeat_s / 4.0;
         let silent = |name: &str| {
             self.machines
                 .get(name)
@@ -172,7 +172,7 @@
                 &requirements.image,
             );
             self.index.take(&f.name, resources, n, &requirements.image);
-            self.stale.insert(f.name.to_string());
+            self.dirty_machines.insert(f.name.to_string());
         }
         let back: Vec<u32> = indexes.collect();
         if !back.is_empty() {
@@ -206,7 +206,8 @@
                 return false;
             }
         }
-        self.stale.extend(places.iter().map(|(m, _, _)| m.clone()));
+        self.dirty_machines
+            .extend(places.iter().map(|(m, _, _)| m.clone()));
         self.assigned.learn(&job, requirements);
         self.reservations.insert(
             attempt,
@@ -229,7 +230,7 @@
             });
             return;
         };
-        self.stale
+        self.dirty_machines
             .extend(h.places.iter().map(|(m, _, _)| m.clone()));
         // A machine that was lost while it reserved capacity would never start the task, nor show it gone.
         let here = |name: &String| self.machines.get(name).is_some_and(Machine::open);
--- a/crates/sched/src/preempt.rs
+++ b/crates/sched/src/preempt.rs
@@ -23,8 +23,8 @@
 /// it costs more to repeat than its end is away.
 const MOST_LOST: f64 = 0.25;
 
-/// Report intervals within which a stop has reached its machine and the machine has shown the end.
-const REPORTS_TO_STOP: f64 = 3.0;
+/// Heartbeat intervals within which a stop has reached its machine and the machine has shown the end.
+const HEARTBEATS_TO_STOP: f64 = 3.0;
 
 /// A machine, as a position among the candidates, and the tasks to stop there.
 type Stops = (usize, Vec<Victim>);
@@ -38,7 +38,7 @@
     lost_s: f64,
     team: String,
     priority: Priority,
-    within: bool,
+    within_guarantee: bool,
     /// Stopping it loses more than waiting for its end, unless its priority is lower.
     costly: bool,
 }
@@ -68,7 +68,7 @@
     /// Stops what the protocol allows for entries that the pass could not place. The look at
     /// all tasks is made only when there is somebody who may have others stopped.
     pub(crate) fn preempt(&mut self, now: Secs) {
-        if now - self.preempted_at < self.setup.guarantee_s * GRACE_SHARE / 2.0 {
+        if now - self.preemption_at < self.config.guarantee_s * GRACE_SHARE / 2.0 {
             return;
         }
         let due = |(id, n): &(String, u32)| {
@@ -77,21 +77,21 @@
         };
         let due: Vec<(String, u32)> = self.autoscaler.unmet.iter().filter_map(due).collect();
         let mut used = self.used_after_stops();
-        let over = |(team, used): (&String, &Resources)| {
-            self.setup
+        let over_guarantee = |(team, used): (&String, &Resources)| {
+            self.config
                 .teams
                 .get(team)
                 .is_some_and(|t| used.cpus > t.cpus + ROUNDING_SLACK)
         };
         if due.is_empty()
-            || !used.iter().any(over)
+            || !used.iter().any(over_guarantee)
                 && !due
                     .iter()
                     .any(|(id, _)| self.lower(self.jobs[id].spec.priority))
         {
             return;
         }
-        self.preempted_at = now;
+        self.preemption_at = now;
         let scarce = self.scarce();
         let first = self.cordon_for_gang(&scarce, now).map(|(id, _)| id);
         let mut fields = self.fields(now);
@@ -136,21 +136,21 @@
     /// Whether others may be stopped for a job that found no capacity.
     fn may_reclaim(&self, job: &Job, now: Secs) -> bool {
         let waited = now - job.seen;
-        let mut window = self.setup.guarantee_s * GRACE_SHARE..=self.setup.guarantee_s;
+        let mut window = self.config.guarantee_s * GRACE_SHARE..=self.config.guarantee_s;
         if job.is_multi_task_gang() {
             // Many machines at once seldom become free by themselves, and would be provisioned meanwhile. It
             // is worth trying for as long as its class's objective can still be met.
             let objective = self
-                .setup
+                .config
                 .wait_s
                 .get(&job.spec.class)
                 .copied()
                 .unwrap_or_default();
-            window = 0.0..=objective.max(self.setup.guarantee_s);
+            window = 0.0..=objective.max(self.config.guarantee_s);
         }
         let in_time = window.contains(&waited);
-        let starved = waited > self.setup.guarantee_s * STARVED;
-        (in_time || starved) && (job.within || self.lower(job.spec.priority))
+        let starved = waited > self.config.guarantee_s * STARVED;
+        (in_time || starved) && (job.within_guarantee || self.lower(job.spec.priority))
     }
 
     /// Has capacity for a whole gang taken back, and kept for it meanwhile.
@@ -158,7 +158,7 @@
         let victims = stops.iter().flat_map(|(_, victims)| victims);
         let grace_s = victims.map(|v| self.grace_s(&v.job)).fold(0.0, f64::max);
         if let Some(job) = self.jobs.get_mut(id) {
-            job.reclaims_until = now + grace_s + self.setup.report_s * REPORTS_TO_STOP;
+            job.reclaims_until = now + grace_s + self.config.heartbeat_s * HEARTBEATS_TO_STOP;
         }
         self.stop_victims(id, fields, stops);
     }
@@ -289,7 +289,7 @@
                 };
                 if a.stop_sent {
                     free.add(job.resources());
-                } else if !job.over
+                } else if !job.terminal
                     && matches!(a.location, TaskLocation::OnMachine(_))
                     && (!job.is_gang() || job.spec.tasks == 1)
                 {
@@ -308,7 +308,7 @@
                         lost_s,
                         team: job.spec.team.clone(),
                         priority: job.priority,
-                        within: job.within,
+                        within_guarantee: job.within_guarantee,
                         costly: job.spec.checkpoint_s <= 0.0
                             && lost_s > self.run_s(job) * MOST_LOST,
                     });
@@ -348,7 +348,11 @@
         }
         let may = |v: &&Victim| {
             let lower = v.priority > job.spec.priority;
-            lower || job.within && !v.within && v.team != job.spec.team && !v.costly
+            lower
+                || job.within_guarantee
+                    && !v.within_guarantee
+                    && v.team != job.spec.team
+                    && !v.costly
         };
         let mut best: Option<(f64, usize, Vec<usize>)> = None;
         for (at, f) in fields
@@ -397,7 +401,7 @@
             taken.entry(&v.team).or_default().add(v.resources);
         }
         taken.into_iter().all(|(name, resources)| {
-            let Some(team) = self.setup.teams.get(name) else {
+            let Some(team) = self.config.teams.get(name) else {
                 return false;
             };
             let mut u = used.get(name).copied().unwrap_or_default();
--- a/crates/sched/src/queue/arrays.rs
+++ b/crates/sched/src/queue/arrays.rs
@@ -1,7 +1,7 @@
 //! Arrays: ready tasks go to the owners of machines with free resources, and ahead of what becomes free.
 
 use super::Pass;
-use crate::leader::{Action, Active, Begun, Leader, TaskLocation};
+use crate::leader::{Action, Active, Leader, StartRecord, TaskLocation};
 use crate::machine_status::LONGEST_BACKOFF_S;
 use crate::ranges::runs;
 use crate::Secs;
@@ -25,7 +25,8 @@
         pass: &mut Pass,
         now: Secs,
     ) {
-        let Some((begun, cpus)) = self.jobs.get(id).map(|j| (j.begun, j.spec.cpus)) else {
+        let Some((start_record, cpus)) = self.jobs.get(id).map(|j| (j.start_record, j.spec.cpus))
+        else {
             return;
         };
         let found = self
@@ -33,7 +34,7 @@
             .fits_outside(requirements, pass.cordon_against(id));
         // Recorded before its first start, so that a later leader knows which jobs an earlier
         // one has never touched and need not wait for every machine with them.
-        if begun != Begun::Yes {
+        if start_record != StartRecord::Written {
             let fits = found
                 .iter()
                 .map(|f| f.slots)
@@ -47,7 +48,7 @@
             let soon = pass.queued <= turnover * self.reaction_s() * BACKLOG_WAIT_FACTOR;
             pass.queued += f64::from(quota - fits) * cpus;
             if let Some(job) = self.jobs.get_mut(id).filter(|_| soon || fits > 0) {
-                job.begun = Begun::Asked;
+                job.start_record = StartRecord::Requested;
             }
             return;
         }
@@ -139,10 +140,10 @@
         }
     }
 
-    /// The time after which capacity that a report showed has a task from here.
+    /// The time after which capacity that a heartbeat showed has a task from here.
     fn reaction_s(&self) -> Secs {
-        self.setup.report_s.min(1.0) / 2.0
-            + self.setup.report_s / crate::owner::STATUS_ROUNDS_PER_HEARTBEAT
+        self.config.heartbeat_s.min(1.0) / 2.0
+            + self.config.heartbeat_s / crate::owner::STATUS_ROUNDS_PER_HEARTBEAT
     }
 
     /// CPUs that tasks may wait for at each owner: what array tasks free there in a short time,
@@ -161,7 +162,7 @@
     }
 
     /// Lets tasks that found no capacity wait at the owners for the first that becomes free: a task's
-    /// end and the next one's start then take one report and its answer.
+    /// end and the next one's start then take one heartbeat and its answer.
     fn assign_backlog(
         &mut self,
         id: &str,
@@ -231,7 +232,7 @@
             m.images.insert(0, image.to_string());
             m.images.truncate(8);
         }
-        self.stale.insert(machine.into());
+        self.dirty_machines.insert(machine.into());
     }
 
     pub(super) fn assign_task(
--- a/crates/sched/src/queue/capacity.rs
+++ b/crates/sched/src/queue/capacity.rs
@@ -10,7 +10,7 @@
 impl Leader {
     /// Brings the index up to what has changed since the last pass.
     pub(super) fn refresh_index(&mut self) {
-        for name in std::mem::take(&mut self.stale) {
+        for name in std::mem::take(&mut self.dirty_machines) {
             let found = self
                 .machines
                 .get(&name)
@@ -22,7 +22,7 @@
                     t,
                     &m.zone,
                     m.spot,
-                    self.setup.guarantee_s,
+                    self.config.guarantee_s,
                     indexed_machine(m, t),
                 ),
                 None => self.index.remove(&name),
--- a/crates/sched/src/queue/gangs.rs
+++ b/crates/sched/src/queue/gangs.rs
@@ -83,7 +83,7 @@
             first += count;
         }
         // Jitter, so that gangs held in one burst don't lapse in step.
-        let wait = self.setup.reservation_s * (0.75 + 0.5 * self.rng.f64());
+        let wait = self.config.reservation_s * (0.75 + 0.5 * self.rng.f64());
         log::info!(
             "event=reserve job={id} attempt={attempt} machines={} wait_s={wait:.1}",
             places.len()
@@ -166,7 +166,7 @@
                     .map(|(i, _)| *i)
                     .collect();
                 for i in lost {
-                    self.gone(&id, i);
+                    self.requeue_task(&id, i);
                 }
             }
             _ => {}
@@ -204,7 +204,7 @@
                 continue;
             };
             m.reserved.remove(&attempt);
-            self.stale.insert(machine.clone());
+            self.dirty_machines.insert(machine.clone());
             let owner = m.owner.clone();
             owners.insert(owner.clone());
             for i in *first..first + n {
@@ -227,7 +227,7 @@
         let phase = std::mem::replace(&mut job.phase, Phase::Idle);
         if failed {
             job.failures += 1;
-            let wait = self.setup.reservation_s / 20.0
+            let wait = self.config.reservation_s / 20.0
                 * f64::from(1u32 << job.failures.min(6))
                 * (0.75 + 0.5 * self.rng.f64());
             job.backoff_until = now + wait;
@@ -249,7 +249,7 @@
         for (machine, _, _) in places {
             if let Some(m) = self.machines.get_mut(machine) {
                 m.reserved.remove(attempt);
-                self.stale.insert(machine.clone());
+                self.dirty_machines.insert(machine.clone());
                 owners.insert(m.owner.clone());
             }
         }
--- a/crates/sched/src/queue/mod.rs
+++ b/crates/sched/src/queue/mod.rs
@@ -46,9 +46,9 @@
             .jobs
             .iter()
             .filter(|(_, j)| {
-                !j.ready.is_empty() && !j.uncertain && !j.over && now >= j.backoff_until
+                !j.ready.is_empty() && !j.uncertain && !j.terminal && now >= j.backoff_until
             })
-            .map(|(id, j)| (!j.within, j.priority, j.revision, id.clone()))
+            .map(|(id, j)| (!j.within_guarantee, j.priority, j.revision, id.clone()))
             .collect();
         order.sort_unstable();
         // Machines kept for gangs take array tasks, last of all, while no such gang waits for capacity.
@@ -82,7 +82,7 @@
                 self.place_array(&id, &requirements, quota, &mut pass, now);
             }
         }
-        self.ask_begin();
+        self.request_start_record();
     }
 
     /// The gang of several tasks that has waited longest, if too long, and where machines are left
@@ -96,7 +96,7 @@
         let waits = |job: &Job| {
             let whole = job.is_multi_task_gang()
                 && job.phase == Phase::Idle
-                && !job.over
+                && !job.terminal
                 && !job.ready.is_empty();
             whole && (now < job.reclaims_until || self.waits_long(&job.spec.id, now))
         };
--- a/crates/sched/src/queue/teams.rs
+++ b/crates/sched/src/queue/teams.rs
@@ -8,11 +8,11 @@
     /// Marks the jobs that fit into their team's guarantee together with its earlier ones.
     pub(super) fn mark_within(&mut self) {
         let mut sums: BTreeMap<&str, (f64, f64)> = BTreeMap::new();
-        for (_, id) in &self.by_age {
-            let Some(job) = self.jobs.get_mut(id).filter(|j| !j.over) else {
+        for (_, id) in &self.by_creation {
+            let Some(job) = self.jobs.get_mut(id).filter(|j| !j.terminal) else {
                 continue;
             };
-            let Some((name, team)) = self.setup.teams.get_key_value(&job.spec.team) else {
+            let Some((name, team)) = self.config.teams.get_key_value(&job.spec.team) else {
                 continue;
             };
             let n = f64::from(job.spec.tasks - job.done.len().min(job.spec.tasks));
@@ -26,22 +26,27 @@
             };
             sum.0 += bounded_sum(n, job.spec.cpus, team.cpus_max);
             sum.1 += bounded_sum(n, job.spec.gpus, team.gpus_max);
-            job.within = sum.0 <= team.cpus + ROUNDING_SLACK && sum.1 <= team.gpus + ROUNDING_SLACK;
+            job.within_guarantee =
+                sum.0 <= team.cpus + ROUNDING_SLACK && sum.1 <= team.gpus + ROUNDING_SLACK;
         }
     }
 
     /// What machines with tasks of unknown jobs have together, and those of unknown content.
     fn unseen_resources(&self) -> (Resources, Resources) {
-        let (mut foreign, mut unknown) = (Resources::default(), Resources::default());
-        for m in self.machines.values().filter(|m| m.unknown || m.foreign) {
+        let (mut has_unknown_jobs, mut unknown) = (Resources::default(), Resources::default());
+        for m in self
+            .machines
+            .values()
+            .filter(|m| m.unknown || m.has_unknown_jobs)
+        {
             let sum = if m.unknown {
                 &mut unknown
             } else {
-                &mut foreign
+                &mut has_unknown_jobs
             };
             sum.add(self.capacity(&m.kind).unwrap_or_default());
         }
-        (foreign, unknown)
+        (has_unknown_jobs, unknown)
     }
 
     /// What those may take from a team's limit: all they have, but of unknown content no more than
@@ -49,9 +54,13 @@
     fn unseen_by(
         &self,
         team: &str,
-        (mut foreign, mut unknown): (Resources, Resources),
+        (mut has_unknown_jobs, mut unknown): (Resources, Resources),
     ) -> Resources {
-        let mut most = self.lately_cancelled.get(team).copied().unwrap_or_default();
+        let mut most = self
+            .recently_cancelled
+            .get(team)
+            .copied()
+            .unwrap_or_default();
         for j in self
             .jobs
             .values()
@@ -64,15 +73,15 @@
         }
         unknown.cpus = unknown.cpus.min(most.cpus);
         unknown.gpus = unknown.gpus.min(most.gpus);
-        foreign.add(unknown);
-        foreign
+        has_unknown_jobs.add(unknown);
+        has_unknown_jobs
     }
 
     /// What each team may still use, beside what its tasks use, hold, or may use unseen.
     pub(super) fn limits(&self) -> BTreeMap<String, Resources> {
         let unseen = self.unseen_resources();
         let mut out: BTreeMap<String, Resources> = BTreeMap::new();
-        for (name, t) in &self.setup.teams {
+        for (name, t) in &self.config.teams {
             let mut free = Resources {
                 cpus: t.cpus_max,
                 gpus: t.gpus_max,
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -81,11 +81,11 @@
 
     /// Waits for the budget, as far as `limit` allows.
     async fn wait(&self, writes: usize, rank: Rank, limit: Duration) -> Result<(), StoreError> {
-        let began = Instant::now();
+        let started_at = Instant::now();
         loop {
             match self.take(writes, rank) {
                 Err(StoreError::Budget(s))
-                    if began.elapsed().as_secs_f64() + s < limit.as_secs_f64() =>
+                    if started_at.elapsed().as_secs_f64() + s < limit.as_secs_f64() =>
                 {
                     smol::Timer::after(Duration::from_secs_f64(s + 0.002)).await;
                 }
--- a/crates/store/src/keys.rs
+++ b/crates/store/src/keys.rs
@@ -15,7 +15,7 @@
 /// Prefix of the bindings of gangs.
 pub const BINDING: &str = "lr/binding/";
 /// Which arrays may have begun.
-pub const BEGUN: &str = "lr/begun";
+pub const STARTED_ARRAYS: &str = "lr/begun";
 
 /// The record of a job.
 pub fn job(id: &str) -> String {
@@ -53,7 +53,7 @@
     /// A part of a gang's binding.
     Binding,
     /// Which arrays may have begun.
-    Begun,
+    StartRecord,
     /// Nothing of this version.
     Other,
 }
@@ -70,7 +70,7 @@
         match key {
             LEADER => Kind::Leader,
             TERM => Kind::Term,
-            BEGUN => Kind::Begun,
+            STARTED_ARRAYS => Kind::StartRecord,
             _ => {
                 let found = prefixes.iter().find(|(prefix, _)| key.starts_with(prefix));
                 found.map_or(Kind::Other, |(_, kind)| *kind)
--- a/crates/store/src/leadership.rs
+++ b/crates/store/src/leadership.rs
@@ -55,7 +55,7 @@
     /// The fencing token.
     pub token: u64,
     /// The lease that the leader's key is attached to.
-    pub lease: u64,
+    pub lease_id: u64,
     /// Version of the leader key: the condition of every write of this leader.
     pub version: u64,
     /// Until when it may be used, unless it is renewed.
@@ -74,7 +74,7 @@
 /// that it was not taken.
 pub async fn take(
     store: &impl Keeper,
-    me: &str,
+    member: &str,
     ttl: Duration,
 ) -> Result<Option<LeadershipLease>, StoreError> {
     if store.get(keys::LEADER).await?.is_some() {
@@ -91,7 +91,7 @@
     let lease = store.grant(ttl).await?;
     let token = term + 1;
     let record = LeaderRecord {
-        member: me.into(),
+        member: member.into(),
         token,
     };
     let txn = Txn {
@@ -133,7 +133,7 @@
     };
     Ok(Some(LeadershipLease {
         token,
-        lease,
+        lease_id: lease,
         version,
         until: sent + usable(ttl),
     }))
@@ -143,12 +143,12 @@
 /// for later writes. After an unknown outcome the key is read back.
 pub async fn next_token(
     store: &impl Keeper,
-    me: &str,
+    member: &str,
     leadership: &LeadershipLease,
 ) -> Result<Option<(u64, u64)>, StoreError> {
     let token = leadership.token + 1;
     let record = LeaderRecord {
-        member: me.into(),
+        member: member.into(),
         token,
     };
     let txn = Txn {
@@ -157,7 +157,7 @@
             Write::Put {
                 key: keys::LEADER.into(),
                 value: to_value(&record),
-                lease: Some(leadership.lease),
+                lease: Some(leadership.lease_id),
             },
             Write::Put {
                 key: keys::TERM.into(),
--- a/crates/store/src/replica.rs
+++ b/crates/store/src/replica.rs
@@ -6,8 +6,8 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use wire::store::{
-    from_value, BegunRecord, BindingRecord, Changes, JobRecord, LeaderRecord, Page, ProgressPage,
-    Recorded, RosterPage, RosterRecord, TermRecord, Value,
+    from_value, BindingRecord, Changes, JobRecord, LeaderRecord, Page, ProgressPage, Recorded,
+    RosterPage, RosterRecord, StartedArraysRecord, TermRecord, Value,
 };
 use wire::users::{Job, MOST_TASKS};
 
@@ -27,7 +27,7 @@
     /// CPUs and GPUs of all tasks.
     pub resources: (f64, f64),
     /// When this controller learned that the job is terminal.
-    pub over_since: Option<Instant>,
+    pub terminal_since: Option<Instant>,
     /// The job itself, while it is open.
     pub job: Option<Rc<Job>>,
     /// Done tasks as the store knows them, as a bitmap.
@@ -69,7 +69,7 @@
         if other.version > self.version || is_terminal(&other) && !is_terminal(self) {
             *self = other;
         } else if is_terminal(&other) {
-            self.over_since = other.over_since;
+            self.terminal_since = other.terminal_since;
         } else if !is_terminal(self) {
             self.progress.join(0, other.progress.bytes());
         }
@@ -117,7 +117,7 @@
     /// Machines of each gang's newest binding, by record.
     pub bindings: BTreeMap<String, BTreeMap<u32, BindingRecord>>,
     /// Which arrays may have begun.
-    pub begun: BegunRecord,
+    pub started_arrays: StartedArraysRecord,
     /// Versions of what the leader writes, jobs and leadership apart.
     pub versions: Versions,
     /// Progress that came before its job's record while loading.
@@ -249,9 +249,9 @@
                     .or_default()
                     .insert(chunk, b);
             }
-        } else if key == keys::BEGUN {
-            if let Some(b) = from_value::<BegunRecord>(value) {
-                self.begun = b;
+        } else if key == keys::STARTED_ARRAYS {
+            if let Some(b) = from_value::<StartedArraysRecord>(value) {
+                self.started_arrays = b;
             }
         } else if key == keys::LEADER {
             self.leader = from_value(value).map(|l| (l, version));
@@ -310,13 +310,13 @@
     }
 
     /// Ids, teams and resources of the jobs of which it became known within `span` that they are cancelled.
-    pub fn lately_cancelled(&self, span: Duration) -> Vec<(String, String, (f64, f64))> {
-        let lately = |e: &JobEntry| {
-            e.state == Recorded::Cancelled && e.over_since.is_some_and(|t| t.elapsed() < span)
+    pub fn recently_cancelled(&self, span: Duration) -> Vec<(String, String, (f64, f64))> {
+        let recently = |e: &JobEntry| {
+            e.state == Recorded::Cancelled && e.terminal_since.is_some_and(|t| t.elapsed() < span)
         };
         self.jobs
             .iter()
-            .filter(|(_, e)| lately(e))
+            .filter(|(_, e)| recently(e))
             .map(|(id, e)| (id.clone(), e.team.clone(), e.resources))
             .collect()
     }
@@ -358,7 +358,7 @@
                 r.job.cpus * f64::from(r.job.tasks),
                 r.job.gpus * f64::from(r.job.tasks),
             ),
-            over_since: (!open).then(Instant::now),
+            terminal_since: (!open).then(Instant::now),
             job: open.then(|| Rc::new(r.job)),
             progress,
         };
@@ -373,7 +373,7 @@
         if entry.version < version {
             entry.version = version;
             Self::close(entry, Recorded::Done);
-            entry.over_since = Some(Instant::now());
+            entry.terminal_since = Some(Instant::now());
         }
     }
 
--- a/crates/store/tests/keys.rs
+++ b/crates/store/tests/keys.rs
@@ -1,12 +1,22 @@
 //! The names of the keys, as they stand in the state service.
 
 use store::keys::{
-    binding, job, progress, roster, Kind, ALL, BEGUN, BINDING, JOBS, LEADER, PROGRESS, ROSTER, TERM,
+    binding, job, progress, roster, Kind, ALL, BINDING, JOBS, LEADER, PROGRESS, ROSTER,
+    STARTED_ARRAYS, TERM,
 };
 
 #[test]
 fn keys_have_the_names_that_the_state_service_holds() {
-    let fixed = [ALL, LEADER, TERM, JOBS, PROGRESS, ROSTER, BINDING, BEGUN];
+    let fixed = [
+        ALL,
+        LEADER,
+        TERM,
+        JOBS,
+        PROGRESS,
+        ROSTER,
+        BINDING,
+        STARTED_ARRAYS,
+    ];
     let names = [
         "lr/",
         "lr/leader",
@@ -33,7 +43,7 @@
         ("lr/progress/12", Kind::Progress),
         ("lr/roster/0", Kind::Roster),
         ("lr/binding/wk-000412/3", Kind::Binding),
-        ("lr/begun", Kind::Begun),
+        ("lr/begun", Kind::StartRecord),
         ("lr/begun/1", Kind::Other),
         ("lr/", Kind::Other),
         ("other/job/wk-000412", Kind::Other),
--- a/crates/store/tests/leadership.rs
+++ b/crates/store/tests/leadership.rs
@@ -19,23 +19,23 @@
     leases: RefCell<BTreeSet<u64>>,
     revision: RefCell<u64>,
     late: RefCell<Vec<Txn>>,
-    trouble: u32,
+    inject_fault: u32,
 }
 
 impl StandIn {
-    fn new(seed: u64, trouble: u32) -> StandIn {
+    fn new(seed: u64, inject_fault: u32) -> StandIn {
         StandIn {
             rng: RefCell::new(fastrand::Rng::with_seed(seed)),
             keys: RefCell::default(),
             leases: RefCell::default(),
             revision: RefCell::new(0),
             late: RefCell::default(),
-            trouble,
+            inject_fault,
         }
     }
 
     fn unlucky(&self) -> bool {
-        self.rng.borrow_mut().u32(0..100) < self.trouble
+        self.rng.borrow_mut().u32(0..100) < self.inject_fault
     }
 
     fn lost<T>() -> Result<T, StoreError> {
@@ -147,22 +147,22 @@
         let mut leaders: BTreeMap<String, LeadershipLease> = BTreeMap::new();
         let mut tokens: BTreeSet<u64> = BTreeSet::new();
         for _ in 0..60 {
-            let me = format!("rung-{}", rng.u32(0..4));
-            match leaders.get(&me).cloned() {
-                Some(mut w) => match smol::block_on(next_token(&s, &me, &w)) {
+            let member = format!("rung-{}", rng.u32(0..4));
+            match leaders.get(&member).cloned() {
+                Some(mut w) => match smol::block_on(next_token(&s, &member, &w)) {
                     Ok(Some((token, version))) => {
                         assert!(tokens.insert(token), "seed {seed}: token {token} twice");
                         assert!(token > w.token);
                         (w.token, w.version) = (token, version);
-                        leaders.insert(me, w);
+                        leaders.insert(member, w);
                         moved += 1;
                     }
                     Ok(None) => {
-                        leaders.remove(&me);
+                        leaders.remove(&member);
                     }
                     Err(_) => unknown += 1,
                 },
-                None => match smol::block_on(take(&s, &me, Duration::from_secs(2))) {
+                None => match smol::block_on(take(&s, &member, Duration::from_secs(2))) {
                     Ok(Some(w)) => {
                         assert!(
                             tokens.insert(w.token),
@@ -173,7 +173,7 @@
                             tokens.last() == Some(&w.token),
                             "seed {seed}: an older token"
                         );
-                        leaders.insert(me, w);
+                        leaders.insert(member, w);
                         taken += 1;
                     }
                     Ok(None) => {}
@@ -182,7 +182,7 @@
             }
             let believe: Vec<_> = leaders
                 .iter()
-                .filter(|(_, w)| s.leases.borrow().contains(&w.lease))
+                .filter(|(_, w)| s.leases.borrow().contains(&w.lease_id))
                 .collect();
             assert!(
                 believe.len() <= 1,
@@ -204,7 +204,7 @@
                 let lease = s.keys.borrow().get(keys::LEADER).and_then(|(_, _, l)| *l);
                 lease.into_iter().for_each(|l| s.end(l));
                 let running = s.leases.borrow().clone();
-                leaders.retain(|_, w| running.contains(&w.lease));
+                leaders.retain(|_, w| running.contains(&w.lease_id));
             }
         }
     }
--- a/crates/store/tests/versions.rs
+++ b/crates/store/tests/versions.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 use store::versions::*;
-use wire::store::{to_value, BegunRecord, Condition, Write};
+use wire::store::{to_value, Condition, StartedArraysRecord, Write};
 
 /// A state service that carries writes out late, and again, and loses answers. A roster that
 /// lost its newest machines to an older write of the same leader would let the next leader
@@ -42,7 +42,7 @@
             let late = rng.u32(0..4) == 0;
             let ok = !late && apply(&mut store, &mut revision, &txn);
             if ok && rng.u32(0..4) > 0 {
-                let value = to_value(&BegunRecord {
+                let value = to_value(&StartedArraysRecord {
                     upto: content,
                     waiting: Vec::new(),
                 });
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -13,7 +13,7 @@
 /// Largest request body that the protocol allows, in bytes.
 pub const BODY_LIMIT: usize = 64 * 1024;
 
-/// Seconds after which a worker drops the response to a report (a figure of the protocol).
+/// Seconds after which a worker drops the response to a heartbeat (a figure of the protocol).
 pub const ANSWER_DROPPED_S: f64 = 4.0;
 
 /// A task's name on the wire: `JOB/INDEX`.
--- a/crates/wire/src/peers.rs
+++ b/crates/wire/src/peers.rs
@@ -49,17 +49,17 @@
     pub kind: String,
     pub zone: String,
     pub spot: bool,
-    pub session: u64,
+    pub incarnation: u64,
     /// The lease has certainly ended and nothing newer was heard.
     pub lapsed: bool,
     pub notice_s: Option<f64>,
-    /// What the newest report that counts shows.
+    /// What the newest heartbeat that counts shows.
     pub tasks: Vec<TaskStatus>,
-    /// Starts decided that no report has settled yet.
+    /// Starts decided that no heartbeat has settled yet.
     pub pending: Vec<TaskRef>,
     /// Whether the owner may still place tasks there, as it was last told.
     pub usable: bool,
-    /// Its reports arrive, but answers don't reach it: nothing is placed there meanwhile.
+    /// Its heartbeats arrive, but answers don't reach it: nothing is placed there meanwhile.
     pub unreachable: bool,
 }
 
@@ -85,7 +85,7 @@
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum ToOwner {
     /// A new token and the owners under it. `prev` is the token that it follows for an owner
-    /// whose records go on; any other owner starts anew. No earlier owner can answer reports
+    /// whose records go on; any other owner starts anew. No earlier owner can answer heartbeats
     /// after `extra_ms` from the receipt.
     Epoch {
         token: u64,
@@ -124,7 +124,7 @@
         requirements: TaskRequirements,
         tasks: Vec<(u32, u32)>,
     },
-    /// Array tasks to start on whichever machine of the part reports capacity for them first; what
+    /// Array tasks to start on whichever machine of the part heartbeats capacity for them first; what
     /// found none in time is handed back.
     AssignBacklog {
         job: String,
--- a/crates/wire/src/store.rs
+++ b/crates/wire/src/store.rs
@@ -187,13 +187,13 @@
 /// Tasks of the arrays accepted up to a revision may have been given out, less those accepted at
 /// the revisions that are named as waiting; of later ones certainly none.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct BegunRecord {
+pub struct StartedArraysRecord {
     pub upto: u64,
     #[serde(default)]
     pub waiting: Vec<u64>,
 }
 
-impl BegunRecord {
+impl StartedArraysRecord {
     /// Whether tasks of an array accepted at this revision may have been given out.
     pub fn covers(&self, revision: u64) -> bool {
         revision <= self.upto && !self.waiting.contains(&revision)
--- a/crates/wire/src/workers.rs
+++ b/crates/wire/src/workers.rs
@@ -1,4 +1,4 @@
-//! Reports of workers and the orders they get back.
+//! Heartbeats of workers and the orders they get back.
 
 use serde::{Deserialize, Serialize};
 
@@ -34,9 +34,9 @@
     Error,
 }
 
-/// One task in a report.
+/// One task in a heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct TaskReport {
+pub struct ReportedTask {
     #[serde(rename = "ticket")]
     pub task: String,
     #[serde(rename = "try")]
@@ -49,9 +49,9 @@
     pub saved: Option<bool>,
 }
 
-/// A worker's report.
+/// A worker's heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct Heartbeat {
     #[serde(rename = "rung")]
     pub machine: String,
     #[serde(default)]
@@ -63,7 +63,7 @@
     #[serde(rename = "loaners")]
     pub spot: bool,
     #[serde(rename = "shift")]
-    pub session: u64,
+    pub incarnation: u64,
     #[serde(rename = "tick")]
     pub seq: u64,
     #[serde(rename = "baton")]
@@ -75,7 +75,7 @@
     )]
     pub notice_s: Option<f64>,
     #[serde(rename = "tickets")]
-    pub tasks: Vec<TaskReport>,
+    pub tasks: Vec<ReportedTask>,
 }
 
 /// An order to a worker.
@@ -106,7 +106,7 @@
     },
 }
 
-/// The answer to a report.
+/// The answer to a heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Orders {
     #[serde(rename = "baton")]
@@ -117,7 +117,7 @@
 
 /// Sends a worker to another controller.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ReportTo {
+pub struct Redirect {
     #[serde(rename = "foreman", skip_serializing_if = "Option::is_none")]
     pub member: Option<String>,
 }
--- a/crates/wire/tests/encodings/peers.rs
+++ b/crates/wire/tests/encodings/peers.rs
@@ -62,7 +62,7 @@
         kind: "g8".into(),
         zone: "a".into(),
         spot: true,
-        session: 2,
+        incarnation: 2,
         lapsed: false,
         notice_s,
         tasks,
--- a/crates/wire/tests/encodings/store.rs
+++ b/crates/wire/tests/encodings/store.rs
@@ -4,9 +4,9 @@
 use crate::users::{bare_job, job};
 use ciborium::cbor;
 use wire::store::{
-    BegunRecord, BindingRecord, Change, Changes, Condition, Conflict, Item, JobRecord,
-    LeaderRecord, LeaseAsk, LeaseId, Page, ProgressPage, Recorded, Revision, RosterPage,
-    RosterRecord, TermRecord, Txn, Value, Write,
+    BindingRecord, Change, Changes, Condition, Conflict, Item, JobRecord, LeaderRecord, LeaseAsk,
+    LeaseId, Page, ProgressPage, Recorded, Revision, RosterPage, RosterRecord, StartedArraysRecord,
+    TermRecord, Txn, Value, Write,
 };
 
 fn value() -> Value {
@@ -126,7 +126,7 @@
         attempt: (41 << 24) | 5,
         places: vec![("host-000001".into(), 0, 12), ("host-000003".into(), 12, 4)],
     };
-    let begun = BegunRecord {
+    let start_record = StartedArraysRecord {
         upto: 431,
         waiting: vec![400, 412],
     };
@@ -141,8 +141,8 @@
         fields("roster_page", &roster),
         body("roster_page_empty", &RosterPage::default()),
         fields("binding", &binding),
-        fields("begun", &begun),
-        body("begun_none", &BegunRecord::default()),
+        fields("begun", &start_record),
+        body("begun_none", &StartedArraysRecord::default()),
         fields("leader", &leader),
         fields("term", &TermRecord { term: 1 << 33 }),
     ]
--- a/crates/wire/tests/encodings/workers.rs
+++ b/crates/wire/tests/encodings/workers.rs
@@ -1,7 +1,7 @@
-//! Samples of reports and orders.
+//! Samples of heartbeats and orders.
 
 use crate::sample::{body, fields, Sample};
-use wire::workers::{Order, Orders, Report, ReportTo, TaskReport, TaskState, Why};
+use wire::workers::{Heartbeat, Order, Orders, Redirect, ReportedTask, TaskState, Why};
 
 pub const STATES: [(&str, TaskState); 5] = [
     ("fetching", TaskState::Fetching),
@@ -22,8 +22,8 @@
     ("error", Why::Error),
 ];
 
-fn task_report(state: TaskState, why: Option<Why>, saved: Option<bool>) -> TaskReport {
-    TaskReport {
+fn task_report(state: TaskState, why: Option<Why>, saved: Option<bool>) -> ReportedTask {
+    ReportedTask {
         task: "wk-000412/3".into(),
         attempt: (41 << 24) | 9,
         state,
@@ -32,14 +32,14 @@
     }
 }
 
-fn report(tasks: Vec<TaskReport>, notice_s: Option<f64>) -> Report {
-    Report {
+fn report(tasks: Vec<ReportedTask>, notice_s: Option<f64>) -> Heartbeat {
+    Heartbeat {
         machine: "host-000231".into(),
         addr: "10.1.0.232:9000".into(),
         kind: "g8".into(),
         zone: "a".into(),
         spot: true,
-        session: 2,
+        incarnation: 2,
         seq: 88,
         token: 41,
         notice_s,
@@ -96,8 +96,8 @@
             },
         ),
         body("orders_none", &none),
-        fields("report_to", &ReportTo { member }),
-        body("report_to_nobody", &ReportTo { member: None }),
+        fields("report_to", &Redirect { member }),
+        body("report_to_nobody", &Redirect { member: None }),
     ]
 }
 
--- a/crates/wire/tests/examples.rs
+++ b/crates/wire/tests/examples.rs
@@ -7,7 +7,7 @@
 use wire::cbor::{decode, encode};
 use wire::peers::{frame, unframe, ToLeader, ToOwner};
 use wire::users::{valid_id, Job, Priority, Shape};
-use wire::workers::{Order, Orders, Report, TaskState, Why};
+use wire::workers::{Heartbeat, Order, Orders, TaskState, Why};
 
 fn bytes(v: &Value) -> Vec<u8> {
     encode(v)
@@ -105,8 +105,11 @@
             {"ticket" => "wk-000398/1", "try" => 1, "standing" => "exited", "cause" => "stopped", "stored" => true},
             {"ticket" => "wk-000398/2", "try" => 1, "standing" => "exited", "cause" => "something new"}]})
     .unwrap();
-    let r: Report = decode(&bytes(&report)).unwrap();
-    assert_eq!((r.session, r.seq, r.token, r.notice_s), (1, 88, 41, None));
+    let r: Heartbeat = decode(&bytes(&report)).unwrap();
+    assert_eq!(
+        (r.incarnation, r.seq, r.token, r.notice_s),
+        (1, 88, 41, None)
+    );
     assert_eq!(
         (r.tasks[0].state, r.tasks[1].why),
         (TaskState::Running, Some(Why::Done))
--- a/crates/wire/tests/production.rs
+++ b/crates/wire/tests/production.rs
@@ -62,7 +62,10 @@
     assert_eq!(read::<ProgressPage>("progress_page"), progress_page());
     assert_eq!(read::<RosterPage>("roster_page"), roster_page());
     assert_eq!(read::<BindingRecord>("binding"), binding_record());
-    assert_eq!(read::<BegunRecord>("begun"), begun_record());
+    assert_eq!(
+        read::<StartedArraysRecord>("begun"),
+        started_arrays_record()
+    );
     assert_eq!(read::<LeaderRecord>("leader").token, 41);
     assert_eq!(read::<TermRecord>("term").term, 41);
 }
--- a/crates/wire/tests/production/samples.rs
+++ b/crates/wire/tests/production/samples.rs
@@ -5,7 +5,7 @@
     frame, AllowedMachineType, MachineDescriptor, MachineStatus, TaskRequirements, TaskRef, TaskStatus, ToLeader, ToOwner,
 };
 use wire::store::{
-    to_value, BegunRecord, BindingRecord, JobRecord, LeaderRecord, ProgressPage, Recorded,
+    to_value, StartedArraysRecord, BindingRecord, JobRecord, LeaderRecord, ProgressPage, Recorded,
     RosterPage, RosterRecord, TermRecord,
 };
 use wire::users::Job;
@@ -68,8 +68,8 @@
     }
 }
 
-fn begun_record() -> BegunRecord {
-    BegunRecord {
+fn started_arrays_record() -> StartedArraysRecord {
+    StartedArraysRecord {
         upto: 431,
         waiting: vec![400, 412],
     }
@@ -87,7 +87,7 @@
         ("progress_page", stored(&progress_page())),
         ("roster_page", stored(&roster_page())),
         ("binding", stored(&binding_record())),
-        ("begun", stored(&begun_record())),
+        ("begun", stored(&started_arrays_record())),
         (
             "leader",
             stored(&LeaderRecord {
@@ -130,7 +130,7 @@
         kind: "g8".into(),
         zone: "a".into(),
         spot: false,
-        session: 2,
+        incarnation: 2,
         lapsed: false,
         notice_s: Some(18.5),
         tasks: vec![TaskStatus {
