--- a/crates/wire/src/cbor.rs
+++ b/crates/wire/src/cbor.rs
@@ -1,75 +1,99 @@
-//! CBOR by serde, with the protocol's view of numbers: amounts are decimals, yet an integer
-//! that a sender wrote instead is taken as well.
+//! CBOR encoding and decoding through serde.
+//!
+//! The protocol defines amounts (CPUs, gigabytes, seconds) as decimals, but senders may write a
+//! whole number as an integer; [`amount`] and [`amount_opt`] accept both.
 
-use serde::de::{Deserializer, Error as _, Visitor};
+use serde::de::{Deserializer, Error, Visitor};
 use serde::{de::DeserializeOwned, Serialize};
+use std::fmt;
 
-/// Why a body could not be read.
+/// Deepest nesting of arrays and maps that is decoded.
+const RECURSION_LIMIT: usize = 16;
+
+/// Initial capacity for an encoded value, in bytes; most bodies fit.
+const TYPICAL_BODY_BYTES: usize = 128;
+
+/// A body that could not be decoded, with the decoder's description of the fault.
 #[derive(Debug, thiserror::Error)]
 #[error("malformed body: {0}")]
 pub struct Malformed(pub String);
 
-/// Writes a value as CBOR.
+/// Encodes a value as CBOR.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
-    let mut out = Vec::with_capacity(128);
-    // Writing to memory fails only for values that can't be represented; ours all can.
+    let mut out = Vec::with_capacity(TYPICAL_BODY_BYTES);
+    // Writing to memory fails only for values that CBOR can't represent; no type here has any.
     if ciborium::into_writer(value, &mut out).is_err() {
         out.clear();
     }
     out
 }
 
-/// Reads a value from CBOR; nested bodies are limited in depth, so hostile ones cost little.
+/// Decodes a value from CBOR.
+///
+/// The depth of nesting is limited, so that a hostile body can't exhaust the stack.
 pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, Malformed> {
-    ciborium::de::from_reader_with_recursion_limit(body, 16).map_err(|e| Malformed(e.to_string()))
+    ciborium::de::from_reader_with_recursion_limit(body, RECURSION_LIMIT)
+        .map_err(|error| Malformed(error.to_string()))
 }
 
-struct Amount;
+/// Accepts a finite decimal or an integer.
+struct AmountVisitor;
 
-impl Visitor<'_> for Amount {
+impl Visitor<'_> for AmountVisitor {
     type Value = f64;
 
-    fn expecting(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
+    fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str("a finite number")
     }
-    fn visit_f64<E: serde::de::Error>(self, v: f64) -> Result<f64, E> {
-        if v.is_finite() {
-            Ok(v)
+
+    fn visit_f64<E: Error>(self, value: f64) -> Result<f64, E> {
+        if value.is_finite() {
+            Ok(value)
         } else {
             Err(E::custom("a number must be finite"))
         }
     }
-    fn visit_u64<E: serde::de::Error>(self, v: u64) -> Result<f64, E> {
-        Ok(v as f64)
+
+    fn visit_u64<E: Error>(self, value: u64) -> Result<f64, E> {
+        Ok(value as f64)
     }
-    fn visit_i64<E: serde::de::Error>(self, v: i64) -> Result<f64, E> {
-        Ok(v as f64)
+
+    fn visit_i64<E: Error>(self, value: i64) -> Result<f64, E> {
+        Ok(value as f64)
     }
 }
 
-/// Reads an amount written as decimal or integer.
-pub fn amount<'de, D: Deserializer<'de>>(d: D) -> Result<f64, D::Error> {
-    d.deserialize_any(Amount)
-}
+/// Accepts what [`AmountVisitor`] accepts, or null.
+struct OptionalAmountVisitor;
 
-/// Reads an amount that may be null.
-pub fn amount_opt<'de, D: Deserializer<'de>>(d: D) -> Result<Option<f64>, D::Error> {
-    struct Opt;
-    impl<'de> Visitor<'de> for Opt {
-        type Value = Option<f64>;
-        fn expecting(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-            f.write_str("a number or null")
-        }
-        fn visit_none<E: serde::de::Error>(self) -> Result<Self::Value, E> {
-            Ok(None)
-        }
-        fn visit_unit<E: serde::de::Error>(self) -> Result<Self::Value, E> {
-            Ok(None)
-        }
-        fn visit_some<D: Deserializer<'de>>(self, d: D) -> Result<Self::Value, D::Error> {
-            amount(d).map(Some)
-        }
+impl<'de> Visitor<'de> for OptionalAmountVisitor {
+    type Value = Option<f64>;
+
+    fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        f.write_str("a number or null")
     }
-    d.deserialize_option(Opt)
-        .map_err(|e| D::Error::custom(e.to_string()))
+
+    fn visit_none<E: Error>(self) -> Result<Self::Value, E> {
+        Ok(None)
+    }
+
+    fn visit_unit<E: Error>(self) -> Result<Self::Value, E> {
+        Ok(None)
+    }
+
+    fn visit_some<D: Deserializer<'de>>(self, deserializer: D) -> Result<Self::Value, D::Error> {
+        amount(deserializer).map(Some)
+    }
+}
+
+/// Deserializes an amount: a finite decimal or an integer. For `deserialize_with`.
+pub fn amount<'de, D: Deserializer<'de>>(deserializer: D) -> Result<f64, D::Error> {
+    deserializer.deserialize_any(AmountVisitor)
+}
+
+/// Deserializes an amount that may be null. For `deserialize_with`.
+pub fn amount_opt<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<f64>, D::Error> {
+    deserializer
+        .deserialize_option(OptionalAmountVisitor)
+        .map_err(|error| D::Error::custom(error.to_string()))
 }
--- a/crates/wire/src/peers.rs
+++ b/crates/wire/src/peers.rs
@@ -1,206 +1,306 @@
 //! Messages on the controllers' own port: length-prefixed bitcode frames.
 //!
-//! A frame is four bytes of length (big endian), one byte of version, and the message.
-//! Unknown versions and anything that does not decode end the connection.
+//! A frame consists of its length in four bytes (big endian, without these four), one byte of
+//! version, and the message. A frame of an unknown version, or one that can't be decoded, ends the
+//! connection. The order of fields and variants is part of the format.
+//!
+//! Tasks of one job are listed as runs `(first index, number of tasks)`; places on machines as
+//! `(machine, first index, number of tasks)`.
 
 use crate::cloud::MachineType;
 use crate::workers::{TaskState, Why};
 use bitcode::{Decode, Encode};
 
-/// Version of this format; controllers of different versions do not talk.
+/// Version of this format. Controllers with different versions don't communicate.
 pub const VERSION: u8 = 3;
-/// Largest frame that is accepted.
+
+/// Largest frame that is accepted, in bytes.
 pub const FRAME_LIMIT: usize = 1 << 20;
 
-/// A start of a task: job, index and attempt.
+/// Size of the length at the start of a frame, in bytes.
+pub const LENGTH_BYTES: usize = 4;
+
+/// Size of the version that precedes the message, in bytes.
+const VERSION_BYTES: usize = 1;
+
+/// One attempt of a task.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct TaskRef {
+    /// Id of the job.
     pub job: String,
+    /// Index of the task in its job.
     pub index: u32,
+    /// Number of the attempt, unique among all leaders.
     pub attempt: u64,
 }
 
-/// What a task takes of its machine, and where it may be.
+/// What a task needs of its machine, and where it may run.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct TaskRequirements {
+    /// CPUs.
     pub cpus: f64,
+    /// GPUs.
     pub gpus: f64,
+    /// Memory, in gigabytes.
     pub memory_gb: f64,
+    /// Name of the image.
     pub image: String,
+    /// Size of the image, in gigabytes.
     pub image_gb: f64,
+    /// Machine types on which the task may run.
     pub kinds: Vec<AllowedMachineType>,
+    /// Zone in which it has to run; any if none.
     pub zone: Option<String>,
 }
 
-/// A machine type that a task may use, as spot or ordinary; a lower tier is preferred.
+/// A machine type on which a task may run.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct AllowedMachineType {
+    /// Name of the machine type.
     pub kind: String,
+    /// Whether this is about its spot machines or its ordinary ones.
     pub spot: bool,
+    /// Preference; a lower tier is preferred.
     pub tier: u8,
 }
 
-/// A machine as its owner sees it.
+/// A machine as the owner of its shard sees it.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct MachineStatus {
-    /// Token of the epoch under which this was seen.
+    /// Fencing token of the epoch in which this was observed.
     pub token: u64,
+    /// Name of the machine.
     pub name: String,
+    /// Name of its machine type.
     pub kind: String,
+    /// Its zone.
     pub zone: String,
+    /// Whether it is a spot machine.
     pub spot: bool,
+    /// Incarnation of its worker.
     pub incarnation: u64,
-    /// The lease has certainly ended and nothing newer was heard.
+    /// Whether its lease has certainly ended and no newer incarnation has sent a heartbeat.
     pub lapsed: bool,
+    /// Seconds until the cloud takes the machine back, once it has given notice.
     pub notice_s: Option<f64>,
-    /// What the newest heartbeat that counts shows.
+    /// Tasks in the newest heartbeat that counts.
     pub tasks: Vec<TaskStatus>,
-    /// Starts decided that no heartbeat has settled yet.
+    /// Decided starts that no heartbeat has confirmed or ruled out yet.
     pub pending: Vec<TaskRef>,
-    /// Whether the owner may still place tasks there, as it was last told.
+    /// Whether the owner may still place tasks there, by the leader's last message.
     pub usable: bool,
-    /// Its heartbeats arrive, but answers don't reach it: nothing is placed there meanwhile.
+    /// Whether its heartbeats arrive while the responses don't reach it. Nothing is placed there
+    /// meanwhile.
     pub unreachable: bool,
 }
 
+/// A task in a [`MachineStatus`].
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct TaskStatus {
+    /// The task and its attempt.
     pub task: TaskRef,
+    /// Its state.
     pub state: TaskState,
+    /// Why it exited; only with [`TaskState::Exited`].
     pub why: Option<Why>,
+    /// Whether it saved its state before it stopped.
     pub saved: bool,
 }
 
-/// A machine as the leader hands it to an owner.
+/// A machine that the leader assigns to an owner's shard.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct MachineDescriptor {
+    /// Name of the machine.
     pub name: String,
+    /// Name of its machine type.
     pub kind: String,
+    /// Its zone.
     pub zone: String,
+    /// Whether it is a spot machine.
     pub spot: bool,
+    /// Whether the owner may place tasks there.
     pub usable: bool,
 }
 
-/// From the leader to an owner.
+/// A message from the leader to the owner of a shard.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum ToOwner {
-    /// A new token and the owners under it. `prev` is the token that it follows for an owner
-    /// whose records go on; any other owner starts anew. No earlier owner can answer heartbeats
-    /// after `extra_ms` from the receipt.
+    /// Begins an epoch.
     Epoch {
+        /// Fencing token of the epoch.
         token: u64,
+        /// Token of the preceding epoch if the owner keeps its records; any other owner starts
+        /// without records.
         prev: u64,
+        /// Owners of the epoch; they determine the shards.
         members: Vec<String>,
+        /// Milliseconds after the receipt until no earlier owner can respond to heartbeats any
+        /// more.
         extra_ms: u64,
+        /// Machines of the owner's shard.
         machines: Vec<MachineDescriptor>,
     },
+    /// The cloud's machine types.
     Catalog {
+        /// All machine types.
         types: Vec<MachineType>,
     },
-    /// Answers ping `n`: authority for `valid_ms`, counted from the ping's sending.
+    /// Response to a ping: extends the owner's authority.
     Grant {
+        /// Number of the ping.
         n: u64,
+        /// Fencing token of the epoch.
         token: u64,
+        /// How long the authority lasts, in milliseconds from the sending of the ping.
         valid_ms: u64,
     },
-    /// Answers ping `n`, in order with all else: what the store held `age_ms` ago is known to the
-    /// leader, and what follows of it was sent before this.
+    /// Response to a ping: the age of the leader's view of the store. It is sent after everything
+    /// that follows from that view, so an owner that reads it has read the rest.
     ViewAge {
+        /// Number of the ping.
         n: u64,
+        /// Age of the view, in milliseconds.
         age_ms: u64,
     },
-    /// Jobs that are done or cancelled: none of their tasks may start, and what runs is stopped.
+    /// Jobs that are done or cancelled. None of their tasks may start; running ones are stopped.
     Terminal {
+        /// Ids of the jobs.
         jobs: Vec<String>,
     },
+    /// Whether tasks may be placed on a machine from now on.
     SetUsable {
+        /// Name of the machine.
         machine: String,
+        /// Whether tasks may be placed there.
         usable: bool,
     },
-    /// Array tasks to place and start in the owner's part.
+    /// Tasks of an array to place and start on the owner's shard.
     Assign {
+        /// Id of the job.
         job: String,
+        /// Attempt of all these tasks.
         attempt: u64,
+        /// What each task requires.
         requirements: TaskRequirements,
+        /// Runs of tasks.
         tasks: Vec<(u32, u32)>,
     },
-    /// Array tasks to start on whichever machine of the part heartbeats capacity for them first; what
-    /// found none in time is handed back.
+    /// Tasks of an array to start on the first machine of the shard whose heartbeat shows enough
+    /// capacity. Those not started in time are handed back.
     AssignBacklog {
+        /// Id of the job.
         job: String,
+        /// Attempt of all these tasks.
         attempt: u64,
+        /// What each task requires.
         requirements: TaskRequirements,
+        /// Runs of tasks.
         tasks: Vec<(u32, u32)>,
+        /// How long the owner keeps them, in milliseconds from the receipt.
         wait_ms: u64,
     },
-    /// Set capacity aside for tasks of a gang.
+    /// Reserves capacity for tasks of a gang.
     Reserve {
+        /// Id of the job.
         job: String,
+        /// Attempt of the gang; identifies the reservation.
         attempt: u64,
+        /// What each task requires.
         requirements: TaskRequirements,
+        /// Places of the tasks.
         places: Vec<(String, u32, u32)>,
+        /// How long the reservation lasts, in milliseconds from the receipt.
         wait_ms: u64,
     },
+    /// Starts the tasks of a reservation.
     Bind {
+        /// Attempt of the reservation.
         attempt: u64,
     },
+    /// Releases a reservation without starting its tasks.
     ReleaseReservation {
+        /// Attempt of the reservation.
         attempt: u64,
     },
+    /// Stops a task.
     Stop {
+        /// Machine on which it runs.
         machine: String,
+        /// The task and its attempt.
         task: TaskRef,
+        /// Time that the task has to save its state, in seconds.
         grace_s: f64,
     },
+    /// Removes an exited task from its machine; its exit has been recorded.
     Clear {
+        /// Machine on which it ran.
         machine: String,
+        /// The task and its attempt.
         task: TaskRef,
     },
-    /// Running tasks per job, for display.
+    /// Running tasks, for the responses to users' queries.
     RunningCounts {
+        /// Job and the number of its running tasks.
         running: Vec<(String, u32)>,
     },
 }
 
-/// From an owner (or a controller that wants to be one) to the leader.
+/// A message to the leader from the owner of a shard, or from a controller that offers to be one.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum ToLeader {
+    /// First message of a connection.
     Hello {
+        /// Name of the controller.
         member: String,
+        /// Identifies the controller's process.
         start: u64,
+        /// Number of the connection among those of this process; a lower one is stale.
         count: u64,
     },
+    /// Asks for [`ToOwner::Grant`] and [`ToOwner::ViewAge`].
     Ping {
+        /// Number of the ping.
         n: u64,
     },
-    /// Machines of which something has changed.
+    /// Machines whose status has changed.
     MachineStatuses(Vec<MachineStatus>),
+    /// Assigned tasks that the owner did not start and does not keep.
     HandBack {
+        /// Id of the job.
         job: String,
+        /// Attempt under which they were assigned.
         attempt: u64,
+        /// Runs of tasks.
         tasks: Vec<(u32, u32)>,
     },
+    /// Response to [`ToOwner::Reserve`].
     ReserveResult {
+        /// Attempt of the reservation.
         attempt: u64,
+        /// Whether all of the capacity is reserved.
         reserved: bool,
     },
-    /// This controller has confirmed a cancellation; the leader may see it later in the store.
+    /// This controller has confirmed a cancellation, which the leader may not have read from the
+    /// store yet.
     Cancelled {
+        /// Id of the job.
         job: String,
     },
 }
 
-/// Writes a message as a frame.
+/// Encodes a message as a frame.
 pub fn frame<T: Encode>(message: &T) -> Vec<u8> {
     let body = bitcode::encode(message);
-    let mut out = Vec::with_capacity(body.len() + 5);
-    out.extend_from_slice(&(body.len() as u32 + 1).to_be_bytes());
+    let length = (body.len() + VERSION_BYTES) as u32;
+    let mut out = Vec::with_capacity(LENGTH_BYTES + VERSION_BYTES + body.len());
+    out.extend_from_slice(&length.to_be_bytes());
     out.push(VERSION);
     out.extend_from_slice(&body);
     out
 }
 
-/// Reads the inside of a frame (version and message); none for anything not ours.
+/// Decodes what follows a frame's length: version and message. `None` if the version is another or
+/// the message can't be decoded.
 pub fn unframe<T: for<'a> Decode<'a>>(inside: &[u8]) -> Option<T> {
     let (version, body) = inside.split_first()?;
     if *version != VERSION {
--- a/crates/wire/src/store.rs
+++ b/crates/wire/src/store.rs
@@ -3,129 +3,167 @@
 use crate::users::Job;
 use serde::{Deserialize, Serialize};
 
-/// Any value kept in the store.
+/// Any CBOR value; what the store keeps under a key.
 pub use ciborium::Value;
 
+/// A key with its value.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Item {
+    /// The key.
     #[serde(rename = "k")]
     pub key: String,
+    /// Its value.
     #[serde(rename = "v")]
     pub value: Value,
+    /// Revision of the last write of the key.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
 
+/// One page of the keys with a prefix, in the order of the keys.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Page {
+    /// The keys of this page.
     pub items: Vec<Item>,
+    /// Whether another page follows.
     #[serde(default)]
     pub more: bool,
+    /// Revision of the store at which the page was read.
     #[serde(rename = "ledger_rev")]
     pub revision: u64,
 }
 
+/// Condition of a transaction: a key is at a version.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Condition {
+    /// The key.
     #[serde(rename = "k")]
     pub key: String,
+    /// Version that it has to have; 0 if it must not exist.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
 
-/// One change of a transaction.
+/// One change in a transaction.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Write {
+    /// Creates or replaces a key.
     Put {
+        /// The key.
         #[serde(rename = "write")]
         key: String,
+        /// Its new value.
         #[serde(rename = "v")]
         value: Value,
+        /// Lease with which the key is deleted; none if it is to stay.
         #[serde(rename = "permit", skip_serializing_if = "Option::is_none", default)]
         lease: Option<u64>,
     },
+    /// Deletes a key.
     Drop {
+        /// The key.
         #[serde(rename = "drop")]
         key: String,
     },
 }
 
+/// A transaction: all writes are applied if all conditions hold, and none otherwise.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Txn {
+    /// The conditions.
     #[serde(rename = "if")]
     pub conditions: Vec<Condition>,
+    /// The writes.
     pub writes: Vec<Write>,
 }
 
+/// Response to a transaction that was applied.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Revision {
+    /// Revision of the store that the transaction created.
     #[serde(rename = "ledger_rev", default)]
     pub revision: u64,
 }
 
-/// Why a transaction was not applied.
+/// Response to a transaction that was not applied because a condition does not hold.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Conflict {
+    /// Keys whose conditions do not hold.
     #[serde(default)]
     pub failed: Vec<String>,
 }
 
+/// Request for a lease.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LeaseAsk {
+    /// Time to live without a renewal, in milliseconds.
     pub ttl_ms: u64,
 }
 
+/// Response to a request for a lease.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LeaseId {
+    /// Id of the lease.
     #[serde(rename = "permit")]
     pub lease: u64,
 }
 
-/// A change seen by a watch: a put has a value, a drop has none.
+/// A change of a key in a watch's response: either `put` or `dropped` is present.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Change {
+    /// Key that was written.
     #[serde(rename = "write", default)]
     pub put: Option<String>,
+    /// Key that was deleted.
     #[serde(rename = "drop", default)]
     pub dropped: Option<String>,
+    /// New value of a key that was written.
     #[serde(rename = "v", default)]
     pub value: Option<Value>,
+    /// Revision of the change.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
 
+/// Response to a watch.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Changes {
+    /// Revision up to which the changes are complete.
     #[serde(rename = "ledger_rev")]
     pub revision: u64,
+    /// The changes since the requested revision.
     #[serde(rename = "news")]
     pub changes: Vec<Change>,
 }
 
-// ---- the controllers' records ----
-
-/// State of a job as the store holds it; the record is the job's only truth.
+/// State of a job in its record, which is the only authority on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Recorded {
+    /// Accepted, and neither done nor cancelled.
     Open,
+    /// Every task is done. Terminal.
     Done,
+    /// Cancelled by its user. Terminal.
     Cancelled,
 }
 
-/// A job's record.
+/// Record of a job.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct JobRecord {
+    /// State of the job.
     pub state: Recorded,
-    /// Time of day at acceptance, in milliseconds, for people.
+    /// Unix time of the acceptance, in milliseconds. Informational only: the controllers' clocks
+    /// differ.
     pub created_ms: u64,
+    /// The job as its user submitted it.
     pub job: Job,
 }
 
 impl JobRecord {
-    /// The record of a job that is over. It leaves out what only an open job needs, so that it also
-    /// fits where the limit of a value has become smaller since the job was accepted.
+    /// The record of a terminal job, without the fields that only an open job needs, so that it
+    /// fits also if the store's limit of a value has been lowered since the job was accepted.
     pub fn terminal(state: Recorded, created_ms: u64, job: &Job) -> JobRecord {
         let job = Job {
             types: None,
@@ -140,79 +178,92 @@
     }
 }
 
-/// Which tasks of some jobs are done, as bitmaps in hexadecimal. Readers join all bitmaps of a job.
+/// Which tasks of some jobs are done, as bitmaps in hexadecimal. If a job has several bitmaps,
+/// their union counts.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ProgressPage {
-    /// Job, number of the chunk, bitmap. Up to version 0.1 a chunk began at its number times a size that
-    /// depends on the settings. Chunk 0 begins at task 0 whatever the size, and only it is written now.
+    /// Job, number of the chunk, bitmap. Up to version 0.1 a chunk began at its number times a size
+    /// from the settings. Chunk 0 begins at task 0 with any size, so only chunk 0 is written now.
     pub chunks: Vec<(String, u32, String)>,
-    /// Job, first task, bitmap: all that does not begin at task 0. Version 0.1 skips it, and would run
-    /// those tasks once more.
+    /// Job, first task, bitmap: those that do not begin at task 0. Version 0.1 ignores this field,
+    /// and would run these tasks once more.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub sections: Vec<(String, u32, String)>,
 }
 
-/// The size of a value as the store counts it, in bytes.
-pub fn value_bytes(value: &Value) -> usize {
-    crate::cbor::encode(value).len()
-}
-
 /// The leader's key, attached to its lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaderRecord {
+    /// Name of the controller that leads.
     pub member: String,
+    /// Fencing token with which it took the leadership.
     pub token: u64,
 }
 
-/// The durable term; the highest token ever given out.
+/// The durable term: the highest fencing token ever issued.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TermRecord {
+    /// That token.
     pub term: u64,
 }
 
-/// A machine on which tasks may have been started.
+/// What machines on the roster have in common. A machine is on the roster while tasks may have been
+/// started there.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RosterRecord {
+    /// Name of the machine type.
     pub kind: String,
+    /// Zone.
     pub zone: String,
+    /// Whether they are spot machines.
     pub spot: bool,
 }
 
-/// Many such machines in one record, by what they share.
+/// One page of the roster.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RosterPage {
+    /// Machine names, grouped by what the machines have in common.
     pub groups: Vec<(RosterRecord, Vec<String>)>,
 }
 
-/// Tasks of the arrays accepted up to a revision may have been given out, less those accepted at
-/// the revisions that are named as waiting; of later ones certainly none.
+/// The arrays of which tasks may have been started: those accepted up to a revision, except those
+/// that are listed as waiting. A later leader need not reconcile machines for any other array.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StartedArraysRecord {
+    /// Newest revision of acceptance that is included.
     pub upto: u64,
+    /// Revisions up to `upto` at which an array was accepted that has certainly not started.
     #[serde(default)]
     pub waiting: Vec<u64>,
 }
 
 impl StartedArraysRecord {
-    /// Whether tasks of an array accepted at this revision may have been given out.
+    /// Whether tasks of an array accepted at this revision may have been started.
     pub fn covers(&self, revision: u64) -> bool {
         revision <= self.upto && !self.waiting.contains(&revision)
     }
 }
 
-/// Where a gang was bound: machine, first task, number of tasks.
+/// Where a gang was bound. Written before any of its tasks starts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BindingRecord {
+    /// Attempt of the gang.
     pub attempt: u64,
+    /// Machine, index of the first task, number of tasks.
     pub places: Vec<(String, u32, u32)>,
 }
 
-/// Turns a record into a value for the store.
+/// The size of a value as the store counts it, in bytes.
+pub fn value_bytes(value: &Value) -> usize {
+    crate::cbor::encode(value).len()
+}
+
+/// Converts a record to a value for the store.
 pub fn to_value<T: Serialize>(record: &T) -> Value {
     Value::serialized(record).unwrap_or(Value::Null)
 }
 
-/// Reads a record from the store's value.
+/// Converts a value of the store to a record; `None` if it is not one.
 pub fn from_value<T: serde::de::DeserializeOwned>(value: &Value) -> Option<T> {
     value.deserialized().ok()
 }
--- a/crates/wire/src/users.rs
+++ b/crates/wire/src/users.rs
@@ -1,8 +1,23 @@
-//! What users send and get.
+//! Messages of users: submissions, queries and cancellations, and their responses.
 
 use serde::{Deserialize, Deserializer, Serialize};
 use std::collections::HashSet;
 
+/// Largest number of tasks of one job.
+pub const MOST_TASKS: u32 = 100_000;
+
+/// Longest job id, in bytes.
+const MAX_ID_BYTES: usize = 100;
+
+/// Longest name of a class, team, image, machine type or zone, in bytes.
+const MAX_NAME_BYTES: usize = 200;
+
+/// Most machine types that one job may list.
+const MAX_TYPES: usize = 100;
+
+/// Largest amount of any kind that is accepted; real ones are far below it.
+const MAX_AMOUNT: f64 = 1e12;
+
 /// How a job's tasks belong together.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, bitcode::Encode, bitcode::Decode,
@@ -19,61 +34,85 @@
     Service,
 }
 
-/// Priority; the order of the variants is the order of the queue, most urgent first.
+/// Priority of a job. The order of the variants is the order of the queue, most urgent first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Priority {
+    /// Production work.
     Prod,
+    /// Urgent work.
     High,
+    /// The usual priority.
     Standard,
+    /// Work without urgency.
     BestEffort,
 }
 
-/// A job as its user describes it.
+/// A job as its user describes it. All resources and durations are those of one task.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Job {
+    /// Id of the job, chosen by its user; see [`valid_id`].
     #[serde(rename = "name_id")]
     pub id: String,
+    /// Class of the job, to which the service objectives refer.
     #[serde(rename = "docket")]
     pub class: String,
+    /// Team that is charged for the job.
     #[serde(rename = "crew")]
     pub team: String,
+    /// How the tasks belong together.
     pub shape: Shape,
+    /// Priority in the queue.
     #[serde(rename = "urgency")]
     pub priority: Priority,
+    /// Number of tasks.
     #[serde(rename = "tickets")]
     pub tasks: u32,
+    /// CPUs.
     #[serde(rename = "vcpus", deserialize_with = "crate::cbor::amount")]
     pub cpus: f64,
+    /// GPUs.
     #[serde(deserialize_with = "crate::cbor::amount")]
     pub gpus: f64,
+    /// Memory, in gigabytes.
     #[serde(rename = "mem_gb", deserialize_with = "crate::cbor::amount")]
     pub memory_gb: f64,
+    /// Name of the image.
     #[serde(rename = "kit")]
     pub image: String,
+    /// Size of the image, in gigabytes.
     #[serde(deserialize_with = "crate::cbor::amount")]
     pub image_gb: f64,
+    /// Machine types on which the tasks may run; any if absent.
     #[serde(rename = "chassis_list", default)]
     pub types: Option<Vec<String>>,
+    /// Zone in which the tasks have to run; any if absent.
     #[serde(rename = "yard", default)]
     pub zone: Option<String>,
+    /// Whether all tasks have to run in the same zone.
     pub one_zone: bool,
+    /// Whether at most half of the tasks, rounded up, may run in the same zone.
     pub spread: bool,
+    /// Whether the tasks may run on spot machines.
     #[serde(rename = "loaners")]
     pub spot: bool,
+    /// Expected run time, in seconds.
     #[serde(rename = "expected_s", deserialize_with = "crate::cbor::amount")]
     pub estimate_s: f64,
+    /// Interval between checkpoints, in seconds; 0 if the tasks can't save their state.
     #[serde(rename = "bookmark_s", deserialize_with = "crate::cbor::amount")]
     pub checkpoint_s: f64,
+    /// Time to save the state when a task is stopped, in seconds.
     #[serde(rename = "stash_s", deserialize_with = "crate::cbor::amount")]
     pub save_s: f64,
+    /// Time from the submission by which the job should be done, in seconds; none if absent.
     #[serde(
         rename = "due_s",
         default,
         deserialize_with = "crate::cbor::amount_opt"
     )]
     pub deadline_s: Option<f64>,
-    /// Jobs that have to be done before any task of this one starts, each once.
+    /// Jobs that have to be done before any task of this one starts, without duplicates.
     #[serde(
         rename = "awaits",
         default,
@@ -83,7 +122,7 @@
     pub dependencies: Vec<String>,
 }
 
-/// Reads a list of ids that may be null; an id that is listed twice counts once.
+/// Deserializes a list of ids that may be null, and drops duplicates.
 fn distinct_ids<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<String>, D::Error> {
     let listed = Option::<Vec<String>>::deserialize(deserializer)?.unwrap_or_default();
     let mut seen = HashSet::new();
@@ -91,32 +130,72 @@
     Ok(distinct.collect())
 }
 
-/// Largest number of tasks of one job.
-pub const MOST_TASKS: u32 = 100_000;
+/// A job that breaks a rule of the protocol. Its text is part of the response to the user.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{field}: {fault}")]
+pub struct InvalidJob {
+    /// Name of the field on the wire.
+    pub field: &'static str,
+    /// Which rule its value breaks.
+    pub fault: FieldFault,
+}
+
+/// The rule that the value of a job's field breaks.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum FieldFault {
+    /// The job's own id is not valid; see [`valid_id`].
+    #[error("not a job id")]
+    InvalidId,
+    /// The id of a dependency is not valid; see [`valid_id`].
+    #[error("{0:?} is not a job id")]
+    InvalidDependency(String),
+    /// A name is empty, longer than the limit, or contains whitespace or control characters.
+    #[error("must be 1 to {max_bytes} bytes without spaces")]
+    InvalidName {
+        /// Longest name that is allowed, in bytes.
+        max_bytes: usize,
+    },
+    /// The number of tasks is 0 or above the limit.
+    #[error("must be 1 to {max}")]
+    InvalidCount {
+        /// Largest number that is allowed.
+        max: u32,
+    },
+    /// An amount is negative, or beyond any that can occur.
+    #[error("must not be negative")]
+    InvalidAmount,
+    /// The list of machine types is too long.
+    #[error("too many types")]
+    TooManyTypes,
+}
+
+impl From<InvalidJob> for String {
+    fn from(error: InvalidJob) -> String {
+        error.to_string()
+    }
+}
 
 impl Job {
-    /// Checks what can be checked without knowing teams and machine types; names the field.
-    pub fn check(&self) -> Result<(), String> {
-        let text = |name: &str, v: &str, most: usize| {
-            if v.is_empty()
-                || v.len() > most
-                || v.chars().any(|c| c.is_control() || c.is_whitespace())
-            {
-                Err(format!("{name}: must be 1 to {most} bytes without spaces"))
-            } else {
-                Ok(())
-            }
-        };
-        valid_id(&self.id)
-            .then_some(())
-            .ok_or("name_id: not a job id")?;
-        text("docket", &self.class, 200)?;
-        text("crew", &self.team, 200)?;
-        text("kit", &self.image, 200)?;
+    /// Checks the rules that don't depend on the known teams and machine types, and returns the
+    /// first one that is broken.
+    pub fn check(&self) -> Result<(), InvalidJob> {
+        if !valid_id(&self.id) {
+            return Err(invalid("name_id", FieldFault::InvalidId));
+        }
+        check_name("docket", &self.class)?;
+        check_name("crew", &self.team)?;
+        check_name("kit", &self.image)?;
         if self.tasks == 0 || self.tasks > MOST_TASKS {
-            return Err(format!("tickets: must be 1 to {MOST_TASKS}"));
+            let fault = FieldFault::InvalidCount { max: MOST_TASKS };
+            return Err(invalid("tickets", fault));
         }
-        for (name, v) in [
+        self.check_amounts()?;
+        self.check_placement()?;
+        self.check_dependencies()
+    }
+
+    fn check_amounts(&self) -> Result<(), InvalidJob> {
+        let amounts = [
             ("gpus", self.gpus),
             ("image_gb", self.image_gb),
             ("expected_s", self.estimate_s),
@@ -125,73 +204,103 @@
             ("due_s", self.deadline_s.unwrap_or(0.0)),
             ("vcpus", self.cpus),
             ("mem_gb", self.memory_gb),
-        ] {
-            if !(0.0..=1e12).contains(&v) {
-                return Err(format!("{name}: must not be negative"));
+        ];
+        for (field, amount) in amounts {
+            if !(0.0..=MAX_AMOUNT).contains(&amount) {
+                return Err(invalid(field, FieldFault::InvalidAmount));
             }
         }
+        Ok(())
+    }
+
+    fn check_placement(&self) -> Result<(), InvalidJob> {
         if let Some(types) = &self.types {
-            if types.len() > 100 {
-                return Err("chassis_list: too many types".into());
+            if types.len() > MAX_TYPES {
+                return Err(invalid("chassis_list", FieldFault::TooManyTypes));
             }
-            for t in types {
-                text("chassis_list", t, 200)?;
+            for name in types {
+                check_name("chassis_list", name)?;
             }
         }
-        if let Some(zone) = &self.zone {
-            text("yard", zone, 200)?;
+        match &self.zone {
+            Some(zone) => check_name("yard", zone),
+            None => Ok(()),
         }
-        if let Some(id) = self.dependencies.iter().find(|id| !valid_id(id)) {
-            return Err(format!("awaits: {id:?} is not a job id"));
+    }
+
+    fn check_dependencies(&self) -> Result<(), InvalidJob> {
+        match self.dependencies.iter().find(|id| !valid_id(id)) {
+            Some(id) => Err(invalid("awaits", FieldFault::InvalidDependency(id.clone()))),
+            None => Ok(()),
         }
-        Ok(())
     }
 }
 
-/// Whether a text can be a job id: safe as a part of a store key and of a path.
+fn invalid(field: &'static str, fault: FieldFault) -> InvalidJob {
+    InvalidJob { field, fault }
+}
+
+fn check_name(field: &'static str, name: &str) -> Result<(), InvalidJob> {
+    let is_forbidden = |c: char| c.is_control() || c.is_whitespace();
+    if name.is_empty() || name.len() > MAX_NAME_BYTES || name.chars().any(is_forbidden) {
+        let max_bytes = MAX_NAME_BYTES;
+        return Err(invalid(field, FieldFault::InvalidName { max_bytes }));
+    }
+    Ok(())
+}
+
+/// Whether a text can be a job id: safe as a part of a store key and of a URL path.
 pub fn valid_id(id: &str) -> bool {
-    !id.is_empty()
-        && id.len() <= 100
-        && id
-            .bytes()
-            .all(|b| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.'))
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
+    !id.is_empty() && id.len() <= MAX_ID_BYTES && id.bytes().all(is_allowed)
 }
 
-/// What a user is told of a job.
+/// State of a job as users see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobState {
+    /// Accepted; no task runs.
     #[serde(rename = "queued")]
     Queued,
+    /// At least one task runs.
     #[serde(rename = "running")]
     Running,
+    /// Every task is done. Terminal.
     #[serde(rename = "done")]
     Done,
+    /// Cancelled by its user, or through a job that it depends on. Terminal.
     #[serde(rename = "aborted")]
     Cancelled,
 }
 
-/// The answer to submit and cancel.
+/// Response to a submission or a cancellation that was accepted.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Accepted {
+    /// Id of the job.
     #[serde(rename = "name_id")]
     pub id: String,
+    /// Its state.
     #[serde(rename = "standing")]
     pub state: JobState,
 }
 
-/// The answer to a query.
+/// Response to a query.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Progress {
+    /// Id of the job.
     #[serde(rename = "name_id")]
     pub id: String,
+    /// Its state.
     #[serde(rename = "standing")]
     pub state: JobState,
+    /// Number of tasks that are done.
     pub done: u32,
+    /// Number of tasks that run, as last known.
     pub running: u32,
 }
 
-/// The body of any answer that is not a success.
+/// Body of a response with an error status.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Refusal {
+    /// What is wrong, for people.
     pub error: String,
 }
--- a/crates/wire/src/workers.rs
+++ b/crates/wire/src/workers.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of workers and the orders they get back.
+//! Heartbeats of workers, and the orders in the responses to them.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,72 +8,100 @@
 )]
 #[serde(rename_all = "snake_case")]
 pub enum TaskState {
+    /// Its image is being fetched.
     Fetching,
+    /// Ready, and waiting for the other tasks of its gang.
     #[serde(rename = "gathering")]
     Waiting,
+    /// Running.
     Running,
+    /// Saving its state before it stops.
     #[serde(rename = "flushing")]
     Saving,
+    /// Ended; reported until the worker is ordered to clear it.
     Exited,
 }
 
-/// Why a task exited. What is not known is taken as an error.
+/// Why a task exited. A cause that this version does not know is read as an error.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, bitcode::Encode, bitcode::Decode,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Why {
+    /// Its work is complete.
     Done,
+    /// It was ordered to stop.
     Stopped,
+    /// Another task of its gang is gone.
     Peers,
+    /// Its gang was not complete in time.
     Incomplete,
+    /// The machine had too little room for it.
     Full,
+    /// Something that it needs on the machine was in use.
     InUse,
+    /// The worker does not know what it was to start.
     NoSuch,
+    /// It failed.
     #[serde(other)]
     Error,
 }
 
-/// One task in a heartbeat.
+/// A task in a heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReportedTask {
+    /// Name of the task; see [`crate::task_name`].
     #[serde(rename = "ticket")]
     pub task: String,
+    /// Attempt that the order to start named.
     #[serde(rename = "try")]
     pub attempt: u64,
+    /// Its state.
     #[serde(rename = "standing")]
     pub state: TaskState,
+    /// Why it exited; only with [`TaskState::Exited`].
     #[serde(rename = "cause", default)]
     pub why: Option<Why>,
+    /// Whether it saved its state before it stopped.
     #[serde(rename = "stored", default)]
     pub saved: Option<bool>,
 }
 
-/// A worker's heartbeat.
+/// A worker's heartbeat: all tasks of its machine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
+    /// Name of the machine.
     #[serde(rename = "rung")]
     pub machine: String,
+    /// Address of the worker, `HOST:PORT`.
     #[serde(default)]
     pub addr: String,
+    /// Name of the machine type.
     #[serde(rename = "chassis")]
     pub kind: String,
+    /// Zone of the machine.
     #[serde(rename = "yard")]
     pub zone: String,
+    /// Whether it is a spot machine.
     #[serde(rename = "loaners")]
     pub spot: bool,
+    /// Incarnation of the worker; grows whenever its lease has ended and it starts afresh.
     #[serde(rename = "shift")]
     pub incarnation: u64,
+    /// Sequence number within the incarnation.
     #[serde(rename = "tick")]
     pub seq: u64,
+    /// Highest fencing token that the worker has seen; it drops orders with a lower one.
     #[serde(rename = "baton")]
     pub token: u64,
+    /// Seconds until the cloud takes the spot machine back, once it has given notice.
     #[serde(
         rename = "recall_s",
         default,
         deserialize_with = "crate::cbor::amount_opt"
     )]
     pub notice_s: Option<f64>,
+    /// All tasks on the machine, exited ones included until they are cleared.
     #[serde(rename = "tickets")]
     pub tasks: Vec<ReportedTask>,
 }
@@ -82,42 +110,55 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb", rename_all = "snake_case")]
 pub enum Order {
+    /// Start a task.
     #[serde(rename = "launch")]
     Start {
+        /// Name of the task.
         #[serde(rename = "ticket")]
         task: String,
+        /// Attempt under which it is started.
         #[serde(rename = "try")]
         attempt: u64,
     },
+    /// Stop a task.
     #[serde(rename = "halt")]
     Stop {
+        /// Name of the task.
         #[serde(rename = "ticket")]
         task: String,
+        /// Attempt to stop; no other one is.
         #[serde(rename = "try")]
         attempt: u64,
+        /// Time that the task has to save its state, in seconds.
         #[serde(rename = "winddown_s")]
         grace_s: f64,
     },
+    /// Remove an exited task from the heartbeats; its exit has been recorded.
     Clear {
+        /// Name of the task.
         #[serde(rename = "ticket")]
         task: String,
+        /// Attempt to remove.
         #[serde(rename = "try")]
         attempt: u64,
     },
 }
 
-/// The answer to a heartbeat.
+/// Response to a heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Orders {
+    /// Fencing token of the epoch under which the orders were given.
     #[serde(rename = "baton")]
     pub token: u64,
+    /// The orders; empty if there are none.
     #[serde(rename = "orders")]
     pub orders: Vec<Order>,
 }
 
-/// Sends a worker to another controller.
+/// Response that redirects a worker to the controller that owns its shard.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Redirect {
+    /// Name of that controller; absent if it is not known.
     #[serde(rename = "foreman", skip_serializing_if = "Option::is_none")]
     pub member: Option<String>,
 }
