--- a/crates/http/src/pool.rs
+++ b/crates/http/src/connections.rs
@@ -32,7 +32,7 @@
 }
 
 /// The connections of a server, bounded in number and in the bytes of requests that have arrived in part.
-pub struct Pool {
+pub struct ConnectionTable {
     most: usize,
     most_bytes: usize,
     entries: RefCell<BTreeMap<u64, Entry>>,
@@ -42,10 +42,10 @@
     count: Cell<u64>,
 }
 
-impl Pool {
+impl ConnectionTable {
     /// At most so many connections, and bytes of requests that have arrived in part.
-    pub fn new(most: usize, most_bytes: usize) -> Pool {
-        Pool {
+    pub fn new(most: usize, most_bytes: usize) -> ConnectionTable {
+        ConnectionTable {
             most,
             most_bytes,
             entries: RefCell::default(),
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -3,8 +3,9 @@
 #![warn(missing_docs)]
 
 pub mod client;
+pub mod connections;
 pub mod parse;
-pub mod pool;
+
 pub mod server;
 
 use std::future::Future;
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,7 +1,7 @@
 //! The serving side: one task for each connection, bounded in number, memory and time.
 
+use crate::connections::{ConnectionTable, Rank};
 use crate::parse::{self, Bad};
-use crate::pool::{Pool, Rank};
 use crate::within;
 use smol::future::poll_fn;
 use smol::io::{AsyncRead, AsyncWriteExt};
@@ -129,7 +129,7 @@
 
 struct Server {
     limits: Limits,
-    pool: Pool,
+    pool: ConnectionTable,
     scratch: RefCell<Vec<u8>>,
 }
 
@@ -143,7 +143,7 @@
     H: Fn(Request) -> F + 'static,
     F: Future<Output = Response> + 'static,
 {
-    let pool = Pool::new(limits.connections, limits.bytes);
+    let pool = ConnectionTable::new(limits.connections, limits.bytes);
     let server = Rc::new(Server {
         limits,
         pool,
--- a/crates/http/tests/limits.rs
+++ b/crates/http/tests/limits.rs
@@ -3,7 +3,7 @@
 // The helpers of these tests unwrap as the tests do.
 #![allow(clippy::unwrap_used)]
 
-use http::pool::Rank;
+use http::connections::Rank;
 use http::server::{serve, Limits, Request, Response};
 use smol::io::{AsyncReadExt, AsyncWriteExt};
 use smol::net::{SocketAddr, TcpListener, TcpStream};
--- a/crates/ladderroute/src/api.rs
+++ b/crates/ladderroute/src/api.rs
@@ -3,7 +3,7 @@
 use crate::counters::Counters;
 use crate::node::{Node, ReplicaJobs, State};
 use crate::submission::{cancel, query, refuse, retry_later, submit};
-use http::pool::Rank;
+use http::connections::Rank;
 use http::server::{Limits, OnWritten, Request, Response};
 use sched::owner::HeartbeatResponse;
 use std::rc::Rc;
