--- a/crates/http/src/connections.rs
+++ b/crates/http/src/connections.rs
@@ -1,148 +1,155 @@
-//! The connections that a server has open, in ranks, so that what matters most finds room when
-//! sockets or memory run short.
+//! The open connections of a server, ranked by their purpose, so that the most important clients
+//! are still served when sockets or memory run short.
 
 use smol::net::TcpStream;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
+use std::net::Shutdown;
 
-/// What a connection is for, as its last answer told. When room is needed, the first of these
-/// give theirs up first.
+/// Purpose of a connection, by its last response. When sockets run short, connections of a lower
+/// rank are closed first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rank {
-    /// A user's.
+    /// Requests of users.
     User,
-    /// Nothing was asked yet.
-    New,
-    /// A worker's: it is kept before users'.
+    /// No request has been answered yet.
+    Unclassified,
+    /// Heartbeats of a worker.
     Worker,
-    /// A health check's.
+    /// Health checks.
     Probe,
 }
 
-/// Part of the most connections above which answers to users end theirs.
-const USERS_SHARE: f64 = 0.85;
-/// The same for workers: so many can share few.
-const WORKERS_SHARE: f64 = 0.95;
+/// Share of all connections above which responses to users close theirs.
+const USER_SHARE: f64 = 0.85;
 
+/// Share of all connections above which responses to workers close theirs, so that many workers can
+/// take turns on few connections.
+const WORKER_SHARE: f64 = 0.95;
+
+/// A connection in the table.
 struct Entry {
     stream: TcpStream,
     rank: Rank,
-    /// When it became idle, counted in such events; none while a request is under way.
-    idle: Option<u64>,
+    /// Sequence number of the event that made it idle; `None` while it serves a request.
+    idle_since: Option<u64>,
 }
 
-/// The connections of a server, bounded in number and in the bytes of requests that have arrived in part.
+/// The connections of a server, bounded in their number and in the bytes of requests that have been
+/// received in part.
 pub struct ConnectionTable {
-    most: usize,
-    most_bytes: usize,
+    max_connections: usize,
+    max_buffered_bytes: usize,
     entries: RefCell<BTreeMap<u64, Entry>>,
-    /// Idle connections, the lowest rank and the longest idle first.
+    /// Idle connections as (rank, idle since, id): the first one is closed first.
     idle: RefCell<BTreeSet<(Rank, u64, u64)>>,
-    bytes: Cell<usize>,
-    count: Cell<u64>,
+    buffered_bytes: Cell<usize>,
+    sequence: Cell<u64>,
 }
 
 impl ConnectionTable {
-    /// At most so many connections, and bytes of requests that have arrived in part.
-    pub fn new(most: usize, most_bytes: usize) -> ConnectionTable {
+    /// An empty table with these limits.
+    pub fn new(max_connections: usize, max_buffered_bytes: usize) -> ConnectionTable {
         ConnectionTable {
-            most,
-            most_bytes,
+            max_connections,
+            max_buffered_bytes,
             entries: RefCell::default(),
             idle: RefCell::default(),
-            bytes: Cell::new(0),
-            count: Cell::new(0),
+            buffered_bytes: Cell::new(0),
+            sequence: Cell::new(0),
         }
     }
 
-    /// How many connections are open.
+    /// Number of open connections.
     pub fn open(&self) -> usize {
         self.entries.borrow().len()
     }
 
-    fn next(&self) -> u64 {
-        self.count.set(self.count.get() + 1);
-        self.count.get()
+    fn next_sequence(&self) -> u64 {
+        self.sequence.set(self.sequence.get() + 1);
+        self.sequence.get()
     }
 
-    /// Takes a connection in; where there is no room, in place of the one that is idle longest
-    /// of the lowest rank. None if all are in use.
-    pub fn enter(&self, stream: TcpStream) -> Option<u64> {
-        if self.open() >= self.most {
-            // Dead connections of machines that lost power look idle; refusing the newest
-            // would keep out those very machines when they are back.
-            let first = self.idle.borrow_mut().pop_first();
-            let (_, _, id) = first?;
-            if let Some(e) = self.entries.borrow_mut().remove(&id) {
-                let _ = e.stream.shutdown(std::net::Shutdown::Both);
+    /// Adds a connection and returns its id. If the table is full, the connection of the lowest
+    /// rank that has been idle longest is closed; `None` if none is idle.
+    pub fn admit(&self, stream: TcpStream) -> Option<u64> {
+        if self.open() >= self.max_connections {
+            // Connections of machines that lost power look idle for ever; rejecting the newest
+            // connections would lock these machines out once they are back.
+            let victim = self.idle.borrow_mut().pop_first();
+            let (_, _, id) = victim?;
+            if let Some(entry) = self.entries.borrow_mut().remove(&id) {
+                let _ = entry.stream.shutdown(Shutdown::Both);
             }
         }
-        let (id, at) = (self.next(), self.next());
-        self.entries.borrow_mut().insert(
-            id,
-            Entry {
-                stream,
-                rank: Rank::New,
-                idle: Some(at),
-            },
-        );
-        self.idle.borrow_mut().insert((Rank::New, at, id));
+        let id = self.next_sequence();
+        let idle_since = self.next_sequence();
+        let rank = Rank::Unclassified;
+        let entry = Entry {
+            stream,
+            rank,
+            idle_since: Some(idle_since),
+        };
+        self.entries.borrow_mut().insert(id, entry);
+        self.idle.borrow_mut().insert((rank, idle_since, id));
         Some(id)
     }
 
-    /// A request begins to arrive; false if the connection was ended meanwhile.
-    pub fn busy(&self, id: u64) -> bool {
+    /// Marks a connection as serving a request; false if it has been closed meanwhile.
+    pub fn begin_request(&self, id: u64) -> bool {
         let mut entries = self.entries.borrow_mut();
-        let Some(e) = entries.get_mut(&id) else {
+        let Some(entry) = entries.get_mut(&id) else {
             return false;
         };
-        let Some(at) = e.idle.take() else {
+        let Some(idle_since) = entry.idle_since.take() else {
             return false;
         };
-        self.idle.borrow_mut().remove(&(e.rank, at, id));
+        self.idle.borrow_mut().remove(&(entry.rank, idle_since, id));
         true
     }
 
-    /// The answer is written.
-    pub fn idle(&self, id: u64, rank: Rank) {
-        let at = self.next();
-        if let Some(e) = self.entries.borrow_mut().get_mut(&id) {
-            e.rank = rank;
-            e.idle = Some(at);
-            self.idle.borrow_mut().insert((rank, at, id));
+    /// Marks a connection as idle once a response of this rank has been written.
+    pub fn finish_request(&self, id: u64, rank: Rank) {
+        let idle_since = self.next_sequence();
+        if let Some(entry) = self.entries.borrow_mut().get_mut(&id) {
+            entry.rank = rank;
+            entry.idle_since = Some(idle_since);
+            self.idle.borrow_mut().insert((rank, idle_since, id));
         }
     }
 
-    /// Whether an answer to this rank should end its connection, for others to have the socket.
-    pub fn short(&self, rank: Rank) -> bool {
+    /// Whether so many connections are open that a response of this rank should close its own.
+    pub fn should_close(&self, rank: Rank) -> bool {
         let share = match rank {
-            Rank::User | Rank::New => USERS_SHARE,
-            Rank::Worker | Rank::Probe => WORKERS_SHARE,
+            Rank::User | Rank::Unclassified => USER_SHARE,
+            Rank::Worker | Rank::Probe => WORKER_SHARE,
         };
-        self.open() as f64 > self.most as f64 * share
+        self.open() as f64 > self.max_connections as f64 * share
     }
 
-    /// A connection has ended.
-    pub fn leave(&self, id: u64) {
-        if let Some(e) = self.entries.borrow_mut().remove(&id) {
-            if let Some(at) = e.idle {
-                self.idle.borrow_mut().remove(&(e.rank, at, id));
-            }
+    /// Removes a connection that has ended.
+    pub fn remove(&self, id: u64) {
+        let Some(entry) = self.entries.borrow_mut().remove(&id) else {
+            return;
+        };
+        if let Some(idle_since) = entry.idle_since {
+            self.idle.borrow_mut().remove(&(entry.rank, idle_since, id));
         }
     }
 
-    /// Takes room for bytes of a request; false if there is none.
-    pub fn take(&self, bytes: usize) -> bool {
-        let sum = self.bytes.get() + bytes;
-        if sum > self.most_bytes {
+    /// Reserves memory for a request that has been received in part; false if there is not enough.
+    pub fn reserve_bytes(&self, bytes: usize) -> bool {
+        let total = self.buffered_bytes.get() + bytes;
+        if total > self.max_buffered_bytes {
             return false;
         }
-        self.bytes.set(sum);
+        self.buffered_bytes.set(total);
         true
     }
 
-    /// Gives bytes back that `take` granted.
-    pub fn give_back(&self, bytes: usize) {
-        self.bytes.set(self.bytes.get().saturating_sub(bytes));
+    /// Releases memory that [`Self::reserve_bytes`] reserved.
+    pub fn release_bytes(&self, bytes: usize) {
+        let remaining = self.buffered_bytes.get().saturating_sub(bytes);
+        self.buffered_bytes.set(remaining);
     }
 }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,21 +1,24 @@
-//! HTTP/1.1 for both sides on smol and httparse, with limits and time-outs.
+//! HTTP/1.1 client and server on `smol` and `httparse`, with limits and time-outs.
+//!
+//! Both sides implement only what ladderroute's protocols need: bodies of known length, connections
+//! that are kept alive, and `Retry-After` in seconds.
 
 #![warn(missing_docs)]
 
 pub mod client;
 pub mod connections;
 pub mod parse;
-
 pub mod server;
 
 use std::future::Future;
 use std::time::Duration;
 
-/// Ends a future after a time; none if it was not ready by then.
+/// Runs a future for at most `limit`; `None` if it has not completed by then.
 pub async fn within<T>(limit: Duration, work: impl Future<Output = T>) -> Option<T> {
-    smol::future::or(async { Some(work.await) }, async {
+    let completed = async { Some(work.await) };
+    let timed_out = async {
         smol::Timer::after(limit).await;
         None
-    })
-    .await
+    };
+    smol::future::or(completed, timed_out).await
 }
--- a/crates/http/src/parse.rs
+++ b/crates/http/src/parse.rs
@@ -1,140 +1,204 @@
 //! Parsing of message heads, without I/O.
 
-/// Largest head (request line and headers) that is accepted, in bytes.
-pub const HEAD_LIMIT: usize = 8 * 1024;
-/// Most headers that are accepted.
-pub const HEADERS: usize = 48;
+use httparse::Header;
 
-/// Why a message can't be taken; the number is the status to answer with.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bad(pub u16);
+/// Largest head (first line and headers) that is accepted, in bytes.
+pub const MAX_HEAD_BYTES: usize = 8 * 1024;
 
-/// A request's head.
+/// Largest number of headers that is accepted.
+pub const MAX_HEADERS: usize = 48;
+
+/// Why a head is rejected.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum HeadError {
+    /// It is not valid HTTP/1.1, or its `Content-Length` is invalid or contradictory.
+    #[error("malformed head")]
+    Malformed,
+    /// The length of the body is not known before it is read.
+    #[error("the body has no declared length")]
+    LengthRequired,
+    /// The declared body exceeds the limit.
+    #[error("a body of {bytes} bytes exceeds the limit of {max_bytes}")]
+    BodyTooLarge {
+        /// Declared size of the body.
+        bytes: usize,
+        /// The limit.
+        max_bytes: usize,
+    },
+    /// The head exceeds [`MAX_HEAD_BYTES`] or [`MAX_HEADERS`].
+    #[error("the head exceeds {MAX_HEAD_BYTES} bytes or {MAX_HEADERS} headers")]
+    HeadTooLarge,
+}
+
+impl HeadError {
+    /// The status with which a server rejects such a request.
+    pub fn status(self) -> u16 {
+        match self {
+            HeadError::Malformed => 400,
+            HeadError::LengthRequired => 411,
+            HeadError::BodyTooLarge { .. } => 413,
+            HeadError::HeadTooLarge => 431,
+        }
+    }
+}
+
+/// Head of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestHead {
-    /// The method.
+    /// Method.
     pub method: String,
-    /// The path with its query.
+    /// Path with the query.
     pub path: String,
-    /// Bytes of the body.
-    pub length: usize,
-    /// Whether the connection ends with this request.
+    /// Size of the body, in bytes.
+    pub body_len: usize,
+    /// Whether the client closes the connection after this request.
     pub close: bool,
-    /// Whether the body comes only after an interim response.
+    /// Whether the client sends the body only after an interim response (`100 Continue`).
     pub expects_continue: bool,
-    /// Bytes of the head.
+    /// Size of the head, in bytes.
     pub head_len: usize,
 }
 
-/// A response's head.
+/// Head of a response.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ResponseHead {
-    /// The status.
+    /// Status code.
     pub status: u16,
-    /// Bytes of the body, if they are given.
-    pub length: Option<usize>,
-    /// Whether the body comes in chunks.
+    /// Size of the body in bytes, if it is declared.
+    pub body_len: Option<usize>,
+    /// Whether the body is in chunked encoding.
     pub chunked: bool,
-    /// Whether the connection ends with this response.
+    /// Whether the server closes the connection after this response.
     pub close: bool,
-    /// `Retry-After` in seconds, if it is given so.
+    /// `Retry-After`, if it is given in seconds.
     pub retry_after_s: Option<f64>,
-    /// Bytes of the head.
+    /// Size of the head, in bytes.
     pub head_len: usize,
 }
 
-fn length_of(value: &[u8]) -> Option<usize> {
-    let text = std::str::from_utf8(value).ok()?.trim();
-    if text.is_empty() || !text.bytes().all(|b| b.is_ascii_digit()) {
-        return None;
+/// Parses the head of a request from the bytes received so far; `None` if it is incomplete.
+pub fn parse_request(
+    received: &[u8],
+    max_body_bytes: usize,
+) -> Result<Option<RequestHead>, HeadError> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut request = httparse::Request::new(&mut headers);
+    let head_len = match request.parse(received) {
+        Ok(httparse::Status::Complete(head_len)) => head_len,
+        Ok(httparse::Status::Partial) if received.len() > MAX_HEAD_BYTES => {
+            return Err(HeadError::HeadTooLarge);
+        }
+        Ok(httparse::Status::Partial) => return Ok(None),
+        Err(httparse::Error::TooManyHeaders) => return Err(HeadError::HeadTooLarge),
+        Err(_) => return Err(HeadError::Malformed),
+    };
+    let mut head = RequestHead {
+        method: request.method.unwrap_or("").to_string(),
+        path: request.path.unwrap_or("").to_string(),
+        body_len: 0,
+        close: is_http_1_0(request.version),
+        expects_continue: false,
+        head_len,
+    };
+    read_request_headers(request.headers, &mut head)?;
+    if head.body_len > max_body_bytes {
+        return Err(HeadError::BodyTooLarge {
+            bytes: head.body_len,
+            max_bytes: max_body_bytes,
+        });
     }
-    text.parse().ok()
-}
-
-fn has(value: &[u8], word: &str) -> bool {
-    std::str::from_utf8(value)
-        .is_ok_and(|v| v.split(',').any(|w| w.trim().eq_ignore_ascii_case(word)))
+    Ok(Some(head))
 }
 
-/// Reads a request's head from the bytes so far; none if it isn't complete yet.
-pub fn request(bytes: &[u8], body_limit: usize) -> Result<Option<RequestHead>, Bad> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS];
-    let mut req = httparse::Request::new(&mut headers);
-    let head_len = match req.parse(bytes) {
-        Ok(httparse::Status::Complete(n)) => n,
-        Ok(httparse::Status::Partial) if bytes.len() > HEAD_LIMIT => return Err(Bad(431)),
-        Ok(httparse::Status::Partial) => return Ok(None),
-        Err(httparse::Error::TooManyHeaders) => return Err(Bad(431)),
-        Err(_) => return Err(Bad(400)),
-    };
-    let mut length = None;
-    let mut close = req.version == Some(0);
-    let mut expects_continue = false;
-    for h in req.headers.iter() {
-        if h.name.eq_ignore_ascii_case("content-length") {
-            let n = length_of(h.value).ok_or(Bad(400))?;
-            if length.is_some_and(|l| l != n) {
-                return Err(Bad(400));
+fn read_request_headers(headers: &[Header], head: &mut RequestHead) -> Result<(), HeadError> {
+    let mut declared_len = None;
+    for header in headers {
+        if header.name.eq_ignore_ascii_case("content-length") {
+            let body_len = parse_length(header.value).ok_or(HeadError::Malformed)?;
+            // Proxies that pick another one of two lengths would see another message boundary.
+            if declared_len.is_some_and(|declared| declared != body_len) {
+                return Err(HeadError::Malformed);
             }
-            length = Some(n);
-        } else if h.name.eq_ignore_ascii_case("transfer-encoding") {
-            // Nothing in the protocol needs it; a body of unknown length is not taken.
-            return Err(Bad(411));
-        } else if h.name.eq_ignore_ascii_case("connection") {
-            close |= has(h.value, "close");
-        } else if h.name.eq_ignore_ascii_case("expect") {
-            expects_continue = has(h.value, "100-continue");
+            declared_len = Some(body_len);
+        } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
+            // The protocol does not use it, and a body of unknown size can't be bounded.
+            return Err(HeadError::LengthRequired);
+        } else if header.name.eq_ignore_ascii_case("connection") {
+            head.close |= has_token(header.value, "close");
+        } else if header.name.eq_ignore_ascii_case("expect") {
+            head.expects_continue = has_token(header.value, "100-continue");
         }
     }
-    let length = length.unwrap_or(0);
-    if length > body_limit {
-        return Err(Bad(413));
-    }
-    Ok(Some(RequestHead {
-        method: req.method.unwrap_or("").to_string(),
-        path: req.path.unwrap_or("").to_string(),
-        length,
-        close,
-        expects_continue,
-        head_len,
-    }))
+    head.body_len = declared_len.unwrap_or(0);
+    Ok(())
 }
 
-/// Reads a response's head; none if it isn't complete yet.
-pub fn response(bytes: &[u8]) -> Result<Option<ResponseHead>, Bad> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS];
-    let mut res = httparse::Response::new(&mut headers);
-    let head_len = match res.parse(bytes) {
-        Ok(httparse::Status::Complete(n)) => n,
-        Ok(httparse::Status::Partial) if bytes.len() <= HEAD_LIMIT => return Ok(None),
-        _ => return Err(Bad(502)),
+/// Parses the head of a response from the bytes received so far; `None` if it is incomplete.
+pub fn parse_response(received: &[u8]) -> Result<Option<ResponseHead>, HeadError> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut response = httparse::Response::new(&mut headers);
+    let head_len = match response.parse(received) {
+        Ok(httparse::Status::Complete(head_len)) => head_len,
+        Ok(httparse::Status::Partial) if received.len() > MAX_HEAD_BYTES => {
+            return Err(HeadError::HeadTooLarge);
+        }
+        Ok(httparse::Status::Partial) => return Ok(None),
+        Err(httparse::Error::TooManyHeaders) => return Err(HeadError::HeadTooLarge),
+        Err(_) => return Err(HeadError::Malformed),
     };
     let mut head = ResponseHead {
-        status: res.code.unwrap_or(0),
-        length: None,
+        status: response.code.unwrap_or(0),
+        body_len: None,
         chunked: false,
-        close: res.version == Some(0),
+        close: is_http_1_0(response.version),
         retry_after_s: None,
         head_len,
     };
-    for h in res.headers.iter() {
-        if h.name.eq_ignore_ascii_case("content-length") {
-            head.length = Some(length_of(h.value).ok_or(Bad(502))?);
-        } else if h.name.eq_ignore_ascii_case("transfer-encoding") {
-            head.chunked = has(h.value, "chunked");
-        } else if h.name.eq_ignore_ascii_case("connection") {
-            head.close |= has(h.value, "close");
-        } else if h.name.eq_ignore_ascii_case("retry-after") {
-            head.retry_after_s = std::str::from_utf8(h.value)
-                .ok()
-                .and_then(|v| v.trim().parse().ok());
+    for header in response.headers.iter() {
+        if header.name.eq_ignore_ascii_case("content-length") {
+            let body_len = parse_length(header.value).ok_or(HeadError::Malformed)?;
+            head.body_len = Some(body_len);
+        } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
+            head.chunked = has_token(header.value, "chunked");
+        } else if header.name.eq_ignore_ascii_case("connection") {
+            head.close |= has_token(header.value, "close");
+        } else if header.name.eq_ignore_ascii_case("retry-after") {
+            head.retry_after_s = parse_seconds(header.value);
         }
     }
     Ok(Some(head))
 }
 
-/// The text that goes with a status.
-pub fn reason(status: u16) -> &'static str {
+/// HTTP/1.0 closes the connection after each response.
+fn is_http_1_0(minor_version: Option<u8>) -> bool {
+    minor_version == Some(0)
+}
+
+/// Parses a `Content-Length`; digits only, since `str::parse` accepts a sign.
+fn parse_length(value: &[u8]) -> Option<usize> {
+    let text = std::str::from_utf8(value).ok()?.trim();
+    if text.is_empty() || !text.bytes().all(|byte| byte.is_ascii_digit()) {
+        return None;
+    }
+    text.parse().ok()
+}
+
+fn parse_seconds(value: &[u8]) -> Option<f64> {
+    let text = std::str::from_utf8(value).ok()?;
+    text.trim().parse().ok()
+}
+
+/// Whether a comma-separated header value contains a token, in any case.
+fn has_token(value: &[u8], token: &str) -> bool {
+    let Ok(text) = std::str::from_utf8(value) else {
+        return false;
+    };
+    text.split(',')
+        .any(|part| part.trim().eq_ignore_ascii_case(token))
+}
+
+/// The reason phrase of a status code.
+pub fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         201 => "Created",
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,7 +1,7 @@
-//! The serving side: one task for each connection, bounded in number, memory and time.
+//! The server: one task for each connection, bounded in number, memory and time.
 
 use crate::connections::{ConnectionTable, Rank};
-use crate::parse::{self, Bad};
+use crate::parse::{self, HeadError, RequestHead};
 use crate::within;
 use smol::future::poll_fn;
 use smol::io::{AsyncRead, AsyncWriteExt};
@@ -9,57 +9,73 @@
 use std::cell::RefCell;
 use std::fmt;
 use std::future::Future;
+use std::io::{self, Write};
 use std::pin::Pin;
 use std::rc::Rc;
 use std::task::Poll;
 use std::time::Duration;
 
-/// A request as the handler gets it.
+/// Largest number of bytes taken from a socket by one read.
+const READ_BYTES: usize = 16 << 10;
+
+/// Capacity that is reserved for the head of a response, in bytes.
+const TYPICAL_HEAD_BYTES: usize = 160;
+
+/// Pause after a failed `accept`, which would otherwise fail again at once (no free descriptors).
+const ACCEPT_RETRY: Duration = Duration::from_millis(50);
+
+/// Time to write the response to a rejected request.
+const REJECT_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// `Retry-After` of a request that is rejected for lack of memory, in seconds.
+const OVERLOADED_RETRY_S: u32 = 1;
+
+/// A request, as the handler receives it.
 #[derive(Debug)]
 pub struct Request {
-    /// The method.
+    /// Method.
     pub method: String,
-    /// The path with its query.
+    /// Path with the query.
     pub path: String,
-    /// The body, whole.
+    /// The whole body.
     pub body: Vec<u8>,
 }
 
-/// What is to be done once a response was written to its connection.
+/// A function to call once a response has been written to its connection.
 pub struct OnWritten(Box<dyn FnOnce()>);
 
 impl OnWritten {
-    /// Calls a function then.
+    /// Wraps a function.
     pub fn new(call: impl FnOnce() + 'static) -> OnWritten {
         OnWritten(Box::new(call))
     }
 }
 
 impl fmt::Debug for OnWritten {
-    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        out.write_str("OnWritten")
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str("OnWritten")
     }
 }
 
-/// A response; `retry_after_s` becomes the header of that name.
+/// A response.
 #[derive(Debug)]
 pub struct Response {
-    /// The status.
+    /// Status code.
     pub status: u16,
-    /// The body.
+    /// The whole body.
     pub body: Vec<u8>,
-    /// When to come back, in seconds.
+    /// `Retry-After`, in seconds.
     pub retry_after_s: Option<u32>,
-    /// Whether the connection ends with this response.
+    /// Whether the connection is closed after this response.
     pub close: bool,
-    /// What the connection is for.
+    /// Purpose of the connection.
     pub rank: Rank,
-    /// What is to be done once it was written; nothing if it can't be.
+    /// Called once the response has been written, and never if writing fails.
     pub on_written: Option<OnWritten>,
 }
 
 impl Response {
-    /// A response to a user that keeps the connection open.
+    /// A response to a user that keeps the connection alive.
     pub fn new(status: u16, body: Vec<u8>) -> Response {
         Response {
             status,
@@ -71,33 +87,33 @@
         }
     }
 
-    /// The same, saying when to come back.
+    /// Sets `Retry-After`, in seconds.
     pub fn retry(mut self, after_s: u32) -> Response {
         self.retry_after_s = Some(after_s);
         self
     }
 
-    /// The same, on a connection of another rank.
-    pub fn of(mut self, rank: Rank) -> Response {
+    /// Sets the purpose of the connection.
+    pub fn with_rank(mut self, rank: Rank) -> Response {
         self.rank = rank;
         self
     }
 
-    fn written(&self, close: bool) -> Vec<u8> {
-        use std::io::Write;
-        let mut out = Vec::with_capacity(160 + self.body.len());
+    fn encode(&self, close: bool) -> Vec<u8> {
+        let mut out = Vec::with_capacity(TYPICAL_HEAD_BYTES + self.body.len());
+        // Writing to memory does not fail.
         let _ = write!(
             out,
             "HTTP/1.1 {} {}\r\nContent-Length: {}\r\n",
             self.status,
-            parse::reason(self.status),
+            parse::reason_phrase(self.status),
             self.body.len()
         );
         if !self.body.is_empty() {
             out.extend_from_slice(b"Content-Type: application/cbor\r\n");
         }
-        if let Some(s) = self.retry_after_s {
-            let _ = write!(out, "Retry-After: {s}\r\n");
+        if let Some(after_s) = self.retry_after_s {
+            let _ = write!(out, "Retry-After: {after_s}\r\n");
         }
         if close {
             out.extend_from_slice(b"Connection: close\r\n");
@@ -111,29 +127,58 @@
 /// Limits of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Most connections.
+    /// Largest number of connections.
     pub connections: usize,
-    /// Most bytes of a body.
+    /// Largest body of a request, in bytes.
     pub body: usize,
-    /// Bytes of all requests that have arrived in part.
+    /// Largest sum of the requests that have been received in part, in bytes.
     pub bytes: usize,
-    /// Time for one whole request to arrive once its first byte has.
+    /// Time for a request to arrive whole once its first byte has, and for a response to be
+    /// written.
     pub request: Duration,
     /// Time that a connection may be idle.
     pub idle: Duration,
 }
 
-/// What one read takes at most. All connections share one buffer, so that one that waits holds
-/// no memory for it.
-const READ_AT_ONCE: usize = 16 << 10;
+/// Why a request can't be passed to the handler.
+#[derive(Debug, thiserror::Error)]
+enum ReceiveError {
+    #[error("the connection has ended")]
+    Closed,
+    #[error("the request did not arrive in time")]
+    TimedOut,
+    #[error("no memory is left for a request of {bytes} bytes")]
+    Overloaded { bytes: usize },
+    #[error(transparent)]
+    Head(#[from] HeadError),
+}
+
+impl ReceiveError {
+    /// The response that tells the client; `None` if it can't be reached.
+    fn response(&self) -> Option<Response> {
+        let status = match self {
+            ReceiveError::Closed => return None,
+            ReceiveError::TimedOut => 408,
+            ReceiveError::Overloaded { .. } => 503,
+            ReceiveError::Head(error) => error.status(),
+        };
+        let response = Response::new(status, Vec::new());
+        match self {
+            ReceiveError::Overloaded { .. } => Some(response.retry(OVERLOADED_RETRY_S)),
+            _ => Some(response),
+        }
+    }
+}
 
+/// What all connections of a server share.
 struct Server {
     limits: Limits,
-    pool: ConnectionTable,
-    scratch: RefCell<Vec<u8>>,
+    connections: ConnectionTable,
+    /// Buffer for reads. Since it is shared, a connection that waits holds no memory for it.
+    read_buffer: RefCell<Vec<u8>>,
 }
 
-/// Serves connections until the listener fails for good.
+/// Accepts and serves connections; never returns.
 pub async fn serve<H, F>(
     executor: Rc<smol::LocalExecutor<'static>>,
     listener: TcpListener,
@@ -143,165 +188,201 @@
     H: Fn(Request) -> F + 'static,
     F: Future<Output = Response> + 'static,
 {
-    let pool = ConnectionTable::new(limits.connections, limits.bytes);
     let server = Rc::new(Server {
         limits,
-        pool,
-        scratch: RefCell::new(vec![0; READ_AT_ONCE]),
+        connections: ConnectionTable::new(limits.connections, limits.bytes),
+        read_buffer: RefCell::new(vec![0; READ_BYTES]),
     });
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
-            Err(e) => {
-                log::debug!("event=accept_failed error=\"{e}\"");
-                smol::Timer::after(Duration::from_millis(50)).await;
+            Err(error) => {
+                log::debug!("event=accept_failed error=\"{error}\"");
+                smol::Timer::after(ACCEPT_RETRY).await;
                 continue;
             }
         };
-        // Without room it is closed at once: the load balancer and the workers go elsewhere.
-        let Some(id) = server.pool.enter(stream.clone()) else {
+        // Without room it is closed at once: the load balancer and the workers try another server.
+        let Some(id) = server.connections.admit(stream.clone()) else {
             continue;
         };
-        let (server, handler) = (server.clone(), handler.clone());
+        let connection = Connection::new(server.clone(), stream, id);
+        let handler = handler.clone();
         executor
-            .spawn(async move {
-                let mut c = Connection {
-                    server: &server,
-                    stream,
-                    id,
-                    buf: Vec::new(),
-                    taken: 0,
-                };
-                let _ = c.run(&*handler).await;
-                server.pool.give_back(c.taken);
-                server.pool.leave(id);
-            })
+            .spawn(async move { connection.serve(&*handler).await })
             .detach();
     }
 }
 
-struct Connection<'a> {
-    server: &'a Server,
+/// One connection of a server.
+struct Connection {
+    server: Rc<Server>,
     stream: TcpStream,
+    /// Its id in the server's table.
     id: u64,
-    buf: Vec<u8>,
-    /// Bytes of the pool's that the request under way has taken.
-    taken: usize,
+    /// What has been received and not been processed yet.
+    received: Vec<u8>,
+    /// Memory that is reserved in the server's table for the request being received, in bytes.
+    reserved_bytes: usize,
 }
 
-impl Connection<'_> {
-    async fn run<H, F>(&mut self, handler: &H) -> std::io::Result<()>
+impl Connection {
+    fn new(server: Rc<Server>, stream: TcpStream, id: u64) -> Connection {
+        Connection {
+            server,
+            stream,
+            id,
+            received: Vec::new(),
+            reserved_bytes: 0,
+        }
+    }
+
+    /// Serves requests until the connection ends, and removes it from the server's table.
+    async fn serve<H, F>(mut self, handler: &H)
     where
         H: Fn(Request) -> F,
         F: Future<Output = Response>,
     {
         let _ = self.stream.set_nodelay(true);
-        let Limits {
-            idle,
-            request: limit,
-            ..
-        } = self.server.limits;
-        loop {
-            if self.buf.is_empty()
-                && !matches!(within(idle, self.read()).await, Some(Ok(n)) if n > 0)
-            {
-                return Ok(());
-            }
-            if !self.server.pool.busy(self.id) {
-                return Ok(());
+        while self.wait_for_request().await {
+            if !self.serve_request(handler).await {
+                break;
             }
-            let read = within(limit, self.read_request()).await;
-            let (request, close) = match read {
-                Some(Ok(Some(r))) => r,
-                Some(Ok(None)) => return Ok(()),
-                Some(Err(Bad(status))) => return self.refuse(status).await,
-                None => return self.refuse(408).await,
-            };
-            let mut response = handler(request).await;
-            let close = close || response.close || self.server.pool.short(response.rank);
-            let out = response.written(close);
-            let Some(Ok(())) = within(limit, self.stream.write_all(&out)).await else {
-                return Ok(());
-            };
-            if let Some(OnWritten(call)) = response.on_written.take() {
-                call();
+        }
+        self.server.connections.release_bytes(self.reserved_bytes);
+        self.server.connections.remove(self.id);
+    }
+
+    /// Waits until a request begins to arrive; false if the connection has ended or was idle too
+    /// long.
+    async fn wait_for_request(&mut self) -> bool {
+        if self.received.is_empty() {
+            let idle = self.server.limits.idle;
+            match within(idle, self.read()).await {
+                Some(Ok(count)) if count > 0 => {}
+                _ => return false,
             }
-            if close {
-                return Ok(());
+        }
+        self.server.connections.begin_request(self.id)
+    }
+
+    /// Receives a request and responds to it; false if the connection has to be closed.
+    async fn serve_request<H, F>(&mut self, handler: &H) -> bool
+    where
+        H: Fn(Request) -> F,
+        F: Future<Output = Response>,
+    {
+        let limit = self.server.limits.request;
+        let received = within(limit, self.receive()).await;
+        let (request, close_requested) = match received.unwrap_or(Err(ReceiveError::TimedOut)) {
+            Ok(received) => received,
+            Err(error) => {
+                self.reject(&error).await;
+                return false;
             }
-            self.server.pool.idle(self.id, response.rank);
+        };
+        let mut response = handler(request).await;
+        let should_close = self.server.connections.should_close(response.rank);
+        let close = close_requested || response.close || should_close;
+        let out = response.encode(close);
+        let Some(Ok(())) = within(limit, self.stream.write_all(&out)).await else {
+            return false;
+        };
+        if let Some(OnWritten(call)) = response.on_written.take() {
+            call();
+        }
+        if close {
+            return false;
         }
+        let connections = &self.server.connections;
+        connections.finish_request(self.id, response.rank);
+        true
     }
 
-    async fn refuse(&mut self, status: u16) -> std::io::Result<()> {
-        let mut response = Response::new(status, Vec::new());
-        if status == 503 {
-            response = response.retry(1);
+    /// Tells the client why its request is not served.
+    async fn reject(&mut self, error: &ReceiveError) {
+        if let Some(response) = error.response() {
+            let out = response.encode(true);
+            let _ = within(REJECT_TIMEOUT, self.stream.write_all(&out)).await;
         }
-        let out = response.written(true);
-        let _ = within(Duration::from_secs(1), self.stream.write_all(&out)).await;
-        Ok(())
     }
 
-    /// Reads what has arrived into the buffer; 0 at the end.
-    async fn read(&mut self) -> std::io::Result<usize> {
-        poll_fn(|cx| {
-            let mut scratch = self.server.scratch.borrow_mut();
-            match Pin::new(&mut self.stream).poll_read(cx, &mut scratch) {
-                Poll::Ready(Ok(n)) => {
-                    self.buf.extend_from_slice(&scratch[..n]);
-                    Poll::Ready(Ok(n))
-                }
-                other => other,
+    /// Reads what is available into `received`; 0 at the end of the connection.
+    async fn read(&mut self) -> io::Result<usize> {
+        let Connection {
+            server,
+            stream,
+            received,
+            ..
+        } = self;
+        poll_fn(|context| {
+            let mut buffer = server.read_buffer.borrow_mut();
+            let poll = Pin::new(&mut *stream).poll_read(context, &mut buffer);
+            if let Poll::Ready(Ok(count)) = poll {
+                received.extend_from_slice(&buffer[..count]);
             }
+            poll
         })
         .await
     }
 
-    async fn read_request(&mut self) -> Result<Option<(Request, bool)>, Bad> {
-        let head = loop {
-            if let Some(head) = parse::request(&self.buf, self.server.limits.body)? {
-                break head;
-            }
-            if !matches!(self.read().await, Ok(n) if n > 0) {
-                return Ok(None);
-            }
-        };
+    /// Reads at least one byte.
+    async fn read_more(&mut self) -> Result<(), ReceiveError> {
+        match self.read().await {
+            Ok(count) if count > 0 => Ok(()),
+            _ => Err(ReceiveError::Closed),
+        }
+    }
+
+    /// Receives a whole request. Returns with it whether the client asks to close the connection.
+    async fn receive(&mut self) -> Result<(Request, bool), ReceiveError> {
+        let head = self.receive_head().await?;
         if head.expects_continue {
-            let _ = self
-                .stream
-                .write_all(b"HTTP/1.1 100 Continue\r\n\r\n")
-                .await;
+            let interim = b"HTTP/1.1 100 Continue\r\n\r\n";
+            let _ = self.stream.write_all(interim).await;
         }
-        let total = head.head_len + head.length;
-        let missing = total.saturating_sub(self.buf.len());
-        if missing > 0 {
-            // Many half-sent bodies must not take the memory of all.
-            if !self.server.pool.take(total) {
-                return Err(Bad(503));
+        let body = self.receive_body(&head).await?;
+        let request = Request {
+            method: head.method,
+            path: head.path,
+            body,
+        };
+        Ok((request, head.close))
+    }
+
+    async fn receive_head(&mut self) -> Result<RequestHead, ReceiveError> {
+        loop {
+            let max_body_bytes = self.server.limits.body;
+            if let Some(head) = parse::parse_request(&self.received, max_body_bytes)? {
+                return Ok(head);
             }
-            self.taken = total;
-            self.buf.reserve_exact(missing);
+            self.read_more().await?;
         }
-        while self.buf.len() < total {
-            if !matches!(self.read().await, Ok(n) if n > 0) {
-                return Ok(None);
+    }
+
+    /// Receives the body and removes the request from `received`.
+    async fn receive_body(&mut self, head: &RequestHead) -> Result<Vec<u8>, ReceiveError> {
+        let request_len = head.head_len + head.body_len;
+        let missing = request_len.saturating_sub(self.received.len());
+        if missing > 0 {
+            // Many bodies that are sent slowly must not exhaust the memory together.
+            if !self.server.connections.reserve_bytes(request_len) {
+                return Err(ReceiveError::Overloaded { bytes: request_len });
             }
+            self.reserved_bytes = request_len;
+            self.received.reserve_exact(missing);
+        }
+        while self.received.len() < request_len {
+            self.read_more().await?;
         }
-        self.server.pool.give_back(std::mem::take(&mut self.taken));
-        let body = self.buf[head.head_len..total].to_vec();
-        self.buf.drain(..total);
-        if self.buf.is_empty() {
-            // Idle connections keep no memory.
-            self.buf = Vec::new();
+        let reserved_bytes = std::mem::take(&mut self.reserved_bytes);
+        self.server.connections.release_bytes(reserved_bytes);
+        let body = self.received[head.head_len..request_len].to_vec();
+        self.received.drain(..request_len);
+        if self.received.is_empty() {
+            // An idle connection holds no memory for requests.
+            self.received = Vec::new();
         }
-        Ok(Some((
-            Request {
-                method: head.method,
-                path: head.path,
-                body,
-            },
-            head.close,
-        )))
+        Ok(body)
     }
 }
--- a/crates/http/tests/limits.rs
+++ b/crates/http/tests/limits.rs
@@ -1,4 +1,4 @@
-//! The serving side holds its limits whatever the other sides do.
+//! The server keeps to its limits, whatever its clients do.
 
 // The helpers of these tests unwrap as the tests do.
 #![allow(clippy::unwrap_used)]
@@ -12,13 +12,26 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Long enough that no verdict hangs on it.
+/// Long enough that no result depends on it.
 const NEVER: Duration = Duration::from_secs(600);
 
-/// A server with so many connections and bytes; what is asked of `/work` counts as a worker's.
+/// Path whose responses have the rank of workers.
+const WORKER_PATH: &str = "/work";
+
+/// Path whose responses have the rank of users.
+const USER_PATH: &str = "/";
+
+/// Largest body of a request, in bytes.
+const MAX_BODY_BYTES: usize = 65_536;
+
+/// Memory for requests that is never exhausted, in bytes.
+const AMPLE_BYTES: usize = 1 << 20;
+
+/// Runs a test against a server with these limits; the test gets its address and the number of
+/// requests that were passed to the handler.
 fn with_server<F: Future<Output = ()>>(
-    connections: usize,
-    bytes: usize,
+    max_connections: usize,
+    max_buffered_bytes: usize,
     test: impl FnOnce(SocketAddr, Rc<Cell<u32>>) -> F,
 ) {
     let executor = Rc::new(smol::LocalExecutor::new());
@@ -28,20 +41,20 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let addr = listener.local_addr().unwrap();
         let limits = Limits {
-            connections,
-            body: 65_536,
-            bytes,
+            connections: max_connections,
+            body: MAX_BODY_BYTES,
+            bytes: max_buffered_bytes,
             request: NEVER,
             idle: NEVER,
         };
-        let handler = Rc::new(move |r: Request| {
+        let handler = Rc::new(move |request: Request| {
             count.set(count.get() + 1);
             async move {
-                Response::new(200, r.body).of(if r.path == "/work" {
-                    Rank::Worker
-                } else {
-                    Rank::User
-                })
+                let rank = match request.path.as_str() {
+                    WORKER_PATH => Rank::Worker,
+                    _ => Rank::User,
+                };
+                Response::new(200, request.body).with_rank(rank)
             }
         });
         let server = executor.spawn(serve(executor.clone(), listener, limits, handler));
@@ -50,116 +63,117 @@
     }));
 }
 
-async fn ask(stream: &mut TcpStream, path: &str) -> Option<String> {
-    stream
-        .write_all(format!("GET {path} HTTP/1.1\r\n\r\n").as_bytes())
-        .await
-        .ok()?;
-    let mut buf = [0u8; 1024];
-    match stream.read(&mut buf).await {
-        Ok(n) if n > 0 => Some(String::from_utf8_lossy(&buf[..n]).into_owned()),
+async fn connect(addr: SocketAddr) -> TcpStream {
+    TcpStream::connect(addr).await.unwrap()
+}
+
+/// Sends a request and returns the response; `None` if the connection ends instead.
+async fn get(stream: &mut TcpStream, path: &str) -> Option<String> {
+    let request = format!("GET {path} HTTP/1.1\r\n\r\n");
+    stream.write_all(request.as_bytes()).await.ok()?;
+    read_response(stream).await
+}
+
+async fn read_response(stream: &mut TcpStream) -> Option<String> {
+    let mut buffer = [0u8; 1024];
+    match stream.read(&mut buffer).await {
+        Ok(count) if count > 0 => Some(String::from_utf8_lossy(&buffer[..count]).into_owned()),
         _ => None,
     }
 }
 
+/// Whether the response to a request announces the end of its connection.
+async fn response_closes(stream: &mut TcpStream, path: &str) -> bool {
+    let response = get(stream, path).await.unwrap();
+    response.contains("Connection: close")
+}
+
 async fn is_closed(stream: &mut TcpStream) -> bool {
-    !matches!(stream.read(&mut [0u8; 64]).await, Ok(n) if n > 0)
+    !matches!(stream.read(&mut [0u8; 64]).await, Ok(count) if count > 0)
 }
 
-/// A rack that lost power comes back: its old connections look idle for ever, and a server that
-/// refuses the newest keeps out the very machines that it waits for.
+/// When a rack is back after a loss of power, its old connections look idle for ever. A server that
+/// rejects the newest connections would lock out these very machines.
 #[test]
-fn a_full_server_ends_the_longest_idle_user_then_unasked_then_workers() {
-    with_server(20, 1 << 20, |addr, _| async move {
+fn a_full_server_closes_idle_users_first_then_unclassified_then_workers() {
+    with_server(20, AMPLE_BYTES, |addr, _| async move {
         let mut open = Vec::new();
-        for path in [["/work"; 3], ["/"; 3]].concat() {
-            let mut s = TcpStream::connect(addr).await.unwrap();
-            assert!(ask(&mut s, path).await.unwrap().starts_with("HTTP/1.1 200"));
-            open.push(s);
+        for path in [[WORKER_PATH; 3], [USER_PATH; 3]].concat() {
+            let mut stream = connect(addr).await;
+            let response = get(&mut stream, path).await.unwrap();
+            assert!(response.starts_with("HTTP/1.1 200"));
+            open.push(stream);
         }
-        // Connections that never say anything fill it up.
+        // Connections without any request fill the table.
         for _ in 0..14 {
-            open.push(TcpStream::connect(addr).await.unwrap());
+            open.push(connect(addr).await);
         }
         for victim in [3, 4, 5, 6] {
-            open.push(TcpStream::connect(addr).await.unwrap());
+            open.push(connect(addr).await);
             assert!(is_closed(&mut open[victim]).await);
         }
         let newest = open.len() - 1;
         assert!(
-            ask(&mut open[newest], "/work").await.is_some(),
-            "the newest is served"
+            get(&mut open[newest], WORKER_PATH).await.is_some(),
+            "the newest connection is served"
         );
         assert!(
-            ask(&mut open[0], "/work").await.is_some(),
+            get(&mut open[0], WORKER_PATH).await.is_some(),
             "a worker's connection was kept"
         );
     });
 }
 
 #[test]
-fn when_sockets_run_short_answers_end_users_connections_before_workers() {
-    with_server(20, 1 << 20, |addr, _| async move {
+fn near_the_connection_limit_responses_close_users_connections_before_workers() {
+    with_server(20, AMPLE_BYTES, |addr, _| async move {
         let mut open = Vec::new();
         for _ in 0..18 {
-            let mut s = TcpStream::connect(addr).await.unwrap();
-            assert!(!ask(&mut s, "/work")
-                .await
-                .unwrap()
-                .contains("Connection: close"));
-            open.push(s);
+            let mut stream = connect(addr).await;
+            assert!(!response_closes(&mut stream, WORKER_PATH).await);
+            open.push(stream);
         }
-        let mut user = TcpStream::connect(addr).await.unwrap();
-        assert!(ask(&mut user, "/")
-            .await
-            .unwrap()
-            .contains("Connection: close"));
+        let mut user = connect(addr).await;
+        assert!(response_closes(&mut user, USER_PATH).await);
         assert!(is_closed(&mut user).await);
-        assert!(!ask(&mut open[0], "/work")
-            .await
-            .unwrap()
-            .contains("Connection: close"));
-        // Above that, workers share what is left.
-        let mut all = Vec::new();
+        assert!(!response_closes(&mut open[0], WORKER_PATH).await);
+        // Above the workers' share, they take turns on what is left.
+        let mut last = Vec::new();
         for _ in 0..2 {
-            all.push(TcpStream::connect(addr).await.unwrap());
+            last.push(connect(addr).await);
         }
-        assert!(ask(&mut all[1], "/work")
-            .await
-            .unwrap()
-            .contains("Connection: close"));
-        assert!(is_closed(&mut all[1]).await);
+        assert!(response_closes(&mut last[1], WORKER_PATH).await);
+        assert!(is_closed(&mut last[1]).await);
     });
 }
 
-/// Bodies that arrive in part take memory, whatever they announce together.
+/// Bodies that arrive in part hold memory, whatever lengths they declare together.
 #[test]
-fn half_sent_bodies_share_a_bounded_room() {
+fn partial_bodies_share_bounded_memory() {
+    const BODY_BYTES: usize = 60_000;
+    const BEGINNING: &str = "beginning";
     with_server(20, 100_000, |addr, served| async move {
-        let half = |n: usize| {
-            format!("POST / HTTP/1.1\r\nContent-Length: {n}\r\n\r\nbeginning").into_bytes()
-        };
-        let mut slow = TcpStream::connect(addr).await.unwrap();
-        slow.write_all(&half(60_000)).await.unwrap();
-        let mut whole = TcpStream::connect(addr).await.unwrap();
-        assert!(ask(&mut whole, "/").await.is_some());
-        let mut second = TcpStream::connect(addr).await.unwrap();
-        second.write_all(&half(60_000)).await.unwrap();
-        let mut answer = [0u8; 256];
-        let n = second.read(&mut answer).await.unwrap();
-        let text = String::from_utf8_lossy(&answer[..n]).into_owned();
+        let partial = format!("POST / HTTP/1.1\r\nContent-Length: {BODY_BYTES}\r\n\r\n{BEGINNING}");
+        let rest = vec![b'x'; BODY_BYTES - BEGINNING.len()];
+        let mut first = connect(addr).await;
+        first.write_all(partial.as_bytes()).await.unwrap();
+        let mut without_body = connect(addr).await;
+        assert!(get(&mut without_body, USER_PATH).await.is_some());
+        let mut second = connect(addr).await;
+        second.write_all(partial.as_bytes()).await.unwrap();
+        let rejection = read_response(&mut second).await.unwrap();
         assert!(
-            text.starts_with("HTTP/1.1 503") && text.contains("Retry-After"),
-            "{text}"
+            rejection.starts_with("HTTP/1.1 503") && rejection.contains("Retry-After"),
+            "{rejection}"
         );
-        // The room is free again once the first one is whole.
-        slow.write_all(&vec![b'x'; 60_000 - 9]).await.unwrap();
-        assert!(slow.read(&mut answer).await.unwrap() > 0);
-        let mut third = TcpStream::connect(addr).await.unwrap();
-        third.write_all(&half(60_000)).await.unwrap();
-        third.write_all(&vec![b'x'; 60_000 - 9]).await.unwrap();
-        let n = third.read(&mut answer).await.unwrap();
-        assert!(answer[..n].starts_with(b"HTTP/1.1 200"));
+        // The memory is free again once the first body is complete.
+        first.write_all(&rest).await.unwrap();
+        assert!(read_response(&mut first).await.is_some());
+        let mut third = connect(addr).await;
+        third.write_all(partial.as_bytes()).await.unwrap();
+        third.write_all(&rest).await.unwrap();
+        let response = read_response(&mut third).await.unwrap();
+        assert!(response.starts_with("HTTP/1.1 200"));
         assert_eq!(served.get(), 3);
     });
 }
--- a/crates/http/tests/parse.rs
+++ b/crates/http/tests/parse.rs
@@ -1,53 +1,68 @@
-//! Heads of requests and responses: complete, cut short, and malformed ones.
+//! Heads of requests and responses: complete, incomplete and malformed ones.
 
-use http::parse::*;
+// The helpers of these tests unwrap as the tests do.
+#![allow(clippy::unwrap_used)]
+
+use http::parse::{
+    parse_request, parse_response, HeadError, RequestHead, MAX_HEADERS, MAX_HEAD_BYTES,
+};
+
+/// Largest body that the requests of these tests may declare, in bytes.
+const MAX_BODY_BYTES: usize = 100;
+
+fn parse(received: &[u8]) -> Result<Option<RequestHead>, HeadError> {
+    parse_request(received, MAX_BODY_BYTES)
+}
+
+/// The error for a request with these headers, with its status.
+fn rejection(headers: &str) -> (HeadError, u16) {
+    let request = format!("POST / HTTP/1.1\r\n{headers}\r\n\r\n");
+    let error = parse(request.as_bytes()).unwrap_err();
+    (error, error.status())
+}
 
 #[test]
-fn a_head_is_taken_only_when_complete() {
-    let whole =
+fn a_request_head_is_parsed_only_once_complete() {
+    let request =
         b"POST /v2/runs HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\nConnection: close\r\n\r\nhello";
-    for cut in 0..whole.len() - 6 {
-        assert_eq!(request(&whole[..cut], 100), Ok(None), "cut at {cut}");
+    for cut in 0..request.len() - 6 {
+        assert_eq!(parse(&request[..cut]), Ok(None), "cut at {cut}");
     }
-    let head = request(whole, 100).unwrap().unwrap();
-    assert_eq!(
-        (
-            head.method.as_str(),
-            head.path.as_str(),
-            head.length,
-            head.close
-        ),
-        ("POST", "/v2/runs", 5, true)
-    );
-    assert_eq!(&whole[head.head_len..], b"hello");
+    let head = parse(request).unwrap().unwrap();
+    assert_eq!(head.method, "POST");
+    assert_eq!(head.path, "/v2/runs");
+    assert_eq!(head.body_len, 5);
+    assert!(head.close);
+    assert_eq!(&request[head.head_len..], b"hello");
 }
 
 #[test]
-fn limits_and_garbage_are_refused() {
-    let with =
-        |h: &str| request(format!("POST / HTTP/1.1\r\n{h}\r\n\r\n").as_bytes(), 100).unwrap_err();
-    assert_eq!(with("Content-Length: 101"), Bad(413));
-    assert_eq!(with("Content-Length: -1"), Bad(400));
-    assert_eq!(with("Content-Length: 1\r\nContent-Length: 2"), Bad(400));
-    assert_eq!(with("Transfer-Encoding: chunked"), Bad(411));
-    assert_eq!(request(b"\x00\x01\x02garbage\r\n\r\n", 100), Err(Bad(400)));
-    assert_eq!(request(&[b'a'; HEAD_LIMIT + 1], 100), Err(Bad(431)));
-    let many = "X: y\r\n".repeat(HEADERS + 1);
-    assert_eq!(
-        request(format!("GET / HTTP/1.1\r\n{many}\r\n").as_bytes(), 100),
-        Err(Bad(431))
-    );
+fn oversized_and_malformed_requests_are_rejected() {
+    let malformed = (HeadError::Malformed, 400);
+    let too_large = HeadError::BodyTooLarge {
+        bytes: MAX_BODY_BYTES + 1,
+        max_bytes: MAX_BODY_BYTES,
+    };
+    assert_eq!(rejection("Content-Length: 101"), (too_large, 413));
+    assert_eq!(rejection("Content-Length: -1"), malformed);
+    let contradictory = "Content-Length: 1\r\nContent-Length: 2";
+    assert_eq!(rejection(contradictory), malformed);
+    let length_required = (HeadError::LengthRequired, 411);
+    assert_eq!(rejection("Transfer-Encoding: chunked"), length_required);
+    let garbage = b"\x00\x01\x02garbage\r\n\r\n";
+    assert_eq!(parse(garbage), Err(HeadError::Malformed));
+    let endless = [b'a'; MAX_HEAD_BYTES + 1];
+    assert_eq!(parse(&endless), Err(HeadError::HeadTooLarge));
+    let many = "X: y\r\n".repeat(MAX_HEADERS + 1);
+    assert_eq!(rejection(&many), (HeadError::HeadTooLarge, 431));
 }
 
 #[test]
-fn a_response_says_when_to_come_back() {
-    let head = response(
-        b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 3\r\nContent-Length: 0\r\n\r\n",
-    )
-    .unwrap()
-    .unwrap();
-    assert_eq!(
-        (head.status, head.length, head.retry_after_s),
-        (503, Some(0), Some(3.0))
-    );
+fn a_response_head_gives_retry_after_in_seconds() {
+    let response =
+        b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 3\r\nContent-Length: 0\r\n\r\n";
+    let head = parse_response(response).unwrap().unwrap();
+    assert_eq!(head.status, 503);
+    assert_eq!(head.body_len, Some(0));
+    assert_eq!(head.retry_after_s, Some(3.0));
 }
--- a/crates/ladderroute/src/api.rs
+++ b/crates/ladderroute/src/api.rs
@@ -69,8 +69,10 @@
     match path {
         "/agent/beat" => only("POST")
             .unwrap_or_else(|| heartbeat(node, &request.body))
-            .of(Rank::Worker),
-        "/ready" => only("GET").unwrap_or_else(|| ready(node)).of(Rank::Probe),
+            .with_rank(Rank::Worker),
+        "/ready" => only("GET")
+            .unwrap_or_else(|| ready(node))
+            .with_rank(Rank::Probe),
         "/v2/runs" => match only("POST") {
             Some(r) => r,
             None => submit(node, &request.body).await,
--- a/crates/ladderroute/src/provisioning.rs
+++ b/crates/ladderroute/src/provisioning.rs
@@ -24,7 +24,11 @@
 }
 
 async fn fetch_catalog(node: &Rc<Node>) -> bool {
-    let Ok(answer) = node.cloud.ask("GET", "/catalog", &[], limit(node)).await else {
+    let Ok(answer) = node
+        .cloud
+        .request("GET", "/catalog", &[], limit(node))
+        .await
+    else {
         return false;
     };
     let Some(catalog) = (answer.status == 200)
@@ -72,7 +76,7 @@
             } else {
                 format!("/machines?since={after}&most={MOST_LISTED}")
             };
-            let Ok(answer) = node.cloud.ask("GET", &path, &[], limit(&node)).await else {
+            let Ok(answer) = node.cloud.request("GET", &path, &[], limit(&node)).await else {
                 break;
             };
             let Some(list) = (answer.status == 200)
@@ -119,7 +123,7 @@
                 let body = cbor::encode(&Names {
                     machines: names.clone(),
                 });
-                let ok = matches!(node.cloud.ask("POST", "/machines/release", &body, limit(&node)).await, Ok(a) if a.status == 200);
+                let ok = matches!(node.cloud.request("POST", "/machines/release", &body, limit(&node)).await, Ok(a) if a.status == 200);
                 log::info!("event=deprovision ok={ok} machines={}", names.join(","));
                 with_leader(&node, |l, _| l.deprovision_result(&names, ok));
             }
@@ -148,7 +152,7 @@
     for _ in 0..PROVISION_ATTEMPTS {
         match node
             .cloud
-            .ask("POST", "/machines", &body, limit(node))
+            .request("POST", "/machines", &body, limit(node))
             .await
         {
             Ok(a) if a.status == 200 => {
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -1,7 +1,7 @@
 //! Typed requests to the state service.
 
 use crate::budget::{Budget, Rank, Rates, Shares};
-use http::client::{Client, Failed};
+use http::client::{Client, RequestError};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -100,7 +100,7 @@
         path: &str,
         body: &[u8],
     ) -> Result<(u16, Vec<u8>), StoreError> {
-        match self.quick.ask(method, path, body, self.limit).await {
+        match self.quick.request(method, path, body, self.limit).await {
             Ok(a) if a.status == 429 || a.status >= 500 => Err(StoreError::Refused(a.status)),
             Ok(a) => Ok((a.status, a.body)),
             Err(e) => Err(failed(e)),
@@ -230,20 +230,20 @@
         } else {
             &self.watch
         };
-        match client.ask("GET", &path, &[], self.limit + wait).await {
+        match client.request("GET", &path, &[], self.limit + wait).await {
             Ok(a) if a.status == 200 => Self::read(&a.body),
             Ok(a) if a.status == 410 => Err(StoreError::TooOld),
             Ok(a) => Err(StoreError::Refused(a.status)),
-            Err(Failed::NotSent(e)) => Err(StoreError::Unknown(e)),
+            Err(RequestError::NotSent(e)) => Err(StoreError::Unknown(e.cause.to_string())),
             Err(e) => Err(failed(e)),
         }
     }
 }
 
-fn failed(error: Failed) -> StoreError {
+fn failed(error: RequestError) -> StoreError {
     match error {
-        Failed::NotSent(_) => StoreError::Refused(0),
-        Failed::TooLarge(bytes) => StoreError::TooLarge(bytes),
-        Failed::Unknown(e) => StoreError::Unknown(e),
+        RequestError::NotSent(_) => StoreError::Refused(0),
+        RequestError::TooLarge(bytes) => StoreError::TooLarge(bytes),
+        RequestError::Unknown(e) => StoreError::Unknown(e.cause.to_string()),
     }
 }
