--- /dev/null
+++ b/crates/http/tests/client.rs
@@ -0,0 +1,140 @@
+//! The client against servers that respond in every way that it distinguishes.
+
+// The helpers of these tests unwrap as the tests do.
+#![allow(clippy::unwrap_used)]
+
+use http::client::{Client, ConnectFault, ExchangeFault, RequestError, Response};
+use http::parse::HeadError;
+use smol::io::{AsyncReadExt, AsyncWriteExt};
+use smol::net::TcpListener;
+use std::cell::Cell;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// Long enough that no result depends on it.
+const NEVER: Duration = Duration::from_secs(600);
+
+/// Largest body that the clients of these tests accept, in bytes.
+const MAX_BODY_BYTES: usize = 100;
+
+/// Idle connections that the clients of these tests keep alive.
+const MAX_IDLE: usize = 2;
+
+/// What the server sends after each request.
+#[derive(Clone, Copy)]
+struct Script {
+    response: &'static str,
+    /// Whether it closes the connection after the response.
+    close: bool,
+}
+
+/// Serves one connection after the other by the script, and counts them.
+async fn serve(listener: TcpListener, script: Script, connections: Rc<Cell<u32>>) {
+    loop {
+        let (mut stream, _) = listener.accept().await.unwrap();
+        connections.set(connections.get() + 1);
+        let mut buffer = [0u8; 1024];
+        while stream.read(&mut buffer).await.unwrap() > 0 {
+            let response = script.response.as_bytes();
+            stream.write_all(response).await.unwrap();
+            if script.close {
+                break;
+            }
+        }
+    }
+}
+
+/// The results of two requests to a server, and the number of connections that they took.
+fn request_twice(script: Script) -> ([Result<Response, RequestError>; 2], u32) {
+    let executor = smol::LocalExecutor::new();
+    let connections = Rc::new(Cell::new(0));
+    let results = smol::block_on(executor.run(async {
+        let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let client = Client::new(listener.local_addr().unwrap(), MAX_IDLE, MAX_BODY_BYTES);
+        let server = executor.spawn(serve(listener, script, connections.clone()));
+        let first = client.request("GET", "/", &[], NEVER).await;
+        let second = client.request("GET", "/", &[], NEVER).await;
+        drop(server);
+        [first, second]
+    }));
+    (results, connections.get())
+}
+
+/// The cause for which a request has no response.
+fn fault(script: Script) -> ExchangeFault {
+    let ([first, _], _) = request_twice(script);
+    match first {
+        Err(RequestError::Unknown(error)) => error.cause,
+        other => panic!("{other:?}"),
+    }
+}
+
+#[test]
+fn a_connection_is_kept_alive_unless_the_server_closes_it() {
+    let kept = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello";
+    let closed = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nConnection: close\r\n\r\nhello";
+    let until_end = "HTTP/1.1 200 OK\r\n\r\nhello";
+    for (response, close, expected_connections) in
+        [(kept, false, 1), (closed, true, 2), (until_end, true, 2)]
+    {
+        let (results, connections) = request_twice(Script { response, close });
+        for result in results {
+            let received = result.unwrap();
+            assert_eq!(received.status, 200);
+            assert_eq!(received.body, b"hello");
+        }
+        assert_eq!(connections, expected_connections, "{response}");
+    }
+}
+
+#[test]
+fn a_response_without_an_end_has_an_unknown_outcome() {
+    let script = |response, close| Script { response, close };
+    let partial = script("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhel", true);
+    assert!(matches!(fault(partial), ExchangeFault::Closed));
+    let garbage = script("\x00\x01garbage\r\n\r\n", false);
+    let malformed = fault(garbage);
+    assert!(matches!(malformed, ExchangeFault::Malformed(_)));
+    let chunked = script(
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
+        false,
+    );
+    assert!(matches!(fault(chunked), ExchangeFault::Chunked));
+}
+
+/// The store's client logs these texts.
+#[test]
+fn faults_are_described_in_the_words_that_are_logged() {
+    let malformed = ExchangeFault::Malformed(HeadError::Malformed);
+    let chunked = "a chunked response is not expected here";
+    assert_eq!(ExchangeFault::TimedOut.to_string(), "time-out");
+    assert_eq!(ExchangeFault::Closed.to_string(), "closed");
+    assert_eq!(malformed.to_string(), "malformed response");
+    assert_eq!(ExchangeFault::Chunked.to_string(), chunked);
+    let connecting = "connecting took too long";
+    assert_eq!(ConnectFault::TimedOut.to_string(), connecting);
+}
+
+#[test]
+fn a_response_beyond_the_limit_is_too_large() {
+    let response = "HTTP/1.1 200 OK\r\nContent-Length: 101\r\n\r\n";
+    let close = false;
+    let ([first, _], _) = request_twice(Script { response, close });
+    assert!(matches!(first, Err(RequestError::TooLarge(101))));
+}
+
+#[test]
+fn a_refused_connection_means_that_the_request_was_not_sent() {
+    let addr: SocketAddr = smol::block_on(async {
+        let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        listener.local_addr().unwrap()
+    });
+    let client = Client::new(addr, MAX_IDLE, MAX_BODY_BYTES);
+    let result = smol::block_on(client.request("GET", "/", &[], NEVER));
+    let Err(RequestError::NotSent(error)) = result else {
+        panic!("{result:?}")
+    };
+    assert_eq!(error.addr, addr);
+    assert!(matches!(error.cause, ConnectFault::Io(_)));
+}
