--- a/crates/sched/src/autoscaler/mod.rs
+++ b/crates/sched/src/autoscaler/mod.rs
@@ -2,16 +2,14 @@
 
 mod scale_in;
 mod scale_out;
-mod wait_estimates;
 
 use crate::leader::{Action, Leader};
-use crate::placement::Resources;
 use crate::Secs;
 use scale_in::MAX_MACHINES_PER_RELEASE;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use wire::cloud::{Listed, ListedMachine, MachineType, ProvisionRequest};
+use wire::cloud::{Listed, ListedMachine, ProvisionRequest};
 use wire::peers::TaskRequirements;
-use wire::users::{Job as Spec, Shape};
+use wire::users::Job as Spec;
 
 /// The cloud charges at least this long for a machine (a figure of the protocol).
 const MIN_CHARGE_S: f64 = 60.0;
@@ -32,27 +30,9 @@
     pub requested_at: Secs,
 }
 
-/// What one task of a class takes, to know which machine types it needs.
-#[derive(Clone, Debug)]
-pub(crate) struct ClassProfile {
-    resources: Resources,
-    types: Option<Vec<String>>,
-    pub spot: bool,
-    gang: bool,
-}
-
-impl ClassProfile {
-    pub fn fits(&self, t: &MachineType) -> bool {
-        self.types.as_ref().is_none_or(|l| l.contains(&t.name))
-            && Resources::of_type(t).can_fit(self.resources)
-    }
-}
-
 #[derive(Default)]
 pub(crate) struct Autoscaler {
     pub booting: BTreeMap<String, BootingMachine>,
-    pub unmet: Vec<(String, u32)>,
-    pub class_profiles: BTreeMap<String, ClassProfile>,
     requested: BTreeMap<String, ProvisionRequest>,
     refused: BTreeMap<Offer, (Secs, u32)>,
     /// The zone that each waiting gang's machines are provisioned in.
@@ -88,24 +68,6 @@
     pub fn arrived(&mut self, job: &Spec, now: Secs) {
         self.arrivals
             .push_back((now, job.cpus * f64::from(job.tasks)));
-        let resources = Resources {
-            cpus: job.cpus,
-            gpus: job.gpus,
-            memory_gb: job.memory_gb,
-        };
-        let shape = self
-            .class_profiles
-            .entry(job.class.clone())
-            .or_insert_with(|| ClassProfile {
-                resources,
-                types: job.types.clone(),
-                spot: job.spot,
-                gang: job.shape == Shape::Gang,
-            });
-        // The largest task seen stands for its class.
-        if resources.cpus > shape.resources.cpus {
-            shape.resources = resources;
-        }
     }
 
     /// How much of idle capacity the jobs that came after an instant make worth keeping. It waits for jobs
@@ -164,15 +126,15 @@
     /// Provisions for what does not fit, and returns what is idle. Paced by the heartbeat interval, but
     /// sooner when the cloud has answered all that was asked.
     pub(crate) fn autoscale(&mut self, now: Secs) {
-        let pace = self.config.heartbeat_s.min(1.0);
+        let pace = self.cluster.config.heartbeat_s.min(1.0);
         let soon = self.autoscaler.requested.is_empty()
-            && !self.autoscaler.unmet.is_empty()
+            && !self.cluster.unmet.is_empty()
             && now - self.autoscaler.last >= pace / 4.0;
-        if now - self.autoscaler.last < pace && !soon || self.types.is_empty() {
+        if now - self.autoscaler.last < pace && !soon || self.cluster.types.is_empty() {
             return;
         }
         self.autoscaler.last = now;
-        let scarce = self.scarce();
+        let scarce = self.cluster.scarce();
         self.scale_out(&scarce, now);
         self.scale_in(&scarce, now);
     }
@@ -187,7 +149,7 @@
         let got = machines.as_ref().map_or(0, Vec::len) as u32;
         if got < request.count {
             let n = self.autoscaler.refused.get(&offer).map_or(0, |(_, n)| *n);
-            let base = self.config.list_lag_s / 2.0;
+            let base = self.cluster.config.list_lag_s / 2.0;
             let wait = if machines.is_some() {
                 base * f64::from(1u32 << n.min(2)) * (0.75 + 0.5 * self.rng.f64())
             } else {
@@ -198,7 +160,7 @@
             self.autoscaler.refused.remove(&offer);
         }
         for m in machines.unwrap_or_default() {
-            if !self.machines.contains_key(&m) {
+            if !self.cluster.machines.contains_key(&m) {
                 self.autoscaler.booting.insert(
                     m,
                     BootingMachine {
@@ -220,7 +182,7 @@
                 self.autoscaler.released.insert(name.clone());
                 self.autoscaler.booting.remove(name);
                 self.forget_machine(name);
-            } else if let Some(m) = self.machines.get_mut(name) {
+            } else if let Some(m) = self.cluster.machines.get_mut(name) {
                 m.releasing = false;
             }
         }
@@ -230,7 +192,7 @@
     pub fn listed(&mut self, list: &[ListedMachine], now: Secs) {
         let mut failed = Vec::new();
         for l in list {
-            if self.autoscaler.is_released(&l.name) || self.machines.contains_key(&l.name) {
+            if self.autoscaler.is_released(&l.name) || self.cluster.machines.contains_key(&l.name) {
                 continue;
             }
             if l.state == Listed::Failed {
@@ -244,7 +206,7 @@
                 let requested_at = if l.state == Listed::Booting {
                     now - l.age_s
                 } else {
-                    now - self.types.get(&l.kind).map_or(0.0, |t| t.boot_s)
+                    now - self.cluster.types.get(&l.kind).map_or(0.0, |t| t.boot_s)
                 };
                 self.autoscaler.booting.insert(
                     l.name.clone(),
--- a/crates/sched/src/autoscaler/scale_in.rs
+++ b/crates/sched/src/autoscaler/scale_in.rs
@@ -1,7 +1,7 @@
 //! Returning machines: idle ones, faulty ones, lost ones, and those that never came up.
 
-use super::wait_estimates::SLOW_BOOT_FACTOR;
 use super::MIN_CHARGE_S;
+use crate::cluster::SLOW_BOOT_FACTOR;
 use crate::leader::{Action, Leader, Rostered};
 use crate::Secs;
 use std::collections::{BTreeMap, BTreeSet};
@@ -34,16 +34,12 @@
     /// could hardly start in time on a machine that must boot first.
     fn gang_retention(&self, scarce: &BTreeSet<(String, bool)>) -> BTreeMap<(String, bool), f64> {
         let mut out: BTreeMap<(String, bool), f64> = BTreeMap::new();
-        for (class, shape) in self
-            .autoscaler
-            .class_profiles
-            .iter()
-            .filter(|(_, s)| s.gang)
-        {
-            let Some(within) = self.config.wait_s.get(class) else {
+        for (class, shape) in self.cluster.class_profiles.iter().filter(|(_, s)| s.gang) {
+            let Some(within) = self.cluster.config.wait_s.get(class) else {
                 continue;
             };
             for t in self
+                .cluster
                 .types
                 .values()
                 .filter(|t| shape.fits(t) && t.boot_s * SLOW_BOOT_FACTOR > within / 2.0)
@@ -79,27 +75,28 @@
     fn retention(&mut self, scarce: &BTreeSet<(String, bool)>, now: Secs) -> RetentionByType {
         let warm = self.gang_retention(scarce);
         let idle = self
+            .cluster
             .machines
             .values()
             .filter(|m| m.open() && m.tasks.is_empty() && m.reserved.is_empty());
         let idle_cpus = idle
-            .filter_map(|m| self.capacity(&m.kind))
+            .filter_map(|m| self.cluster.capacity(&m.kind))
             .map(|capacity| capacity.cpus)
             .sum();
-        let boots = self.types.values();
+        let boots = self.cluster.types.values();
         let longest_retention = boots
             .map(|t| t.boot_s * price_advantage(t, true))
             .fold(0.0, f64::max);
         self.autoscaler
-            .forget_arrivals(now - longest_retention * self.config.idle_retention_boots);
-        let least = self.config.heartbeat_s * MIN_RETENTION_HEARTBEATS;
+            .forget_arrivals(now - longest_retention * self.cluster.config.idle_retention_boots);
+        let least = self.cluster.config.heartbeat_s * MIN_RETENTION_HEARTBEATS;
         let retention_s = |boot_s: f64, price_advantage: f64, for_gangs: f64| {
-            let retention_s = boot_s * self.config.idle_retention_boots * price_advantage;
+            let retention_s = boot_s * self.cluster.config.idle_retention_boots * price_advantage;
             let retention_s =
                 retention_s * self.autoscaler.demand_share(now - retention_s, idle_cpus);
             retention_s.max(for_gangs).max(least)
         };
-        let by_type = self.types.iter().map(|(kind, t)| {
+        let by_type = self.cluster.types.iter().map(|(kind, t)| {
             let retention_for = |spot: bool| {
                 let for_gangs = warm.get(&(kind.clone(), spot)).copied().unwrap_or(0.0);
                 retention_s(t.boot_s, price_advantage(t, spot), for_gangs)
@@ -131,7 +128,12 @@
         now: Secs,
     ) -> Vec<String> {
         let (mut drained, mut release) = (Vec::new(), Vec::new());
-        for (name, m) in self.machines.iter_mut().filter(|(_, m)| !m.releasing) {
+        for (name, m) in self
+            .cluster
+            .machines
+            .iter_mut()
+            .filter(|(_, m)| !m.releasing)
+        {
             let retention = retention.of(&m.kind);
             let in_use = !m.tasks.is_empty() || !m.reserved.is_empty() || !m.is_idle;
             if in_use || blocked || self.autoscaler.retained.contains(name) {
@@ -167,16 +169,18 @@
     /// of them a while ago, long enough for a worker whose heartbeat was lost to try again: the few that are
     /// left are dead, and all work would wait for them.
     fn should_give_up_unknown(&self, now: Secs) -> bool {
-        let few = self.unknown.len() as f64 <= self.machines.len() as f64 * FEW_UNKNOWN_SHARE;
-        let last_heard = now - self.known_at.max(self.epoch_at) <= wire::ANSWER_DROPPED_S * 1.25;
-        let long =
-            now - self.epoch_at > 2.0 * wire::ANSWER_DROPPED_S + 1.5 * self.config.heartbeat_s;
+        let few = self.cluster.unknown.len() as f64
+            <= self.cluster.machines.len() as f64 * FEW_UNKNOWN_SHARE;
+        let last_heard =
+            now - self.cluster.known_at.max(self.epoch_at) <= wire::ANSWER_DROPPED_S * 1.25;
+        let long = now - self.epoch_at
+            > 2.0 * wire::ANSWER_DROPPED_S + 1.5 * self.cluster.config.heartbeat_s;
         long || few && !last_heard
     }
 
     /// Work waits for machines that do not heartbeat: once returned they are reconciled.
     fn release_unknown(&mut self) -> Vec<String> {
-        let silent = self.machines.iter_mut();
+        let silent = self.cluster.machines.iter_mut();
         let silent = silent.filter(|(_, m)| m.unknown && !m.releasing);
         let names = silent.map(|(name, m)| {
             m.releasing = true;
@@ -193,7 +197,12 @@
 
     /// Machines that should have come up long ago.
     fn late_boots(&self, now: Secs) -> Vec<String> {
-        let boot_s = |kind: &str| self.types.get(kind).map_or(MIN_CHARGE_S, |t| t.boot_s);
+        let boot_s = |kind: &str| {
+            self.cluster
+                .types
+                .get(kind)
+                .map_or(MIN_CHARGE_S, |t| t.boot_s)
+        };
         let booting = self.autoscaler.booting.iter();
         let late = booting.filter(|(_, b)| now - b.requested_at > MAX_BOOT_TIMES * boot_s(&b.kind));
         let names: Vec<String> = late.map(|(name, _)| name.clone()).collect();
--- a/crates/sched/src/autoscaler/scale_out.rs
+++ b/crates/sched/src/autoscaler/scale_out.rs
@@ -1,7 +1,7 @@
 //! Provisioning machines for work that finds none.
 
-use super::wait_estimates::BusyMachines;
 use super::{allows, Offer, MIN_CHARGE_S};
+use crate::cluster::BusyMachines;
 use crate::leader::{Action, Leader, Rostered};
 use crate::placement::Resources;
 use crate::Secs;
@@ -70,6 +70,7 @@
             .values()
             .map(|h| (&h.kind, &h.zone, h.spot, h.count));
         let freshness_reads = self
+            .cluster
             .machines
             .values()
             .filter(|m| m.rostered != Rostered::Yes && m.lapsed_at.is_none() && !m.drain)
@@ -80,7 +81,7 @@
         sums.into_iter()
             .filter_map(|(offer, n)| {
                 Some(IncomingMachines {
-                    free: self.capacity(&offer.0)?,
+                    free: self.cluster.capacity(&offer.0)?,
                     offer,
                     n,
                 })
@@ -91,32 +92,32 @@
     pub(super) fn scale_out(&mut self, scarce: &BTreeSet<(String, bool)>, now: Secs) {
         let mut incoming = self.incoming();
         // Running tasks free their capacity again and again while a machine boots.
-        let turnover = self.turnover();
+        let turnover = self.cluster.turnover();
         let mut expected_free = 0.0;
-        let gang_waits = self.waits_for_scarce(scarce);
+        let gang_waits = self.cluster.waits_for_scarce(scarce);
         let mut busy_machines: Option<BusyMachines> = None;
         let mut planned: BTreeMap<Offer, u32> = BTreeMap::new();
         self.autoscaler.retained.clear();
-        for (id, n) in self.autoscaler.unmet.clone() {
-            let Some(job) = self.jobs.get(&id) else {
+        for (id, n) in self.cluster.unmet.clone() {
+            let Some(job) = self.cluster.jobs.get(&id) else {
                 continue;
             };
             let resources = job.resources();
-            let requirements = self.requirements_sparing(job, scarce);
+            let requirements = self.cluster.requirements_sparing(job, scarce);
             if now < job.reclaims_until {
                 continue;
             }
             if job.is_gang() {
                 let mut slots = busy_machines
                     .take()
-                    .unwrap_or_else(|| self.busy_until(&requirements, now));
-                if !self.can_wait(&id, &requirements, &mut slots, now) {
+                    .unwrap_or_else(|| self.cluster.busy_until(&requirements, now));
+                if !self.cluster.can_wait(&id, &requirements, &mut slots, now) {
                     self.scale_out_for_gang(&id, &requirements, &mut incoming, &mut planned, now);
                 }
                 busy_machines = Some(slots);
                 continue;
             }
-            let all = self.requirements(job, None);
+            let all = self.cluster.requirements(job, None);
             let mut left = use_incoming(
                 &mut incoming,
                 |o| allows(&all, &requirements.zone, o),
@@ -146,7 +147,11 @@
                 let Some((offer, capacity)) = found else {
                     break;
                 };
-                let boot = self.types.get(&offer.0).map_or(MIN_CHARGE_S, |t| t.boot_s);
+                let boot = self
+                    .cluster
+                    .types
+                    .get(&offer.0)
+                    .map_or(MIN_CHARGE_S, |t| t.boot_s);
                 // New jobs take a part of what becomes free meanwhile.
                 let net =
                     (turnover - self.autoscaler.arrival_rate(now, boot.max(MIN_CHARGE_S))).max(0.0);
@@ -233,7 +238,11 @@
         requirements: &'a TaskRequirements,
     ) -> impl Iterator<Item = Offer> + 'a {
         let offers = requirements.kinds.iter().flat_map(|a| {
-            let zones = self.types.get(&a.kind).map_or(&[][..], |t| &t.zones);
+            let zones = self
+                .cluster
+                .types
+                .get(&a.kind)
+                .map_or(&[][..], |t| &t.zones);
             zones.iter().map(|z| (a.kind.clone(), z.clone(), a.spot))
         });
         offers.filter(|o| allows(requirements, &requirements.zone, o))
@@ -269,12 +278,14 @@
         planned: &mut BTreeMap<Offer, u32>,
         now: Secs,
     ) {
-        let Some(job) = self.jobs.get(id) else { return };
+        let Some(job) = self.cluster.jobs.get(id) else {
+            return;
+        };
         let (resources, n, spread) = (job.resources(), job.spec.tasks, job.spec.spread);
         let every: BTreeSet<Option<String>> = requirements
             .kinds
             .iter()
-            .filter_map(|a| self.types.get(&a.kind))
+            .filter_map(|a| self.cluster.types.get(&a.kind))
             .flat_map(|t| t.zones.iter().cloned().map(Some))
             .collect();
         if requirements.zone.is_some() || !job.spec.one_zone && !spread {
@@ -286,7 +297,13 @@
             ..requirements.clone()
         };
         let has = |l: &Leader, zone: &Option<String>| {
-            let here: u32 = l.index.fits(&within(zone)).iter().map(|f| f.slots).sum();
+            let here: u32 = l
+                .cluster
+                .index
+                .fits(&within(zone))
+                .iter()
+                .map(|f| f.slots)
+                .sum();
             let on_way: u32 = incoming
                 .iter()
                 .filter(|c| allows(requirements, zone, &c.offer))
@@ -312,7 +329,7 @@
             return;
         }
         let lacks = |l: &Leader, zone: &Option<String>| n.saturating_sub(has(l, zone));
-        let long = self.waits_long(id, now);
+        let long = self.cluster.waits_long(id, now);
         let good = |z: &&Option<String>| {
             every.contains(*z) && (long || lacks(self, z) == 0 || offers(self, z))
         };
@@ -341,7 +358,7 @@
         now: Secs,
     ) {
         let mut left = n;
-        for f in self.index.fits(requirements) {
+        for f in self.cluster.index.fits(requirements) {
             if left == 0 {
                 break;
             }
@@ -387,7 +404,7 @@
         let mut best: Option<(f64, Offer, Resources)> = None;
         let mut least = f64::MAX;
         for AllowedMachineType { kind, spot, .. } in kinds {
-            let Some(t) = self.types.get(kind) else {
+            let Some(t) = self.cluster.types.get(kind) else {
                 continue;
             };
             let capacity = Resources::of_type(t);
--- a/crates/sched/src/leader/active_tasks.rs
+++ b/crates/sched/src/cluster/active_tasks.rs
@@ -2,10 +2,10 @@
 //! start it until it is seen to be gone.
 
 use super::job::waits_at;
-use super::{Active, Leader, Phase, TaskLocation};
+use super::{Active, Cluster, TaskLocation};
 use crate::placement::Resources;
 
-impl Leader {
+impl Cluster {
     /// What a team's tasks possibly use, as it is charged.
     pub fn used_by(&self, team: &str) -> Resources {
         self.team_used.get(team).copied().unwrap_or_default()
@@ -61,27 +61,4 @@
         }
         Some(active)
     }
-
-    /// A task is certainly nowhere any more and not done.
-    pub(crate) fn requeue_task(&mut self, id: &str, index: u32) {
-        if self.remove_active(id, index).is_none() {
-            return;
-        }
-        let Some(job) = self.jobs.get_mut(id) else {
-            return;
-        };
-        self.wake = true;
-        if !job.terminal && !job.done.contains(index) {
-            job.ready.insert(index);
-        }
-        if job.is_gang() && !job.terminal && job.done.is_empty() {
-            if job.active.is_empty() {
-                job.phase = Phase::Idle;
-            } else if !job.uncertain {
-                job.phase = Phase::Ending;
-                self.stop_all(id, 0.0);
-            }
-        }
-        self.forget_if_terminal(id);
-    }
 }
--- a/crates/sched/src/queue/capacity.rs
+++ b/crates/sched/src/cluster/capacity.rs
@@ -1,15 +1,15 @@
 //! The index of free resources that a pass looks at, and the zones that a job may use.
 
+use super::{Cluster, Job, Machine, TaskLocation};
 use crate::capacity_index::{Fit, IndexedMachine};
-use crate::leader::{Job, Leader, Machine, TaskLocation};
 use crate::placement::Resources;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use wire::cloud::MachineType;
 
-impl Leader {
+impl Cluster {
     /// Brings the index up to what has changed since the last pass.
-    pub(super) fn refresh_index(&mut self) {
+    pub(crate) fn refresh_index(&mut self) {
         for name in std::mem::take(&mut self.dirty_machines) {
             let found = self
                 .machines
@@ -67,7 +67,7 @@
     }
 
     /// How many more tasks of an array each zone may take, when zones matter to its job.
-    pub(super) fn zone_limits(&self, job: &Job, found: &[Fit]) -> Option<BTreeMap<Rc<str>, u32>> {
+    pub(crate) fn zone_limits(&self, job: &Job, found: &[Fit]) -> Option<BTreeMap<Rc<str>, u32>> {
         let used = self.zones_in_use(job)?;
         let half = job.spec.tasks.div_ceil(2);
         let one: Option<Rc<str>> = match used.keys().next() {
--- a/crates/sched/src/leader/job.rs
+++ b/crates/sched/src/cluster/job.rs
@@ -122,7 +122,7 @@
 }
 
 /// The owner at which a task waits for the first capacity that becomes free.
-pub(super) fn waits_at(location: &TaskLocation) -> Option<&str> {
+pub(crate) fn waits_at(location: &TaskLocation) -> Option<&str> {
     match location {
         TaskLocation::Assigned(owner, machine) if machine.is_empty() => Some(owner),
         _ => None,
--- a/crates/sched/src/queue/teams.rs
+++ b/crates/sched/src/cluster/quota.rs
@@ -1,12 +1,12 @@
 //! Teams: their guarantees and limits, with what machines of unknown content may hold of them.
 
-use crate::leader::{Leader, Phase};
+use super::{Cluster, Phase};
 use crate::placement::{Resources, ROUNDING_SLACK};
 use std::collections::BTreeMap;
 
-impl Leader {
+impl Cluster {
     /// Marks the jobs that fit into their team's guarantee together with its earlier ones.
-    pub(super) fn mark_within(&mut self) {
+    pub(crate) fn mark_within(&mut self) {
         let mut sums: BTreeMap<&str, (f64, f64)> = BTreeMap::new();
         for (_, id) in &self.by_creation {
             let Some(job) = self.jobs.get_mut(id).filter(|j| !j.terminal) else {
@@ -78,7 +78,7 @@
     }
 
     /// What each team may still use, beside what its tasks use, hold, or may use unseen.
-    pub(super) fn limits(&self) -> BTreeMap<String, Resources> {
+    pub(crate) fn limits(&self) -> BTreeMap<String, Resources> {
         let unseen = self.unseen_resources();
         let mut out: BTreeMap<String, Resources> = BTreeMap::new();
         for (name, t) in &self.config.teams {
--- a/crates/sched/src/queue/requirements.rs
+++ b/crates/sched/src/cluster/requirements.rs
@@ -1,15 +1,15 @@
 //! What tasks need of their machines, and which machine types are spared for jobs that fit nothing else.
 
-use crate::leader::{Job, Leader};
+use super::{Cluster, Job};
 use crate::placement::Resources;
 use std::collections::BTreeSet;
 use wire::peers::{AllowedMachineType, TaskRequirements};
 
-impl Leader {
+impl Cluster {
     /// Machine types that are the only ones on which some class's tasks fit: kept for those.
     pub(crate) fn scarce(&self) -> BTreeSet<(String, bool)> {
         let mut out = BTreeSet::new();
-        for shape in self.autoscaler.class_profiles.values() {
+        for shape in self.class_profiles.values() {
             let kinds: BTreeSet<&str> = self
                 .types
                 .values()
@@ -67,7 +67,7 @@
 
     /// Whether a gang that fits no other machine types waits for these.
     pub(crate) fn waits_for_scarce(&self, scarce: &BTreeSet<(String, bool)>) -> bool {
-        let unmet = self.autoscaler.unmet.iter();
+        let unmet = self.unmet.iter();
         let mut gangs = unmet.filter_map(|(id, _)| self.jobs.get(id).filter(|j| j.is_gang()));
         gangs.any(|job| self.requirements(job, Some(scarce)).kinds.is_empty())
     }
--- a/crates/sched/src/autoscaler/wait_estimates.rs
+++ b/crates/sched/src/cluster/wait_estimates.rs
@@ -1,6 +1,6 @@
 //! Whether work may wait for a machine in use rather than have one provisioned, and how long tasks run.
 
-use crate::leader::{Job, Leader};
+use super::{Cluster, Job};
 use crate::placement::tier;
 use crate::Secs;
 use std::collections::BTreeMap;
@@ -8,12 +8,12 @@
 use wire::users::Shape;
 
 /// What a slow boot takes of the nominal time, with the start of the gang's tasks.
-pub(super) const SLOW_BOOT_FACTOR: f64 = 1.25;
+pub(crate) const SLOW_BOOT_FACTOR: f64 = 1.25;
 
 /// When machines in use are expected to be empty, the earliest first.
-pub(super) type BusyMachines = Vec<(Secs, String)>;
+pub(crate) type BusyMachines = Vec<(Secs, String)>;
 
-impl Leader {
+impl Cluster {
     /// Whether a gang has waited so long that machines are cordoned for it.
     pub(crate) fn waits_long(&self, id: &str, now: Secs) -> bool {
         let Some(job) = self.jobs.get(id) else {
@@ -29,7 +29,7 @@
     }
 
     /// When machines on which these tasks may run are expected to be empty, the earliest first.
-    pub(super) fn busy_until(&self, requirements: &TaskRequirements, now: Secs) -> BusyMachines {
+    pub(crate) fn busy_until(&self, requirements: &TaskRequirements, now: Secs) -> BusyMachines {
         let mut out: BusyMachines = self
             .machines
             .iter()
@@ -62,7 +62,7 @@
 
     /// Whether a gang is expected to get machines that are in use early enough for its class's
     /// objective; those machines are then taken.
-    pub(super) fn can_wait(
+    pub(crate) fn can_wait(
         &self,
         id: &str,
         requirements: &TaskRequirements,
--- a/crates/sched/src/epoch.rs
+++ b/crates/sched/src/epoch.rs
@@ -66,7 +66,7 @@
         let silent: Vec<String> = self
             .links
             .iter()
-            .filter(|(_, l)| now - l.last_heard > self.config.owner_silence_s())
+            .filter(|(_, l)| now - l.last_heard > self.cluster.config.owner_silence_s())
             .map(|(m, _)| m.clone())
             .collect();
         for m in silent {
@@ -78,12 +78,12 @@
         {
             return;
         }
-        let mut settling_s = self.config.owner_silence_s() / 8.0;
+        let mut settling_s = self.cluster.config.owner_silence_s() / 8.0;
         if self.others_starting
             && !self.epoch_set
-            && now - self.started_at < self.config.owner_silence_s() * 2.0
+            && now - self.started_at < self.cluster.config.owner_silence_s() * 2.0
         {
-            settling_s = self.config.owner_silence_s();
+            settling_s = self.cluster.config.owner_silence_s();
         }
         let lost =
             self.epoch_broken || self.epoch_set && self.members.iter().any(|m| !wanted.contains(m));
@@ -134,6 +134,7 @@
             self.members.join(",")
         );
         let reserving: Vec<String> = self
+            .cluster
             .jobs
             .iter()
             .filter(|(_, j)| matches!(j.phase, Phase::Reserving { .. } | Phase::Binding { .. }))
@@ -145,6 +146,7 @@
         // Tasks given to an owner and not yet seen may be on any machine that was its.
         for old in &old_members {
             let tasks: Vec<(String, u32)> = self
+                .cluster
                 .jobs
                 .iter()
                 .flat_map(|(id, j)| {
@@ -160,12 +162,13 @@
             let group = self.next_group;
             self.next_group += 1;
             for (id, i) in &tasks {
-                if let Some(mut a) = self.remove_active(id, *i) {
+                if let Some(mut a) = self.cluster.remove_active(id, *i) {
                     a.location = TaskLocation::Unresolved(group);
-                    self.set_active(id, *i, a);
+                    self.cluster.set_active(id, *i, a);
                 }
             }
             let machines = self
+                .cluster
                 .machines
                 .iter()
                 .filter(|(_, m)| m.owner == *old)
@@ -175,8 +178,10 @@
                 .insert(group, UnresolvedGroup { machines, tasks });
         }
         let token = self.token;
-        self.dirty_machines.extend(self.machines.keys().cloned());
-        for (name, m) in self.machines.iter_mut() {
+        self.cluster
+            .dirty_machines
+            .extend(self.cluster.machines.keys().cloned());
+        for (name, m) in self.cluster.machines.iter_mut() {
             let owner = shard::owner(name, &self.members)
                 .unwrap_or(&self.member)
                 .to_string();
@@ -190,11 +195,12 @@
             m.cleared.clear();
             m.confirmed_unusable = false;
         }
-        for j in self.jobs.values_mut() {
+        for j in self.cluster.jobs.values_mut() {
             j.clears.clear();
             j.active.values_mut().for_each(|a| a.stop_sent = false);
         }
         let descriptors: Vec<MachineDescriptor> = self
+            .cluster
             .machines
             .iter()
             .map(|(n, m)| MachineDescriptor {
@@ -206,13 +212,14 @@
             })
             .collect();
         let catalog = ToOwner::Catalog {
-            types: self.types.values().cloned().collect(),
+            types: self.cluster.types.values().cloned().collect(),
         };
         let terminal: Vec<String> = self.recently_terminal.keys().cloned().collect();
         for member in self.members.clone() {
             let continues = old_members.contains(&member) && !broken.contains(&member);
             let mine = |c: &&MachineDescriptor| {
-                self.machines
+                self.cluster
+                    .machines
                     .get(&c.name)
                     .is_some_and(|m| m.owner == member)
             };
--- a/crates/sched/src/leader/jobs.rs
+++ b/crates/sched/src/leader/jobs.rs
@@ -11,13 +11,15 @@
 impl Leader {
     /// Whether a job is in this leader's hands.
     pub fn knows(&self, id: &str) -> bool {
-        self.jobs.contains_key(id)
+        self.cluster.jobs.contains_key(id)
     }
 
     /// A job that was accepted.
     pub fn add_job(&mut self, j: OpenJob) {
         // What a controller has confirmed to be cancelled may still be open in the replica here.
-        if self.jobs.contains_key(&j.spec.id) || self.recently_terminal.contains_key(&j.spec.id) {
+        if self.cluster.jobs.contains_key(&j.spec.id)
+            || self.recently_terminal.contains_key(&j.spec.id)
+        {
             return;
         }
         let n = j.spec.tasks;
@@ -56,15 +58,18 @@
             spec: j.spec,
         };
         self.autoscaler.arrived(&job.spec, self.time);
-        self.by_creation.insert((job.revision, job.spec.id.clone()));
-        self.jobs.insert(job.spec.id.clone(), job);
+        self.cluster.learn_class(&job.spec);
+        self.cluster
+            .by_creation
+            .insert((job.revision, job.spec.id.clone()));
+        self.cluster.jobs.insert(job.spec.id.clone(), job);
         self.wake = true;
     }
 
     /// Treats a job with the priority of a job that needs it, or with its own again.
     pub fn set_priority(&mut self, id: &str, priority: Priority) {
         let changes = |job: &&mut Job| job.priority != priority;
-        if let Some(job) = self.jobs.get_mut(id).filter(changes) {
+        if let Some(job) = self.cluster.jobs.get_mut(id).filter(changes) {
             job.priority = priority;
             self.wake = true;
         }
@@ -73,7 +78,7 @@
     /// A controller has confirmed a cancellation that the replica here may not show yet. The job may not
     /// be known here either, because it waits for others.
     pub(crate) fn cancel_confirmed(&mut self, id: &str) {
-        if !self.jobs.contains_key(id) {
+        if !self.cluster.jobs.contains_key(id) {
             self.recently_terminal.insert(id.into(), self.time);
         }
         self.on_job_terminal(id);
@@ -82,7 +87,7 @@
     /// The store says that a job is over (done or cancelled).
     pub fn on_job_terminal(&mut self, id: &str) {
         // It may be told twice: by the controller that confirmed it, and by the store.
-        let Some(job) = self.jobs.get_mut(id).filter(|j| !j.terminal) else {
+        let Some(job) = self.cluster.jobs.get_mut(id).filter(|j| !j.terminal) else {
             return;
         };
         job.terminal = true;
@@ -99,7 +104,7 @@
                 );
             }
         }
-        let Some(job) = self.jobs.get_mut(id) else {
+        let Some(job) = self.cluster.jobs.get_mut(id) else {
             return;
         };
         if job.uncertain {
@@ -107,7 +112,8 @@
             let unseen = (job.spec.tasks - job.done.len().min(job.spec.tasks))
                 .saturating_sub(job.active.len() as u32);
             let (team, resources) = (job.spec.team.clone(), job.resources().scaled(unseen));
-            self.recently_cancelled
+            self.cluster
+                .recently_cancelled
                 .entry(team)
                 .or_default()
                 .add(resources);
@@ -125,19 +131,22 @@
 
     pub(crate) fn forget_if_terminal(&mut self, id: &str) {
         if let Some(j) = self
+            .cluster
             .jobs
             .get(id)
             .filter(|j| j.terminal && j.active.is_empty())
         {
-            self.by_creation.remove(&(j.revision, id.to_string()));
+            self.cluster
+                .by_creation
+                .remove(&(j.revision, id.to_string()));
             self.autoscaler.forget_job(id);
-            self.jobs.remove(id);
+            self.cluster.jobs.remove(id);
         }
     }
 
     /// Has all tasks of a job stopped that are on machines and were not told yet.
     pub(crate) fn stop_all(&mut self, id: &str, grace_s: f64) {
-        let Some(job) = self.jobs.get(id) else {
+        let Some(job) = self.cluster.jobs.get(id) else {
             return;
         };
         let indexes: Vec<u32> = job.active.keys().copied().collect();
@@ -148,7 +157,12 @@
 
     /// Has one task stopped, if it is on a machine and was not told yet.
     pub(crate) fn stop_task(&mut self, id: &str, index: u32, grace_s: f64) {
-        let Some(a) = self.jobs.get_mut(id).and_then(|j| j.active.get_mut(&index)) else {
+        let Some(a) = self
+            .cluster
+            .jobs
+            .get_mut(id)
+            .and_then(|j| j.active.get_mut(&index))
+        else {
             return;
         };
         let TaskLocation::OnMachine(machine) = a.location.clone() else {
@@ -167,7 +181,7 @@
 
     /// Has the owner of a machine stop a task there.
     pub(crate) fn send_stop(&mut self, machine: String, task: TaskRef, grace_s: f64) {
-        let Some(owner) = self.machines.get(&machine).map(|m| m.owner.clone()) else {
+        let Some(owner) = self.cluster.machines.get(&machine).map(|m| m.owner.clone()) else {
             return;
         };
         self.send(
@@ -181,7 +195,7 @@
     }
 
     pub(crate) fn clear(&mut self, machine: &str, task: TaskRef) {
-        let Some(m) = self.machines.get_mut(machine) else {
+        let Some(m) = self.cluster.machines.get_mut(machine) else {
             return;
         };
         if m.cleared.insert(task.clone()) {
@@ -198,7 +212,7 @@
 
     pub(crate) fn task_done(&mut self, task: &TaskRef, now: Secs) {
         let (id, index) = (task.job.as_str(), task.index);
-        let Some(job) = self.jobs.get_mut(id) else {
+        let Some(job) = self.cluster.jobs.get_mut(id) else {
             return;
         };
         // What another attempt did says nothing of where this one is: it stays charged until it
@@ -227,13 +241,17 @@
         job.failures = 0;
         job.failed_on.clear();
         if let Some(since) = started {
-            let s = self.classes.entry(job.spec.class.clone()).or_default();
+            let s = self
+                .cluster
+                .classes
+                .entry(job.spec.class.clone())
+                .or_default();
             s.count += 1;
             let weight = (1.0 / f64::from(s.count)).max(0.05);
             s.run_s += (now - since - s.run_s) * weight;
         }
         if same {
-            self.remove_active(id, index);
+            self.cluster.remove_active(id, index);
         } else {
             self.stop_task(id, index, 0.0);
         }
@@ -243,7 +261,7 @@
     }
 
     pub(crate) fn finish_if_done(&mut self, id: &str) {
-        if let Some(job) = self.jobs.get_mut(id) {
+        if let Some(job) = self.cluster.jobs.get_mut(id) {
             if !job.terminal && !job.finishing && job.done.len() == job.spec.tasks {
                 job.finishing = true;
                 self.actions.push(Action::Finish { job: id.into() });
@@ -255,7 +273,7 @@
     pub fn finish_result(&mut self, id: &str, written: bool) {
         if written {
             self.on_job_terminal(id);
-        } else if let Some(job) = self.jobs.get_mut(id) {
+        } else if let Some(job) = self.cluster.jobs.get_mut(id) {
             job.finishing = false;
         }
     }
@@ -265,9 +283,10 @@
         &mut self,
         jobs: impl IntoIterator<Item = (String, String, Resources)>,
     ) {
-        self.recently_cancelled.clear();
+        self.cluster.recently_cancelled.clear();
         for (id, team, resources) in jobs {
-            self.recently_cancelled
+            self.cluster
+                .recently_cancelled
                 .entry(team)
                 .or_default()
                 .add(resources);
@@ -277,6 +296,6 @@
 
     /// Whether work waits for machines of unknown content.
     pub(crate) fn waits_for_unknown_machines(&self) -> bool {
-        self.start_open && self.jobs.values().any(|j| j.uncertain)
+        self.start_open && self.cluster.jobs.values().any(|j| j.uncertain)
     }
 }
--- a/crates/sched/src/leader/machines.rs
+++ b/crates/sched/src/leader/machines.rs
@@ -39,14 +39,14 @@
 
     /// The roster record of a machine is durable (or dropped), or could not be written.
     pub fn roster_result(&mut self, machine: &str, put: bool, written: bool) {
-        let Some(m) = self.machines.get_mut(machine) else {
+        let Some(m) = self.cluster.machines.get_mut(machine) else {
             return;
         };
         if !put {
             return;
         }
         m.rostered = if written { Rostered::Yes } else { Rostered::No };
-        self.dirty_machines.insert(machine.into());
+        self.cluster.dirty_machines.insert(machine.into());
         if written {
             self.send_usable(machine);
             self.wake = true;
@@ -55,13 +55,13 @@
 
     /// Tells the owner whether it may place tasks on a machine.
     pub(crate) fn send_usable(&mut self, machine: &str) {
-        let Some(m) = self.machines.get_mut(machine) else {
+        let Some(m) = self.cluster.machines.get_mut(machine) else {
             return;
         };
         let usable = m.rostered == Rostered::Yes && !m.drain && !m.releasing;
         if usable != m.usable_sent {
             m.usable_sent = usable;
-            self.dirty_machines.insert(machine.into());
+            self.cluster.dirty_machines.insert(machine.into());
             let owner = m.owner.clone();
             self.send(
                 &owner,
@@ -75,15 +75,15 @@
 
     /// A machine is certainly gone.
     pub(crate) fn forget_machine(&mut self, name: &str) {
-        let Some(m) = self.machines.get(name) else {
+        let Some(m) = self.cluster.machines.get(name) else {
             return;
         };
         for (id, i) in m.tasks.keys().cloned().collect::<Vec<_>>() {
             self.requeue_task(&id, i);
         }
-        self.machines.remove(name);
-        self.dirty_machines.insert(name.into());
-        self.unknown.remove(name);
+        self.cluster.machines.remove(name);
+        self.cluster.dirty_machines.insert(name.into());
+        self.cluster.unknown.remove(name);
         self.actions.push(Action::Roster(name.into(), None));
         self.reconcile();
         self.wake = true;
--- a/crates/sched/src/leader/mod.rs
+++ b/crates/sched/src/leader/mod.rs
@@ -4,22 +4,20 @@
 //! A task is *possibly somewhere* (`Job::active`) from the decision to start it until an owner
 //! shows that it is not. Only tasks in `Job::ready` are ever started.
 
-mod active_tasks;
-mod job;
 mod jobs;
-mod machine;
 mod machines;
 mod notices;
 mod progress;
+mod requeue;
 mod summary;
 
-pub(crate) use job::{Active, Job, Phase, StartRecord, TaskLocation};
-pub use job::{OpenJob, PriorRuns};
-pub(crate) use machine::{Machine, Rostered};
+pub(crate) use crate::cluster::{
+    Active, Cluster, Job, Machine, Phase, Rostered, StartRecord, TaskLocation,
+};
+pub use crate::cluster::{OpenJob, PriorRuns};
 pub use progress::chunk_bits;
 pub use summary::Summary;
 
-use crate::capacity_index::Index;
 use crate::config::SchedulerConfig;
 use crate::placement::Resources;
 use crate::Secs;
@@ -67,7 +65,7 @@
 
 pub struct Leader {
     pub(crate) member: String,
-    pub(crate) config: SchedulerConfig,
+    pub(crate) cluster: Cluster,
     pub(crate) rng: fastrand::Rng,
     pub(crate) token: u64,
     /// Token of the present epoch; 0 before the first.
@@ -85,34 +83,16 @@
     pub(crate) others_starting: bool,
     pub(crate) links: BTreeMap<String, OwnerLink>,
     pub(crate) lost_until: Secs,
-    pub(crate) types: BTreeMap<String, MachineType>,
-    pub(crate) jobs: BTreeMap<String, Job>,
-    pub(crate) machines: BTreeMap<String, Machine>,
-    /// Open jobs by creation.
-    pub(crate) by_creation: BTreeSet<(u64, String)>,
-    /// Machines with capacity, as the pass looks at them, and those that changed since.
-    pub(crate) index: Index,
-    pub(crate) dirty_machines: BTreeSet<String>,
-    /// Machines of unknown content.
-    pub(crate) unknown: BTreeSet<String>,
     /// No array accepted later is recorded as begun; and a new record is on its way to the store.
     pub(crate) started_upto: u64,
     pub(crate) start_record_pending: bool,
-    pub(crate) team_used: BTreeMap<String, Resources>,
-    /// CPUs of tasks that wait for capacity, by owner.
-    pub(crate) backlog: BTreeMap<String, f64>,
     pub(crate) groups: BTreeMap<u64, UnresolvedGroup>,
     pub(crate) next_group: u64,
     pub(crate) start_open: bool,
-    /// By team: what jobs that were cancelled so lately that their tasks may still be on unknown
-    /// machines could use together.
-    pub(crate) recently_cancelled: BTreeMap<String, Resources>,
     /// Jobs that are over, of which tasks may still run, and since when this leader knows: owners
     /// are told, those of later epochs too.
     pub(crate) recently_terminal: BTreeMap<String, Secs>,
     pub(crate) epoch_at: Secs,
-    /// When a machine of unknown content was last reconciled.
-    pub(crate) known_at: Secs,
     pub(crate) autoscaler: crate::autoscaler::Autoscaler,
     pub(crate) actions: Vec<Action>,
     pub(crate) wake: bool,
@@ -122,14 +102,6 @@
     pub(crate) running_counts_sent_at: Secs,
     pub(crate) pass_at: Secs,
     pub(crate) preemption_at: Secs,
-    pub(crate) classes: BTreeMap<String, ClassStats>,
-}
-
-/// What was learned about a class of jobs.
-#[derive(Clone, Debug, Default)]
-pub(crate) struct ClassStats {
-    pub run_s: f64,
-    pub count: u32,
 }
 
 impl Leader {
@@ -148,7 +120,7 @@
     ) -> Leader {
         let mut l = Leader {
             member: member.into(),
-            config,
+            cluster: Cluster::new(config, now),
             rng: fastrand::Rng::with_seed(seed),
             token,
             epoch_token: 0,
@@ -163,24 +135,13 @@
             others_starting: false,
             links: BTreeMap::new(),
             lost_until: now,
-            types: BTreeMap::new(),
-            jobs: BTreeMap::new(),
-            machines: BTreeMap::new(),
-            by_creation: BTreeSet::new(),
-            index: Index::default(),
-            dirty_machines: BTreeSet::new(),
-            unknown: BTreeSet::new(),
             started_upto,
             start_record_pending: false,
-            team_used: BTreeMap::new(),
-            backlog: BTreeMap::new(),
             groups: BTreeMap::new(),
             next_group: 0,
             start_open: true,
-            recently_cancelled: BTreeMap::new(),
             recently_terminal: BTreeMap::new(),
             epoch_at: now,
-            known_at: now,
             autoscaler: crate::autoscaler::Autoscaler::default(),
             actions: Vec::new(),
             wake: false,
@@ -190,7 +151,6 @@
             running_counts_sent_at: now,
             pass_at: f64::MIN,
             preemption_at: f64::MIN,
-            classes: BTreeMap::new(),
         };
         for j in jobs {
             l.add_job(j);
@@ -199,12 +159,22 @@
             let mut m = l.new_machine(&r.kind, &r.zone, r.spot, now);
             m.rostered = Rostered::Yes;
             m.unknown = true;
-            l.unknown.insert(name.clone());
-            l.machines.insert(name.clone(), m);
+            l.cluster.unknown.insert(name.clone());
+            l.cluster.machines.insert(name.clone(), m);
         }
         l
     }
 
+    /// What a team's tasks may use together, as they are charged to its quota.
+    pub fn used_by(&self, team: &str) -> Resources {
+        self.cluster.used_by(team)
+    }
+
+    /// Whether the index of free resources agrees with a plain rebuild; for tests.
+    pub fn index_agrees(&mut self) -> bool {
+        self.cluster.index_agrees()
+    }
+
     pub fn token(&self) -> u64 {
         self.token
     }
@@ -225,7 +195,7 @@
     /// Does what is due: `known` is the number of other controllers in the settings.
     pub fn tick(&mut self, now: Secs, known: usize) {
         self.time = now;
-        let remembered = self.config.terminal_retention_s();
+        let remembered = self.cluster.config.terminal_retention_s();
         self.recently_terminal
             .retain(|_, since| now - *since < remembered);
         self.review_epoch(now, known);
@@ -233,6 +203,7 @@
             return;
         }
         let late: Vec<String> = self
+            .cluster
             .jobs
             .iter()
             .filter(|(_, j)| matches!(&j.phase, Phase::Reserving { until, .. } | Phase::Binding { until, .. } if now >= *until))
@@ -244,7 +215,7 @@
         }
         self.handle_spot_notices(now);
         if std::mem::take(&mut self.wake)
-            || now - self.pass_at > self.config.heartbeat_s.min(1.0) / 2.0
+            || now - self.pass_at > self.cluster.config.heartbeat_s.min(1.0) / 2.0
         {
             self.pass_at = now;
             self.schedule(now);
@@ -252,7 +223,7 @@
         }
         self.autoscale(now);
         // What is not recorded yet is still in the workers' heartbeats, should this leader be lost.
-        if now - self.progress_flushed_at > self.config.lease_s / 12.0 {
+        if now - self.progress_flushed_at > self.cluster.config.lease_s / 12.0 {
             self.progress_flushed_at = now;
             self.flush_progress();
         }
@@ -272,21 +243,19 @@
         (self.token << 24) | (self.counter & 0xff_ffff)
     }
 
-    pub(crate) fn capacity(&self, kind: &str) -> Option<Resources> {
-        self.types.get(kind).map(Resources::of_type)
-    }
-
     /// The cloud's machine types, as they are at present.
     pub fn catalog(&mut self, types: Vec<MachineType>) {
-        let same = self.types.len() == types.len();
-        self.types = types.into_iter().map(|t| (t.name.clone(), t)).collect();
+        let same = self.cluster.types.len() == types.len();
+        self.cluster.types = types.into_iter().map(|t| (t.name.clone(), t)).collect();
         if !same {
-            self.index.clear();
-            self.dirty_machines.extend(self.machines.keys().cloned());
+            self.cluster.index.clear();
+            self.cluster
+                .dirty_machines
+                .extend(self.cluster.machines.keys().cloned());
         }
         if !same && self.epoch_set {
             let message = ToOwner::Catalog {
-                types: self.types.values().cloned().collect(),
+                types: self.cluster.types.values().cloned().collect(),
             };
             for m in self.members.clone() {
                 self.send(&m, message.clone());
--- a/crates/sched/src/leader/progress.rs
+++ b/crates/sched/src/leader/progress.rs
@@ -17,7 +17,8 @@
 impl Leader {
     /// What is done of a job at present.
     pub fn done_of(&self, id: &str) -> Ranges {
-        self.jobs
+        self.cluster
+            .jobs
             .get(id)
             .map(|j| j.done.clone())
             .unwrap_or_default()
@@ -27,7 +28,7 @@
     pub fn progress_result(&mut self, id: &str, first_task: u32, written: Option<&Ranges>) {
         let bits = self.chunk_bits;
         let chunk = first_task / bits;
-        let Some(job) = self.jobs.get_mut(id) else {
+        let Some(job) = self.cluster.jobs.get_mut(id) else {
             return;
         };
         let Some(written) = written else {
@@ -49,7 +50,12 @@
     /// Writes progress of jobs with newly done tasks, coalesced.
     pub(crate) fn flush_progress(&mut self) {
         let bits = self.chunk_bits;
-        for (id, job) in self.jobs.iter_mut().filter(|(_, j)| !j.dirty.is_empty()) {
+        for (id, job) in self
+            .cluster
+            .jobs
+            .iter_mut()
+            .filter(|(_, j)| !j.dirty.is_empty())
+        {
             let dirty = std::mem::take(&mut job.dirty);
             if job.terminal || job.finishing {
                 continue;
@@ -67,6 +73,7 @@
         }
         // A roster write that failed is tried again: an idle machine brings no new view.
         let missing: Vec<String> = self
+            .cluster
             .machines
             .iter()
             .filter(|(_, m)| m.rostered == Rostered::No)
@@ -76,6 +83,7 @@
             self.roster(&name);
         }
         let retry: Vec<String> = self
+            .cluster
             .jobs
             .iter()
             .filter(|(_, j)| !j.terminal && !j.finishing && !j.uncertain)
@@ -90,6 +98,7 @@
     pub(crate) fn request_start_record(&mut self) {
         if self.start_record_pending
             || !self
+                .cluster
                 .jobs
                 .values()
                 .any(|j| j.start_record == StartRecord::Requested)
@@ -97,7 +106,12 @@
             return;
         }
         self.start_record_pending = true;
-        let arrays = || self.jobs.values().filter(|j| !j.is_gang() && !j.terminal);
+        let arrays = || {
+            self.cluster
+                .jobs
+                .values()
+                .filter(|j| !j.is_gang() && !j.terminal)
+        };
         let upto = arrays()
             .map(|j| j.revision)
             .fold(self.started_upto, u64::max);
@@ -123,6 +137,7 @@
             self.started_upto = self.started_upto.max(record.upto);
         }
         for j in self
+            .cluster
             .jobs
             .values_mut()
             .filter(|j| j.start_record != StartRecord::Written && record.covers(j.revision))
--- /dev/null
+++ b/crates/sched/src/leader/requeue.rs
@@ -0,0 +1,28 @@
+//! Tasks that are certainly not running any more go back to the queue.
+
+use super::{Leader, Phase};
+
+impl Leader {
+    /// A task is certainly nowhere any more and not done.
+    pub(crate) fn requeue_task(&mut self, id: &str, index: u32) {
+        if self.cluster.remove_active(id, index).is_none() {
+            return;
+        }
+        let Some(job) = self.cluster.jobs.get_mut(id) else {
+            return;
+        };
+        self.wake = true;
+        if !job.terminal && !job.done.contains(index) {
+            job.ready.insert(index);
+        }
+        if job.is_gang() && !job.terminal && job.done.is_empty() {
+            if job.active.is_empty() {
+                job.phase = Phase::Idle;
+            } else if !job.uncertain {
+                job.phase = Phase::Ending;
+                self.stop_all(id, 0.0);
+            }
+        }
+        self.forget_if_terminal(id);
+    }
+}
--- a/crates/sched/src/leader/summary.rs
+++ b/crates/sched/src/leader/summary.rs
@@ -42,26 +42,39 @@
 impl Leader {
     pub fn summary(&self) -> Summary {
         Summary {
-            queued: self.jobs.values().map(|j| j.ready.len() as usize).sum(),
-            running: self.jobs.values().map(|j| j.active.len()).sum(),
-            machines: self.machines.len(),
+            queued: self
+                .cluster
+                .jobs
+                .values()
+                .map(|j| j.ready.len() as usize)
+                .sum(),
+            running: self.cluster.jobs.values().map(|j| j.active.len()).sum(),
+            machines: self.cluster.machines.len(),
             booting: self.autoscaler.booting.len(),
-            unreconciled: self.machines.values().filter(|m| !m.reconciled).count(),
+            unreconciled: self
+                .cluster
+                .machines
+                .values()
+                .filter(|m| !m.reconciled)
+                .count(),
             cpus: [false, true].map(|spot| {
-                self.machines
+                self.cluster
+                    .machines
                     .values()
                     .filter(|m| m.spot == spot)
-                    .map(|m| self.capacity(&m.kind).map_or(0.0, |c| c.cpus))
+                    .map(|m| self.cluster.capacity(&m.kind).map_or(0.0, |c| c.cpus))
                     .sum::<f64>() as u32
             }),
             cpus_running: self
+                .cluster
                 .jobs
                 .values()
                 .map(|j| j.active.values().filter(|a| a.running).count() as f64 * j.spec.cpus)
                 .sum::<f64>() as u32,
-            backlog_cpus: self.backlog.values().sum::<f64>() as u32,
+            backlog_cpus: self.cluster.backlog.values().sum::<f64>() as u32,
             cpus_used: [false, true].map(|spot| {
-                self.machines
+                self.cluster
+                    .machines
                     .values()
                     .filter(|m| m.spot == spot)
                     .map(|m| m.used.cpus)
@@ -98,16 +111,18 @@
                 m.kind, m.zone, m.spot, m.owner, m.reconciled, m.usable_sent, m.lapsed_at, m.has_unknown_jobs, m.used.cpus, m.rostered, m.drain, m.confirmed_unusable, m.is_idle, m.releasing
             )
         };
-        self.jobs
+        self.cluster
+            .jobs
             .iter()
             .map(job)
-            .chain(self.machines.iter().map(machine))
+            .chain(self.cluster.machines.iter().map(machine))
             .collect::<Vec<_>>()
             .join("\n")
     }
 
     pub(crate) fn send_running_counts(&mut self) {
         let running: Vec<(String, u32)> = self
+            .cluster
             .jobs
             .iter()
             .map(|(id, j)| {
--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -1,8 +1,9 @@
 //! Decisions of ladderroute, sans I/O: time, random numbers and events are arguments.
 
 pub mod authority;
-pub mod autoscaler;
+mod autoscaler;
 pub mod capacity_index;
+mod cluster;
 pub mod config;
 pub mod dependencies;
 mod epoch;
--- a/crates/sched/src/machine_status.rs
+++ b/crates/sched/src/machine_status.rs
@@ -28,7 +28,7 @@
                 tasks,
             } => {
                 for i in tasks.iter().flat_map(|(a, n)| *a..a.saturating_add(*n)) {
-                    let assigned = self.jobs.get(&job).and_then(|j| j.active.get(&i));
+                    let assigned = self.cluster.jobs.get(&job).and_then(|j| j.active.get(&i));
                     if assigned.is_some_and(|a| {
                         a.attempt == attempt
                             && matches!(&a.location, TaskLocation::Assigned(o, _) if o == from)
@@ -49,7 +49,7 @@
         if shard::owner(&v.name, &self.members) != Some(from) {
             return;
         }
-        if !self.machines.contains_key(&v.name) {
+        if !self.cluster.machines.contains_key(&v.name) {
             if self.autoscaler.is_released(&v.name) {
                 self.on_status_of_released(from, &v);
                 return;
@@ -67,11 +67,11 @@
             );
             let mut m = self.new_machine(&v.kind, &v.zone, v.spot, now);
             m.owner = from.to_string();
-            self.machines.insert(v.name.clone(), m);
+            self.cluster.machines.insert(v.name.clone(), m);
             self.autoscaler.booted(&v.name, now);
         }
         let token = self.token;
-        let Some(m) = self.machines.get_mut(&v.name) else {
+        let Some(m) = self.cluster.machines.get_mut(&v.name) else {
             return;
         };
         if m.owner != from || v.token < m.since {
@@ -105,13 +105,14 @@
         if v.token == token {
             m.reconciled = true;
             if std::mem::take(&mut m.unknown) {
-                self.unknown.remove(&v.name);
-                self.known_at = now;
+                self.cluster.unknown.remove(&v.name);
+                self.cluster.known_at = now;
             }
         }
-        self.dirty_machines.insert(v.name.clone());
+        self.cluster.dirty_machines.insert(v.name.clone());
         self.roster(&v.name);
         if let Some(usable) = self
+            .cluster
             .machines
             .get(&v.name)
             .map(|m| m.usable_sent)
@@ -132,7 +133,7 @@
 
     /// Has a machine that is up rostered, if it is not yet.
     pub(crate) fn roster(&mut self, name: &str) {
-        let Some(m) = self.machines.get_mut(name) else {
+        let Some(m) = self.cluster.machines.get_mut(name) else {
             return;
         };
         if m.rostered == Rostered::No && m.lapsed_at.is_none() && !m.releasing {
@@ -170,6 +171,7 @@
                 TaskLocation::Unresolved(_) => false,
             };
             if self
+                .cluster
                 .jobs
                 .get(&t.job)
                 .and_then(|j| j.active.get(&t.index))
@@ -195,7 +197,7 @@
         for t in v.tasks.iter().filter(|t| t.state == TaskState::Exited) {
             self.note_exit(name, t, now);
         }
-        let Some(m) = self.machines.get_mut(name) else {
+        let Some(m) = self.cluster.machines.get_mut(name) else {
             return;
         };
         m.has_unknown_jobs = has_unknown_jobs;
@@ -207,6 +209,7 @@
             .collect();
         for (id, i) in old {
             let on = self
+                .cluster
                 .jobs
                 .get(&id)
                 .and_then(|j| j.active.get(&i))
@@ -215,7 +218,7 @@
                 self.requeue_task(&id, i);
             }
         }
-        if let Some(m) = self.machines.get_mut(name) {
+        if let Some(m) = self.cluster.machines.get_mut(name) {
             if !m.tasks.is_empty() || !m.reserved.is_empty() {
                 m.idle_since = now;
             }
@@ -231,7 +234,7 @@
         now: Secs,
     ) -> bool {
         let stop = |l: &mut Leader| l.send_stop(machine.into(), task.clone(), 0.0);
-        let Some(job) = self.jobs.get_mut(&task.job) else {
+        let Some(job) = self.cluster.jobs.get_mut(&task.job) else {
             stop(self);
             return false;
         };
@@ -248,7 +251,7 @@
                 if a.location != TaskLocation::OnMachine(machine.into()) {
                     let mut moved = a.clone();
                     moved.location = TaskLocation::OnMachine(machine.into());
-                    self.set_active(&task.job, task.index, moved);
+                    self.cluster.set_active(&task.job, task.index, moved);
                 }
             }
             Some(a) => {
@@ -270,11 +273,12 @@
                     stop_sent: false,
                     since: now,
                 };
-                self.set_active(&task.job, task.index, active);
+                self.cluster.set_active(&task.job, task.index, active);
             }
         }
         if unwanted {
             if let Some(a) = self
+                .cluster
                 .jobs
                 .get_mut(&task.job)
                 .and_then(|j| j.active.get_mut(&task.index))
@@ -289,14 +293,14 @@
 
     pub(crate) fn note_exit(&mut self, machine: &str, t: &TaskStatus, now: Secs) {
         let task = &t.task;
-        let Some(job) = self.jobs.get_mut(&task.job) else {
+        let Some(job) = self.cluster.jobs.get_mut(&task.job) else {
             self.clear(machine, task.clone());
             return;
         };
         let why = t.why.unwrap_or(Why::Error);
         if why == Why::Done {
             // What completes shows that earlier errors there were their jobs' own.
-            if let Some(m) = self.machines.get_mut(machine) {
+            if let Some(m) = self.cluster.machines.get_mut(machine) {
                 m.failed_jobs.clear();
             }
             let durable = job.terminal || job.durable.contains(task.index);
@@ -328,7 +332,7 @@
                 task.index,
                 t.saved
             );
-            let base = self.config.heartbeat_s;
+            let base = self.cluster.config.heartbeat_s;
             match why {
                 Why::Error | Why::NoSuch => {
                     // The many tasks of an array that fail together are one failure.
@@ -354,18 +358,18 @@
     /// fault is its own: then it counts against none of them. Machines of earlier failures are not blamed
     /// again: they may have completed other work since.
     fn blame(&mut self, machine: &str, id: &str) {
-        let Some(job) = self.jobs.get_mut(id).filter(|job| !job.is_broken()) else {
+        let Some(job) = self.cluster.jobs.get_mut(id).filter(|job| !job.is_broken()) else {
             return;
         };
         job.failed_on.insert(machine.into());
         if !job.is_broken() {
-            if let Some(m) = self.machines.get_mut(machine) {
+            if let Some(m) = self.cluster.machines.get_mut(machine) {
                 m.failed_jobs.insert(id.into());
             }
             return;
         }
         for name in &job.failed_on {
-            if let Some(m) = self.machines.get_mut(name) {
+            if let Some(m) = self.cluster.machines.get_mut(name) {
                 m.failed_jobs.remove(id);
             }
         }
@@ -375,7 +379,7 @@
     /// Settles what waited for machines to be reconciled.
     pub(crate) fn reconcile(&mut self) {
         let mut ready = Vec::new();
-        let machines = &self.machines;
+        let machines = &self.cluster.machines;
         self.groups.retain(|id, g| {
             g.machines
                 .retain(|m| machines.get(m).is_some_and(|m| !m.reconciled));
@@ -387,6 +391,7 @@
         for (group, tasks) in ready {
             for (id, i) in tasks {
                 let still = self
+                    .cluster
                     .jobs
                     .get(&id)
                     .and_then(|j| j.active.get(&i))
@@ -399,13 +404,14 @@
         if !self.start_open || !self.epoch_set {
             return;
         }
-        let unknown = &self.unknown;
+        let unknown = &self.cluster.unknown;
         let all = unknown.is_empty();
         let known = |j: &Job| match &j.suspects {
             Some(machines) => machines.iter().all(|m| !unknown.contains(m)),
             None => all,
         };
         let ids: Vec<String> = self
+            .cluster
             .jobs
             .iter()
             .filter(|(_, j)| j.uncertain && known(j))
@@ -413,7 +419,7 @@
             .collect();
         if all {
             self.start_open = false;
-            log::info!("event=reconciled machines={}", self.machines.len());
+            log::info!("event=reconciled machines={}", self.cluster.machines.len());
         }
         for id in ids {
             self.resolve_prior_runs(&id);
@@ -423,7 +429,7 @@
 
     /// All machines are known: decides whether a gang that was found is whole.
     pub(crate) fn resolve_prior_runs(&mut self, id: &str) {
-        let Some(job) = self.jobs.get_mut(id) else {
+        let Some(job) = self.cluster.jobs.get_mut(id) else {
             return;
         };
         job.uncertain = false;
--- a/crates/sched/src/preempt.rs
+++ b/crates/sched/src/preempt.rs
@@ -68,17 +68,18 @@
     /// Stops what the protocol allows for entries that the pass could not place. The look at
     /// all tasks is made only when there is somebody who may have others stopped.
     pub(crate) fn preempt(&mut self, now: Secs) {
-        if now - self.preemption_at < self.config.guarantee_s * GRACE_SHARE / 2.0 {
+        if now - self.preemption_at < self.cluster.config.guarantee_s * GRACE_SHARE / 2.0 {
             return;
         }
         let due = |(id, n): &(String, u32)| {
-            self.may_reclaim(self.jobs.get(id)?, now)
+            self.may_reclaim(self.cluster.jobs.get(id)?, now)
                 .then(|| (id.clone(), *n))
         };
-        let due: Vec<(String, u32)> = self.autoscaler.unmet.iter().filter_map(due).collect();
+        let due: Vec<(String, u32)> = self.cluster.unmet.iter().filter_map(due).collect();
         let mut used = self.used_after_stops();
         let over_guarantee = |(team, used): (&String, &Resources)| {
-            self.config
+            self.cluster
+                .config
                 .teams
                 .get(team)
                 .is_some_and(|t| used.cpus > t.cpus + ROUNDING_SLACK)
@@ -87,16 +88,16 @@
             || !used.iter().any(over_guarantee)
                 && !due
                     .iter()
-                    .any(|(id, _)| self.lower(self.jobs[id].spec.priority))
+                    .any(|(id, _)| self.lower(self.cluster.jobs[id].spec.priority))
         {
             return;
         }
         self.preemption_at = now;
-        let scarce = self.scarce();
+        let scarce = self.cluster.scarce();
         let first = self.cordon_for_gang(&scarce, now).map(|(id, _)| id);
         let mut fields = self.fields(now);
         for (id, n) in due {
-            let Some(job) = self.jobs.get(&id) else {
+            let Some(job) = self.cluster.jobs.get(&id) else {
                 continue;
             };
             if job.is_multi_task_gang() {
@@ -107,16 +108,18 @@
                     continue;
                 }
                 // On the machines on which the pass would place it.
-                let requirements = self.requirements_sparing(job, &scarce);
+                let requirements = self.cluster.requirements_sparing(job, &scarce);
                 let stops = self.plan_for_gang(job, &requirements, &mut fields, &mut used);
                 if let Some(stops) = stops {
                     self.reclaim(&id, &fields, stops, now);
                 }
                 continue;
             }
-            let requirements = self.requirements(job, None);
+            let requirements = self.cluster.requirements(job, None);
             for _ in 0..n {
-                let Some(job) = self.jobs.get(&id) else { break };
+                let Some(job) = self.cluster.jobs.get(&id) else {
+                    break;
+                };
                 let Some(stops) = self.plan_for_task(job, &requirements, &mut fields, &mut used)
                 else {
                     break;
@@ -130,26 +133,28 @@
     /// placed, this one can't be, whatever is stopped for it.
     fn blocks(&self, first: &str, id: &str, now: Secs) -> bool {
         let reclaims = |job: &Job| now < job.reclaims_until;
-        first != id && !self.jobs.get(first).is_some_and(reclaims)
+        first != id && !self.cluster.jobs.get(first).is_some_and(reclaims)
     }
 
     /// Whether others may be stopped for a job that found no capacity.
     fn may_reclaim(&self, job: &Job, now: Secs) -> bool {
         let waited = now - job.seen;
-        let mut window = self.config.guarantee_s * GRACE_SHARE..=self.config.guarantee_s;
+        let mut window =
+            self.cluster.config.guarantee_s * GRACE_SHARE..=self.cluster.config.guarantee_s;
         if job.is_multi_task_gang() {
             // Many machines at once seldom become free by themselves, and would be provisioned meanwhile. It
             // is worth trying for as long as its class's objective can still be met.
             let objective = self
+                .cluster
                 .config
                 .wait_s
                 .get(&job.spec.class)
                 .copied()
                 .unwrap_or_default();
-            window = 0.0..=objective.max(self.config.guarantee_s);
+            window = 0.0..=objective.max(self.cluster.config.guarantee_s);
         }
         let in_time = window.contains(&waited);
-        let starved = waited > self.config.guarantee_s * STARVED;
+        let starved = waited > self.cluster.config.guarantee_s * STARVED;
         (in_time || starved) && (job.within_guarantee || self.lower(job.spec.priority))
     }
 
@@ -157,15 +162,17 @@
     fn reclaim(&mut self, id: &str, fields: &[Field], stops: Vec<Stops>, now: Secs) {
         let victims = stops.iter().flat_map(|(_, victims)| victims);
         let grace_s = victims.map(|v| self.grace_s(&v.job)).fold(0.0, f64::max);
-        if let Some(job) = self.jobs.get_mut(id) {
-            job.reclaims_until = now + grace_s + self.config.heartbeat_s * HEARTBEATS_TO_STOP;
+        if let Some(job) = self.cluster.jobs.get_mut(id) {
+            job.reclaims_until =
+                now + grace_s + self.cluster.config.heartbeat_s * HEARTBEATS_TO_STOP;
         }
         self.stop_victims(id, fields, stops);
     }
 
     /// How long a task of a job may take to save when it is stopped.
     pub(crate) fn grace_s(&self, id: &str) -> Secs {
-        self.jobs
+        self.cluster
+            .jobs
             .get(id)
             .filter(|j| j.spec.checkpoint_s > 0.0)
             .map_or(0.0, |j| j.spec.save_s * 1.2 + 0.5)
@@ -258,15 +265,16 @@
 
     /// Whether work of a lower priority than this runs.
     fn lower(&self, priority: Priority) -> bool {
-        self.jobs
+        self.cluster
+            .jobs
             .values()
             .any(|j| j.priority > priority && !j.active.is_empty())
     }
 
     /// What each team uses once the tasks that were told to stop are gone.
     fn used_after_stops(&self) -> BTreeMap<String, Resources> {
-        let mut used = self.team_used.clone();
-        for j in self.jobs.values() {
+        let mut used = self.cluster.team_used.clone();
+        for j in self.cluster.jobs.values() {
             let stopped = j.active.values().filter(|a| a.stop_sent).count() as u32;
             if let Some(u) = used.get_mut(&j.spec.team) {
                 u.sub(j.resources().scaled(stopped));
@@ -277,13 +285,17 @@
 
     fn fields(&self, now: Secs) -> Vec<Field> {
         let mut out = Vec::new();
-        for (name, m) in self.machines.iter().filter(|(_, m)| m.open()) {
-            let Some(mut free) = self.capacity(&m.kind).map(|c| m.free(c)) else {
+        for (name, m) in self.cluster.machines.iter().filter(|(_, m)| m.open()) {
+            let Some(mut free) = self.cluster.capacity(&m.kind).map(|c| m.free(c)) else {
                 continue;
             };
             let mut victims = Vec::new();
             for (id, i) in m.tasks.keys() {
-                let Some((job, a)) = self.jobs.get(id).and_then(|j| Some((j, j.active.get(i)?)))
+                let Some((job, a)) = self
+                    .cluster
+                    .jobs
+                    .get(id)
+                    .and_then(|j| Some((j, j.active.get(i)?)))
                 else {
                     continue;
                 };
@@ -310,7 +322,7 @@
                         priority: job.priority,
                         within_guarantee: job.within_guarantee,
                         costly: job.spec.checkpoint_s <= 0.0
-                            && lost_s > self.run_s(job) * MOST_LOST,
+                            && lost_s > self.cluster.run_s(job) * MOST_LOST,
                     });
                 }
             }
@@ -401,7 +413,7 @@
             taken.entry(&v.team).or_default().add(v.resources);
         }
         taken.into_iter().all(|(name, resources)| {
-            let Some(team) = self.config.teams.get(name) else {
+            let Some(team) = self.cluster.config.teams.get(name) else {
                 return false;
             };
             let mut u = used.get(name).copied().unwrap_or_default();
--- a/crates/sched/src/queue/arrays.rs
+++ b/crates/sched/src/queue/arrays.rs
@@ -25,11 +25,16 @@
         pass: &mut Pass,
         now: Secs,
     ) {
-        let Some((start_record, cpus)) = self.jobs.get(id).map(|j| (j.start_record, j.spec.cpus))
+        let Some((start_record, cpus)) = self
+            .cluster
+            .jobs
+            .get(id)
+            .map(|j| (j.start_record, j.spec.cpus))
         else {
             return;
         };
         let found = self
+            .cluster
             .index
             .fits_outside(requirements, pass.cordon_against(id));
         // Recorded before its first start, so that a later leader knows which jobs an earlier
@@ -44,18 +49,20 @@
                 self.note_unmet(id, quota - fits, now);
             }
             // Those whose turn comes soon are recorded in time.
-            let turnover = *pass.turnover.get_or_insert_with(|| self.turnover());
+            let turnover = *pass.turnover.get_or_insert_with(|| self.cluster.turnover());
             let soon = pass.queued <= turnover * self.reaction_s() * BACKLOG_WAIT_FACTOR;
             pass.queued += f64::from(quota - fits) * cpus;
-            if let Some(job) = self.jobs.get_mut(id).filter(|_| soon || fits > 0) {
+            if let Some(job) = self.cluster.jobs.get_mut(id).filter(|_| soon || fits > 0) {
                 job.start_record = StartRecord::Requested;
             }
             return;
         }
-        let Some(job) = self.jobs.get(id) else { return };
+        let Some(job) = self.cluster.jobs.get(id) else {
+            return;
+        };
         let zoned = job.spec.one_zone || job.spec.spread;
         let mut limits = if zoned {
-            self.zone_limits(job, &found)
+            self.cluster.zone_limits(job, &found)
         } else {
             Some(BTreeMap::new())
         };
@@ -89,10 +96,12 @@
             if let Some(left) = limits.get_mut(&f.zone) {
                 *left = left.saturating_sub(n);
             }
-            let Some(owner) = self.index.get(&f.name).map(|s| s.owner.clone()) else {
+            let Some(owner) = self.cluster.index.get(&f.name).map(|s| s.owner.clone()) else {
                 continue;
             };
-            self.index.take(&f.name, resources, n, &requirements.image);
+            self.cluster
+                .index
+                .take(&f.name, resources, n, &requirements.image);
             self.note_image(&f.name, &requirements.image);
             for index in &mine {
                 self.assign_task(id, *index, attempt, owner.clone(), f.name.to_string(), now);
@@ -132,30 +141,31 @@
     /// once, but should it be the machines' fault after all, it must not wait for ever.
     pub(super) fn note_unmet(&mut self, id: &str, tasks: u32, now: Secs) {
         if self
+            .cluster
             .jobs
             .get(id)
             .is_some_and(|j| !j.is_broken() || now - j.backoff_until > LONGEST_BACKOFF_S)
         {
-            self.autoscaler.unmet.push((id.into(), tasks));
+            self.cluster.unmet.push((id.into(), tasks));
         }
     }
 
     /// The time after which capacity that a heartbeat showed has a task from here.
     fn reaction_s(&self) -> Secs {
-        self.config.heartbeat_s.min(1.0) / 2.0
-            + self.config.heartbeat_s / crate::owner::STATUS_ROUNDS_PER_HEARTBEAT
+        self.cluster.config.heartbeat_s.min(1.0) / 2.0
+            + self.cluster.config.heartbeat_s / crate::owner::STATUS_ROUNDS_PER_HEARTBEAT
     }
 
     /// CPUs that tasks may wait for at each owner: what array tasks free there in a short time,
     /// less what waits already.
     fn backlog_capacity(&self) -> BTreeMap<String, f64> {
         let mut used: BTreeMap<&str, f64> = BTreeMap::new();
-        for m in self.machines.values().filter(|m| m.open()) {
+        for m in self.cluster.machines.values().filter(|m| m.open()) {
             *used.entry(&m.owner).or_default() += m.used.cpus;
         }
         let all: f64 = used.values().sum();
-        let free = self.turnover() * self.reaction_s() * BACKLOG_FACTOR;
-        let waits = |owner: &str| self.backlog.get(owner).copied().unwrap_or(0.0);
+        let free = self.cluster.turnover() * self.reaction_s() * BACKLOG_FACTOR;
+        let waits = |owner: &str| self.cluster.backlog.get(owner).copied().unwrap_or(0.0);
         used.into_iter()
             .map(|(owner, cpus)| (owner.to_string(), free * cpus / all.max(1.0) - waits(owner)))
             .collect()
@@ -171,7 +181,9 @@
         pass: &mut Pass,
         now: Secs,
     ) {
-        let Some(job) = self.jobs.get(id) else { return };
+        let Some(job) = self.cluster.jobs.get(id) else {
+            return;
+        };
         let (each, team) = (job.resources(), job.spec.team.clone());
         let cordon = pass.cordon_against(id).map_or(&[][..], |a| &a.kinds);
         let kinds: Vec<AllowedMachineType> = requirements
@@ -227,12 +239,12 @@
     }
 
     pub(super) fn note_image(&mut self, machine: &str, image: &str) {
-        if let Some(m) = self.machines.get_mut(machine) {
+        if let Some(m) = self.cluster.machines.get_mut(machine) {
             m.images.retain(|i| i != image);
             m.images.insert(0, image.to_string());
             m.images.truncate(8);
         }
-        self.dirty_machines.insert(machine.into());
+        self.cluster.dirty_machines.insert(machine.into());
     }
 
     pub(super) fn assign_task(
@@ -244,7 +256,7 @@
         machine: String,
         now: Secs,
     ) {
-        self.set_active(
+        self.cluster.set_active(
             id,
             index,
             Active {
--- a/crates/sched/src/queue/gangs.rs
+++ b/crates/sched/src/queue/gangs.rs
@@ -18,7 +18,9 @@
         pass: &mut Pass,
         now: Secs,
     ) {
-        let Some(job) = self.jobs.get(id) else { return };
+        let Some(job) = self.cluster.jobs.get(id) else {
+            return;
+        };
         let here = job.ready.len() + job.active.len() as u32;
         // The count check: a group with fewer tasks than its minimum is turned away.
         if here < job.minimum()
@@ -35,6 +37,7 @@
         }
         let zones: Vec<Option<String>> = match (&requirements.zone, job.spec.one_zone) {
             (None, true) => self
+                .cluster
                 .index
                 .zones()
                 .iter()
@@ -49,7 +52,8 @@
                 ..requirements.clone()
             };
             fit(
-                self.index
+                self.cluster
+                    .index
                     .fits_outside(&requirements, pass.cordon_against(id)),
                 n,
                 most_in_zone,
@@ -66,12 +70,13 @@
         let mut by_owner: BTreeMap<String, Vec<(String, u32, u32)>> = BTreeMap::new();
         let mut first = 0;
         for (machine, count) in counts {
-            let Some(owner) = self.index.get(&machine).map(|s| s.owner.clone()) else {
+            let Some(owner) = self.cluster.index.get(&machine).map(|s| s.owner.clone()) else {
                 continue;
             };
-            self.index
+            self.cluster
+                .index
                 .take(&machine, resources, count, &requirements.image);
-            if let Some(m) = self.machines.get_mut(&machine) {
+            if let Some(m) = self.cluster.machines.get_mut(&machine) {
                 m.reserved.insert(attempt, resources.scaled(count));
             }
             self.note_image(&machine, &requirements.image);
@@ -83,12 +88,12 @@
             first += count;
         }
         // Jitter, so that gangs held in one burst don't lapse in step.
-        let wait = self.config.reservation_s * (0.75 + 0.5 * self.rng.f64());
+        let wait = self.cluster.config.reservation_s * (0.75 + 0.5 * self.rng.f64());
         log::info!(
             "event=reserve job={id} attempt={attempt} machines={} wait_s={wait:.1}",
             places.len()
         );
-        if let Some(job) = self.jobs.get_mut(id) {
+        if let Some(job) = self.cluster.jobs.get_mut(id) {
             job.phase = Phase::Reserving {
                 attempt,
                 waiting: by_owner.keys().cloned().collect(),
@@ -115,7 +120,7 @@
         reserved: bool,
         now: Secs,
     ) {
-        let found = self.jobs.iter().find(|(_, j)| match &j.phase {
+        let found = self.cluster.jobs.iter().find(|(_, j)| match &j.phase {
             Phase::Reserving { attempt: a, .. }
             | Phase::Binding { attempt: a, .. }
             | Phase::Running { attempt: a } => *a == attempt,
@@ -126,7 +131,7 @@
         let Some(id) = found.map(|(id, _)| id.clone()) else {
             return;
         };
-        let Some(job) = self.jobs.get_mut(&id) else {
+        let Some(job) = self.cluster.jobs.get_mut(&id) else {
             return;
         };
         match &mut job.phase {
@@ -175,7 +180,7 @@
 
     /// The binding is durable, or could not be written.
     pub fn bind_result(&mut self, id: &str, attempt: u64, written: bool, now: Secs) {
-        let Some(job) = self.jobs.get_mut(id) else {
+        let Some(job) = self.cluster.jobs.get_mut(id) else {
             return;
         };
         let Phase::Binding {
@@ -190,7 +195,9 @@
             return;
         }
         // A machine that was returned meanwhile took its reserved capacity with it.
-        let here = places.iter().all(|(m, _, _)| self.machines.contains_key(m));
+        let here = places
+            .iter()
+            .all(|(m, _, _)| self.cluster.machines.contains_key(m));
         if !written || !here || now >= *until {
             self.end_reservation(id, now, true);
             return;
@@ -200,11 +207,11 @@
         job.failures = 0;
         let mut owners = BTreeSet::new();
         for (machine, first, n) in &places {
-            let Some(m) = self.machines.get_mut(machine) else {
+            let Some(m) = self.cluster.machines.get_mut(machine) else {
                 continue;
             };
             m.reserved.remove(&attempt);
-            self.dirty_machines.insert(machine.clone());
+            self.cluster.dirty_machines.insert(machine.clone());
             let owner = m.owner.clone();
             owners.insert(owner.clone());
             for i in *first..first + n {
@@ -221,13 +228,13 @@
     /// Releases the capacity of a waiting gang everywhere; with a failure it backs off longer
     /// each time, and keeps its place in the order.
     pub(crate) fn end_reservation(&mut self, id: &str, now: Secs, failed: bool) {
-        let Some(job) = self.jobs.get_mut(id) else {
+        let Some(job) = self.cluster.jobs.get_mut(id) else {
             return;
         };
         let phase = std::mem::replace(&mut job.phase, Phase::Idle);
         if failed {
             job.failures += 1;
-            let wait = self.config.reservation_s / 20.0
+            let wait = self.cluster.config.reservation_s / 20.0
                 * f64::from(1u32 << job.failures.min(6))
                 * (0.75 + 0.5 * self.rng.f64());
             job.backoff_until = now + wait;
@@ -247,9 +254,9 @@
         };
         let mut owners = BTreeSet::new();
         for (machine, _, _) in places {
-            if let Some(m) = self.machines.get_mut(machine) {
+            if let Some(m) = self.cluster.machines.get_mut(machine) {
                 m.reserved.remove(attempt);
-                self.dirty_machines.insert(machine.clone());
+                self.cluster.dirty_machines.insert(machine.clone());
                 owners.insert(m.owner.clone());
             }
         }
--- a/crates/sched/src/queue/mod.rs
+++ b/crates/sched/src/queue/mod.rs
@@ -5,10 +5,7 @@
 //! and does not block those behind it.
 
 mod arrays;
-mod capacity;
 mod gangs;
-mod requirements;
-mod teams;
 
 use crate::leader::{Job, Leader, Phase};
 use crate::placement::Resources;
@@ -32,17 +29,18 @@
 
 impl Leader {
     pub(crate) fn schedule(&mut self, now: Secs) {
-        self.refresh_index();
-        self.mark_within();
-        let scarce = self.scarce();
+        self.cluster.refresh_index();
+        self.cluster.mark_within();
+        let scarce = self.cluster.scarce();
         let mut pass = Pass {
-            limits: self.limits(),
+            limits: self.cluster.limits(),
             cordon: self.cordon_for_gang(&scarce, now),
             backlog: None,
             queued: 0.0,
             turnover: None,
         };
         let mut order: Vec<_> = self
+            .cluster
             .jobs
             .iter()
             .filter(|(_, j)| {
@@ -52,19 +50,19 @@
             .collect();
         order.sort_unstable();
         // Machines kept for gangs take array tasks, last of all, while no such gang waits for capacity.
-        let gang_waits = self.waits_for_scarce(&scarce);
-        self.autoscaler.unmet.clear();
+        let gang_waits = self.cluster.waits_for_scarce(&scarce);
+        self.cluster.unmet.clear();
         for (_, _, _, id) in order {
-            let Some(job) = self.jobs.get(&id) else {
+            let Some(job) = self.cluster.jobs.get(&id) else {
                 continue;
             };
             let quota = pass.quota(job);
             if quota == 0 {
                 continue;
             }
-            let mut requirements = self.requirements_sparing(job, &scarce);
+            let mut requirements = self.cluster.requirements_sparing(job, &scarce);
             if !job.is_gang() && !gang_waits {
-                let all = self.requirements(job, None);
+                let all = self.cluster.requirements(job, None);
                 let last = all.kinds.into_iter().filter(|a| {
                     !requirements
                         .kinds
@@ -98,17 +96,19 @@
                 && job.phase == Phase::Idle
                 && !job.terminal
                 && !job.ready.is_empty();
-            whole && (now < job.reclaims_until || self.waits_long(&job.spec.id, now))
+            whole && (now < job.reclaims_until || self.cluster.waits_long(&job.spec.id, now))
         };
         let unmet = self
-            .autoscaler
+            .cluster
             .unmet
             .iter()
-            .filter_map(|(id, _)| Some((self.jobs.get(id)?, id)));
+            .filter_map(|(id, _)| Some((self.cluster.jobs.get(id)?, id)));
         let (_, id) = unmet
             .filter(|(job, _)| waits(job))
             .min_by_key(|(job, _)| job.revision)?;
-        let requirements = self.requirements_sparing(self.jobs.get(id)?, scarce);
+        let requirements = self
+            .cluster
+            .requirements_sparing(self.cluster.jobs.get(id)?, scarce);
         let zone = requirements
             .zone
             .clone()
