--- a/crates/sched/src/autoscaler/scale_in.rs
+++ b/crates/sched/src/autoscaler/scale_in.rs
@@ -171,9 +171,9 @@
     fn should_give_up_unknown(&self, now: Secs) -> bool {
         let few = self.cluster.unknown.len() as f64
             <= self.cluster.machines.len() as f64 * FEW_UNKNOWN_SHARE;
-        let last_heard =
-            now - self.cluster.known_at.max(self.epoch_at) <= wire::ANSWER_DROPPED_S * 1.25;
-        let long = now - self.epoch_at
+        let last_heard = now - self.cluster.known_at.max(self.epochs.began_at())
+            <= wire::ANSWER_DROPPED_S * 1.25;
+        let long = now - self.epochs.began_at()
             > 2.0 * wire::ANSWER_DROPPED_S + 1.5 * self.cluster.config.heartbeat_s;
         long || few && !last_heard
     }
--- a/crates/sched/src/cluster/active_tasks.rs
+++ b/crates/sched/src/cluster/active_tasks.rs
@@ -1,16 +1,11 @@
-//! The record of what may be where: a task is charged to its team and its machine from the decision to
-//! start it until it is seen to be gone.
+//! Which tasks may be running where: a task is charged to its team and its machine from the decision to
+//! start it until it is certainly not running.
 
 use super::job::waits_at;
 use super::{Active, Cluster, TaskLocation};
-use crate::placement::Resources;
 
 impl Cluster {
-    /// What a team's tasks possibly use, as it is charged.
-    pub fn used_by(&self, team: &str) -> Resources {
-        self.team_used.get(team).copied().unwrap_or_default()
-    }
-
+    /// A task may be running from now on, or at another place than before.
     pub(crate) fn set_active(&mut self, id: &str, index: u32, active: Active) {
         self.remove_active(id, index);
         let Some(job) = self.jobs.get_mut(id) else {
@@ -19,46 +14,41 @@
         let resources = job.resources();
         job.ready.remove(index);
         if let Some(owner) = waits_at(&active.location) {
-            *self.backlog.entry(owner.to_string()).or_default() += resources.cpus;
+            self.backlogs.add(owner, resources.cpus);
         }
-        if let TaskLocation::Assigned(_, name) | TaskLocation::OnMachine(name) = &active.location {
-            if let Some(m) = self.machines.get_mut(name) {
-                if m.tasks.insert((id.into(), index), active.attempt).is_none() {
-                    m.used.add(resources);
-                }
-                self.dirty_machines.insert(name.clone());
+        if let Some(name) = machine_of(&active.location) {
+            if let Some(machine) = self.machines.get_mut(name) {
+                machine.charge((id.into(), index), active.attempt, resources);
+                self.dirty_machines.insert(name.into());
             }
         }
-        self.team_used
-            .entry(job.spec.team.clone())
-            .or_default()
-            .add(resources);
+        self.usage.charge(&job.spec.team, resources);
         job.active.insert(index, active);
     }
 
+    /// A task is certainly not running any more, or is about to be charged elsewhere.
     pub(crate) fn remove_active(&mut self, id: &str, index: u32) -> Option<Active> {
         let job = self.jobs.get_mut(id)?;
         let active = job.active.remove(&index)?;
         let resources = job.resources();
-        if let Some(cpus) = waits_at(&active.location).and_then(|owner| self.backlog.get_mut(owner))
-        {
-            *cpus -= resources.cpus;
+        if let Some(owner) = waits_at(&active.location) {
+            self.backlogs.remove(owner, resources.cpus);
         }
-        if let TaskLocation::Assigned(_, name) | TaskLocation::OnMachine(name) = &active.location {
-            if let Some(m) = self.machines.get_mut(name) {
-                if m.tasks.remove(&(id.to_string(), index)).is_some() {
-                    m.used.sub(resources);
-                }
-                if m.tasks.is_empty() {
-                    // Sums of decimals drift; an empty machine is empty.
-                    m.used = Resources::default();
-                }
-                self.dirty_machines.insert(name.clone());
+        if let Some(name) = machine_of(&active.location) {
+            if let Some(machine) = self.machines.get_mut(name) {
+                machine.discharge(&(id.to_string(), index), resources);
+                self.dirty_machines.insert(name.into());
             }
         }
-        if let Some(u) = self.team_used.get_mut(&job.spec.team) {
-            u.sub(resources);
-        }
+        self.usage.discharge(&job.spec.team, resources);
         Some(active)
     }
 }
+
+/// The machine that a task at a place is charged to.
+fn machine_of(location: &TaskLocation) -> Option<&str> {
+    match location {
+        TaskLocation::Assigned(_, machine) | TaskLocation::OnMachine(machine) => Some(machine),
+        TaskLocation::Unresolved(_) => None,
+    }
+}
--- a/crates/sched/src/cluster/capacity.rs
+++ b/crates/sched/src/cluster/capacity.rs
@@ -11,99 +11,93 @@
     /// Brings the index up to what has changed since the last pass.
     pub(crate) fn refresh_index(&mut self) {
         for name in std::mem::take(&mut self.dirty_machines) {
-            let found = self
-                .machines
-                .get(&name)
-                .filter(|m| m.open())
-                .and_then(|m| Some((m, self.types.get(&m.kind)?)));
+            let machine = self.machines.get(&name).filter(|machine| machine.open());
+            let found = machine.and_then(|machine| Some((machine, self.types.get(&machine.kind)?)));
             match found {
-                Some((m, t)) => self.index.put(
+                Some((machine, machine_type)) => self.index.put(
                     &name,
-                    t,
-                    &m.zone,
-                    m.spot,
+                    machine_type,
+                    &machine.zone,
+                    machine.spot,
                     self.config.guarantee_s,
-                    indexed_machine(m, t),
+                    indexed_machine(machine, machine_type),
                 ),
                 None => self.index.remove(&name),
             }
         }
     }
 
-    /// Whether the index is what a plain rebuild from the cluster view gives; for tests.
-    pub fn index_agrees(&mut self) -> bool {
+    /// Whether the index is what a plain rebuild from the machines gives; for tests.
+    pub(crate) fn index_agrees(&mut self) -> bool {
         self.refresh_index();
-        let one = |(n, m): (&String, &Machine)| {
-            let t = self.types.get(&m.kind)?;
-            Some((
-                n.clone(),
-                (
-                    m.kind.clone(),
-                    m.zone.clone(),
-                    m.spot,
-                    indexed_machine(m, t),
-                ),
-            ))
+        let entry = |(name, machine): (&String, &Machine)| {
+            let machine_type = self.types.get(&machine.kind)?;
+            let indexed = indexed_machine(machine, machine_type);
+            let pool = (machine.kind.clone(), machine.zone.clone(), machine.spot);
+            Some((name.clone(), (pool.0, pool.1, pool.2, indexed)))
         };
-        let plain: BTreeMap<_, _> = self
-            .machines
-            .iter()
-            .filter(|(_, m)| m.open())
-            .filter_map(one)
-            .collect();
-        plain == self.index.contents()
+        let open = self.machines.iter().filter(|(_, machine)| machine.open());
+        let rebuilt: BTreeMap<_, _> = open.filter_map(entry).collect();
+        rebuilt == self.index.contents()
     }
 
-    /// Tasks of a job by zone, leftovers included; none while the place of one is not known.
+    /// Active tasks of a job by zone, those of earlier attempts included; none while it is not known where
+    /// one of them is.
     fn zones_in_use(&self, job: &Job) -> Option<BTreeMap<String, u32>> {
-        let mut out = BTreeMap::new();
-        for a in job.active.values() {
-            let (TaskLocation::Assigned(_, m) | TaskLocation::OnMachine(m)) = &a.location else {
+        let mut zones = BTreeMap::new();
+        for active in job.active.values() {
+            let (TaskLocation::Assigned(_, name) | TaskLocation::OnMachine(name)) =
+                &active.location
+            else {
                 return None;
             };
-            *out.entry(self.machines.get(m)?.zone.clone()).or_insert(0) += 1;
+            let zone = self.machines.get(name)?.zone.clone();
+            *zones.entry(zone).or_insert(0) += 1;
         }
-        Some(out)
+        Some(zones)
     }
 
-    /// How many more tasks of an array each zone may take, when zones matter to its job.
+    /// How many more tasks of an array each zone may take, when zones matter to its job; none while it is not
+    /// known which zones are in use.
     pub(crate) fn zone_limits(&self, job: &Job, found: &[Fit]) -> Option<BTreeMap<Rc<str>, u32>> {
         let used = self.zones_in_use(job)?;
         let half = job.spec.tasks.div_ceil(2);
-        let one: Option<Rc<str>> = match used.keys().next() {
-            _ if !job.spec.one_zone => None,
-            Some(zone) => Some(zone.as_str().into()),
-            None => {
-                let mut capacity_by_zone: BTreeMap<&Rc<str>, u32> = BTreeMap::new();
-                found
-                    .iter()
-                    .for_each(|f| *capacity_by_zone.entry(&f.zone).or_default() += f.slots);
-                capacity_by_zone
-                    .into_iter()
-                    .max_by_key(|(_, n)| *n)
-                    .map(|(z, _)| z.clone())
-            }
-        };
-        let limit = |z: &str| {
+        let limit = |zone: &str| {
             if job.spec.spread {
-                half.saturating_sub(used.get(z).copied().unwrap_or(0))
+                half.saturating_sub(used.get(zone).copied().unwrap_or(0))
             } else {
                 u32::MAX
             }
         };
-        let zones: BTreeSet<&Rc<str>> = found.iter().map(|f| &f.zone).collect();
-        let zones = zones
-            .into_iter()
-            .filter(|z| !job.spec.one_zone || one.as_ref() == Some(z));
-        Some(zones.map(|z| (z.clone(), limit(z))).collect())
+        let only = job.spec.one_zone.then(|| only_zone(&used, found));
+        let zones: BTreeSet<&Rc<str>> = found.iter().map(|fit| &fit.zone).collect();
+        let zones = zones.into_iter();
+        let zones = zones.filter(|zone| {
+            only.as_ref()
+                .is_none_or(|only| only.as_ref() == Some(*zone))
+        });
+        Some(zones.map(|zone| (zone.clone(), limit(zone))).collect())
+    }
+}
+
+/// The zone of a job that wants one: that of its active tasks, else the one in which most tasks fit.
+fn only_zone(used: &BTreeMap<String, u32>, found: &[Fit]) -> Option<Rc<str>> {
+    if let Some(zone) = used.keys().next() {
+        return Some(zone.as_str().into());
+    }
+    let mut slots_by_zone: BTreeMap<&Rc<str>, u32> = BTreeMap::new();
+    for fit in found {
+        *slots_by_zone.entry(&fit.zone).or_default() += fit.slots;
     }
+    let best = slots_by_zone.into_iter().max_by_key(|(_, slots)| *slots);
+    best.map(|(zone, _)| zone.clone())
 }
 
-fn indexed_machine(m: &Machine, t: &MachineType) -> IndexedMachine {
+fn indexed_machine(machine: &Machine, machine_type: &MachineType) -> IndexedMachine {
     IndexedMachine {
-        owner: m.owner.clone(),
-        free: m.free(Resources::of_type(t)),
-        images: m.images.clone(),
-        empty: m.tasks.is_empty(),
+        owner: machine.owner.clone(),
+        free: machine.free(Resources::of_type(machine_type)),
+        images: machine.images.clone(),
+        empty: machine.tasks.is_empty(),
     }
 }
--- a/crates/sched/src/cluster/job.rs
+++ b/crates/sched/src/cluster/job.rs
@@ -1,4 +1,4 @@
-//! A job in the leader's hands, and where its tasks may be.
+//! A job as the leader knows it, and where its tasks may be running.
 
 use crate::placement::Resources;
 use crate::ranges::Ranges;
@@ -8,84 +8,122 @@
 use wire::peers::TaskRef;
 use wire::users::{Job as Spec, Priority, Shape};
 
-/// Where a task in somebody's hands is.
+/// Where an active task may be running.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum TaskLocation {
-    /// Given to an owner, which is expected to choose that machine; where no machine is named, the
-    /// first of its part with capacity.
+    /// Assigned to an owner, which is expected to choose that machine; where no machine is named, the
+    /// first of its shard with capacity.
     Assigned(String, String),
+    /// Shown on a machine by its owner.
     OnMachine(String),
-    /// In the hands of an owner that was lost; settled with the group of its machines.
+    /// Assigned to an owner that was lost; reconciled with a group of its machines.
     Unresolved(u64),
 }
 
+/// A task that may be running.
 #[derive(Clone, Debug)]
 pub(crate) struct Active {
+    /// The attempt that may be running.
     pub attempt: u64,
+    /// Where.
     pub location: TaskLocation,
+    /// Whether it was shown to run.
     pub running: bool,
+    /// Whether its owner was sent a stop in this epoch.
     pub stop_sent: bool,
+    /// When it was shown to run; before that, when it was assigned.
     pub since: Secs,
 }
 
+/// How far a gang is on its way to running.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Phase {
+    /// It waits in the queue. So does every array.
     Idle,
+    /// Owners were asked to reserve resources.
     Reserving {
+        /// The attempt.
         attempt: u64,
+        /// Owners whose answer is missing.
         waiting: BTreeSet<String>,
+        /// When the reservations end.
         until: Secs,
+        /// Machine, first task and number of tasks.
         places: Vec<(String, u32, u32)>,
     },
+    /// All is reserved, and the binding is being written.
     Binding {
+        /// The attempt.
         attempt: u64,
+        /// When the reservations end.
         until: Secs,
+        /// Machine, first task and number of tasks.
         places: Vec<(String, u32, u32)>,
     },
+    /// The binding is durable: its tasks may be running.
     Running {
+        /// The attempt.
         attempt: u64,
     },
     /// A task is gone, or the binding did not come about: the rest has to go as well.
     Ending,
 }
 
-/// Whether the store says that tasks of an array may have been given out.
+/// Whether the store says that tasks of an array may have been started.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum StartRecord {
+    /// It does not.
     None,
-    /// There is capacity for it, so that a record is due, or on its way.
+    /// There is capacity for the array, so that a record is due, or being written.
     Requested,
+    /// It does.
     Written,
 }
 
+/// An open job, or a terminal one of which tasks may still be running.
 pub(crate) struct Job {
+    /// What its user submitted.
     pub spec: Rc<Spec>,
     /// The most urgent priority among its own and that of the open jobs that need it.
     pub priority: Priority,
+    /// The store's revision at its creation: the order of creation.
     pub revision: u64,
     /// When this leader learned of it.
     pub seen: Secs,
+    /// Done or cancelled.
     pub terminal: bool,
+    /// Its end is being written.
     pub finishing: bool,
+    /// Tasks that are done.
     pub done: Ranges,
+    /// Those of which the store knows.
     pub durable: Ranges,
+    /// Chunks of progress that have to be written.
     pub dirty: BTreeSet<u32>,
+    /// Tasks that may be started.
     pub ready: Ranges,
+    /// Tasks that may be running.
     pub active: BTreeMap<u32, Active>,
     /// Started by an earlier leader perhaps; not to be started until the suspects are known.
     pub uncertain: bool,
-    /// Machines on which it may be, if it was started; none stands for any.
+    /// Machines on which it may be running, if it was started; none stands for any.
     pub suspects: Option<BTreeSet<String>>,
+    /// Of an array: whether it is recorded that it may have been started.
     pub start_record: StartRecord,
+    /// No task is started before this.
     pub backoff_until: Secs,
+    /// Failures since a task was last done or a gang last bound.
     pub failures: u32,
     /// Machines on which its tasks failed since one of them was last done, a few.
     pub failed_on: BTreeSet<String>,
+    /// Of a gang: how far it is on its way to running.
     pub phase: Phase,
+    /// Done tasks that their workers keep until that is durable, with the machine.
     pub clears: Vec<(String, TaskRef)>,
+    /// Whether it fits into its team's guarantee together with the team's earlier jobs.
     pub within_guarantee: bool,
-    /// Tasks of others were told to stop so that this whole gang has capacity. Until then that capacity is
-    /// cordoned for it and nothing is provisioned.
+    /// Tasks of others are being stopped so that this whole gang has capacity. Until then that capacity is
+    /// kept for it and no machine is provisioned.
     pub reclaims_until: Secs,
 }
 
@@ -93,6 +131,75 @@
 const MACHINES_TO_BLAME_JOB: usize = 3;
 
 impl Job {
+    /// A job that this leader learns of at `now`.
+    pub(crate) fn new(open: OpenJob, now: Secs) -> Job {
+        let mut ready = Ranges::full(open.spec.tasks);
+        for index in open.done.iter() {
+            ready.remove(index);
+        }
+        let is_untouched = open.prior_runs == PriorRuns::None;
+        let start_record = if is_untouched {
+            StartRecord::None
+        } else {
+            StartRecord::Written
+        };
+        let suspects = match open.prior_runs {
+            PriorRuns::Bound(machines) => Some(machines),
+            PriorRuns::None | PriorRuns::Anywhere => None,
+        };
+        Job {
+            priority: open.spec.priority,
+            revision: open.revision,
+            seen: now,
+            terminal: false,
+            finishing: false,
+            durable: open.done.clone(),
+            done: open.done,
+            dirty: BTreeSet::new(),
+            ready,
+            active: BTreeMap::new(),
+            uncertain: !is_untouched,
+            suspects,
+            start_record,
+            backoff_until: 0.0,
+            failures: 0,
+            failed_on: BTreeSet::new(),
+            phase: Phase::Idle,
+            clears: Vec::new(),
+            within_guarantee: false,
+            reclaims_until: 0.0,
+            spec: open.spec,
+        }
+    }
+
+    /// Whether this attempt of a task may be running.
+    pub(crate) fn is_active(&self, task: &TaskRef) -> bool {
+        let active = self.active.get(&task.index);
+        active.is_some_and(|active| active.attempt == task.attempt)
+    }
+
+    /// Notes that a task is done, and with it all of a gang: its tasks complete together. Progress is
+    /// recorded in chunks of so many tasks.
+    pub(crate) fn mark_done(&mut self, index: u32, chunk_tasks: u32) {
+        let indexes = if self.is_gang() {
+            0..self.spec.tasks
+        } else {
+            index..index + 1
+        };
+        for index in indexes {
+            if self.done.insert(index) {
+                self.ready.remove(index);
+                self.dirty.insert(index / chunk_tasks);
+            }
+        }
+    }
+
+    /// How many tasks are not done.
+    pub(crate) fn open_tasks(&self) -> u32 {
+        self.spec.tasks - self.done.len().min(self.spec.tasks)
+    }
+
+    /// What a task takes.
     pub fn resources(&self) -> Resources {
         Resources {
             cpus: self.spec.cpus,
@@ -100,17 +207,22 @@
             memory_gb: self.spec.memory_gb,
         }
     }
+
+    /// Whether its tasks run at the same time or not at all.
     pub fn is_gang(&self) -> bool {
         self.spec.shape == Shape::Gang
     }
+
     /// Whether several tasks can only start together.
     pub(crate) fn is_multi_task_gang(&self) -> bool {
         self.is_gang() && self.spec.tasks > 1
     }
+
     /// Whether it fails wherever it is tried, so that the fault is its own and not the machines'.
     pub(crate) fn is_broken(&self) -> bool {
         self.failed_on.len() >= MACHINES_TO_BLAME_JOB
     }
+
     /// The smallest number of tasks that may run: all of a gang, one of an array.
     pub(crate) fn minimum(&self) -> u32 {
         if self.is_gang() {
@@ -131,9 +243,13 @@
 
 /// An open job as the store holds it.
 pub struct OpenJob {
+    /// What its user submitted.
     pub spec: Rc<Spec>,
+    /// The store's revision at its creation.
     pub revision: u64,
+    /// Tasks that are done.
     pub done: Ranges,
+    /// What earlier leaders may have started of it.
     pub prior_runs: PriorRuns,
 }
 
--- a/crates/sched/src/cluster/mod.rs
+++ b/crates/sched/src/cluster/mod.rs
@@ -7,11 +7,13 @@
 mod machine;
 mod quota;
 mod requirements;
+mod usage;
 mod wait_estimates;
 
 pub(crate) use job::{Active, Job, Phase, StartRecord, TaskLocation};
 pub use job::{OpenJob, PriorRuns};
 pub(crate) use machine::{Machine, Rostered};
+pub(crate) use usage::{Backlogs, QuotaUsage};
 pub(crate) use wait_estimates::{BusyMachines, SLOW_BOOT_FACTOR};
 
 use crate::capacity_index::Index;
@@ -26,47 +28,61 @@
 #[derive(Clone, Debug)]
 pub(crate) struct ClassProfile {
     resources: Resources,
+    /// The machine types that its jobs allow; none stands for all.
     types: Option<Vec<String>>,
+    /// Whether its jobs allow spot machines.
     pub spot: bool,
+    /// Whether its jobs are gangs.
     pub gang: bool,
 }
 
 impl ClassProfile {
-    pub fn fits(&self, t: &MachineType) -> bool {
-        self.types.as_ref().is_none_or(|l| l.contains(&t.name))
-            && Resources::of_type(t).can_fit(self.resources)
+    /// Whether a task of the class may run on an empty machine of a type.
+    pub fn fits(&self, machine_type: &MachineType) -> bool {
+        let allowed = self.types.as_ref();
+        allowed.is_none_or(|allowed| allowed.contains(&machine_type.name))
+            && Resources::of_type(machine_type).can_fit(self.resources)
     }
 }
 
-/// What was learned about a class of jobs.
+/// The running mean of how long the tasks of a class run.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct ClassStats {
-    pub run_s: f64,
-    pub count: u32,
+struct RunTime {
+    mean_s: Secs,
+    count: u32,
+}
+
+/// The least weight of a new run in the mean, so that it follows what changes.
+const MIN_RUN_WEIGHT: f64 = 0.05;
+
+impl RunTime {
+    fn observe(&mut self, run_s: Secs) {
+        self.count += 1;
+        let weight = (1.0 / f64::from(self.count)).max(MIN_RUN_WEIGHT);
+        self.mean_s += (run_s - self.mean_s) * weight;
+    }
 }
 
 /// The state that decisions are made on.
 pub(crate) struct Cluster {
     pub(crate) config: SchedulerConfig,
+    /// The cloud's machine types by name.
     pub(crate) types: BTreeMap<String, MachineType>,
     pub(crate) jobs: BTreeMap<String, Job>,
+    /// Revision of the creation and id of each known job: the order of creation.
+    by_creation: BTreeSet<(u64, String)>,
     pub(crate) machines: BTreeMap<String, Machine>,
-    /// Open jobs by creation.
-    pub(crate) by_creation: BTreeSet<(u64, String)>,
-    /// Machines with capacity, as the pass looks at them, and those that changed since.
+    /// Machines with capacity, as the pass looks at them.
     pub(crate) index: Index,
+    /// Machines that changed since the index was last brought up to date.
     pub(crate) dirty_machines: BTreeSet<String>,
     /// Machines of unknown content.
     pub(crate) unknown: BTreeSet<String>,
     /// When a machine of unknown content was last reconciled.
     pub(crate) known_at: Secs,
-    pub(crate) team_used: BTreeMap<String, Resources>,
-    /// By team: what jobs that were cancelled so lately that their tasks may still be on unknown
-    /// machines could use together.
-    pub(crate) recently_cancelled: BTreeMap<String, Resources>,
-    /// CPUs of tasks that wait for capacity, by owner.
-    pub(crate) backlog: BTreeMap<String, f64>,
-    pub(crate) classes: BTreeMap<String, ClassStats>,
+    pub(crate) usage: QuotaUsage,
+    pub(crate) backlogs: Backlogs,
+    run_times: BTreeMap<String, RunTime>,
     pub(crate) class_profiles: BTreeMap<String, ClassProfile>,
     /// Entries that the last pass could not place: the job, and how many of its tasks.
     pub(crate) unmet: Vec<(String, u32)>,
@@ -78,27 +94,88 @@
             config,
             types: BTreeMap::new(),
             jobs: BTreeMap::new(),
-            machines: BTreeMap::new(),
             by_creation: BTreeSet::new(),
+            machines: BTreeMap::new(),
             index: Index::default(),
             dirty_machines: BTreeSet::new(),
             unknown: BTreeSet::new(),
             known_at: now,
-            team_used: BTreeMap::new(),
-            recently_cancelled: BTreeMap::new(),
-            backlog: BTreeMap::new(),
-            classes: BTreeMap::new(),
+            usage: QuotaUsage::default(),
+            backlogs: Backlogs::default(),
+            run_times: BTreeMap::new(),
             class_profiles: BTreeMap::new(),
             unmet: Vec::new(),
         }
     }
 
+    /// Takes in a job that is not known yet.
+    pub(crate) fn insert_job(&mut self, job: Job) {
+        self.learn_class(&job.spec);
+        let id = job.spec.id.clone();
+        self.by_creation.insert((job.revision, id.clone()));
+        self.jobs.insert(id, job);
+    }
+
+    /// Forgets a job of which no task may be running.
+    pub(crate) fn remove_job(&mut self, id: &str) {
+        if let Some(job) = self.jobs.remove(id) {
+            self.by_creation.remove(&(job.revision, id.to_string()));
+        }
+    }
+
+    /// Takes in a machine of the roster, of which nothing else is known yet.
+    pub(crate) fn insert_unknown_machine(&mut self, name: &str, machine: Machine) {
+        self.unknown.insert(name.to_string());
+        self.machines.insert(name.to_string(), machine);
+    }
+
+    /// Forgets a machine on which nothing may be running.
+    pub(crate) fn remove_machine(&mut self, name: &str) {
+        self.machines.remove(name);
+        self.unknown.remove(name);
+        self.mark_dirty(name);
+    }
+
+    /// The content of a machine is known from now on.
+    pub(crate) fn note_known(&mut self, name: &str, now: Secs) {
+        self.unknown.remove(name);
+        self.known_at = now;
+    }
+
+    /// What the index holds of a machine may not hold any more.
+    pub(crate) fn mark_dirty(&mut self, name: &str) {
+        self.dirty_machines.insert(name.to_string());
+    }
+
+    /// What the index holds may not hold any more.
+    pub(crate) fn mark_all_dirty(&mut self) {
+        self.dirty_machines.extend(self.machines.keys().cloned());
+    }
+
+    /// Takes the cloud's machine types; says whether there are others than before.
+    pub(crate) fn set_types(&mut self, types: Vec<MachineType>) -> bool {
+        let is_same = self.types.len() == types.len();
+        let by_name = types.into_iter().map(|kind| (kind.name.clone(), kind));
+        self.types = by_name.collect();
+        if !is_same {
+            self.index.clear();
+            self.mark_all_dirty();
+        }
+        !is_same
+    }
+
+    /// A task of a class has run for so many seconds.
+    pub(crate) fn observe_run(&mut self, class: String, run_s: Secs) {
+        self.run_times.entry(class).or_default().observe(run_s);
+    }
+
+    /// What a machine of a type has; none if the cloud does not list the type.
     pub(crate) fn capacity(&self, kind: &str) -> Option<Resources> {
         self.types.get(kind).map(Resources::of_type)
     }
 
     /// Learns from a new job what tasks of its class take.
-    pub(crate) fn learn_class(&mut self, job: &Spec) {
+    fn learn_class(&mut self, job: &Spec) {
         let resources = Resources {
             cpus: job.cpus,
             gpus: job.gpus,
--- a/crates/sched/src/cluster/quota.rs
+++ b/crates/sched/src/cluster/quota.rs
@@ -1,119 +1,139 @@
 //! Teams: their guarantees and limits, with what machines of unknown content may hold of them.
 
-use super::{Cluster, Phase};
+use super::{Cluster, Job, Phase};
+use crate::config::Team;
 use crate::placement::{Resources, ROUNDING_SLACK};
 use std::collections::BTreeMap;
 
+/// What a team's jobs want together, as far as its limit goes.
+#[derive(Default)]
+struct Wanted {
+    cpus: f64,
+    gpus: f64,
+}
+
+impl Wanted {
+    fn add(&mut self, job: &Job, team: &Team) {
+        let tasks = f64::from(job.open_tasks());
+        self.cpus += bounded_sum(tasks, job.spec.cpus, team.cpus_max);
+        self.gpus += bounded_sum(tasks, job.spec.gpus, team.gpus_max);
+    }
+
+    fn is_guaranteed(&self, team: &Team) -> bool {
+        self.cpus <= team.cpus + ROUNDING_SLACK && self.gpus <= team.gpus + ROUNDING_SLACK
+    }
+}
+
+/// What so many tasks use together, as many as a limit allows.
+fn bounded_sum(tasks: f64, each: f64, limit: f64) -> f64 {
+    if each > 0.0 {
+        tasks.min((limit / each).floor()) * each
+    } else {
+        0.0
+    }
+}
+
+/// Capacity that may be used by tasks which the leader does not know.
+#[derive(Clone, Copy, Default, PartialEq)]
+struct Unseen {
+    /// Of machines with tasks of unknown jobs.
+    unknown_jobs: Resources,
+    /// Of machines of unknown content.
+    unknown_content: Resources,
+}
+
 impl Cluster {
     /// Marks the jobs that fit into their team's guarantee together with its earlier ones.
     pub(crate) fn mark_within(&mut self) {
-        let mut sums: BTreeMap<&str, (f64, f64)> = BTreeMap::new();
+        let mut wanted_by: BTreeMap<&str, Wanted> = BTreeMap::new();
         for (_, id) in &self.by_creation {
-            let Some(job) = self.jobs.get_mut(id).filter(|j| !j.terminal) else {
+            let job = self.jobs.get_mut(id);
+            let Some(job) = job.filter(|job| !job.terminal) else {
                 continue;
             };
             let Some((name, team)) = self.config.teams.get_key_value(&job.spec.team) else {
                 continue;
             };
-            let n = f64::from(job.spec.tasks - job.done.len().min(job.spec.tasks));
-            let sum = sums.entry(name).or_default();
-            let bounded_sum = |n: f64, each: f64, most: f64| {
-                if each > 0.0 {
-                    n.min((most / each).floor()) * each
-                } else {
-                    0.0
-                }
-            };
-            sum.0 += bounded_sum(n, job.spec.cpus, team.cpus_max);
-            sum.1 += bounded_sum(n, job.spec.gpus, team.gpus_max);
-            job.within_guarantee =
-                sum.0 <= team.cpus + ROUNDING_SLACK && sum.1 <= team.gpus + ROUNDING_SLACK;
+            let wanted = wanted_by.entry(name).or_default();
+            wanted.add(job, team);
+            job.within_guarantee = wanted.is_guaranteed(team);
         }
     }
 
-    /// What machines with tasks of unknown jobs have together, and those of unknown content.
-    fn unseen_resources(&self) -> (Resources, Resources) {
-        let (mut has_unknown_jobs, mut unknown) = (Resources::default(), Resources::default());
-        for m in self
-            .machines
-            .values()
-            .filter(|m| m.unknown || m.has_unknown_jobs)
-        {
-            let sum = if m.unknown {
-                &mut unknown
-            } else {
-                &mut has_unknown_jobs
+    fn unseen_capacity(&self) -> Unseen {
+        let mut unseen = Unseen::default();
+        for machine in self.machines.values() {
+            let sum = match (machine.unknown, machine.has_unknown_jobs) {
+                (true, _) => &mut unseen.unknown_content,
+                (false, true) => &mut unseen.unknown_jobs,
+                (false, false) => continue,
             };
-            sum.add(self.capacity(&m.kind).unwrap_or_default());
+            sum.add(self.capacity(&machine.kind).unwrap_or_default());
         }
-        (has_unknown_jobs, unknown)
+        unseen
     }
 
-    /// What those may take from a team's limit: all they have, but of unknown content no more than
-    /// the team's jobs that may be there could use.
-    fn unseen_by(
-        &self,
-        team: &str,
-        (mut has_unknown_jobs, mut unknown): (Resources, Resources),
-    ) -> Resources {
-        let mut most = self
-            .recently_cancelled
-            .get(team)
-            .copied()
-            .unwrap_or_default();
-        for j in self
-            .jobs
-            .values()
-            .filter(|j| j.uncertain && j.spec.team == team)
-        {
-            let n =
-                f64::from(j.spec.tasks - j.done.len().min(j.spec.tasks)) - j.active.len() as f64;
-            most.cpus += n.max(0.0) * j.spec.cpus;
-            most.gpus += n.max(0.0) * j.spec.gpus;
+    /// What tasks that are not known may take from a team's limit: all that their machines have, but of
+    /// unknown content no more than the team's jobs that may be there could use.
+    fn unseen_usage(&self, team: &str, unseen: Unseen) -> Resources {
+        let mut most = self.usage.cancelled_of(team);
+        let jobs = self.jobs.values();
+        for job in jobs.filter(|job| job.uncertain && job.spec.team == team) {
+            let tasks = f64::from(job.open_tasks()) - job.active.len() as f64;
+            most.cpus += tasks.max(0.0) * job.spec.cpus;
+            most.gpus += tasks.max(0.0) * job.spec.gpus;
         }
-        unknown.cpus = unknown.cpus.min(most.cpus);
-        unknown.gpus = unknown.gpus.min(most.gpus);
-        has_unknown_jobs.add(unknown);
-        has_unknown_jobs
+        let mut unknown_content = unseen.unknown_content;
+        unknown_content.cpus = unknown_content.cpus.min(most.cpus);
+        unknown_content.gpus = unknown_content.gpus.min(most.gpus);
+        let mut usage = unseen.unknown_jobs;
+        usage.add(unknown_content);
+        usage
     }
 
-    /// What each team may still use, beside what its tasks use, hold, or may use unseen.
+    /// What each team may still use, beside what its tasks use, have reserved, or may use unseen.
     pub(crate) fn limits(&self) -> BTreeMap<String, Resources> {
-        let unseen = self.unseen_resources();
-        let mut out: BTreeMap<String, Resources> = BTreeMap::new();
-        for (name, t) in &self.config.teams {
+        let unseen = self.unseen_capacity();
+        let mut limits: BTreeMap<String, Resources> = BTreeMap::new();
+        for (name, team) in &self.config.teams {
             let mut free = Resources {
-                cpus: t.cpus_max,
-                gpus: t.gpus_max,
+                cpus: team.cpus_max,
+                gpus: team.gpus_max,
                 memory_gb: f64::MAX,
             };
-            let charge = |free: &mut Resources, r: Resources| {
-                free.sub(Resources {
-                    memory_gb: 0.0,
-                    ..r
-                })
-            };
-            if unseen != Default::default() {
-                charge(&mut free, self.unseen_by(name, unseen));
+            if unseen != Unseen::default() {
+                free.sub(without_memory(self.unseen_usage(name, unseen)));
             }
-            charge(
-                &mut free,
-                self.team_used.get(name).copied().unwrap_or_default(),
-            );
-            out.insert(name.clone(), free);
+            free.sub(without_memory(self.usage.used_by(name)));
+            limits.insert(name.clone(), free);
         }
-        for j in self
-            .jobs
-            .values()
-            .filter(|j| matches!(j.phase, Phase::Reserving { .. } | Phase::Binding { .. }))
-        {
-            if let Some(free) = out.get_mut(&j.spec.team) {
-                free.sub(Resources {
-                    memory_gb: 0.0,
-                    ..j.resources().scaled(j.spec.tasks)
-                });
+        let has_reservation =
+            |job: &&Job| matches!(job.phase, Phase::Reserving { .. } | Phase::Binding { .. });
+        for job in self.jobs.values().filter(has_reservation) {
+            if let Some(free) = limits.get_mut(&job.spec.team) {
+                let reserved = job.resources().scaled(job.spec.tasks);
+                free.sub(without_memory(reserved));
             }
         }
-        out
+        limits
+    }
+
+    /// A job became terminal before all machines were known: what was not seen of it may still be running.
+    pub(crate) fn charge_unseen_tasks(&mut self, id: &str) {
+        let job = self.jobs.get(id);
+        let Some(job) = job.filter(|job| job.uncertain) else {
+            return;
+        };
+        let unseen = job.open_tasks().saturating_sub(job.active.len() as u32);
+        let resources = job.resources().scaled(unseen);
+        self.usage.note_cancelled(&job.spec.team, resources);
+    }
+}
+
+/// Quotas do not count memory.
+fn without_memory(resources: Resources) -> Resources {
+    Resources {
+        memory_gb: 0.0,
+        ..resources
     }
 }
--- a/crates/sched/src/cluster/requirements.rs
+++ b/crates/sched/src/cluster/requirements.rs
@@ -1,83 +1,80 @@
-//! What tasks need of their machines, and which machine types are spared for jobs that fit nothing else.
+//! What tasks require of their machines, and which machine types are spared for jobs that fit nothing else.
 
 use super::{Cluster, Job};
 use crate::placement::Resources;
 use std::collections::BTreeSet;
+use wire::cloud::MachineType;
 use wire::peers::{AllowedMachineType, TaskRequirements};
 
+/// Machine types by name, as spot machines (true) or ordinary ones.
+pub(crate) type ScarceTypes = BTreeSet<(String, bool)>;
+
 impl Cluster {
     /// Machine types that are the only ones on which some class's tasks fit: kept for those.
-    pub(crate) fn scarce(&self) -> BTreeSet<(String, bool)> {
-        let mut out = BTreeSet::new();
-        for shape in self.class_profiles.values() {
-            let kinds: BTreeSet<&str> = self
-                .types
-                .values()
-                .filter(|t| shape.fits(t))
-                .map(|t| t.name.as_str())
+    pub(crate) fn scarce(&self) -> ScarceTypes {
+        let mut scarce = ScarceTypes::new();
+        for profile in self.class_profiles.values() {
+            let types = self.types.values();
+            let fitting: BTreeSet<&str> = types
+                .filter(|machine_type| profile.fits(machine_type))
+                .map(|machine_type| machine_type.name.as_str())
                 .collect();
-            if kinds.len() == 1 && self.types.len() > 1 {
-                for k in kinds {
-                    out.insert((k.to_string(), false));
-                    if shape.spot {
-                        out.insert((k.to_string(), true));
-                    }
+            if fitting.len() != 1 || self.types.len() <= 1 {
+                continue;
+            }
+            for name in fitting {
+                scarce.insert((name.to_string(), false));
+                if profile.spot {
+                    scarce.insert((name.to_string(), true));
                 }
             }
         }
-        out
+        scarce
     }
 
+    /// What tasks of a job require, on any machine type but those in `without`.
     pub(crate) fn requirements(
         &self,
         job: &Job,
-        without: Option<&BTreeSet<(String, bool)>>,
+        without: Option<&ScarceTypes>,
     ) -> TaskRequirements {
-        let s = &job.spec;
+        let spec = &job.spec;
+        let is_spared = |kind: &(String, bool)| without.is_some_and(|spared| spared.contains(kind));
         let mut kinds = Vec::new();
-        for t in self.types.values() {
-            if s.types.as_ref().is_some_and(|l| !l.contains(&t.name))
-                || !Resources::of_type(t).can_fit(job.resources())
-            {
-                continue;
-            }
+        let types = self.types.values();
+        for machine_type in types.filter(|machine_type| can_run(job, machine_type)) {
+            // Spot machines first, so that ordinary ones become empty and can be released.
             for spot in [true, false] {
-                let pair = (t.name.clone(), spot);
-                if (!spot || s.spot) && !without.is_some_and(|w| w.contains(&pair)) {
-                    // Cheap machines first, so that dear ones become empty and can be returned.
+                let kind = (machine_type.name.clone(), spot);
+                if (!spot || spec.spot) && !is_spared(&kind) {
                     kinds.push(AllowedMachineType {
-                        kind: pair.0,
+                        kind: kind.0,
                         spot,
                         tier: u8::from(!spot),
                     });
                 }
             }
         }
-        let image = s.image.clone();
         TaskRequirements {
-            cpus: s.cpus,
-            gpus: s.gpus,
-            memory_gb: s.memory_gb,
-            image,
-            image_gb: s.image_gb,
+            cpus: spec.cpus,
+            gpus: spec.gpus,
+            memory_gb: spec.memory_gb,
+            image: spec.image.clone(),
+            image_gb: spec.image_gb,
             kinds,
-            zone: s.zone.clone(),
+            zone: spec.zone.clone(),
         }
     }
 
     /// Whether a gang that fits no other machine types waits for these.
-    pub(crate) fn waits_for_scarce(&self, scarce: &BTreeSet<(String, bool)>) -> bool {
+    pub(crate) fn waits_for_scarce(&self, scarce: &ScarceTypes) -> bool {
         let unmet = self.unmet.iter();
-        let mut gangs = unmet.filter_map(|(id, _)| self.jobs.get(id).filter(|j| j.is_gang()));
+        let mut gangs = unmet.filter_map(|(id, _)| self.jobs.get(id).filter(|job| job.is_gang()));
         gangs.any(|job| self.requirements(job, Some(scarce)).kinds.is_empty())
     }
 
-    /// The same without scarce machine types, unless the job has no other.
-    pub(crate) fn requirements_sparing(
-        &self,
-        job: &Job,
-        scarce: &BTreeSet<(String, bool)>,
-    ) -> TaskRequirements {
+    /// What tasks of a job require without scarce machine types, unless the job has no other.
+    pub(crate) fn requirements_sparing(&self, job: &Job, scarce: &ScarceTypes) -> TaskRequirements {
         let requirements = self.requirements(job, Some(scarce));
         if requirements.kinds.is_empty() {
             return self.requirements(job, None);
@@ -85,3 +82,10 @@
         requirements
     }
 }
+
+/// Whether a task of a job may run on an empty machine of a type.
+fn can_run(job: &Job, machine_type: &MachineType) -> bool {
+    let allowed = job.spec.types.as_ref();
+    allowed.is_none_or(|allowed| allowed.contains(&machine_type.name))
+        && Resources::of_type(machine_type).can_fit(job.resources())
+}
--- a/crates/sched/src/cluster/wait_estimates.rs
+++ b/crates/sched/src/cluster/wait_estimates.rs
@@ -54,9 +54,9 @@
 
     /// How long a task of a job runs, as far as was learned of its class.
     pub(crate) fn run_s(&self, job: &Job) -> f64 {
-        self.classes
+        self.run_times
             .get(&job.spec.class)
-            .map_or(job.spec.estimate_s, |c| c.run_s)
+            .map_or(job.spec.estimate_s, |run_time| run_time.mean_s)
             .max(1.0)
     }
 
--- /dev/null
+++ b/crates/sched/src/leader/machine_status.rs
@@ -0,0 +1,227 @@
+//! What owners show of their machines, and what the leader's cluster view takes from it.
+
+use super::{Action, Active, Leader, Machine, Rostered, TaskLocation};
+use crate::Secs;
+use std::collections::BTreeSet;
+use wire::peers::{MachineStatus, TaskRef, ToLeader, ToOwner};
+use wire::store::RosterRecord;
+use wire::workers::TaskState;
+
+impl Leader {
+    /// Takes a message of an owner.
+    pub fn on_owner_message(&mut self, from: &str, message: ToLeader, now: Secs) {
+        match message {
+            ToLeader::MachineStatuses(statuses) => {
+                for status in statuses {
+                    self.apply_status(from, status, now);
+                }
+                self.reconcile();
+            }
+            ToLeader::HandBack {
+                job,
+                attempt,
+                tasks,
+            } => self.take_back(from, &job, attempt, &tasks),
+            ToLeader::ReserveResult { attempt, reserved } => {
+                self.on_reserve_result(from, attempt, reserved, now)
+            }
+            ToLeader::Cancelled { job } => self.cancel_confirmed(&job),
+            ToLeader::Hello { .. } | ToLeader::Ping { .. } => {}
+        }
+    }
+
+    /// An owner hands tasks back that it did not start and never will: runs of first task and number.
+    fn take_back(&mut self, owner: &str, job: &str, attempt: u64, runs: &[(u32, u32)]) {
+        let indexes = runs.iter();
+        let indexes = indexes.flat_map(|(first, count)| *first..first.saturating_add(*count));
+        for index in indexes {
+            let known = self.cluster.jobs.get(job);
+            let assigned = known.and_then(|known| known.active.get(&index));
+            let is_assigned = |active: &Active| {
+                active.attempt == attempt
+                    && matches!(&active.location, TaskLocation::Assigned(to, _) if to == owner)
+            };
+            if assigned.is_some_and(is_assigned) {
+                self.requeue_task(job, index);
+            }
+        }
+    }
+
+    fn apply_status(&mut self, from: &str, status: MachineStatus, now: Secs) {
+        if !self.epochs.owns(from, &status.name) {
+            return;
+        }
+        if !self.cluster.machines.contains_key(&status.name) {
+            if self.autoscaler.is_released(&status.name) {
+                self.on_status_of_released(from, &status);
+                return;
+            }
+            if status.token != self.epochs.token() || status.lapsed {
+                // Known by a late copy of a heartbeat only, or seen under an earlier epoch; its owner will
+                // show it again under this one.
+                return;
+            }
+            self.add_machine(from, &status, now);
+        }
+        let is_current = status.token == self.epochs.token();
+        let Some(machine) = self.cluster.machines.get_mut(&status.name) else {
+            return;
+        };
+        if machine.owner != from || status.token < machine.since {
+            return;
+        }
+        update_machine(machine, &status, now);
+        // Only a status of this very epoch proves that nothing else was placed there meanwhile.
+        if is_current {
+            machine.reconciled = true;
+            if std::mem::take(&mut machine.unknown) {
+                self.cluster.note_known(&status.name, now);
+            }
+        }
+        self.cluster.mark_dirty(&status.name);
+        self.roster(&status.name);
+        if is_current {
+            self.repeat_usable(from, &status);
+        }
+        self.apply_tasks(&status, now);
+        self.wake = true;
+    }
+
+    fn add_machine(&mut self, owner: &str, status: &MachineStatus, now: Secs) {
+        log::info!(
+            "event=machine_up machine={} kind={} zone={} spot={}",
+            status.name,
+            status.kind,
+            status.zone,
+            status.spot
+        );
+        let mut machine = self.new_machine(&status.kind, &status.zone, status.spot, now);
+        machine.owner = owner.to_string();
+        self.cluster.machines.insert(status.name.clone(), machine);
+        self.autoscaler.booted(&status.name, now);
+    }
+
+    /// Has a machine that is up rostered, if it is not yet.
+    pub(crate) fn roster(&mut self, name: &str) {
+        let Some(machine) = self.cluster.machines.get_mut(name) else {
+            return;
+        };
+        let is_up = machine.lapsed_at.is_none() && !machine.releasing;
+        if machine.rostered != Rostered::No || !is_up {
+            return;
+        }
+        machine.rostered = Rostered::Writing;
+        let record = RosterRecord {
+            kind: machine.kind.clone(),
+            zone: machine.zone.clone(),
+            spot: machine.spot,
+        };
+        self.actions.push(Action::Roster(name.into(), Some(record)));
+    }
+
+    /// An owner that began anew after it was sent whether it may use a machine is sent it again.
+    fn repeat_usable(&mut self, owner: &str, status: &MachineStatus) {
+        let machine = self.cluster.machines.get(&status.name);
+        let usable = machine.map(|machine| machine.usable_sent);
+        if let Some(usable) = usable.filter(|usable| *usable != status.usable) {
+            let machine = status.name.clone();
+            self.send(owner, ToOwner::SetUsable { machine, usable });
+        }
+    }
+
+    /// A machine that was released is gone with all that is on it. Its owner may have placed
+    /// tasks there before it knew; they are running nowhere.
+    fn on_status_of_released(&mut self, from: &str, status: &MachineStatus) {
+        if status.usable {
+            let machine = status.name.clone();
+            let usable = false;
+            self.send(from, ToOwner::SetUsable { machine, usable });
+        }
+        let live = status.tasks.iter();
+        let live = live.filter(|task| task.state != TaskState::Exited);
+        for task in live.map(|task| &task.task).chain(&status.pending) {
+            let is_here = |active: &Active| match &active.location {
+                TaskLocation::Assigned(owner, _) => owner == from,
+                TaskLocation::OnMachine(machine) => *machine == status.name,
+                TaskLocation::Unresolved(_) => false,
+            };
+            let job = self.cluster.jobs.get(&task.job);
+            let active = job.and_then(|job| job.active.get(&task.index));
+            if active.is_some_and(|active| active.attempt == task.attempt && is_here(active)) {
+                self.requeue_task(&task.job, task.index);
+            }
+        }
+    }
+
+    fn apply_tasks(&mut self, status: &MachineStatus, now: Secs) {
+        let name = status.name.as_str();
+        let (exited, live): (Vec<_>, Vec<_>) = status
+            .tasks
+            .iter()
+            .partition(|task| task.state == TaskState::Exited);
+        let mut has_unknown_jobs = false;
+        for task in &live {
+            has_unknown_jobs |= !self.note_live(name, &task.task, task.state, now);
+        }
+        for task in &status.pending {
+            has_unknown_jobs |= !self.note_live(name, task, TaskState::Fetching, now);
+        }
+        for task in exited {
+            self.note_exit(name, task, now);
+        }
+        if let Some(machine) = self.cluster.machines.get_mut(name) {
+            machine.has_unknown_jobs = has_unknown_jobs;
+        }
+        let shown = live.iter().map(|task| &task.task).chain(&status.pending);
+        self.requeue_missing(name, shown);
+        if let Some(machine) = self.cluster.machines.get_mut(name) {
+            if !machine.tasks.is_empty() || !machine.reserved.is_empty() {
+                machine.idle_since = now;
+            }
+        }
+    }
+
+    /// Tasks that were on a machine and that its status does not show any more have ended there.
+    fn requeue_missing<'a>(&mut self, name: &str, shown: impl Iterator<Item = &'a TaskRef>) {
+        let shown: BTreeSet<(&str, u32)> =
+            shown.map(|task| (task.job.as_str(), task.index)).collect();
+        let Some(machine) = self.cluster.machines.get(name) else {
+            return;
+        };
+        let missing = machine.tasks.keys();
+        let missing = missing.filter(|(id, index)| !shown.contains(&(id.as_str(), *index)));
+        let missing: Vec<(String, u32)> = missing.cloned().collect();
+        for (id, index) in missing {
+            let location = self.location(&id, index);
+            if matches!(location, Some(TaskLocation::OnMachine(_))) {
+                self.requeue_task(&id, index);
+            }
+        }
+    }
+}
+
+/// Takes what a status says of the machine itself.
+fn update_machine(machine: &mut Machine, status: &MachineStatus, now: Secs) {
+    let name = &status.name;
+    machine.seen_at = now;
+    if status.lapsed != machine.lapsed_at.is_some() {
+        let event = if status.lapsed { "lost" } else { "back" };
+        log::info!("event=machine_{event} machine={name}");
+    }
+    machine.lapsed_at = status.lapsed.then(|| machine.lapsed_at.unwrap_or(now));
+    machine.notice_until = status
+        .notice_s
+        .map(|notice_s| machine.notice_until.unwrap_or(now + notice_s));
+    machine.confirmed_unusable = !status.usable;
+    if status.unreachable != machine.unreachable {
+        let event = if status.unreachable {
+            "unreachable"
+        } else {
+            "reachable"
+        };
+        log::info!("event=machine_{event} machine={name}");
+        machine.unreachable = status.unreachable;
+    }
+    let has_exited = |task: &wire::peers::TaskStatus| task.state == TaskState::Exited;
+    machine.is_idle = status.pending.is_empty() && status.tasks.iter().all(has_exited);
+}
--- a/crates/sched/src/leader/mod.rs
+++ b/crates/sched/src/leader/mod.rs
@@ -1,112 +1,125 @@
-//! The leader: orders the queue, places gangs in one pass, has capacity held and bound, splits
-//! arrays among the parts, and keeps the record of what may be where.
+//! The leader: it orders the queue, places gangs in one pass, has their resources reserved and bound, splits
+//! arrays among the shards, and keeps account of what may be running where.
 //!
-//! A task is *possibly somewhere* (`Job::active`) from the decision to start it until an owner
-//! shows that it is not. Only tasks in `Job::ready` are ever started.
+//! A task may be running (`Job::active`) from the decision to start it until an owner shows that it is not.
+//! Only tasks in `Job::ready` are ever started.
+//!
+//! [`Leader`] coordinates parts that own their state: the view of the cluster with jobs, machines and usage
+//! (`cluster`), shard epochs, unresolved tasks, the watermark of started arrays, recently terminal jobs, and the
+//! autoscaler. Whatever is to be carried out comes out as an [`Action`].
 
+mod epoch;
 mod jobs;
+mod machine_status;
 mod machines;
 mod notices;
 mod progress;
+mod reconciliation;
 mod requeue;
+mod running_counts;
+mod shard_epochs;
+mod started_arrays;
+mod stops;
 mod summary;
+mod task_status;
+mod terminal_jobs;
+mod unresolved;
 
 pub(crate) use crate::cluster::{
     Active, Cluster, Job, Machine, Phase, Rostered, StartRecord, TaskLocation,
 };
 pub use crate::cluster::{OpenJob, PriorRuns};
 pub use progress::chunk_bits;
-pub use summary::Summary;
+pub use summary::{CpuUse, Summary};
+pub(crate) use task_status::LONGEST_BACKOFF_S;
 
 use crate::config::SchedulerConfig;
 use crate::placement::Resources;
 use crate::Secs;
-use std::collections::{BTreeMap, BTreeSet};
+use running_counts::RunningCounts;
+use shard_epochs::ShardEpochs;
+use started_arrays::StartedArrays;
+use std::collections::BTreeMap;
+use terminal_jobs::TerminalJobs;
+use unresolved::UnresolvedTasks;
 use wire::cloud::{MachineType, ProvisionRequest};
 use wire::peers::ToOwner;
 use wire::store::{RosterRecord, StartedArraysRecord};
 
-/// What the leader wants done outside.
+/// An effect for the caller to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
+    /// Send a message to an owner.
     Send(String, ToOwner),
+    /// Make the next fencing token durable; answered by [`Leader::token_result`].
     NewToken,
+    /// Write a machine's record into the roster, or drop it; answered by [`Leader::roster_result`].
     Roster(String, Option<RosterRecord>),
-    /// Record of which arrays tasks may be given out from now on.
+    /// Record from which arrays tasks may be started; answered by [`Leader::start_record_result`].
     RecordStartedArrays(StartedArraysRecord),
-    /// Which of a job's tasks are done, from `first_task` on, as a bitmap in hexadecimal.
+    /// Record which tasks of a job are done; answered by [`Leader::progress_result`].
     Progress {
+        /// The job.
         job: String,
+        /// The task of the first bit.
         first_task: u32,
+        /// A bitmap in hexadecimal.
         bits: String,
     },
+    /// Record that a job is done; answered by [`Leader::finish_result`].
     Finish {
+        /// The job.
         job: String,
     },
+    /// Write the binding of a gang; answered by [`Leader::bind_result`].
     Bind {
+        /// The job.
         job: String,
+        /// The attempt that is bound.
         attempt: u64,
+        /// Machine, first task and number of tasks.
         places: Vec<(String, u32, u32)>,
     },
+    /// Ask the cloud for machines; answered by [`Leader::provision_result`].
     Provision(ProvisionRequest),
+    /// Return machines to the cloud; answered by [`Leader::deprovision_result`].
     Deprovision(Vec<String>),
 }
 
-pub(crate) struct OwnerLink {
-    pub since: Secs,
-    pub last_heard: Secs,
-    pub granted_until: Secs,
-}
-
-pub(crate) struct UnresolvedGroup {
-    pub machines: BTreeSet<String>,
-    pub tasks: Vec<(String, u32)>,
-}
-
+/// The leader: it coordinates the parts that own the state.
 pub struct Leader {
     pub(crate) member: String,
     pub(crate) cluster: Cluster,
+    pub(crate) epochs: ShardEpochs,
+    pub(crate) autoscaler: crate::autoscaler::Autoscaler,
+    unresolved: UnresolvedTasks,
+    started_arrays: StartedArrays,
+    terminal_jobs: TerminalJobs,
+    running_counts: RunningCounts,
     pub(crate) rng: fastrand::Rng,
-    pub(crate) token: u64,
-    /// Token of the present epoch; 0 before the first.
-    pub(crate) epoch_token: u64,
-    /// An owner's connection broke: what was sent to it may be lost, so a new epoch is due.
-    pub(crate) epoch_broken: bool,
-    pub(crate) broken: BTreeSet<String>,
-    pub(crate) counter: u64,
-    pub(crate) started_at: Secs,
+    /// How many attempts were begun under this leader.
+    attempts: u64,
     /// The time of the last tick.
-    pub(crate) time: Secs,
-    pub(crate) members: Vec<String>,
-    pub(crate) epoch_set: bool,
-    pub(crate) token_requested: bool,
-    pub(crate) others_starting: bool,
-    pub(crate) links: BTreeMap<String, OwnerLink>,
-    pub(crate) lost_until: Secs,
-    /// No array accepted later is recorded as begun; and a new record is on its way to the store.
-    pub(crate) started_upto: u64,
-    pub(crate) start_record_pending: bool,
-    pub(crate) groups: BTreeMap<u64, UnresolvedGroup>,
-    pub(crate) next_group: u64,
-    pub(crate) start_open: bool,
-    /// Jobs that are over, of which tasks may still run, and since when this leader knows: owners
-    /// are told, those of later epochs too.
-    pub(crate) recently_terminal: BTreeMap<String, Secs>,
-    pub(crate) epoch_at: Secs,
-    pub(crate) autoscaler: crate::autoscaler::Autoscaler,
+    time: Secs,
+    /// Whether jobs wait for machines on which an earlier leader may have started them.
+    has_unknown_prior_runs: bool,
     pub(crate) actions: Vec<Action>,
-    pub(crate) wake: bool,
-    pub(crate) progress_flushed_at: Secs,
-    pub(crate) chunk_bits: u32,
-    pub(crate) last_running_counts: Vec<(String, u32)>,
-    pub(crate) running_counts_sent_at: Secs,
-    pub(crate) pass_at: Secs,
+    /// Something has changed that the next pass should see soon.
+    wake: bool,
+    /// Tasks of a progress record.
+    chunk_bits: u32,
+    progress_flushed_at: Secs,
+    pass_at: Secs,
     pub(crate) preemption_at: Secs,
 }
 
+/// Progress is written every so many parts of a worker's lease.
+const PROGRESS_WRITES_PER_LEASE: f64 = 12.0;
+
 impl Leader {
-    /// A new leader with a new token. Jobs in `jobs` may have been started by an earlier one.
-    #[allow(clippy::too_many_arguments)]
+    /// A new leader with a new token. Jobs in `jobs` may have been started by an earlier one; `started_upto` is
+    /// the revision up to which arrays are recorded as started.
+    #[allow(clippy::too_many_arguments)] // Each is a different kind of record that a leader begins with.
     pub fn new(
         member: &str,
         config: SchedulerConfig,
@@ -118,56 +131,41 @@
         started_upto: u64,
         now: Secs,
     ) -> Leader {
-        let mut l = Leader {
+        let mut leader = Leader {
             member: member.into(),
             cluster: Cluster::new(config, now),
+            epochs: ShardEpochs::new(member, token, now),
+            autoscaler: crate::autoscaler::Autoscaler::default(),
+            unresolved: UnresolvedTasks::default(),
+            started_arrays: StartedArrays::new(started_upto),
+            terminal_jobs: TerminalJobs::default(),
+            running_counts: RunningCounts::new(now),
             rng: fastrand::Rng::with_seed(seed),
-            token,
-            epoch_token: 0,
-            epoch_broken: false,
-            broken: BTreeSet::new(),
-            counter: 0,
-            started_at: now,
+            attempts: 0,
             time: now,
-            members: Vec::new(),
-            epoch_set: false,
-            token_requested: false,
-            others_starting: false,
-            links: BTreeMap::new(),
-            lost_until: now,
-            started_upto,
-            start_record_pending: false,
-            groups: BTreeMap::new(),
-            next_group: 0,
-            start_open: true,
-            recently_terminal: BTreeMap::new(),
-            epoch_at: now,
-            autoscaler: crate::autoscaler::Autoscaler::default(),
+            has_unknown_prior_runs: true,
             actions: Vec::new(),
             wake: false,
-            progress_flushed_at: now,
             chunk_bits: chunk_bits(value_kb),
-            last_running_counts: Vec::new(),
-            running_counts_sent_at: now,
+            progress_flushed_at: now,
             pass_at: f64::MIN,
             preemption_at: f64::MIN,
         };
-        for j in jobs {
-            l.add_job(j);
+        for job in jobs {
+            leader.add_job(job);
         }
-        for (name, r) in roster {
-            let mut m = l.new_machine(&r.kind, &r.zone, r.spot, now);
-            m.rostered = Rostered::Yes;
-            m.unknown = true;
-            l.cluster.unknown.insert(name.clone());
-            l.cluster.machines.insert(name.clone(), m);
+        for (name, record) in roster {
+            let mut machine = leader.new_machine(&record.kind, &record.zone, record.spot, now);
+            machine.rostered = Rostered::Yes;
+            machine.unknown = true;
+            leader.cluster.insert_unknown_machine(name, machine);
         }
-        l
+        leader
     }
 
     /// What a team's tasks may use together, as they are charged to its quota.
     pub fn used_by(&self, team: &str) -> Resources {
-        self.cluster.used_by(team)
+        self.cluster.usage.used_by(team)
     }
 
     /// Whether the index of free resources agrees with a plain rebuild; for tests.
@@ -175,15 +173,17 @@
         self.cluster.index_agrees()
     }
 
+    /// The newest fencing token.
     pub fn token(&self) -> u64 {
-        self.token
+        self.epochs.token()
     }
 
+    /// The shard owners of the present epoch.
     pub fn members(&self) -> &[String] {
-        &self.members
+        self.epochs.members()
     }
 
-    /// What is to be done now.
+    /// Takes the actions that were decided since.
     pub fn drain(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
@@ -195,70 +195,73 @@
     /// Does what is due: `known` is the number of other controllers in the settings.
     pub fn tick(&mut self, now: Secs, known: usize) {
         self.time = now;
-        let remembered = self.cluster.config.terminal_retention_s();
-        self.recently_terminal
-            .retain(|_, since| now - *since < remembered);
+        let retention_s = self.cluster.config.terminal_retention_s();
+        self.terminal_jobs.expire(now, retention_s);
         self.review_epoch(now, known);
-        if !self.epoch_set {
+        if !self.epochs.is_set() {
             return;
         }
-        let late: Vec<String> = self
-            .cluster
-            .jobs
-            .iter()
-            .filter(|(_, j)| matches!(&j.phase, Phase::Reserving { until, .. } | Phase::Binding { until, .. } if now >= *until))
-            .map(|(id, _)| id.clone())
-            .collect();
-        for id in late {
-            log::info!("event=reservation_expired job={id}");
-            self.end_reservation(&id, now, true);
-        }
+        self.expire_reservations(now);
         self.handle_spot_notices(now);
-        if std::mem::take(&mut self.wake)
-            || now - self.pass_at > self.cluster.config.heartbeat_s.min(1.0) / 2.0
-        {
+        if self.pass_is_due(now) {
             self.pass_at = now;
             self.schedule(now);
             self.preempt(now);
         }
         self.autoscale(now);
-        // What is not recorded yet is still in the workers' heartbeats, should this leader be lost.
-        if now - self.progress_flushed_at > self.cluster.config.lease_s / 12.0 {
+        self.flush_progress_if_due(now);
+        if self.running_counts.is_due(now) {
+            self.send_running_counts();
+        }
+    }
+
+    /// Gives up gangs whose reservations did not become a binding in time.
+    fn expire_reservations(&mut self, now: Secs) {
+        let is_late = |job: &Job| match &job.phase {
+            Phase::Reserving { until, .. } | Phase::Binding { until, .. } => now >= *until,
+            Phase::Idle | Phase::Running { .. } | Phase::Ending => false,
+        };
+        let late = self.cluster.jobs.iter().filter(|(_, job)| is_late(job));
+        let late: Vec<String> = late.map(|(id, _)| id.clone()).collect();
+        for id in late {
+            log::info!("event=reservation_expired job={id}");
+            self.end_reservation(&id, now, true);
+        }
+    }
+
+    /// Whether a pass is to be made now: something has changed, or half a heartbeat interval is over.
+    fn pass_is_due(&mut self, now: Secs) -> bool {
+        let interval_s = self.cluster.config.heartbeat_s.min(1.0) / 2.0;
+        std::mem::take(&mut self.wake) || now - self.pass_at > interval_s
+    }
+
+    /// What is not recorded yet is still in the workers' heartbeats, should this leader be lost.
+    fn flush_progress_if_due(&mut self, now: Secs) {
+        let interval_s = self.cluster.config.lease_s / PROGRESS_WRITES_PER_LEASE;
+        if now - self.progress_flushed_at > interval_s {
             self.progress_flushed_at = now;
             self.flush_progress();
         }
-        if now - self.running_counts_sent_at > 1.0 {
-            self.running_counts_sent_at = now;
-            self.send_running_counts();
-        }
     }
 
     pub(crate) fn wake(&mut self) {
         self.wake = true;
     }
 
+    /// A number for an attempt, unique among all leaders, since the token is.
     pub(crate) fn next_attempt(&mut self) -> u64 {
-        self.counter += 1;
-        // Unique among all leaders: the token is.
-        (self.token << 24) | (self.counter & 0xff_ffff)
+        self.attempts += 1;
+        (self.token() << 24) | (self.attempts & 0xff_ffff)
     }
 
     /// The cloud's machine types, as they are at present.
     pub fn catalog(&mut self, types: Vec<MachineType>) {
-        let same = self.cluster.types.len() == types.len();
-        self.cluster.types = types.into_iter().map(|t| (t.name.clone(), t)).collect();
-        if !same {
-            self.cluster.index.clear();
-            self.cluster
-                .dirty_machines
-                .extend(self.cluster.machines.keys().cloned());
-        }
-        if !same && self.epoch_set {
-            let message = ToOwner::Catalog {
-                types: self.cluster.types.values().cloned().collect(),
-            };
-            for m in self.members.clone() {
-                self.send(&m, message.clone());
+        let has_changed = self.cluster.set_types(types);
+        if has_changed && self.epochs.is_set() {
+            let types = self.cluster.types.values().cloned().collect();
+            let message = ToOwner::Catalog { types };
+            for member in self.members().to_vec() {
+                self.send(&member, message.clone());
             }
         }
         self.wake = true;
--- a/crates/sched/src/leader/notices.rs
+++ b/crates/sched/src/leader/notices.rs
@@ -1,48 +1,75 @@
-//! Machines that the cloud takes back soon: what can be saved on them is.
+//! Spot notices: machines that the cloud takes back soon. What can be saved on them is saved.
 
-use super::{Active, Leader, Phase};
+use super::{Job, Leader, Phase};
 use crate::Secs;
 
+/// How much longer than announced saving may take.
+const SAVE_FACTOR: f64 = 1.5;
+
+/// Heartbeat intervals within which a stop has reached its machine and the machine has shown the end.
+const HEARTBEATS_TO_STOP: f64 = 2.5;
+
+/// Seconds to spare beside those.
+const MARGIN_S: Secs = 1.0;
+
+/// A task that has to save now.
+struct DueTask {
+    machine: String,
+    job: String,
+    index: u32,
+}
+
 impl Leader {
     /// Saves what can be saved before the cloud takes a machine.
-    pub(crate) fn handle_spot_notices(&mut self, now: Secs) {
-        for (machine, id, index) in self.due_to_save(now) {
-            log::info!("event=save_before_notice task={id}/{index} machine={machine}");
-            let grace_s = self.grace_s(&id);
-            match self.cluster.jobs.get_mut(&id) {
+    pub(super) fn handle_spot_notices(&mut self, now: Secs) {
+        for due in self.due_to_save(now) {
+            log::info!(
+                "event=save_before_notice task={}/{} machine={}",
+                due.job,
+                due.index,
+                due.machine
+            );
+            let grace_s = self.grace_s(&due.job);
+            match self.cluster.jobs.get_mut(&due.job) {
                 // The tasks of a gang save together or not at all.
                 Some(job) if job.is_gang() => {
                     job.phase = Phase::Ending;
-                    self.stop_all(&id, grace_s);
+                    self.stop_all(&due.job, grace_s);
                 }
-                _ => self.stop_task(&id, index, grace_s),
+                _ => self.stop_task(&due.job, due.index, grace_s),
             }
         }
     }
 
-    /// Tasks that can save, on machines that the cloud takes soon: machine, job and task.
-    fn due_to_save(&self, now: Secs) -> Vec<(String, String, u32)> {
+    /// Running tasks that can save, on machines that the cloud takes soon.
+    fn due_to_save(&self, now: Secs) -> Vec<DueTask> {
         let mut due = Vec::new();
         for (name, machine) in &self.cluster.machines {
             let Some(until) = machine.notice_until else {
                 continue;
             };
             for (id, index) in machine.tasks.keys() {
-                let Some(job) = self
-                    .cluster
-                    .jobs
-                    .get(id)
-                    .filter(|j| j.spec.checkpoint_s > 0.0)
-                else {
-                    continue;
-                };
-                let spare_s = job.spec.save_s * 1.5 + self.cluster.config.heartbeat_s * 2.5 + 1.0;
-                let running = |a: &Active| a.running && !a.stop_sent;
-                if until - now < spare_s && job.active.get(index).is_some_and(running) {
-                    due.push((name.clone(), id.clone(), *index));
+                let job = self.cluster.jobs.get(id);
+                if job.is_some_and(|job| self.must_save(job, *index, until - now)) {
+                    due.push(DueTask {
+                        machine: name.clone(),
+                        job: id.clone(),
+                        index: *index,
+                    });
                 }
             }
         }
         due
     }
+
+    /// Whether a task has to save now, when its machine is taken back in so many seconds.
+    fn must_save(&self, job: &Job, index: u32, left_s: Secs) -> bool {
+        if job.spec.checkpoint_s <= 0.0 {
+            return false;
+        }
+        let heartbeats_s = self.cluster.config.heartbeat_s * HEARTBEATS_TO_STOP;
+        let needed_s = job.spec.save_s * SAVE_FACTOR + heartbeats_s + MARGIN_S;
+        let active = job.active.get(&index);
+        left_s < needed_s && active.is_some_and(|active| active.running && !active.stop_sent)
+    }
 }
--- a/crates/sched/src/leader/progress.rs
+++ b/crates/sched/src/leader/progress.rs
@@ -1,12 +1,7 @@
 //! What of the jobs' progress is to be recorded: which tasks are done, and which arrays may have begun.
 
-use super::{Action, Leader, Rostered, StartRecord};
+use super::{Action, Leader, Rostered};
 use crate::ranges::Ranges;
-use wire::store::StartedArraysRecord;
-
-/// Bits of a progress record for each revision that the record of begun arrays may name: half of
-/// what a value holds.
-const BITS_PER_WAITING_REVISION: usize = 48;
 
 /// Tasks per progress record: a bitmap in hexadecimal takes half of what a value may hold. Records say
 /// where each bitmap begins, since other controllers may have other limits.
@@ -47,107 +42,50 @@
         }
     }
 
-    /// Writes progress of jobs with newly done tasks, coalesced.
+    /// Writes progress of jobs with newly done tasks, coalesced, and what could not be written before.
     pub(crate) fn flush_progress(&mut self) {
-        let bits = self.chunk_bits;
-        for (id, job) in self
-            .cluster
-            .jobs
-            .iter_mut()
-            .filter(|(_, j)| !j.dirty.is_empty())
-        {
+        self.write_dirty_chunks();
+        self.retry_roster();
+        self.retry_finish();
+    }
+
+    fn write_dirty_chunks(&mut self) {
+        let chunk_tasks = self.chunk_bits;
+        let jobs = self.cluster.jobs.iter_mut();
+        for (id, job) in jobs.filter(|(_, job)| !job.dirty.is_empty()) {
             let dirty = std::mem::take(&mut job.dirty);
             if job.terminal || job.finishing {
                 continue;
             }
             for chunk in dirty {
-                let first_task = chunk * bits;
-                let to = (first_task + bits).min(job.spec.tasks);
-                let bits = job.done.hex(first_task, to);
+                let first_task = chunk * chunk_tasks;
+                let end = (first_task + chunk_tasks).min(job.spec.tasks);
                 self.actions.push(Action::Progress {
                     job: id.clone(),
                     first_task,
-                    bits,
+                    bits: job.done.hex(first_task, end),
                 });
             }
         }
-        // A roster write that failed is tried again: an idle machine brings no new view.
-        let missing: Vec<String> = self
-            .cluster
-            .machines
-            .iter()
-            .filter(|(_, m)| m.rostered == Rostered::No)
-            .map(|(n, _)| n.clone())
-            .collect();
-        for name in missing {
-            self.roster(&name);
-        }
-        let retry: Vec<String> = self
-            .cluster
-            .jobs
-            .iter()
-            .filter(|(_, j)| !j.terminal && !j.finishing && !j.uncertain)
-            .map(|(id, _)| id.clone())
-            .collect();
-        for id in retry {
-            self.finish_if_done(&id);
-        }
     }
 
-    /// Has it recorded which arrays begin, if any are to and no record is on its way.
-    pub(crate) fn request_start_record(&mut self) {
-        if self.start_record_pending
-            || !self
-                .cluster
-                .jobs
-                .values()
-                .any(|j| j.start_record == StartRecord::Requested)
-        {
-            return;
+    /// A roster write that failed is tried again: an idle machine brings no new status.
+    fn retry_roster(&mut self) {
+        let missing = self.cluster.machines.iter();
+        let missing = missing.filter(|(_, machine)| machine.rostered == Rostered::No);
+        let missing: Vec<String> = missing.map(|(name, _)| name.clone()).collect();
+        for name in missing {
+            self.roster(&name);
         }
-        self.start_record_pending = true;
-        let arrays = || {
-            self.cluster
-                .jobs
-                .values()
-                .filter(|j| !j.is_gang() && !j.terminal)
-        };
-        let upto = arrays()
-            .map(|j| j.revision)
-            .fold(self.started_upto, u64::max);
-        let mut waiting: Vec<u64> = arrays()
-            .filter(|j| j.start_record == StartRecord::None)
-            .map(|j| j.revision)
-            .collect();
-        waiting.sort_unstable();
-        // One that is not named is only taken to have begun.
-        waiting.truncate(self.chunk_bits as usize / BITS_PER_WAITING_REVISION);
-        self.actions
-            .push(Action::RecordStartedArrays(StartedArraysRecord {
-                upto,
-                waiting,
-            }));
     }
 
-    /// The record of what has begun is durable, or its outcome is not known (the next pass asks
-    /// again).
-    pub fn start_record_result(&mut self, record: &StartedArraysRecord, written: bool) {
-        self.start_record_pending = false;
-        if written {
-            self.started_upto = self.started_upto.max(record.upto);
-        }
-        for j in self
-            .cluster
-            .jobs
-            .values_mut()
-            .filter(|j| j.start_record != StartRecord::Written && record.covers(j.revision))
-        {
-            j.start_record = if written {
-                StartRecord::Written
-            } else {
-                StartRecord::None
-            };
+    /// So is the end of a job.
+    fn retry_finish(&mut self) {
+        let open = self.cluster.jobs.iter();
+        let open = open.filter(|(_, job)| !job.terminal && !job.finishing && !job.uncertain);
+        let open: Vec<String> = open.map(|(id, _)| id.clone()).collect();
+        for id in open {
+            self.finish_if_done(&id);
         }
-        self.wake = true;
     }
 }
--- a/crates/sched/src/leader/requeue.rs
+++ b/crates/sched/src/leader/requeue.rs
@@ -3,7 +3,8 @@
 use super::{Leader, Phase};
 
 impl Leader {
-    /// A task is certainly nowhere any more and not done.
+    /// A task is certainly not running any more, and goes back to the queue unless it is done. What is left of
+    /// a gang that lost a task is stopped.
     pub(crate) fn requeue_task(&mut self, id: &str, index: u32) {
         if self.cluster.remove_active(id, index).is_none() {
             return;
--- /dev/null
+++ b/crates/sched/src/leader/running_counts.rs
@@ -0,0 +1,53 @@
+//! How many tasks of each job run, for the controllers' answers to users.
+
+use super::Leader;
+use crate::Secs;
+use wire::peers::ToOwner;
+
+/// Seconds between two messages with the numbers of running tasks.
+const INTERVAL_S: Secs = 1.0;
+
+/// The numbers that were sent last, and when they were last looked at.
+pub(crate) struct RunningCounts {
+    last: Vec<(String, u32)>,
+    checked_at: Secs,
+}
+
+impl RunningCounts {
+    pub(crate) fn new(now: Secs) -> RunningCounts {
+        RunningCounts {
+            last: Vec::new(),
+            checked_at: now,
+        }
+    }
+
+    /// Whether it is time to look again; not said again for a while.
+    pub(crate) fn is_due(&mut self, now: Secs) -> bool {
+        let is_due = now - self.checked_at > INTERVAL_S;
+        if is_due {
+            self.checked_at = now;
+        }
+        is_due
+    }
+}
+
+impl Leader {
+    /// Sends the numbers of running tasks to all controllers, if they have changed.
+    pub(crate) fn send_running_counts(&mut self) {
+        let counts = self.cluster.jobs.iter().map(|(id, job)| {
+            let running = job.active.values().filter(|active| active.running);
+            (id.clone(), running.count() as u32)
+        });
+        let running: Vec<(String, u32)> = counts.filter(|(_, count)| *count > 0).collect();
+        if running == self.running_counts.last {
+            return;
+        }
+        let mut controllers: Vec<String> = self.epochs.connected().cloned().collect();
+        controllers.push(self.member.clone());
+        for controller in controllers {
+            let running = running.clone();
+            self.send(&controller, ToOwner::RunningCounts { running });
+        }
+        self.running_counts.last = running;
+    }
+}
--- /dev/null
+++ b/crates/sched/src/leader/stops.rs
@@ -0,0 +1,69 @@
+//! Stopping tasks on their machines, and letting workers forget tasks that have exited.
+
+use super::{Leader, TaskLocation};
+use wire::peers::{TaskRef, ToOwner};
+
+impl Leader {
+    /// Has all tasks of a job stopped that are on machines and were not sent a stop yet.
+    pub(crate) fn stop_all(&mut self, id: &str, grace_s: f64) {
+        let Some(job) = self.cluster.jobs.get(id) else {
+            return;
+        };
+        let indexes: Vec<u32> = job.active.keys().copied().collect();
+        for index in indexes {
+            self.stop_task(id, index, grace_s);
+        }
+    }
+
+    /// Has one task stopped, if it is on a machine and was not sent a stop yet.
+    pub(crate) fn stop_task(&mut self, id: &str, index: u32, grace_s: f64) {
+        let job = self.cluster.jobs.get_mut(id);
+        let Some(active) = job.and_then(|job| job.active.get_mut(&index)) else {
+            return;
+        };
+        let TaskLocation::OnMachine(machine) = active.location.clone() else {
+            return;
+        };
+        if std::mem::replace(&mut active.stop_sent, true) {
+            return;
+        }
+        let task = TaskRef {
+            job: id.into(),
+            index,
+            attempt: active.attempt,
+        };
+        self.send_stop(machine, task, grace_s);
+    }
+
+    /// Has the owner of a machine stop a task there.
+    pub(crate) fn send_stop(&mut self, machine: String, task: TaskRef, grace_s: f64) {
+        let Some(owner) = self.cluster.machines.get(&machine).map(|m| m.owner.clone()) else {
+            return;
+        };
+        self.send(
+            &owner,
+            ToOwner::Stop {
+                machine,
+                task,
+                grace_s,
+            },
+        );
+    }
+
+    /// Lets a worker forget a task that has exited, once.
+    pub(crate) fn clear(&mut self, machine: &str, task: TaskRef) {
+        let Some(known) = self.cluster.machines.get_mut(machine) else {
+            return;
+        };
+        if known.cleared.insert(task.clone()) {
+            let owner = known.owner.clone();
+            self.send(
+                &owner,
+                ToOwner::Clear {
+                    machine: machine.into(),
+                    task,
+                },
+            );
+        }
+    }
+}
--- a/crates/sched/src/leader/summary.rs
+++ b/crates/sched/src/leader/summary.rs
@@ -1,85 +1,91 @@
-//! What is told of the leader's state: for logs, for failed tests, and for users.
+//! Summaries of the leader's state, for logs and failed tests.
 
 use super::{Job, Leader, Machine};
-use wire::peers::ToOwner;
 
-/// Counters and lists for logs and the display.
+/// CPUs of machines of one kind, spot or ordinary.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct CpuUse {
+    /// CPUs of the machines that are up.
+    pub total: u32,
+    /// CPUs of tasks that may be running on them.
+    pub used: u32,
+}
+
+/// Counters of the leader's state.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Summary {
+    /// Tasks that wait for a pass to place them.
     pub queued: usize,
+    /// Tasks that may be running.
     pub running: usize,
+    /// Machines that are known.
     pub machines: usize,
+    /// Machines that were provisioned and are not up yet.
     pub booting: usize,
+    /// Machines whose owner has not shown their content in this epoch.
     pub unreconciled: usize,
-    /// CPUs of machines that are up, and what possibly runs of them: ordinary and cheap ones.
-    pub cpus: [u32; 2],
-    pub cpus_used: [u32; 2],
-    /// CPUs of tasks that are known to run, and that wait at owners for capacity.
-    pub cpus_running: u32,
+    /// Use of the ordinary machines.
+    pub ordinary: CpuUse,
+    /// Use of the spot machines.
+    pub spot: CpuUse,
+    /// CPUs of tasks that are known to run.
+    pub running_cpus: u32,
+    /// CPUs of tasks that wait at owners for capacity.
     pub backlog_cpus: u32,
 }
 
 impl std::fmt::Display for Summary {
-    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
+    fn fmt(&self, out: &mut std::fmt::Formatter) -> std::fmt::Result {
         write!(
-            f,
+            out,
             "queued={} running={} machines={} booting={} unreconciled={} cpus={} cpus_used={} spot_cpus={} spot_cpus_used={} running_cpus={} backlog_cpus={}",
             self.queued,
             self.running,
             self.machines,
             self.booting,
             self.unreconciled,
-            self.cpus[0],
-            self.cpus_used[0],
-            self.cpus[1],
-            self.cpus_used[1],
-            self.cpus_running,
+            self.ordinary.total,
+            self.ordinary.used,
+            self.spot.total,
+            self.spot.used,
+            self.running_cpus,
             self.backlog_cpus
         )
     }
 }
 
 impl Leader {
+    /// Counts what the leader knows now.
     pub fn summary(&self) -> Summary {
+        let jobs = self.cluster.jobs.values();
+        let machines = self.cluster.machines.values();
+        let running_cpus = jobs.clone().map(|job| {
+            let running = job.active.values().filter(|active| active.running);
+            running.count() as f64 * job.spec.cpus
+        });
         Summary {
-            queued: self
-                .cluster
-                .jobs
-                .values()
-                .map(|j| j.ready.len() as usize)
-                .sum(),
-            running: self.cluster.jobs.values().map(|j| j.active.len()).sum(),
+            queued: jobs.clone().map(|job| job.ready.len() as usize).sum(),
+            running: jobs.clone().map(|job| job.active.len()).sum(),
             machines: self.cluster.machines.len(),
             booting: self.autoscaler.booting.len(),
-            unreconciled: self
-                .cluster
-                .machines
-                .values()
-                .filter(|m| !m.reconciled)
-                .count(),
-            cpus: [false, true].map(|spot| {
-                self.cluster
-                    .machines
-                    .values()
-                    .filter(|m| m.spot == spot)
-                    .map(|m| self.cluster.capacity(&m.kind).map_or(0.0, |c| c.cpus))
-                    .sum::<f64>() as u32
-            }),
-            cpus_running: self
-                .cluster
-                .jobs
-                .values()
-                .map(|j| j.active.values().filter(|a| a.running).count() as f64 * j.spec.cpus)
-                .sum::<f64>() as u32,
-            backlog_cpus: self.cluster.backlog.values().sum::<f64>() as u32,
-            cpus_used: [false, true].map(|spot| {
-                self.cluster
-                    .machines
-                    .values()
-                    .filter(|m| m.spot == spot)
-                    .map(|m| m.used.cpus)
-                    .sum::<f64>() as u32
-            }),
+            unreconciled: machines.filter(|machine| !machine.reconciled).count(),
+            ordinary: self.cpu_use(false),
+            spot: self.cpu_use(true),
+            running_cpus: running_cpus.sum::<f64>() as u32,
+            backlog_cpus: self.cluster.backlogs.total() as u32,
+        }
+    }
+
+    fn cpu_use(&self, spot: bool) -> CpuUse {
+        let machines = self.cluster.machines.values();
+        let machines = machines.filter(|machine| machine.spot == spot);
+        let capacity = |machine: &Machine| self.cluster.capacity(&machine.kind);
+        let total = machines
+            .clone()
+            .map(|machine| capacity(machine).map_or(0.0, |capacity| capacity.cpus));
+        CpuUse {
+            total: total.sum::<f64>() as u32,
+            used: machines.map(|machine| machine.used.cpus).sum::<f64>() as u32,
         }
     }
 
@@ -119,37 +125,4 @@
             .collect::<Vec<_>>()
             .join("\n")
     }
-
-    pub(crate) fn send_running_counts(&mut self) {
-        let running: Vec<(String, u32)> = self
-            .cluster
-            .jobs
-            .iter()
-            .map(|(id, j)| {
-                (
-                    id.clone(),
-                    j.active.values().filter(|a| a.running).count() as u32,
-                )
-            })
-            .filter(|(_, n)| *n > 0)
-            .collect();
-        if running != self.last_running_counts {
-            let member = self.member.clone();
-            for m in self
-                .links
-                .keys()
-                .cloned()
-                .chain([member])
-                .collect::<Vec<_>>()
-            {
-                self.send(
-                    &m,
-                    ToOwner::RunningCounts {
-                        running: running.clone(),
-                    },
-                );
-            }
-            self.last_running_counts = running;
-        }
-    }
 }
--- a/crates/sched/src/preempt.rs
+++ b/crates/sched/src/preempt.rs
@@ -273,7 +273,7 @@
 
     /// What each team uses once the tasks that were told to stop are gone.
     fn used_after_stops(&self) -> BTreeMap<String, Resources> {
-        let mut used = self.cluster.team_used.clone();
+        let mut used = self.cluster.usage.by_team().clone();
         for j in self.cluster.jobs.values() {
             let stopped = j.active.values().filter(|a| a.stop_sent).count() as u32;
             if let Some(u) = used.get_mut(&j.spec.team) {
--- a/crates/sched/src/queue/arrays.rs
+++ b/crates/sched/src/queue/arrays.rs
@@ -1,8 +1,8 @@
 //! Arrays: ready tasks go to the owners of machines with free resources, and ahead of what becomes free.
 
 use super::Pass;
+use crate::leader::LONGEST_BACKOFF_S;
 use crate::leader::{Action, Active, Leader, StartRecord, TaskLocation};
-use crate::machine_status::LONGEST_BACKOFF_S;
 use crate::ranges::runs;
 use crate::Secs;
 use std::collections::BTreeMap;
@@ -165,7 +165,7 @@
         }
         let all: f64 = used.values().sum();
         let free = self.cluster.turnover() * self.reaction_s() * BACKLOG_FACTOR;
-        let waits = |owner: &str| self.cluster.backlog.get(owner).copied().unwrap_or(0.0);
+        let waits = |owner: &str| self.cluster.backlogs.waiting_at(owner);
         used.into_iter()
             .map(|(owner, cpus)| (owner.to_string(), free * cpus / all.max(1.0) - waits(owner)))
             .collect()
