--- /dev/null
+++ b/crates/sched/src/cluster/active_tasks.rs
@@ -0,0 +1,54 @@
+//! Which tasks may be running where: a task is charged to its team and its machine from the decision to
+//! start it until it is certainly not running.
+
+use super::job::waits_at;
+use super::{Active, Cluster, TaskLocation};
+
+impl Cluster {
+    /// A task may be running from now on, or at another place than before.
+    pub(crate) fn set_active(&mut self, id: &str, index: u32, active: Active) {
+        self.remove_active(id, index);
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        let resources = job.resources();
+        job.ready.remove(index);
+        if let Some(owner) = waits_at(&active.location) {
+            self.backlogs.add(owner, resources.cpus);
+        }
+        if let Some(name) = machine_of(&active.location) {
+            if let Some(machine) = self.machines.get_mut(name) {
+                machine.charge((id.into(), index), active.attempt, resources);
+                self.dirty_machines.insert(name.into());
+            }
+        }
+        self.usage.charge(&job.spec.team, resources);
+        job.active.insert(index, active);
+    }
+
+    /// A task is certainly not running any more, or is about to be charged elsewhere.
+    pub(crate) fn remove_active(&mut self, id: &str, index: u32) -> Option<Active> {
+        let job = self.jobs.get_mut(id)?;
+        let active = job.active.remove(&index)?;
+        let resources = job.resources();
+        if let Some(owner) = waits_at(&active.location) {
+            self.backlogs.remove(owner, resources.cpus);
+        }
+        if let Some(name) = machine_of(&active.location) {
+            if let Some(machine) = self.machines.get_mut(name) {
+                machine.discharge(&(id.to_string(), index), resources);
+                self.dirty_machines.insert(name.into());
+            }
+        }
+        self.usage.discharge(&job.spec.team, resources);
+        Some(active)
+    }
+}
+
+/// The machine that a task at a place is charged to.
+fn machine_of(location: &TaskLocation) -> Option<&str> {
+    match location {
+        TaskLocation::Assigned(_, machine) | TaskLocation::OnMachine(machine) => Some(machine),
+        TaskLocation::Unresolved(_) => None,
+    }
+}
--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -1,13 +1,12 @@
 //! Decisions of ladderroute, sans I/O: time, random numbers and events are arguments.
 
 pub mod authority;
-pub mod autoscaler;
+mod autoscaler;
 pub mod capacity_index;
+mod cluster;
 pub mod config;
 pub mod dependencies;
-mod epoch;
 pub mod leader;
-mod machine_status;
 pub mod owner;
 pub mod placement;
 mod preempt;
