--- a/crates/ladderroute/src/cluster_view.rs
+++ b/crates/ladderroute/src/cluster_view.rs
@@ -188,12 +188,12 @@
 
     /// This controller has written who leads.
     pub fn set_leader(&mut self, leader: LeaderRecord, version: u64) {
-        self.replica.leader = Some((leader, version));
+        self.replica.set_leader(leader, version);
     }
 
     /// A member does not lead any more.
     pub fn leader_ended(&mut self, member: &str) {
-        self.replica.leader.take_if(|(l, _)| l.member == member);
+        self.replica.leader_ended(member);
     }
 
     /// Brings what is derived up to what the replica holds of a job. Jobs that are cancelled with it are so
--- a/crates/ladderroute/src/leadership.rs
+++ b/crates/ladderroute/src/leadership.rs
@@ -83,7 +83,7 @@
         smol::Timer::after(pause).await;
         let free = {
             let s = node.lock();
-            s.shared.view.is_complete() && s.shared.view.replica().leader.is_none()
+            s.shared.view.is_complete() && s.shared.view.replica().leader.record().is_none()
         };
         if !free {
             continue;
@@ -197,7 +197,7 @@
         lease.token,
         value_kb,
         jobs,
-        &replica.roster,
+        replica.roster.machines(),
         started_arrays,
         node.now(),
     );
@@ -207,13 +207,13 @@
     let cancelled = replica.recently_cancelled(Duration::from_secs_f64(
         node.config.lease_s + node.config.cancel_s,
     ));
-    let resources = |(id, team, (cpus, gpus))| {
+    let resources = |job: store::replica::CancelledJob| {
         (
-            id,
-            team,
+            job.id,
+            job.team,
             Resources {
-                cpus,
-                gpus,
+                cpus: job.resources.cpus,
+                gpus: job.resources.gpus,
                 memory_gb: 0.0,
             },
         )
--- a/crates/ladderroute/src/peers.rs
+++ b/crates/ladderroute/src/peers.rs
@@ -227,8 +227,8 @@
             .view
             .replica()
             .leader
-            .clone()
-            .map(|(l, _)| l.member);
+            .record()
+            .map(|record| record.member.clone());
         let addr = leader
             .as_ref()
             .and_then(|l| node.settings.known.iter().find(|p| p.member == *l))
@@ -290,8 +290,8 @@
             .view
             .replica()
             .leader
-            .as_ref()
-            .is_some_and(|(l, _)| l.member == leader);
+            .record()
+            .is_some_and(|record| record.member == leader);
         if !still {
             break;
         }
--- a/crates/ladderroute/src/submission.rs
+++ b/crates/ladderroute/src/submission.rs
@@ -112,7 +112,7 @@
     let unknown = || {
         let state = node.lock();
         let jobs = &state.shared.view.replica().jobs;
-        let missing = |id: &&String| !jobs.contains_key(*id);
+        let missing = |id: &&String| !jobs.contains_key(id);
         job.dependencies.iter().find(missing).cloned()
     };
     if unknown().is_none() {
--- a/crates/ladderroute/src/writer/pages.rs
+++ b/crates/ladderroute/src/writer/pages.rs
@@ -51,7 +51,7 @@
             progress: Pages::new(limit),
             bound: BTreeMap::new(),
         };
-        for (n, page) in &replica.roster_pages {
+        for (n, page) in replica.roster.pages() {
             for (record, names) in &page.groups {
                 for name in names {
                     records.roster.load(
@@ -70,23 +70,24 @@
     /// Takes the progress of open jobs. What another controller laid out with other limits is taken out of
     /// its page and put anew, in chunks of this one's size.
     fn load_progress(&mut self, replica: &Replica, chunk_bits: u32) {
-        let open = |id: &String| {
+        let open = |id: &str| {
             let entry = replica.jobs.get(id);
             entry.is_none_or(|entry| entry.state == Recorded::Open)
         };
         let mut foreign: BTreeMap<String, Ranges> = BTreeMap::new();
-        for (n, page) in &replica.progress_pages {
-            for (job, first_task, bits) in replica.sections(page) {
-                let key = (job.clone(), first_task);
+        for (n, page) in replica.progress.pages() {
+            for section in replica.progress.sections(page) {
+                let (job, first_task, bits) = (section.job, section.first_task, section.bits);
+                let key = (job.to_string(), first_task);
                 let size = progress_size(job, bits);
-                self.progress.load(*n, key.clone(), size, bits.clone());
+                self.progress.load(*n, key.clone(), size, bits.to_string());
                 let is_ours = first_task % chunk_bits == 0
                     && bits.len() * BITS_PER_DIGIT <= chunk_bits as usize;
                 if !open(job) {
                     self.progress.remove(&key, false);
                 } else if !is_ours {
                     self.progress.remove(&key, false);
-                    let done = foreign.entry(job.clone()).or_default();
+                    let done = foreign.entry(job.to_string()).or_default();
                     done.add_bits(first_task, &store::replica::bits(bits), MOST_TASKS);
                 }
             }
--- a/crates/ladderroute/tests/batches.rs
+++ b/crates/ladderroute/tests/batches.rs
@@ -335,11 +335,11 @@
             revision: step,
             changes: changes.map(|c| Change { version: step, ..c }).collect(),
         });
-        assert_eq!(scene.replica.roster.len(), 55, "step {step}");
+        assert_eq!(scene.replica.roster.machines().len(), 55, "step {step}");
         scene.records.written(&batch.roster, &batch.progress);
     }
     assert!(scene.waiting.is_empty() && scene.next().is_empty());
-    assert!(scene.replica.roster_pages.len() > 3);
+    assert!(scene.replica.roster.pages().len() > 3);
 }
 
 /// Chunks of version 0.1 begin at their number times a size that depended on its settings. They are laid
--- a/crates/store/src/keys.rs
+++ b/crates/store/src/keys.rs
@@ -37,6 +37,27 @@
     format!("{BINDING}{id}/{chunk}")
 }
 
+/// The id of the job whose record a key holds.
+pub fn job_id(key: &str) -> Option<&str> {
+    key.strip_prefix(JOBS)
+}
+
+/// The number of the progress page that a key holds.
+pub fn progress_page(key: &str) -> Option<u32> {
+    key.strip_prefix(PROGRESS)?.parse().ok()
+}
+
+/// The number of the roster page that a key holds.
+pub fn roster_page(key: &str) -> Option<u32> {
+    key.strip_prefix(ROSTER)?.parse().ok()
+}
+
+/// The job and the chunk of the binding record that a key holds.
+pub fn binding_chunk(key: &str) -> Option<(&str, u32)> {
+    let (job, chunk) = key.strip_prefix(BINDING)?.rsplit_once('/')?;
+    Some((job, chunk.parse().ok()?))
+}
+
 /// What a key holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
--- a/crates/store/src/reload.rs
+++ b/crates/store/src/reload.rs
@@ -10,6 +10,7 @@
 
 /// A reload under way. A page that could not be read is asked for again; the others stay.
 pub struct Reload {
+    chunk_bits: u32,
     replica: Replica,
     last_key: Option<String>,
     pages: u32,
@@ -19,6 +20,7 @@
     /// A reload of which nothing is read; chunks of so many tasks are in pages of version 0.1.
     pub fn new(chunk_bits: u32) -> Reload {
         Reload {
+            chunk_bits,
             replica: Replica::new(chunk_bits),
             last_key: None,
             pages: 0,
@@ -37,7 +39,11 @@
 
     /// Takes the next page; true if it was the last.
     pub fn take(&mut self, page: &Page) -> bool {
-        self.replica.load(page, self.pages == 0);
+        if self.pages == 0 {
+            self.replica = Replica::from_first_page(self.chunk_bits, page);
+        } else {
+            self.replica.load(page);
+        }
         self.pages += 1;
         let Some(last) = page.items.last() else {
             return true;
@@ -50,7 +56,7 @@
     /// for changes brought after the first page was asked for may be in that one.
     pub fn finish(self, in_use: Replica) -> Replica {
         let mut replica = self.replica;
-        replica.take_newer(in_use);
+        replica.merge_newer(in_use);
         replica
     }
 }
--- /dev/null
+++ b/crates/store/src/replica/jobs.rs
@@ -0,0 +1,242 @@
+//! Jobs by id, with the progress of those that are open.
+
+use super::bitmap::{bits, Bitmap};
+use std::collections::BTreeMap;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+use wire::store::{JobRecord, Recorded};
+use wire::users::{Job, MOST_TASKS};
+
+/// CPUs and GPUs of all tasks of a job together.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct JobResources {
+    /// CPU cores.
+    pub cpus: f64,
+    /// GPUs.
+    pub gpus: f64,
+}
+
+impl JobResources {
+    fn of(job: &Job) -> JobResources {
+        let tasks = f64::from(job.tasks);
+        JobResources {
+            cpus: job.cpus * tasks,
+            gpus: job.gpus * tasks,
+        }
+    }
+}
+
+/// One job. Terminal jobs keep only what answering a poll needs.
+#[derive(Clone, Debug)]
+pub struct JobEntry {
+    /// The job's state; `Cancelled` also if an ancestor is cancelled while the record is still open.
+    pub state: Recorded,
+    /// Version of the record; while the job is open, the revision of its creation.
+    pub version: u64,
+    /// Wall-clock time of acceptance in milliseconds since the Unix epoch, for display only.
+    pub created_ms: u64,
+    /// The number of tasks.
+    pub tasks: u32,
+    /// The owning team.
+    pub team: String,
+    /// Resources of all tasks together.
+    pub resources: JobResources,
+    /// When this controller learned from a record that the job is terminal.
+    pub terminal_since: Option<Instant>,
+    /// The specification, while the job is open.
+    pub job: Option<Rc<Job>>,
+    /// Tasks that the store records as done, while the job is open.
+    pub progress: Bitmap,
+}
+
+impl JobEntry {
+    fn new(record: JobRecord, version: u64, progress: Bitmap) -> JobEntry {
+        let JobRecord {
+            state,
+            created_ms,
+            job,
+        } = record;
+        let is_open = state == Recorded::Open;
+        JobEntry {
+            state,
+            version,
+            created_ms,
+            tasks: job.tasks,
+            team: job.team.clone(),
+            resources: JobResources::of(&job),
+            terminal_since: (!is_open).then(Instant::now),
+            job: is_open.then(|| Rc::new(job)),
+            progress,
+        }
+    }
+
+    /// Whether the job is neither done nor cancelled.
+    pub fn is_open(&self) -> bool {
+        self.state == Recorded::Open
+    }
+
+    /// The number of done tasks.
+    pub fn done_tasks(&self) -> u32 {
+        match self.state {
+            Recorded::Done => self.tasks,
+            _ => self.progress.count(),
+        }
+    }
+
+    fn close(&mut self, state: Recorded) {
+        self.state = state;
+        self.job = None;
+        self.progress = Bitmap::default();
+    }
+
+    /// Merges another entry of the same job. A terminal state stays, also one that is not in the record but
+    /// follows from an ancestor's.
+    fn merge_newer(&mut self, other: JobEntry) {
+        if other.version > self.version || !other.is_open() && self.is_open() {
+            *self = other;
+        } else if !other.is_open() {
+            self.terminal_since = other.terminal_since;
+        } else if self.is_open() {
+            self.progress.join(0, other.progress.bytes());
+        }
+    }
+}
+
+/// A cancelled job whose tasks may still occupy machines.
+#[derive(Clone, Debug, PartialEq)]
+pub struct CancelledJob {
+    /// The job's id.
+    pub id: String,
+    /// The owning team.
+    pub team: String,
+    /// Resources of all tasks together.
+    pub resources: JobResources,
+}
+
+/// All jobs by id.
+///
+/// Invariant: a job's version only grows, a terminal job never becomes open again, and no job is removed.
+#[derive(Default)]
+pub struct Jobs {
+    entries: BTreeMap<String, JobEntry>,
+    /// Progress that was read before its job's record: a load reads pages in the order of the keys.
+    early_progress: BTreeMap<String, Bitmap>,
+}
+
+impl Jobs {
+    /// A job's entry.
+    pub fn get(&self, id: &str) -> Option<&JobEntry> {
+        self.entries.get(id)
+    }
+
+    /// Whether a job is known.
+    pub fn contains_key(&self, id: &str) -> bool {
+        self.entries.contains_key(id)
+    }
+
+    /// The number of jobs, terminal ones included.
+    pub fn len(&self) -> usize {
+        self.entries.len()
+    }
+
+    /// Whether there is no job at all.
+    pub fn is_empty(&self) -> bool {
+        self.entries.is_empty()
+    }
+
+    /// The ids, in order.
+    pub fn keys(&self) -> impl Iterator<Item = &String> {
+        self.entries.keys()
+    }
+
+    /// The entries, in the order of their ids.
+    pub fn values(&self) -> impl Iterator<Item = &JobEntry> {
+        self.entries.values()
+    }
+
+    /// Ids and entries, in the order of the ids.
+    pub fn iter(&self) -> impl Iterator<Item = (&String, &JobEntry)> {
+        self.entries.iter()
+    }
+
+    /// The jobs of which this controller learned within the last `span` that they are cancelled.
+    pub(super) fn recently_cancelled(&self, span: Duration) -> Vec<CancelledJob> {
+        let is_recent = |entry: &JobEntry| {
+            let since = entry.terminal_since;
+            entry.state == Recorded::Cancelled && since.is_some_and(|since| since.elapsed() < span)
+        };
+        let recent = self.entries.iter().filter(|(_, entry)| is_recent(entry));
+        recent
+            .map(|(id, entry)| CancelledJob {
+                id: id.clone(),
+                team: entry.team.clone(),
+                resources: entry.resources,
+            })
+            .collect()
+    }
+
+    /// Applies a job's record unless the known one is as new, or terminal while this one is open.
+    pub(super) fn put(&mut self, id: &str, record: JobRecord, version: u64) {
+        let is_open = record.state == Recorded::Open;
+        let is_superseded =
+            |known: &JobEntry| known.version >= version || is_open && !known.is_open();
+        if self.entries.get(id).is_some_and(is_superseded) {
+            return;
+        }
+        let progress = if is_open {
+            self.early_progress.remove(id).unwrap_or_default()
+        } else {
+            Bitmap::default()
+        };
+        let entry = JobEntry::new(record, version, progress);
+        self.entries.insert(id.to_string(), entry);
+    }
+
+    /// Adds a section of a job's progress, as hexadecimal text.
+    pub(super) fn add_progress(&mut self, id: &str, first_task: u32, text: &str) {
+        // Damaged, or not written by this service: no job has that many tasks.
+        if first_task >= MOST_TASKS || text.len() as u32 > MOST_TASKS {
+            return;
+        }
+        match self.entries.get_mut(id) {
+            Some(entry) if entry.is_open() => entry.progress.join(first_task, &bits(text)),
+            Some(_) => {}
+            None => {
+                let early = self.early_progress.entry(id.to_string()).or_default();
+                early.join(first_task, &bits(text));
+            }
+        }
+    }
+
+    /// Marks a job as done by this controller's own write, applied at `version`.
+    pub(super) fn mark_done(&mut self, id: &str, version: u64) {
+        let Some(entry) = self.entries.get_mut(id) else {
+            return;
+        };
+        if entry.version < version {
+            entry.version = version;
+            entry.close(Recorded::Done);
+            entry.terminal_since = Some(Instant::now());
+        }
+    }
+
+    /// Cancels an open job because an ancestor is cancelled.
+    pub(super) fn cancel_with_ancestor(&mut self, id: &str) {
+        let entry = self.entries.get_mut(id);
+        if let Some(entry) = entry.filter(|entry| entry.is_open()) {
+            entry.close(Recorded::Cancelled);
+        }
+    }
+
+    /// Merges the entries of another replica, job by job.
+    pub(super) fn merge_newer(&mut self, other: Jobs) {
+        for (id, entry) in other.entries {
+            match self.entries.get_mut(&id) {
+                Some(known) => known.merge_newer(entry),
+                None => {
+                    self.entries.insert(id, entry);
+                }
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/store/src/replica/progress.rs
@@ -0,0 +1,63 @@
+//! The pages in which the progress of jobs is stored.
+
+use std::collections::BTreeMap;
+use wire::store::ProgressPage;
+
+/// A bitmap of done tasks in a page.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Section<'a> {
+    /// The job's id.
+    pub job: &'a str,
+    /// The task of the first bit.
+    pub first_task: u32,
+    /// The bitmap in hexadecimal.
+    pub bits: &'a str,
+}
+
+/// The pages of progress by number.
+///
+/// Invariant: each page is the one of the newest change to its key.
+#[derive(Default)]
+pub struct ProgressPages {
+    /// Tasks in a chunk of a page that version 0.1 wrote, which depends on the site's settings.
+    chunk_bits: u32,
+    pages: BTreeMap<u32, ProgressPage>,
+}
+
+impl ProgressPages {
+    pub(super) fn new(chunk_bits: u32) -> ProgressPages {
+        ProgressPages {
+            chunk_bits,
+            pages: BTreeMap::new(),
+        }
+    }
+
+    /// The pages by number.
+    pub fn pages(&self) -> &BTreeMap<u32, ProgressPage> {
+        &self.pages
+    }
+
+    /// The bitmaps of a page.
+    pub fn sections<'a>(&self, page: &'a ProgressPage) -> impl Iterator<Item = Section<'a>> {
+        let chunk_bits = self.chunk_bits;
+        let section = |job: &'a String, first_task, bits: &'a String| Section {
+            job,
+            first_task,
+            bits,
+        };
+        let chunks = page
+            .chunks
+            .iter()
+            .map(move |(job, number, bits)| section(job, number.saturating_mul(chunk_bits), bits));
+        let sections = page.sections.iter();
+        chunks.chain(sections.map(move |(job, first_task, bits)| section(job, *first_task, bits)))
+    }
+
+    pub(super) fn put(&mut self, number: u32, page: ProgressPage) {
+        self.pages.insert(number, page);
+    }
+
+    pub(super) fn remove(&mut self, number: u32) {
+        self.pages.remove(&number);
+    }
+}
--- a/crates/store/src/versions.rs
+++ b/crates/store/src/versions.rs
@@ -29,7 +29,7 @@
 
     /// Takes what others know of later changes. What they know of changes up to `read_at` does not count:
     /// at that revision all keys were read.
-    pub fn take_newer(&mut self, others: Versions, read_at: u64) {
+    pub fn merge_newer(&mut self, others: Versions, read_at: u64) {
         let later = others.at.into_iter().filter(|(_, known)| known.0 > read_at);
         for (key, (revision, exists)) in later {
             self.changed(&key, revision, exists);
--- a/crates/store/tests/replica.rs
+++ b/crates/store/tests/replica.rs
@@ -84,7 +84,7 @@
     };
     r.apply(&newer);
     r.apply(&older);
-    assert!(r.roster.is_empty());
+    assert!(r.roster.machines().is_empty());
     assert_eq!(r.revision, 5);
 }
 
@@ -134,21 +134,15 @@
         value: to_value(&record),
         version: 2,
     };
-    let mut r = Replica::default();
-    r.load(
-        &Page {
-            items: vec![progress, record],
-            more: false,
-            revision: 6,
-        },
-        true,
-    );
+    let page = Page {
+        items: vec![progress, record],
+        more: false,
+        revision: 6,
+    };
+    let r = Replica::from_first_page(0, &page);
+    let entry = r.jobs.get("wk-1").unwrap();
     assert_eq!(
-        (
-            r.jobs["wk-1"].done_tasks(),
-            r.jobs["wk-1"].state,
-            r.revision
-        ),
+        (entry.done_tasks(), entry.state, r.revision),
         (3, Recorded::Open, 6)
     );
 }
@@ -183,12 +177,12 @@
             revision: 2,
             changes: order.map(|i: usize| split[i].clone()).into(),
         });
-        assert_eq!(r.roster.len(), 2, "{order:?}");
+        assert_eq!(r.roster.machines().len(), 2, "{order:?}");
         r.apply(&Changes {
             revision: 3,
             changes: vec![dropped("lr/roster/5", 3)],
         });
-        assert_eq!(r.roster.keys().collect::<Vec<_>>(), ["host-1"]);
+        assert_eq!(r.roster.machines().keys().collect::<Vec<_>>(), ["host-1"]);
     }
 }
 
@@ -228,7 +222,7 @@
         ],
     });
     // Tasks 0 and 1, 39 and 38, 40.
-    let done = r.jobs["wk-1"].progress.bytes();
-    assert_eq!(done, [0x03, 0, 0, 0, 0xc0, 0x01]);
-    assert_eq!(r.jobs["wk-1"].done_tasks(), 5);
+    let entry = r.jobs.get("wk-1").unwrap();
+    assert_eq!(entry.progress.bytes(), [0x03, 0, 0, 0, 0xc0, 0x01]);
+    assert_eq!(entry.done_tasks(), 5);
 }
