--- a/crates/ladderroute/src/cluster_view.rs
+++ b/crates/ladderroute/src/cluster_view.rs
@@ -1,45 +1,49 @@
-//! The cluster view: this controller's replica of the store, what is derived from it, and the instant for
-//! which it is proved to be complete.
+//! The cluster view: this controller's replica of the store, what is derived from it, and `read_at`, the
+//! instant for which it is proved complete.
 //!
-//! The proof, "the view holds all that the store held at `read_at`", is about one view, so view and
-//! `read_at` change together, here only. For each key the view never goes back, whichever way a record
-//! comes: a read of changes, a write of this controller, a direct read, or a reload of all keys. A read of
-//! changes that was sent before a reload is dropped once the reload has begun: what the pages hold is then
-//! certainly as new as anything that changes brought.
+//! What proves freshness: the store answers a request with all that it holds, so an answer that was applied
+//! proves the view complete as of the instant at which its request was *sent*. The proof is about one replica,
+//! so replica and `read_at` change together, in `ClusterView::apply` and `ClusterView::finish_reload` only.
+//!
+//! For each key the view never goes back, whether a record stems from a read of changes, a write of this
+//! controller, a direct read, or a reload of all keys. A read of changes that was sent before a reload is
+//! discarded once the reload has begun: the loaded pages are then certainly as new as any changes that were
+//! applied.
 
 use sched::dependencies::{Dependencies, Effect, Record};
 use sched::Secs;
-use store::reload::Reload;
+use store::reload::{LoadState, Reload};
 use store::replica::{Changed, Replica};
 use wire::store::{Changes, JobRecord, LeaderRecord, Page, Recorded, Write};
 use wire::users::Priority;
 
-/// What follows from something new in the view for a job.
+/// What a change of the view means for a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JobChange {
-    /// The view holds something new of the job itself.
+    /// The entry of the job with this id may have changed.
     Record(String),
-    /// The last job that it needs is done.
+    /// The last dependency of the job with this id is done.
     Unblocked(String),
-    /// It is cancelled because a job that it needs is.
+    /// The job with this id is cancelled because an ancestor is.
     Cancelled(String),
-    /// It is treated with another priority.
+    /// The job with this id is scheduled with another priority than its own.
     Reprioritized(String, Priority),
 }
 
-/// A read of changes that is under way.
+/// A read of changes in progress.
 #[derive(Clone, Copy, Debug)]
 pub struct Read {
-    /// The revision after which changes are asked for.
+    /// The revision after which changes are requested.
     pub since: u64,
-    sent: Secs,
-    reloads: u64,
+    sent_at: Secs,
+    /// The reloads that had begun when it was sent.
+    reloads_begun: u64,
 }
 
-/// A reload of all keys that is under way.
+/// A reload of all keys in progress.
 pub struct ViewReload {
     pages: Reload,
-    sent: Secs,
+    first_page_sent_at: Secs,
 }
 
 impl ViewReload {
@@ -48,48 +52,50 @@
         self.pages.last_key()
     }
 
-    /// How many pages were read.
+    /// The number of pages that were read.
     pub fn pages(&self) -> u32 {
         self.pages.pages()
     }
 
-    /// When its first page was asked for.
+    /// When its first page was requested.
     pub fn sent(&self) -> Secs {
-        self.sent
+        self.first_page_sent_at
     }
 
-    /// Takes the next page; true if it was the last.
-    pub fn take(&mut self, page: &Page) -> bool {
-        self.pages.take(page)
+    /// Adds the page that begins after `last_key`.
+    pub fn add_page(&mut self, page: &Page) -> LoadState {
+        self.pages.add_page(page)
     }
 }
 
-/// The cluster view.
+/// The replica, the dependencies between its jobs, and the proof of its freshness.
+///
+/// Invariant: the replica holds, for each key, the store's record as of `read_at` or a newer one.
 pub struct ClusterView {
     replica: Replica,
     dependencies: Dependencies,
     read_at: Secs,
-    /// Whether changes since the replica's revision can bring it up to date.
+    /// Whether the store's changes since the replica's revision can bring it up to date.
     complete: bool,
-    /// How many reloads have begun.
-    reloads: u64,
+    reloads_begun: u64,
     chunk_bits: u32,
 }
 
 impl ClusterView {
-    /// A view that holds nothing so far; chunks of so many tasks are in pages of version 0.1.
+    /// An empty view, which a reload has to fill. `chunk_bits` is the number of tasks in a chunk of a progress
+    /// page that version 0.1 wrote.
     pub fn new(chunk_bits: u32) -> ClusterView {
         ClusterView {
             replica: Replica::new(chunk_bits),
             dependencies: Dependencies::default(),
             read_at: f64::MIN,
             complete: false,
-            reloads: 0,
+            reloads_begun: 0,
             chunk_bits,
         }
     }
 
-    /// The records themselves.
+    /// The replica of the store.
     pub fn replica(&self) -> &Replica {
         &self.replica
     }
@@ -99,7 +105,8 @@
         &self.dependencies
     }
 
-    /// The view holds all that the store held at this instant.
+    /// The instant for which the view is proved complete, in seconds on the node's clock: it holds all that
+    /// the store held then.
     pub fn read_at(&self) -> Secs {
         self.read_at
     }
@@ -109,53 +116,57 @@
         self.complete
     }
 
-    /// A read of changes is sent now; none if that can't bring the view up to date.
+    /// Begins a read of changes that is sent at `now`; none if changes can't bring the view up to date.
     pub fn begin_read(&self, now: Secs) -> Option<Read> {
         self.complete.then_some(Read {
             since: self.replica.revision,
-            sent: now,
-            reloads: self.reloads,
+            sent_at: now,
+            reloads_begun: self.reloads_begun,
         })
     }
 
-    /// Takes the changes that a read has brought; none if all keys are being read, or were read, since it
-    /// was sent.
+    /// Applies the changes that a read returned; none, and nothing is applied, if a reload has begun since the
+    /// read was sent.
     pub fn apply(&mut self, read: Read, changes: &Changes) -> Option<Vec<JobChange>> {
-        if read.reloads != self.reloads {
+        if !self.is_current(read) {
             return None;
         }
         let changed = self.replica.apply(changes);
-        self.read_at = self.read_at.max(read.sent);
+        self.read_at = self.read_at.max(read.sent_at);
         let jobs = changed.into_iter().filter_map(|changed| match changed {
             Changed::Job(id) => Some(id),
             Changed::Leader | Changed::Other => None,
         });
-        let jobs: Vec<String> = jobs.collect();
-        Some(jobs.iter().flat_map(|id| self.update(id)).collect())
+        Some(jobs.flat_map(|id| self.update(&id)).collect())
     }
 
-    /// The store does not bring the changes that a read asked for: all keys have to be read.
+    /// Notes that the store could not return the changes that a read requested: all keys have to be read.
     pub fn too_old(&mut self, read: Read) {
-        if read.reloads == self.reloads {
+        if self.is_current(read) {
             self.complete = false;
         }
     }
 
-    /// The first page of all keys is asked for now.
+    /// Whether no reload has begun since the read was sent.
+    fn is_current(&self, read: Read) -> bool {
+        read.reloads_begun == self.reloads_begun
+    }
+
+    /// Begins a reload, the first page of which is requested at `now`.
     pub fn begin_reload(&mut self, now: Secs) -> ViewReload {
         self.complete = false;
-        self.reloads += 1;
+        self.reloads_begun += 1;
         ViewReload {
             pages: Reload::new(self.chunk_bits),
-            sent: now,
+            first_page_sent_at: now,
         }
     }
 
-    /// Takes all keys as they were read, beside what is newer. All jobs may have changed.
+    /// Replaces the replica by a complete reload, merged with newer records. Any job may have changed.
     pub fn finish_reload(&mut self, reload: ViewReload) {
         let in_use = std::mem::take(&mut self.replica);
         self.replica = reload.pages.finish(in_use);
-        self.read_at = reload.sent;
+        self.read_at = reload.first_page_sent_at;
         self.complete = true;
         self.dependencies = Dependencies::default();
         let ids: Vec<String> = self.replica.jobs.keys().cloned().collect();
@@ -164,7 +175,7 @@
         }
     }
 
-    /// Takes a job's record, as the store holds it at a version.
+    /// Applies a job's record, as the store holds it at a version.
     pub fn apply_job_record(
         &mut self,
         id: &str,
@@ -175,29 +186,29 @@
         self.update(id)
     }
 
-    /// This controller has written the end of a job.
+    /// Applies this controller's own write of a job's end.
     pub fn job_done(&mut self, id: &str, version: u64) -> Vec<JobChange> {
         self.replica.job_done(id, version);
         self.update(id)
     }
 
-    /// This controller's writes were carried out at a revision.
+    /// Notes that this controller's writes were applied at a revision.
     pub fn written(&mut self, writes: &[Write], revision: u64) {
         self.replica.versions.applied(writes, revision);
     }
 
-    /// This controller has written who leads.
+    /// Applies this controller's own write of the leader's key.
     pub fn set_leader(&mut self, leader: LeaderRecord, version: u64) {
         self.replica.set_leader(leader, version);
     }
 
-    /// A member does not lead any more.
+    /// Notes that a member does not lead any more, before the store reports it.
     pub fn leader_ended(&mut self, member: &str) {
         self.replica.leader_ended(member);
     }
 
-    /// Brings what is derived up to what the replica holds of a job. Jobs that are cancelled with it are so
-    /// in the replica afterwards.
+    /// Brings the derived state of a job up to date with the replica. Descendants that are cancelled with it
+    /// are closed in the replica too.
     fn update(&mut self, id: &str) -> Vec<JobChange> {
         let Some(entry) = self.replica.jobs.get(id) else {
             return Vec::new();
@@ -211,23 +222,25 @@
             (_, Recorded::Done) => self.dependencies.done(id),
             _ => self.dependencies.cancelled(id),
         };
-        let mut changes = vec![JobChange::Record(id.to_string())];
-        for effect in effects {
-            changes.push(match effect {
-                Effect::Unblocked(id) => JobChange::Unblocked(id),
-                Effect::Reprioritized(id, priority) => JobChange::Reprioritized(id, priority),
-                Effect::Cancelled(id) => {
-                    log::info!("event=cancelled_with_dependency job={id}");
-                    self.replica.cancelled_with_ancestor(&id);
-                    JobChange::Cancelled(id)
-                }
-            });
+        let own = JobChange::Record(id.to_string());
+        let derived = effects.into_iter().map(|effect| self.apply_effect(effect));
+        std::iter::once(own).chain(derived).collect()
+    }
+
+    fn apply_effect(&mut self, effect: Effect) -> JobChange {
+        match effect {
+            Effect::Unblocked(id) => JobChange::Unblocked(id),
+            Effect::Reprioritized(id, priority) => JobChange::Reprioritized(id, priority),
+            Effect::Cancelled(id) => {
+                log::info!("event=cancelled_with_dependency job={id}");
+                self.replica.cancelled_with_ancestor(&id);
+                JobChange::Cancelled(id)
+            }
         }
-        changes
     }
 }
 
-/// What the replica holds of a job, as the dependencies need it.
+/// A job's state as the dependencies need it.
 fn record_of(replica: &Replica, id: &str) -> Option<Record> {
     let entry = replica.jobs.get(id)?;
     Some(match (&entry.job, entry.state) {
--- a/crates/ladderroute/src/freshness.rs
+++ b/crates/ladderroute/src/freshness.rs
@@ -12,6 +12,7 @@
 use store::budget::Rank;
 use store::client::StoreError;
 use store::keys;
+use store::reload::LoadState;
 use wire::store::Changes;
 
 /// Freshness reads of all controllers take at most this part of the request rate.
@@ -175,7 +176,7 @@
             .range(keys::ALL, reload.last_key(), Rank::Decision)
             .await;
         match page {
-            Ok(page) if reload.take(&page) => break,
+            Ok(page) if reload.add_page(&page) == LoadState::Complete => break,
             Ok(_) => {}
             Err(e) => {
                 *in_progress = Some(reload);
--- a/crates/ladderroute/src/leadership.rs
+++ b/crates/ladderroute/src/leadership.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 use store::budget::{Reserve, Share, Shares};
 use store::client::StoreError;
-use store::leadership::{take, usable, LeadershipLease};
+use store::leadership::{acquire, usable, LeadershipLease};
 use wire::users::Shape;
 
 /// Parts of the store's request and write rates that the leader takes. Of the requests the others
@@ -89,7 +89,7 @@
             continue;
         }
         smol::Timer::after(ttl.mul_f64(0.03 * fastrand::f64())).await;
-        match take(&node.store, &node.settings.member, ttl).await {
+        match acquire(&node.store, &node.settings.member, ttl).await {
             Ok(Some(lease)) => {
                 node.store.set_shares(store_shares(true, others));
                 lead_until_lost(&node, lease, ttl).await;
--- a/crates/ladderroute/src/writer/mod.rs
+++ b/crates/ladderroute/src/writer/mod.rs
@@ -39,7 +39,10 @@
         };
         last = Some(Instant::now());
         let result = outcome::write(&node, &batch, &lease).await;
-        let retry = matches!(result, Err(StoreError::Budget(_) | StoreError::Refused(_)));
+        let retry = matches!(
+            result,
+            Err(StoreError::Budget(_) | StoreError::Refused(_) | StoreError::NotSent(_))
+        );
         let overtaken = result.as_ref().is_ok_and(Outcome::is_overtaken);
         outcome::apply(&node, batch, result).await;
         if overtaken {
--- a/crates/ladderroute/src/writer/outcome.rs
+++ b/crates/ladderroute/src/writer/outcome.rs
@@ -8,7 +8,7 @@
 use store::budget::Rank;
 use store::client::{Decided, StoreError};
 use store::keys::{self, Kind};
-use store::leadership::{next_token, still_leader, LeadershipLease};
+use store::leadership::{next_token, still_leader, LeadershipLease, NextToken};
 use wire::store::{value_bytes, LeaderRecord, Txn, Write};
 
 /// What the store decided.
@@ -46,7 +46,7 @@
     if batch.is_token() {
         let token = next_token(&node.store, &node.settings.member, lease).await?;
         return Ok(match token {
-            Some((token, version)) => Outcome::Token { token, version },
+            Some(NextToken { token, version }) => Outcome::Token { token, version },
             None => Outcome::Lost,
         });
     }
--- a/crates/ladderroute/src/writer/pages.rs
+++ b/crates/ladderroute/src/writer/pages.rs
@@ -6,7 +6,7 @@
 use sched::ranges::Ranges;
 use std::collections::{BTreeMap, BTreeSet};
 use store::keys;
-use store::pages::Pages;
+use store::pages::{Pages, Removal};
 use store::replica::Replica;
 use wire::store::{to_value, ProgressPage, Recorded, RosterPage, RosterRecord, Write};
 use wire::users::MOST_TASKS;
@@ -84,9 +84,9 @@
                 let is_ours = first_task % chunk_bits == 0
                     && bits.len() * BITS_PER_DIGIT <= chunk_bits as usize;
                 if !open(job) {
-                    self.progress.remove(&key, false);
+                    self.progress.remove(&key, Removal::Deferred);
                 } else if !is_ours {
-                    self.progress.remove(&key, false);
+                    self.progress.remove(&key, Removal::Deferred);
                     let done = foreign.entry(job.to_string()).or_default();
                     done.add_bits(first_task, &store::replica::bits(bits), MOST_TASKS);
                 }
@@ -119,7 +119,8 @@
             .take_while(|k| k.0 == id)
             .cloned()
             .collect();
-        mine.iter().for_each(|k| self.progress.remove(k, false));
+        mine.iter()
+            .for_each(|k| self.progress.remove(k, Removal::Deferred));
     }
 
     /// Puts a machine on the roster; says on which page.
@@ -130,7 +131,7 @@
 
     /// Takes a machine off the roster. The page stays marked until it is written.
     pub fn drop_machine(&mut self, name: &str) {
-        self.roster.remove(&name.to_string(), true);
+        self.roster.remove(&name.to_string(), Removal::Urgent);
     }
 
     /// Puts what is done of a chunk of a job's tasks; says on which page.
--- a/crates/ladderroute/tests/cluster_view.rs
+++ b/crates/ladderroute/tests/cluster_view.rs
@@ -1,13 +1,14 @@
-//! The cluster view against a plain store with all its history: a store that keeps few changes, pages
-//! that are read at several revisions, answers that are late, out of order or lost, own writes and direct
-//! reads in between.
+//! The cluster view, checked against a plain store with all its history: the store keeps few changes, pages are
+//! read at several revisions, answers are late, out of order or lost, and own writes and direct reads come in
+//! between.
 
-// The helpers of these tests unwrap as the tests do.
+// The helper functions of these tests unwrap as the tests do.
 #![allow(clippy::unwrap_used)]
 
 use ladderroute::cluster_view::{ClusterView, Read, ViewReload};
 use std::collections::BTreeMap;
 use store::keys;
+use store::reload::LoadState;
 use wire::store::{
     to_value, Change, Changes, Item, JobRecord, Page, Recorded, RosterPage, RosterRecord, Value,
     Write,
@@ -23,11 +24,11 @@
 /// What the view under test does with a reload.
 #[derive(Clone, Copy, PartialEq)]
 enum Reloads {
-    /// As the program does.
+    /// As in production.
     Merged,
-    /// Planted: the pages replace the view, whatever came in meanwhile.
+    /// Planted fault: the pages replace the view, whatever was applied meanwhile.
     Replaced,
-    /// Planted: the view claims to be as of the reload's end, not of its first page.
+    /// Planted fault: the view claims to be complete as of the reload's end, not of its first page.
     StampedAtItsEnd,
 }
 
@@ -36,7 +37,7 @@
     revision: u64,
     keys: BTreeMap<String, (Value, u64)>,
     log: Vec<Change>,
-    /// State of each job by when it was written.
+    /// The states of each job, with the times at which they were written.
     jobs: BTreeMap<String, Vec<(f64, Recorded)>>,
     records: BTreeMap<String, JobRecord>,
 }
@@ -115,7 +116,7 @@
     }
 }
 
-/// What is on its way to the controller.
+/// An answer in transit to the controller.
 enum Answer {
     Changes(Read, Changes),
     TooOld(Read),
@@ -128,15 +129,16 @@
     view: ClusterView,
     reloads: Reloads,
     reload: Option<ViewReload>,
-    /// The pages that it has read.
+    /// The pages that the reload in progress has read.
     pages: Vec<Page>,
     answers: Vec<Answer>,
+    /// The versions that the view held at the last check.
     versions: BTreeMap<String, u64>,
-    reloaded: u32,
+    finished_reloads: u32,
 }
 
 impl Controller {
-    fn take(&mut self, answer: Answer) {
+    fn receive(&mut self, answer: Answer) {
         match answer {
             Answer::Changes(read, changes) => {
                 self.view.apply(read, &changes);
@@ -153,19 +155,19 @@
         }
     }
 
-    fn read_a_page(&mut self, store: &PlainStore) {
+    fn read_page(&mut self, store: &PlainStore) {
         let mut reload = match self.reload.take() {
             Some(reload) => reload,
             None => self.view.begin_reload(store.now),
         };
         let page = store.page(reload.last_key());
-        let is_last = reload.take(&page);
+        let state = reload.add_page(&page);
         self.pages.push(page);
-        if !is_last {
+        if state == LoadState::Incomplete {
             self.reload = Some(reload);
             return;
         }
-        self.reloaded += 1;
+        self.finished_reloads += 1;
         let pages = std::mem::take(&mut self.pages);
         if self.reloads == Reloads::Replaced {
             self.view = ClusterView::new(CHUNK_BITS);
@@ -173,13 +175,13 @@
         if self.reloads == Reloads::StampedAtItsEnd {
             reload = self.view.begin_reload(store.now);
             for page in &pages {
-                reload.take(page);
+                reload.add_page(page);
             }
         }
         self.view.finish_reload(reload);
     }
 
-    /// What is wrong with the view, if anything is.
+    /// The first violated property of the view, if any.
     fn fault(&mut self, store: &PlainStore) -> Option<String> {
         let read_at = self.view.read_at();
         let replica = self.view.replica();
@@ -236,7 +238,7 @@
         state: Recorded::Open,
         created_ms: 0,
         job: Job {
-            // Ids come in no order.
+            // Ids do not sort in the order of creation.
             id: format!("wk-{:02}-{n}", rng.u32(0..100)),
             class: "c".into(),
             team: "t".into(),
@@ -273,9 +275,9 @@
     })
 }
 
-/// Something happens in the store, by this controller or another one; what this controller hears of it
-/// at once, if it is its own doing.
-fn happen(store: &mut PlainStore, rng: &mut fastrand::Rng, step: u32) -> Option<Answer> {
+/// Makes a random change to the store, by this controller or another one; returns the answer to this
+/// controller if the change is its own.
+fn change_store(store: &mut PlainStore, rng: &mut fastrand::Rng, step: u32) -> Option<Answer> {
     let ids: Vec<String> = store.jobs.keys().cloned().collect();
     let is_own = rng.bool();
     if rng.u32(0..3) == 0 || ids.is_empty() {
@@ -294,7 +296,7 @@
     }
     let id = rng.choice(&ids)?.clone();
     let is_open = store.state_at(&id, store.now) == Some(Recorded::Open);
-    // Only what runs is ended as done.
+    // Only a job that may run can be done.
     let is_done = rng.bool() && store.may_start(&id);
     if !is_open || store.is_cancelled_at(&id, store.now) {
         return None;
@@ -315,8 +317,8 @@
     })
 }
 
-/// Lives through a random history; the first fault, and how many reloads there were.
-fn live(seed: u64, reloads: Reloads) -> (Option<String>, u32) {
+/// Runs a random history; returns the first fault, and the number of finished reloads.
+fn run_history(seed: u64, reloads: Reloads) -> (Option<String>, u32) {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut store = PlainStore {
         now: 0.0,
@@ -333,14 +335,14 @@
         pages: Vec::new(),
         answers: Vec::new(),
         versions: BTreeMap::new(),
-        reloaded: 0,
+        finished_reloads: 0,
     };
     for step in 0..STEPS {
         store.now += 1.0;
         if rng.u32(0..3) == 0 {
             controller
                 .answers
-                .extend(happen(&mut store, &mut rng, step));
+                .extend(change_store(&mut store, &mut rng, step));
         }
         // Another controller's direct read of a record, or this one's after a lost answer.
         if rng.u32(0..12) == 0 {
@@ -359,46 +361,46 @@
                     .changes(read.since)
                     .map_or(Answer::TooOld(read), |c| Answer::Changes(read, c)),
             ),
-            None if rng.u32(0..3) == 0 => controller.read_a_page(&store),
+            None if rng.u32(0..3) == 0 => controller.read_page(&store),
             _ => {}
         }
-        // Late, out of order, or lost.
+        // Answers arrive late and out of order, or are lost.
         if !controller.answers.is_empty() && rng.u32(0..3) == 0 {
             let at = rng.usize(0..controller.answers.len());
             let answer = controller.answers.swap_remove(at);
             if rng.u32(0..20) > 0 {
-                controller.take(answer);
+                controller.receive(answer);
             }
         }
         if let Some(fault) = controller.fault(&store) {
             return (Some(format!("seed {seed}, step {step}: {fault}")), 0);
         }
     }
-    (None, controller.reloaded)
+    (None, controller.finished_reloads)
 }
 
 #[test]
-fn the_view_never_goes_back_and_holds_what_it_claims() {
+fn the_view_never_goes_back_and_is_complete_at_read_at() {
     let mut reloads = 0;
     for seed in 0..400 {
-        let (fault, reloaded) = live(seed, Reloads::Merged);
+        let (fault, finished) = run_history(seed, Reloads::Merged);
         assert_eq!(fault, None);
-        reloads += reloaded;
+        reloads += finished;
     }
     assert!(reloads > 1000, "reloads: {reloads}");
 }
 
-/// The check notices a view that a reload takes back, and a stamp that a reload does not prove.
+/// The check detects a view that a reload takes back, and a `read_at` that a reload does not prove.
 #[test]
-fn a_reload_that_replaces_the_view_is_noticed() {
-    let noticed = |reloads| {
-        let faults = (0..400).filter_map(|seed| live(seed, reloads).0);
+fn planted_reload_faults_are_detected() {
+    let faults_with = |reloads| {
+        let faults = (0..400).filter_map(|seed| run_history(seed, reloads).0);
         faults.collect::<Vec<_>>()
     };
-    let replaced = noticed(Reloads::Replaced);
+    let replaced = faults_with(Reloads::Replaced);
     assert!(replaced.len() > 20, "{}", replaced.len());
     assert!(replaced.iter().any(|fault| fault.ends_with("went back")));
-    let stamped = noticed(Reloads::StampedAtItsEnd);
+    let stamped = faults_with(Reloads::StampedAtItsEnd);
     assert!(stamped.len() > 20, "{}", stamped.len());
     assert!(!stamped.iter().any(|fault| fault.ends_with("went back")));
 }
--- a/crates/ladderroute/tests/stale_view.rs
+++ b/crates/ladderroute/tests/stale_view.rs
@@ -49,7 +49,10 @@
 fn read_long_ago(node: &Node, store: &Store) {
     let view = &mut node.lock().shared.view;
     let mut reload = view.begin_reload(node.now() - node.config.start_staleness_s());
-    assert!(reload.take(&store.items_after("")));
+    assert_eq!(
+        reload.add_page(&store.items_after("")),
+        store::reload::LoadState::Complete
+    );
     view.finish_reload(reload);
 }
 
--- a/crates/store/src/budget.rs
+++ b/crates/store/src/budget.rs
@@ -1,10 +1,12 @@
 //! A controller's share of the store's request and write rates, in ranks.
+//!
+//! Times are seconds on one steady clock of the caller's choice.
 
-/// What a request is for, most important first. Each rank leaves a part of the burst to the
-/// ranks before it, so that renewals are never starved and decisions go before submissions.
+/// What a request is for, most important first. Each rank leaves a part of the burst to the ranks before it,
+/// so that renewals are never starved and decisions go before submissions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rank {
-    /// Renewals of leases, which always come first.
+    /// Renewals of leases.
     Renewal,
     /// The leader's decisions, cancellations and reads.
     Decision,
@@ -12,7 +14,7 @@
     Submission,
 }
 
-/// Parts of a burst that must remain untouched by each rank.
+/// Parts of the burst, 0 to 1, that each rank leaves to those before it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Reserve {
     /// What decisions leave to renewals.
@@ -31,42 +33,52 @@
     }
 }
 
-/// What a controller may take of one of the store's rates.
+/// What a controller may use of one of the store's rates.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Share {
-    /// Part of the rate that the settings give for all controllers.
+    /// Part, 0 to 1, of the rate that the settings give for all controllers.
     pub part: f64,
-    /// Seconds' worth of that part that may be taken at once.
+    /// The burst: as much as this part yields in so many seconds may be used at once.
     pub burst_s: f64,
-    /// What is kept back from the lower ranks.
+    /// What lower ranks leave of the burst.
     pub reserve: Reserve,
 }
 
-/// What a controller may take of the store's request and write rates.
+/// What a controller may use of the store's request and write rates.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Shares {
-    /// Of the requests.
+    /// Share of the request rate.
     pub requests: Share,
-    /// Of the puts and deletes.
+    /// Share of the write rate.
     pub writes: Share,
 }
 
 /// The store's rates, as the settings give them for all controllers together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rates {
-    /// Requests a second.
+    /// Requests per second.
     pub requests_per_s: f64,
-    /// Puts and deletes a second.
+    /// Puts and deletes per second.
     pub writes_per_s: f64,
 }
 
+/// The budget does not allow a request yet.
+#[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
+#[error("the budget allows the request in {wait_s:.2} s")]
+pub struct BudgetExhausted {
+    /// Seconds until the request is allowed, if nothing else is sent.
+    pub wait_s: f64,
+}
+
 /// A token bucket.
 #[derive(Debug)]
 struct Bucket {
+    /// Tokens per second.
     rate: f64,
     capacity: f64,
     reserve: Reserve,
     level: f64,
+    /// The time, in seconds, up to which the bucket was filled.
     filled_at: f64,
 }
 
@@ -90,7 +102,7 @@
         }
     }
 
-    /// Another share from now on; what it allows at once is not there from the start.
+    /// Changes the share; a larger burst is not available from the start.
     fn change(&mut self, rate_of_all: f64, share: Share, now: f64) {
         self.fill(now);
         let level = self.level;
@@ -99,15 +111,20 @@
         self.filled_at = now;
     }
 
-    /// Seconds until `n` can be taken with the rank's reserve left; 0 if at once. What is
-    /// larger than the bucket is let through when the bucket is full.
-    fn wait(&self, n: f64, rank: Rank) -> f64 {
-        let need = (n + self.reserve.of(rank) * self.capacity).min(self.capacity);
-        ((need - self.level) / self.rate).max(0.0)
+    /// Seconds until so many tokens can be taken with the rank's reserve left. A request that is larger than
+    /// the bucket is allowed when the bucket is full.
+    fn wait_s(&self, tokens: f64, rank: Rank) -> f64 {
+        let needed = (tokens + self.reserve.of(rank) * self.capacity).min(self.capacity);
+        ((needed - self.level) / self.rate).max(0.0)
+    }
+
+    fn drain(&mut self, now: f64) {
+        self.fill(now);
+        self.level = self.level.min(0.0);
     }
 }
 
-/// Requests and writes that this controller may still make.
+/// The requests and writes that this controller may still send.
 #[derive(Debug)]
 pub struct Budget {
     rates: Rates,
@@ -116,7 +133,7 @@
 }
 
 impl Budget {
-    /// A budget that is full at first.
+    /// A budget that is full at time 0.
     pub fn new(rates: Rates, shares: Shares) -> Budget {
         let requests = Bucket::new(rates.requests_per_s, shares.requests);
         let writes = Bucket::new(rates.writes_per_s, shares.writes);
@@ -135,31 +152,33 @@
             .change(self.rates.writes_per_s, shares.writes, now);
     }
 
-    /// The store has refused a request for going beyond its rate: what was left of the burst is not there,
-    /// since others took it or the rate is lower than the settings say. Renewals wait for one request's
+    /// Notes that the store refused a request as beyond its rate: the rest of the burst is not available,
+    /// since others used it or the rate is lower than the settings say. Renewals then wait for one request's
     /// worth at most.
     pub fn refused(&mut self, now: f64, writes: usize) {
-        let bucket = if writes > 0 {
-            &mut self.writes
+        if writes > 0 {
+            self.writes.drain(now);
         } else {
-            &mut self.requests
-        };
-        bucket.fill(now);
-        bucket.level = bucket.level.min(0.0);
+            self.requests.drain(now);
+        }
     }
 
-    /// Takes one request with `writes` writes, or says how long to wait.
-    pub fn take(&mut self, now: f64, writes: usize, rank: Rank) -> Result<(), f64> {
+    /// Takes one request with `writes` writes out of the budget.
+    ///
+    /// # Errors
+    ///
+    /// The budget does not allow it yet; nothing is taken.
+    pub fn take(&mut self, now: f64, writes: usize, rank: Rank) -> Result<(), BudgetExhausted> {
         self.requests.fill(now);
         self.writes.fill(now);
-        let wait_for_writes = if writes > 0 {
-            self.writes.wait(writes as f64, rank)
+        let writes_wait_s = if writes > 0 {
+            self.writes.wait_s(writes as f64, rank)
         } else {
             0.0
         };
-        let wait = self.requests.wait(1.0, rank).max(wait_for_writes);
-        if wait > 0.0 {
-            return Err(wait);
+        let wait_s = self.requests.wait_s(1.0, rank).max(writes_wait_s);
+        if wait_s > 0.0 {
+            return Err(BudgetExhausted { wait_s });
         }
         self.requests.level -= 1.0;
         self.writes.level -= writes as f64;
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -1,7 +1,7 @@
 //! Typed requests to the state service.
 
 use crate::budget::{Budget, Rank, Rates, Shares};
-use http::client::{Client, Failed};
+use http::client::{Answer, Client, Failed};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -11,45 +11,81 @@
 /// The status of a request beyond the store's rate.
 pub const TOO_MANY_REQUESTS: u16 = 429;
 
-/// Why a request to the store did not give what was asked.
+const OK: u16 = 200;
+const BAD_REQUEST: u16 = 400;
+const NOT_FOUND: u16 = 404;
+const CONFLICT: u16 = 409;
+const GONE: u16 = 410;
+const FIRST_SERVER_ERROR: u16 = 500;
+
+/// The text in a bad request's answer that names a lease which has ended.
+const NO_SUCH_LEASE: &str = "no such lease";
+
+/// Idle connections kept for requests that are answered at once.
+const REQUEST_CONNECTIONS: usize = 4;
+/// Largest body of such an answer, in bytes.
+const REQUEST_BODY_BYTES: usize = 2 << 20;
+/// Idle connections kept for watches, which wait for changes.
+const WATCH_CONNECTIONS: usize = 2;
+/// Largest body of a watch's answer, in bytes.
+const WATCH_BODY_BYTES: usize = 8 << 20;
+/// Most keys in a page.
+const PAGE_KEYS: u32 = 250;
+/// Added to a wait for the budget, in seconds, so that rounding does not end it early.
+const WAIT_SLACK_S: f64 = 0.002;
+
+/// Why a request to the store did not give a result.
 #[derive(Debug, thiserror::Error, PartialEq)]
 pub enum StoreError {
+    /// The store did not carry the request out and answered with this status.
     #[error("the store did not execute the request (status {0})")]
-    /// Not carried out, with the status; 0 if it was not sent.
     Refused(u16),
+    /// The request did not reach the store, for this reason.
+    #[error("the request did not reach the store: {0}")]
+    NotSent(String),
+    /// Not sent: this controller's budget allows the request after so many seconds.
     #[error("own budget is used up for {0:.2} s")]
-    /// Not sent; the budget allows it after so many seconds.
     Budget(f64),
+    /// The request may have been carried out, or may still be.
     #[error("outcome unknown: {0}")]
-    /// It may have been carried out, or may still be.
     Unknown(String),
+    /// The answer has so many bytes, more than the client accepts.
     #[error("the answer of {0} bytes is larger than is taken")]
-    /// The answer has more bytes than are taken.
     TooLarge(usize),
-    #[error("no such lease")]
     /// The lease has ended.
+    #[error("no such lease")]
     NoLease,
+    /// The store no longer keeps the changes after that revision.
     #[error("the revision asked for is too old")]
-    /// The changes after that revision are not kept any more.
     TooOld,
 }
 
+impl From<Failed> for StoreError {
+    fn from(error: Failed) -> StoreError {
+        match error {
+            Failed::NotSent(cause) => StoreError::NotSent(cause),
+            Failed::TooLarge(bytes) => StoreError::TooLarge(bytes),
+            Failed::Unknown(cause) => StoreError::Unknown(cause),
+        }
+    }
+}
+
 /// Result of a transaction that the store has decided.
 #[derive(Debug, PartialEq)]
 pub enum Decided {
-    /// Carried out, at this revision.
+    /// Applied at this revision, which is the new version of each key that was put.
     Applied(u64),
-    /// The keys whose versions were not as the conditions say.
+    /// Not applied: the versions of these keys did not match the conditions.
     Conflict(Vec<String>),
 }
 
 /// A client of the state service with this controller's budget.
 pub struct Store {
-    quick: Client,
-    watch: Client,
+    requests: Client,
+    watches: Client,
     budget: RefCell<Budget>,
-    start: Instant,
-    /// How long a request may take.
+    started_at: Instant,
+    /// How long a request may take, the wait for the budget apart.
     pub limit: Duration,
 }
 
@@ -57,162 +93,103 @@
     /// A client of the service at an address.
     pub fn new(addr: SocketAddr, rates: Rates, shares: Shares, limit: Duration) -> Store {
         Store {
-            quick: Client::new(addr, 4, 2 << 20),
-            watch: Client::new(addr, 2, 8 << 20),
+            requests: Client::new(addr, REQUEST_CONNECTIONS, REQUEST_BODY_BYTES),
+            watches: Client::new(addr, WATCH_CONNECTIONS, WATCH_BODY_BYTES),
             budget: RefCell::new(Budget::new(rates, shares)),
-            start: Instant::now(),
+            started_at: Instant::now(),
             limit,
         }
     }
 
-    /// Changes the parts of the request and write rates that this controller may take.
+    /// Changes the parts of the request and write rates that this controller may use.
     pub fn set_shares(&self, shares: Shares) {
-        let now = self.start.elapsed().as_secs_f64();
-        self.budget.borrow_mut().set_shares(shares, now);
-    }
-
-    fn take(&self, writes: usize, rank: Rank) -> Result<(), StoreError> {
-        let now = self.start.elapsed().as_secs_f64();
-        self.budget
-            .borrow_mut()
-            .take(now, writes, rank)
-            .map_err(StoreError::Budget)
-    }
-
-    /// Waits for the budget, as far as `limit` allows.
-    async fn wait(&self, writes: usize, rank: Rank, limit: Duration) -> Result<(), StoreError> {
-        let started_at = Instant::now();
-        loop {
-            match self.take(writes, rank) {
-                Err(StoreError::Budget(s))
-                    if started_at.elapsed().as_secs_f64() + s < limit.as_secs_f64() =>
-                {
-                    smol::Timer::after(Duration::from_secs_f64(s + 0.002)).await;
-                }
-                other => return other,
-            }
-        }
-    }
-
-    async fn ask(
-        &self,
-        method: &str,
-        path: &str,
-        body: &[u8],
-    ) -> Result<(u16, Vec<u8>), StoreError> {
-        match self.quick.ask(method, path, body, self.limit).await {
-            Ok(a) if a.status == 429 || a.status >= 500 => Err(StoreError::Refused(a.status)),
-            Ok(a) => Ok((a.status, a.body)),
-            Err(e) => Err(failed(e)),
-        }
+        self.budget.borrow_mut().set_shares(shares, self.now_s());
     }
 
-    fn read<T: serde::de::DeserializeOwned>(body: &[u8]) -> Result<T, StoreError> {
-        cbor::decode(body).map_err(|e| StoreError::Unknown(e.to_string()))
-    }
-
-    /// One key; none if it does not exist.
+    /// Reads a key; none if it does not exist.
     pub async fn get(&self, key: &str, rank: Rank) -> Result<Option<Item>, StoreError> {
-        self.wait(0, rank, self.limit).await?;
-        match self.ask("GET", &format!("/store/{key}"), &[]).await? {
-            (200, body) => Ok(Some(Self::read(&body)?)),
-            (404, _) => Ok(None),
-            (s, _) => Err(StoreError::Refused(s)),
+        self.wait_for_budget(0, rank).await?;
+        let answer = self.request("GET", &format!("/store/{key}"), &[]).await?;
+        match answer.status {
+            OK => Ok(Some(decode(&answer)?)),
+            NOT_FOUND => Ok(None),
+            status => Err(StoreError::Refused(status)),
         }
     }
 
-    /// A page of the keys with a prefix.
+    /// Reads a page of the keys with a prefix, after the key `since`.
     pub async fn range(
         &self,
         prefix: &str,
         since: Option<&str>,
         rank: Rank,
     ) -> Result<Page, StoreError> {
-        self.wait(0, rank, self.limit).await?;
-        let since = since.map(|s| format!("&since={s}")).unwrap_or_default();
-        match self
-            .ask(
-                "GET",
-                &format!("/store?prefix={prefix}{since}&most=250"),
-                &[],
-            )
-            .await?
-        {
-            (200, body) => Self::read(&body),
-            (s, _) => Err(StoreError::Refused(s)),
+        self.wait_for_budget(0, rank).await?;
+        let since = since.map(|key| format!("&since={key}")).unwrap_or_default();
+        let path = format!("/store?prefix={prefix}{since}&most={PAGE_KEYS}");
+        let answer = self.request("GET", &path, &[]).await?;
+        match answer.status {
+            OK => decode(&answer),
+            status => Err(StoreError::Refused(status)),
         }
     }
 
-    /// A transaction. Waits for the budget unless the rank is that of submissions, which are
-    /// refused at once instead.
+    /// Carries out a transaction. Submissions are refused at once when the budget is used up; other ranks
+    /// wait for it.
     pub async fn txn(&self, txn: &Txn, rank: Rank) -> Result<Decided, StoreError> {
+        let writes = txn.writes.len();
         match rank {
-            Rank::Submission => self.take(txn.writes.len(), rank)?,
-            _ => self.wait(txn.writes.len(), rank, self.limit).await?,
+            Rank::Submission => self.take_budget(writes, rank)?,
+            Rank::Renewal | Rank::Decision => self.wait_for_budget(writes, rank).await?,
         }
-        let answer = self.ask("POST", "/txn", &cbor::encode(txn)).await;
-        if answer == Err(StoreError::Refused(TOO_MANY_REQUESTS)) {
-            let now = self.start.elapsed().as_secs_f64();
-            self.budget.borrow_mut().refused(now, txn.writes.len());
+        let answer = self.request("POST", "/txn", &cbor::encode(txn)).await;
+        if matches!(answer, Err(StoreError::Refused(TOO_MANY_REQUESTS))) {
+            self.budget.borrow_mut().refused(self.now_s(), writes);
         }
-        match answer? {
-            (200, body) => Ok(Decided::Applied(Self::read::<Revision>(&body)?.revision)),
-            (409, body) => Ok(Decided::Conflict(Self::read::<Conflict>(&body)?.failed)),
-            (400, body) => {
-                let text = cbor::decode::<Value>(&body)
-                    .map(|v| format!("{v:?}"))
-                    .unwrap_or_default();
-                if text.contains("no such lease") {
-                    Err(StoreError::NoLease)
-                } else {
-                    log::error!("event=store_malformed answer=\"{text}\"");
-                    Err(StoreError::Refused(400))
-                }
-            }
-            (s, _) => Err(StoreError::Refused(s)),
+        let answer = answer?;
+        match answer.status {
+            OK => Ok(Decided::Applied(decode::<Revision>(&answer)?.revision)),
+            CONFLICT => Ok(Decided::Conflict(decode::<Conflict>(&answer)?.failed)),
+            BAD_REQUEST => Err(bad_request(&answer)),
+            status => Err(StoreError::Refused(status)),
         }
     }
 
-    /// Takes a lease; its id.
+    /// Creates a lease; returns its id.
     pub async fn grant(&self, ttl: Duration) -> Result<u64, StoreError> {
-        self.wait(0, Rank::Renewal, self.limit).await?;
-        match self
-            .ask(
-                "POST",
-                "/grants",
-                &cbor::encode(&LeaseAsk {
-                    ttl_ms: ttl.as_millis() as u64,
-                }),
-            )
-            .await?
-        {
-            (200, body) => Ok(Self::read::<LeaseId>(&body)?.lease),
-            (s, _) => Err(StoreError::Refused(s)),
+        self.wait_for_budget(0, Rank::Renewal).await?;
+        let body = LeaseAsk {
+            ttl_ms: ttl.as_millis() as u64,
+        };
+        let answer = self
+            .request("POST", "/grants", &cbor::encode(&body))
+            .await?;
+        match answer.status {
+            OK => Ok(decode::<LeaseId>(&answer)?.lease),
+            status => Err(StoreError::Refused(status)),
         }
     }
 
-    /// Renews a lease.
+    /// Renews a lease; `NoLease` if it has ended.
     pub async fn touch(&self, lease: u64) -> Result<(), StoreError> {
-        self.wait(0, Rank::Renewal, self.limit).await?;
-        match self
-            .ask("POST", &format!("/grants/{lease}/touch"), &[])
-            .await?
-        {
-            (200, _) => Ok(()),
-            (404, _) => Err(StoreError::NoLease),
-            (s, _) => Err(StoreError::Refused(s)),
+        self.wait_for_budget(0, Rank::Renewal).await?;
+        let path = format!("/grants/{lease}/touch");
+        let answer = self.request("POST", &path, &[]).await?;
+        match answer.status {
+            OK => Ok(()),
+            NOT_FOUND => Err(StoreError::NoLease),
+            status => Err(StoreError::Refused(status)),
         }
     }
 
-    /// Ends a lease.
+    /// Ends a lease; one that has ended already is no error.
     pub async fn revoke(&self, lease: u64) -> Result<(), StoreError> {
-        self.wait(0, Rank::Renewal, self.limit).await?;
-        self.ask("DELETE", &format!("/grants/{lease}"), &[])
-            .await
-            .map(|_| ())
+        self.wait_for_budget(0, Rank::Renewal).await?;
+        let path = format!("/grants/{lease}");
+        self.request("DELETE", &path, &[]).await.map(drop)
     }
 
-    /// Changes after a revision; with a wait of zero it answers at once.
+    /// Reads the changes after the revision `since`, waiting up to `wait` for the first one.
     pub async fn follow(
         &self,
         prefix: &str,
@@ -220,30 +197,69 @@
         wait: Duration,
         rank: Rank,
     ) -> Result<Changes, StoreError> {
-        self.wait(0, rank, self.limit).await?;
-        let path = format!(
-            "/follow?prefix={prefix}&since={since}&wait_ms={}",
-            wait.as_millis()
-        );
+        self.wait_for_budget(0, rank).await?;
+        let wait_ms = wait.as_millis();
+        let path = format!("/follow?prefix={prefix}&since={since}&wait_ms={wait_ms}");
         let client = if wait.is_zero() {
-            &self.quick
+            &self.requests
         } else {
-            &self.watch
+            &self.watches
         };
-        match client.ask("GET", &path, &[], self.limit + wait).await {
-            Ok(a) if a.status == 200 => Self::read(&a.body),
-            Ok(a) if a.status == 410 => Err(StoreError::TooOld),
-            Ok(a) => Err(StoreError::Refused(a.status)),
-            Err(Failed::NotSent(e)) => Err(StoreError::Unknown(e)),
-            Err(e) => Err(failed(e)),
+        let answer = client.ask("GET", &path, &[], self.limit + wait).await?;
+        match answer.status {
+            OK => decode(&answer),
+            GONE => Err(StoreError::TooOld),
+            status => Err(StoreError::Refused(status)),
+        }
+    }
+
+    /// Sends a request; statuses that say nothing of the request itself are errors.
+    async fn request(&self, method: &str, path: &str, body: &[u8]) -> Result<Answer, StoreError> {
+        let answer = self.requests.ask(method, path, body, self.limit).await?;
+        match answer.status {
+            status @ (TOO_MANY_REQUESTS | FIRST_SERVER_ERROR..) => Err(StoreError::Refused(status)),
+            _ => Ok(answer),
         }
     }
+
+    fn take_budget(&self, writes: usize, rank: Rank) -> Result<(), StoreError> {
+        let taken = self.budget.borrow_mut().take(self.now_s(), writes, rank);
+        taken.map_err(|exhausted| StoreError::Budget(exhausted.wait_s))
+    }
+
+    /// Waits for the budget, at most as long as a request may take.
+    async fn wait_for_budget(&self, writes: usize, rank: Rank) -> Result<(), StoreError> {
+        let started_at = Instant::now();
+        loop {
+            match self.take_budget(writes, rank) {
+                Err(StoreError::Budget(wait_s))
+                    if started_at.elapsed().as_secs_f64() + wait_s < self.limit.as_secs_f64() =>
+                {
+                    smol::Timer::after(Duration::from_secs_f64(wait_s + WAIT_SLACK_S)).await;
+                }
+                other => return other,
+            }
+        }
+    }
+
+    /// Seconds on the budget's clock.
+    fn now_s(&self) -> f64 {
+        self.started_at.elapsed().as_secs_f64()
+    }
+}
+
+/// Decodes an answer's body. The request was carried out even if its answer can't be read.
+fn decode<T: serde::de::DeserializeOwned>(answer: &Answer) -> Result<T, StoreError> {
+    cbor::decode(&answer.body).map_err(|error| StoreError::Unknown(error.to_string()))
 }
 
-fn failed(error: Failed) -> StoreError {
-    match error {
-        Failed::NotSent(_) => StoreError::Refused(0),
-        Failed::TooLarge(bytes) => StoreError::TooLarge(bytes),
-        Failed::Unknown(e) => StoreError::Unknown(e),
+/// Tells an ended lease from a transaction that the store can't accept, e.g. for a value that is too large.
+fn bad_request(answer: &Answer) -> StoreError {
+    let text = cbor::decode::<Value>(&answer.body).map(|value| format!("{value:?}"));
+    let text = text.unwrap_or_default();
+    if text.contains(NO_SUCH_LEASE) {
+        return StoreError::NoLease;
     }
+    log::error!("event=store_malformed answer=\"{text}\"");
+    StoreError::Refused(BAD_REQUEST)
 }
--- a/crates/store/src/keys.rs
+++ b/crates/store/src/keys.rs
@@ -1,10 +1,10 @@
-//! Names of the keys that the controllers keep.
+//! Names of the keys that the controllers store.
 
 /// Prefix of all keys of this service.
 pub const ALL: &str = "lr/";
-/// Who leads, attached to the leader's lease.
+/// The leader's key, attached to its lease.
 pub const LEADER: &str = "lr/leader";
-/// The highest fencing token given out.
+/// The durable term: the highest fencing token ever issued.
 pub const TERM: &str = "lr/term";
 /// Prefix of the jobs' records.
 pub const JOBS: &str = "lr/job/";
@@ -14,25 +14,25 @@
 pub const ROSTER: &str = "lr/roster/";
 /// Prefix of the bindings of gangs.
 pub const BINDING: &str = "lr/binding/";
-/// Which arrays may have begun.
+/// The started arrays.
 pub const STARTED_ARRAYS: &str = "lr/begun";
 
-/// The record of a job.
+/// The key of a job's record.
 pub fn job(id: &str) -> String {
     format!("{JOBS}{id}")
 }
 
-/// Progress of many jobs, by page.
+/// The key of a page of progress.
 pub fn progress(page: u32) -> String {
     format!("{PROGRESS}{page}")
 }
 
-/// Rostered machines, by page.
+/// The key of a page of the roster.
 pub fn roster(page: u32) -> String {
     format!("{ROSTER}{page}")
 }
 
-/// A part of a gang's binding.
+/// The key of a chunk of a gang's binding.
 pub fn binding(id: &str, chunk: u32) -> String {
     format!("{BINDING}{id}/{chunk}")
 }
@@ -61,9 +61,9 @@
 /// What a key holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// The leader and its token.
+    /// The leader's record.
     Leader,
-    /// The highest token.
+    /// The durable term.
     Term,
     /// The record of a job.
     Job,
@@ -71,31 +71,26 @@
     Progress,
     /// A page of the roster.
     Roster,
-    /// A part of a gang's binding.
+    /// A chunk of a gang's binding.
     Binding,
-    /// Which arrays may have begun.
+    /// The started arrays.
     StartRecord,
-    /// Nothing of this version.
+    /// Nothing that this version knows.
     Other,
 }
 
 impl Kind {
     /// What a key holds, by its name.
     pub fn of(key: &str) -> Kind {
-        let prefixes = [
-            (JOBS, Kind::Job),
-            (PROGRESS, Kind::Progress),
-            (ROSTER, Kind::Roster),
-            (BINDING, Kind::Binding),
-        ];
         match key {
             LEADER => Kind::Leader,
             TERM => Kind::Term,
             STARTED_ARRAYS => Kind::StartRecord,
-            _ => {
-                let found = prefixes.iter().find(|(prefix, _)| key.starts_with(prefix));
-                found.map_or(Kind::Other, |(_, kind)| *kind)
-            }
+            _ if key.starts_with(JOBS) => Kind::Job,
+            _ if key.starts_with(PROGRESS) => Kind::Progress,
+            _ if key.starts_with(ROSTER) => Kind::Roster,
+            _ if key.starts_with(BINDING) => Kind::Binding,
+            _ => Kind::Other,
         }
     }
 }
--- a/crates/store/src/leadership.rs
+++ b/crates/store/src/leadership.rs
@@ -1,9 +1,9 @@
-//! Leadership by a key attached to a store lease; the token is a durable term.
+//! Leadership by a key attached to a store lease; the fencing token is a durable term.
 //!
-//! Authority is counted from the instant at which the last answered renewal was *sent*, less
-//! drift and a margin. An authority that has run out comes back only with an answered
-//! renewal of the same lease: then the key was never free in between. What may be done with it
-//! depends on how fresh the cluster view is, too (`sched::authority`).
+//! Authority is counted from the instant at which the last answered renewal was *sent*, less clock drift and
+//! a margin. Authority that has expired returns only with an answered renewal of the same lease: the key was
+//! then never free in between. What may be done with it also depends on the freshness of the cluster view
+//! (`sched::authority`).
 
 use crate::budget::Rank;
 use crate::client::{Decided, Store, StoreError};
@@ -11,30 +11,33 @@
 use std::time::{Duration, Instant};
 use wire::store::{from_value, to_value, Condition, Item, LeaderRecord, TermRecord, Txn, Write};
 
-/// Steady clocks drift apart by up to this part (a figure of the protocol).
+/// Largest relative drift of a steady clock; both sides of a lease may drift (a figure of the protocol).
 pub const DRIFT: f64 = 0.0005;
-/// Safety margin of the leader's own authority, as a part of the lease's time.
+/// Safety margin of the leader's own authority, as a part of the lease's duration.
 pub const MARGIN: f64 = 0.03;
 
-/// How long an authority may be used after the request that proved it was sent.
+/// The version that conditions use for a key that does not exist.
+const ABSENT: u64 = 0;
+
+/// How long authority may be used after the request that proved it was sent, for a lease of `ttl`.
 pub fn usable(ttl: Duration) -> Duration {
     ttl.mul_f64(1.0 - 2.0 * DRIFT - MARGIN)
 }
 
-/// What leadership needs of the state service; every answer may be lost or late.
+/// The requests that leadership needs of the state service; every answer may be lost or late.
 #[allow(async_fn_in_trait)]
-pub trait Keeper {
-    /// Reads a key.
+pub trait LeaderStore {
+    /// Reads a key; none if it does not exist.
     async fn get(&self, key: &str) -> Result<Option<Item>, StoreError>;
-    /// Takes a lease; its id.
+    /// Creates a lease; returns its id.
     async fn grant(&self, ttl: Duration) -> Result<u64, StoreError>;
-    /// Ends a lease.
+    /// Ends a lease, which drops the keys attached to it.
     async fn revoke(&self, lease: u64) -> Result<(), StoreError>;
-    /// Carries a transaction out.
+    /// Carries out a transaction.
     async fn txn(&self, txn: &Txn) -> Result<Decided, StoreError>;
 }
 
-impl Keeper for Store {
+impl LeaderStore for Store {
     async fn get(&self, key: &str) -> Result<Option<Item>, StoreError> {
         Store::get(self, key, Rank::Renewal).await
     }
@@ -49,20 +52,35 @@
     }
 }
 
-/// The lease on the leadership that this controller took.
+/// The lease on leadership that this controller acquired.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LeadershipLease {
     /// The fencing token.
     pub token: u64,
-    /// The lease that the leader's key is attached to.
+    /// The store lease that the leader's key is attached to.
     pub lease_id: u64,
-    /// Version of the leader key: the condition of every write of this leader.
+    /// Version of the leader's key: the condition of every write of this leader.
     pub version: u64,
-    /// Until when it may be used, unless it is renewed.
+    /// When authority expires unless the lease is renewed.
     pub until: Instant,
 }
 
-/// The condition under which a leader writes.
+/// A token that a leader has moved on to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct NextToken {
+    /// The fencing token.
+    pub token: u64,
+    /// Version of the leader's key: the condition of the leader's writes from now on.
+    pub version: u64,
+}
+
+/// The durable term as it is in the store.
+struct StoredTerm {
+    term: u64,
+    version: u64,
+}
+
+/// The condition that the leader's key is unchanged since `version`.
 pub fn still_leader(version: u64) -> Condition {
     Condition {
         key: keys::LEADER.into(),
@@ -70,82 +88,70 @@
     }
 }
 
-/// Tries once to take the leadership; none if someone else holds it or the outcome shows
-/// that it was not taken.
-pub async fn take(
-    store: &impl Keeper,
+/// Tries once to acquire leadership; none if another controller holds it or the transaction was certainly not
+/// applied.
+///
+/// # Errors
+///
+/// Any error of the store. Leadership is not held then: the lease of an attempt whose outcome is unknown is
+/// revoked.
+pub async fn acquire(
+    store: &impl LeaderStore,
     member: &str,
     ttl: Duration,
 ) -> Result<Option<LeadershipLease>, StoreError> {
     if store.get(keys::LEADER).await?.is_some() {
         return Ok(None);
     }
-    let (term, term_version) = match store.get(keys::TERM).await? {
-        Some(item) => (
-            from_value::<TermRecord>(&item.value).map_or(0, |t| t.term),
-            item.version,
-        ),
-        None => (0, 0),
-    };
+    let stored = read_term(store).await?;
     let sent = Instant::now();
-    let lease = store.grant(ttl).await?;
-    let token = term + 1;
+    let lease_id = store.grant(ttl).await?;
     let record = LeaderRecord {
         member: member.into(),
-        token,
+        token: stored.term + 1,
+    };
+    let term_unchanged = Condition {
+        key: keys::TERM.into(),
+        version: stored.version,
     };
     let txn = Txn {
-        conditions: vec![
-            Condition {
-                key: keys::LEADER.into(),
-                version: 0,
-            },
-            Condition {
-                key: keys::TERM.into(),
-                version: term_version,
-            },
-        ],
-        writes: vec![
-            Write::Put {
-                key: keys::LEADER.into(),
-                value: to_value(&record),
-                lease: Some(lease),
-            },
-            Write::Put {
-                key: keys::TERM.into(),
-                value: to_value(&TermRecord { term: token }),
-                lease: None,
-            },
-        ],
+        conditions: vec![still_leader(ABSENT), term_unchanged],
+        writes: token_writes(&record, lease_id),
     };
     let version = match store.txn(&txn).await {
         Ok(Decided::Applied(revision)) => revision,
         Ok(Decided::Conflict(_)) | Err(StoreError::NoLease) => {
-            let _ = store.revoke(lease).await;
+            // The lease expires by itself if this fails.
+            let _ = store.revoke(lease_id).await;
             return Ok(None);
         }
-        // Never guessed: ending the lease makes the attempt harmless whether it was applied,
-        // is applied late (a write with an ended lease is refused), or never.
-        Err(e) => {
-            let _ = store.revoke(lease).await;
-            return Err(e);
+        // Never guessed: ending the lease makes the attempt harmless whether it was applied, is applied late
+        // (a write with an ended lease is refused), or never.
+        Err(error) => {
+            let _ = store.revoke(lease_id).await;
+            return Err(error);
         }
     };
     Ok(Some(LeadershipLease {
-        token,
-        lease_id: lease,
+        token: record.token,
+        lease_id,
         version,
         until: sent + usable(ttl),
     }))
 }
 
-/// Moves the term and the leader key on to the next token. The new version is the condition
-/// for later writes. After an unknown outcome the key is read back.
+/// Moves the term and the leader's key on to the next token; none if leadership is lost. After an unknown
+/// outcome the key is read back.
+///
+/// # Errors
+///
+/// `Refused`, `NotSent` and `Budget`: the token is unchanged. Any other: the outcome is not known yet, and
+/// the call may be repeated.
 pub async fn next_token(
-    store: &impl Keeper,
+    store: &impl LeaderStore,
     member: &str,
     leadership: &LeadershipLease,
-) -> Result<Option<(u64, u64)>, StoreError> {
+) -> Result<Option<NextToken>, StoreError> {
     let token = leadership.token + 1;
     let record = LeaderRecord {
         member: member.into(),
@@ -153,28 +159,21 @@
     };
     let txn = Txn {
         conditions: vec![still_leader(leadership.version)],
-        writes: vec![
-            Write::Put {
-                key: keys::LEADER.into(),
-                value: to_value(&record),
-                lease: Some(leadership.lease_id),
-            },
-            Write::Put {
-                key: keys::TERM.into(),
-                value: to_value(&TermRecord { term: token }),
-                lease: None,
-            },
-        ],
+        writes: token_writes(&record, leadership.lease_id),
     };
     match store.txn(&txn).await {
-        Ok(Decided::Applied(revision)) => Ok(Some((token, revision))),
+        Ok(Decided::Applied(version)) => Ok(Some(NextToken { token, version })),
         Err(StoreError::NoLease) => Ok(None),
-        Err(StoreError::Refused(s)) => Err(StoreError::Refused(s)),
-        Err(StoreError::Budget(s)) => Err(StoreError::Budget(s)),
-        // A conflict can stem from an earlier try of our own whose answer was lost.
+        Err(error @ (StoreError::Refused(_) | StoreError::NotSent(_) | StoreError::Budget(_))) => {
+            Err(error)
+        }
+        // A conflict can stem from an earlier attempt of this leader whose answer was lost.
         Ok(Decided::Conflict(_)) | Err(_) => match store.get(keys::LEADER).await? {
             Some(item) if from_value::<LeaderRecord>(&item.value).as_ref() == Some(&record) => {
-                Ok(Some((token, item.version)))
+                Ok(Some(NextToken {
+                    token,
+                    version: item.version,
+                }))
             }
             Some(item) if item.version == leadership.version => {
                 Err(StoreError::Unknown("not applied yet".into()))
@@ -183,3 +182,34 @@
         },
     }
 }
+
+async fn read_term(store: &impl LeaderStore) -> Result<StoredTerm, StoreError> {
+    let item = store.get(keys::TERM).await?;
+    Ok(item.map_or(
+        StoredTerm {
+            term: 0,
+            version: ABSENT,
+        },
+        |item| StoredTerm {
+            term: from_value::<TermRecord>(&item.value).map_or(0, |record| record.term),
+            version: item.version,
+        },
+    ))
+}
+
+/// The writes that record a leader and its token: the leader's key ends with the lease, the term stays.
+fn token_writes(record: &LeaderRecord, lease_id: u64) -> Vec<Write> {
+    let term = TermRecord { term: record.token };
+    vec![
+        Write::Put {
+            key: keys::LEADER.into(),
+            value: to_value(record),
+            lease: Some(lease_id),
+        },
+        Write::Put {
+            key: keys::TERM.into(),
+            value: to_value(&term),
+            lease: None,
+        },
+    ]
+}
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,4 +1,5 @@
-//! The state service: client, request budget, leadership, and the replica of the jobs.
+//! The state service: its client and request budget, leadership, the records that share keys, and the replica
+//! of all keys.
 
 #![warn(missing_docs)]
 
--- a/crates/store/src/pages.rs
+++ b/crates/store/src/pages.rs
@@ -1,103 +1,129 @@
-//! Small entries packed many to a key, since the state service counts every put. The leader
-//! keeps the pages; each write replaces a whole page.
+//! Small entries packed many to a key, since the state service charges for every put. The leader owns the
+//! pages; each write replaces a whole page.
 //!
-//! A page may have been filled up to a larger limit than the present one. It is read as it is, and split
-//! when it is next written: what it can't hold any more goes to new pages, and all of them are written
+//! A page may have been filled under a larger limit than the present one. It is loaded as it is, and split
+//! when it is next written: the entries beyond the limit move to new pages, and all of them are written
 //! together (`write_unit`), so that no entry is missing from the store in between.
 
 use std::collections::{BTreeMap, BTreeSet};
 
+/// An entry and the size, in bytes, at which its owner estimates it.
+#[derive(Debug)]
+struct Entry<V> {
+    size: usize,
+    value: V,
+}
+
+type Entries<K, V> = BTreeMap<K, Entry<V>>;
+
+/// When the store has to learn of the removal of an entry.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Removal {
+    /// As soon as possible: the page has to be written.
+    Urgent,
+    /// When the page is written for another reason.
+    Deferred,
+}
+
 /// Entries in pages that stay below a size.
+///
+/// Invariant: each key is on one page, and a page that differs from the store's is dirty unless only deferred
+/// removals make the difference.
 #[derive(Debug)]
 pub struct Pages<K, V> {
     limit: usize,
-    pages: BTreeMap<u32, BTreeMap<K, (usize, V)>>,
-    at: BTreeMap<K, u32>,
+    pages: BTreeMap<u32, Entries<K, V>>,
+    page_of: BTreeMap<K, u32>,
     dirty: BTreeSet<u32>,
-    /// New pages that took entries of a page that was split, until both are durable, and the way back.
+    /// The new pages that took entries of a page, until that page is written.
     split_into: BTreeMap<u32, Vec<u32>>,
+    /// The inverse of `split_into`.
     split_from: BTreeMap<u32, u32>,
 }
 
 /// Bytes of some entries together.
-fn bytes<K, V>(page: &BTreeMap<K, (usize, V)>) -> usize {
-    page.values().map(|(size, _)| size).sum()
+fn bytes<K, V>(entries: &Entries<K, V>) -> usize {
+    entries.values().map(|entry| entry.size).sum()
 }
 
 impl<K: Ord + Clone, V: PartialEq> Pages<K, V> {
-    /// No page's entries take more than `limit` bytes together, as far as their sizes are told.
+    /// No pages. The entries of a page will take at most `limit` bytes together, by their estimated sizes.
     pub fn new(limit: usize) -> Pages<K, V> {
         Pages {
             limit,
             pages: BTreeMap::new(),
-            at: BTreeMap::new(),
+            page_of: BTreeMap::new(),
             dirty: BTreeSet::new(),
             split_into: BTreeMap::new(),
             split_from: BTreeMap::new(),
         }
     }
 
-    /// Takes an entry as the store holds it.
+    /// Adds an entry as the store holds it.
     pub fn load(&mut self, page: u32, key: K, size: usize, value: V) {
-        let earlier = self.at.insert(key.clone(), page);
+        let earlier = self.page_of.insert(key.clone(), page);
         if let Some(earlier) = earlier.filter(|earlier| *earlier != page) {
-            // A split that was not finished left it on two pages: it counts where it stands last.
+            // An unfinished split left the entry on two pages: the one that was loaded last counts.
             if let Some(entries) = self.pages.get_mut(&earlier) {
                 entries.remove(&key);
             }
             self.dirty.insert(earlier);
         }
-        self.pages
-            .entry(page)
-            .or_default()
-            .insert(key, (size, value));
+        let entries = self.pages.entry(page).or_default();
+        entries.insert(key, Entry { size, value });
     }
 
-    /// Puts an entry where it was, or else on the first page with capacity; says where. What is there already
-    /// makes no page dirty: a decision that has to wait is put again and again.
+    /// Puts an entry on the page where it was, or else on the first page with capacity; returns the page. An
+    /// unchanged entry makes no page dirty: a decision that has to wait is put repeatedly.
     pub fn put(&mut self, key: K, size: usize, value: V) -> u32 {
-        if let Some(page) = self.at.get(&key).filter(|_| self.get(&key) == Some(&value)) {
-            return *page;
+        let current = self.page_of.get(&key).copied();
+        if let Some(page) = current.filter(|_| self.get(&key) == Some(&value)) {
+            return page;
         }
-        let fits = |p: &BTreeMap<K, (usize, V)>| bytes(p) + size <= self.limit;
-        let page = match self.at.get(&key) {
-            Some(page) => *page,
-            None => match self.pages.iter().find(|(_, p)| fits(p)) {
-                Some((page, _)) => *page,
-                None => (0..).find(|n| !self.pages.contains_key(n)).unwrap_or(0),
-            },
-        };
+        let page = current.unwrap_or_else(|| self.page_with_capacity(size));
         self.load(page, key, size, value);
         self.dirty.insert(page);
         page
     }
 
-    /// Takes an entry out. Unless it is `urgent`, the store learns of it when the page is
-    /// written for another reason.
-    pub fn remove(&mut self, key: &K, urgent: bool) {
-        let Some(page) = self.at.remove(key) else {
+    /// The first page that can take so many bytes more, or else the first unused number.
+    fn page_with_capacity(&self, size: usize) -> u32 {
+        let has_capacity = |entries: &Entries<K, V>| bytes(entries) + size <= self.limit;
+        let mut pages = self.pages.iter();
+        match pages.find(|(_, entries)| has_capacity(entries)) {
+            Some((page, _)) => *page,
+            None => {
+                let is_unused = |page: &u32| !self.pages.contains_key(page);
+                (0..).find(is_unused).unwrap_or(0)
+            }
+        }
+    }
+
+    /// Removes an entry.
+    pub fn remove(&mut self, key: &K, removal: Removal) {
+        let Some(page) = self.page_of.remove(key) else {
             return;
         };
-        if let Some(p) = self.pages.get_mut(&page) {
-            p.remove(key);
+        if let Some(entries) = self.pages.get_mut(&page) {
+            entries.remove(key);
         }
-        if urgent {
+        if removal == Removal::Urgent {
             self.dirty.insert(page);
         }
     }
 
     /// The value of an entry.
     pub fn get(&self, key: &K) -> Option<&V> {
-        let entries = self.pages.get(self.at.get(key)?)?;
-        entries.get(key).map(|(_, value)| value)
+        let entries = self.pages.get(self.page_of.get(key)?)?;
+        entries.get(key).map(|entry| &entry.value)
     }
 
-    /// Keys in a range, e.g. all that belong to one job.
+    /// The keys from `from` on, in order, e.g. to find all that belong to one job.
     pub fn keys_from<'a>(&'a self, from: &K) -> impl Iterator<Item = &'a K> {
-        self.at.range(from.clone()..).map(|(k, _)| k)
+        self.page_of.range(from.clone()..).map(|(key, _)| key)
     }
 
-    /// A page that the store does not hold as it is here.
+    /// The first dirty page: one that the store does not hold as it is here.
     pub fn next_dirty(&self) -> Option<u32> {
         self.next_dirty_beside(&[])
     }
@@ -107,17 +133,18 @@
         self.dirty.contains(&page)
     }
 
-    /// The same, not among some that are being written already.
-    pub fn next_dirty_beside(&self, but: &[u32]) -> Option<u32> {
-        self.dirty.iter().find(|n| !but.contains(n)).copied()
+    /// The first dirty page that is not among `excluded`, which are being written already.
+    pub fn next_dirty_beside(&self, excluded: &[u32]) -> Option<u32> {
+        let mut dirty = self.dirty.iter();
+        dirty.find(|page| !excluded.contains(page)).copied()
     }
 
-    /// All pages that have to be written together with this one, in their order: the page that is or
-    /// was too large first, then those that took the rest of its entries.
+    /// Splits a page if it is too large; returns all pages that have to be written together with it, in their
+    /// order: the page that is or was too large first, then those that took the rest of its entries.
     ///
-    /// Readers of version 0.1 take what a page held before off their roster when it is written anew, also
-    /// what another page holds by then. They are right if they see the new pages last, so these come
-    /// later in the transaction and by the order of their keys.
+    /// When a page is written, readers of version 0.1 remove from their roster what it held before, also what
+    /// another page holds by then. They end up right if they read the new pages last, so these come later in
+    /// the transaction and in the order of their keys.
     pub fn write_unit(&mut self, page: u32) -> Vec<u32> {
         let first = self.split_from.get(&page).copied().unwrap_or(page);
         self.split(first);
@@ -125,7 +152,7 @@
         std::iter::once(first).chain(others).collect()
     }
 
-    /// Moves what a page can't hold to new pages.
+    /// Moves the entries beyond the limit to new pages. One entry stays in any case.
     fn split(&mut self, page: u32) {
         let Some(entries) = self.pages.get(&page) else {
             return;
@@ -133,36 +160,37 @@
         if bytes(entries) <= self.limit {
             return;
         }
-        let (mut kept, mut used) = (BTreeMap::new(), 0);
+        let (mut kept, mut kept_bytes) = (BTreeMap::new(), 0);
         let mut moved = Vec::new();
-        for (key, (size, value)) in self.pages.remove(&page).unwrap_or_default() {
-            if used + size <= self.limit || kept.is_empty() {
-                used += size;
-                kept.insert(key, (size, value));
+        for (key, entry) in self.pages.remove(&page).unwrap_or_default() {
+            if kept_bytes + entry.size <= self.limit || kept.is_empty() {
+                kept_bytes += entry.size;
+                kept.insert(key, entry);
             } else {
-                moved.push((key, size, value));
+                moved.push((key, entry));
             }
         }
         self.pages.insert(page, kept);
         self.dirty.insert(page);
         let mut target = None;
-        for (key, size, value) in moved {
-            let full = |n: &u32| bytes(&self.pages[n]) + size > self.limit;
-            let n = match target.filter(|n| !full(n)) {
-                Some(n) => n,
+        for (key, Entry { size, value }) in moved {
+            let has_capacity = |target: &u32| bytes(&self.pages[target]) + size <= self.limit;
+            let new = match target.filter(has_capacity) {
+                Some(target) => target,
                 None => self.new_page_after(page),
             };
-            target = Some(n);
-            self.at.remove(&key);
-            self.load(n, key, size, value);
-            self.dirty.insert(n);
+            target = Some(new);
+            self.page_of.remove(&key);
+            self.load(new, key, size, value);
+            self.dirty.insert(new);
         }
     }
 
-    /// A new page for entries of another, behind it in the order of the keys.
+    /// Adds a page for entries of another, after it in the order of their keys, where numbers are compared as
+    /// text.
     fn new_page_after(&mut self, page: u32) -> u32 {
         let name = page.to_string();
-        let follows = |n: &u32| n.to_string() > name && !self.pages.contains_key(n);
+        let follows = |new: &u32| new.to_string() > name && !self.pages.contains_key(new);
         let new = (0..).find(follows).unwrap_or(u32::MAX);
         self.pages.insert(new, BTreeMap::new());
         self.split_into.entry(page).or_default().push(new);
@@ -170,12 +198,12 @@
         new
     }
 
-    /// Entries may take this much from now on.
+    /// Changes the limit, in bytes. Pages beyond it are split when they are next written.
     pub fn set_limit(&mut self, limit: usize) {
         self.limit = limit;
     }
 
-    /// The page as it is here is durable.
+    /// Notes that the store holds a page as it is here.
     pub fn written(&mut self, page: u32) {
         self.dirty.remove(&page);
         for new in self.split_into.remove(&page).unwrap_or_default() {
@@ -186,9 +214,12 @@
         }
     }
 
-    /// The entries of a page; none if the page is to be dropped.
+    /// The entries of a page; none if the page's key is to be dropped.
     pub fn page(&self, page: u32) -> Option<impl Iterator<Item = (&K, &V)>> {
-        let p = self.pages.get(&page).filter(|p| !p.is_empty())?;
-        Some(p.iter().map(|(k, (_, v))| (k, v)))
+        let entries = self
+            .pages
+            .get(&page)
+            .filter(|entries| !entries.is_empty())?;
+        Some(entries.iter().map(|(key, entry)| (key, &entry.value)))
     }
 }
--- a/crates/store/src/reload.rs
+++ b/crates/store/src/reload.rs
@@ -1,14 +1,23 @@
-//! Reading all keys again, in pages, for a replica that is too old for the changes which the store keeps.
+//! Loading all keys in pages: the first load, and again when a replica is older than the changes which the
+//! store keeps.
 //!
-//! Paging takes time. The replica in use goes on taking records by other ways meanwhile: writes of this
-//! controller that were under way, and records that were read directly. Those are newer than the pages
-//! that were read before them, so the result holds, for each key, the newer of both: a reload never takes
-//! anything back.
+//! Loading takes several requests. The replica in use meanwhile keeps receiving records by other means: this
+//! controller's own writes that were in flight, and records that were read directly. Those may be newer than
+//! the pages, so the result holds the newer of both for each key: a reload never reverts anything.
 
 use crate::replica::Replica;
 use wire::store::Page;
 
-/// A reload under way. A page that could not be read is asked for again; the others stay.
+/// Whether a load has read all keys.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum LoadState {
+    /// Further pages have to be read.
+    Incomplete,
+    /// The last page was read.
+    Complete,
+}
+
+/// A load in progress. A page that could not be read is requested again; the others are kept.
 pub struct Reload {
     chunk_bits: u32,
     replica: Replica,
@@ -17,7 +26,8 @@
 }
 
 impl Reload {
-    /// A reload of which nothing is read; chunks of so many tasks are in pages of version 0.1.
+    /// A load of which no page is read yet. `chunk_bits` is the number of tasks in a chunk of a progress page
+    /// that version 0.1 wrote.
     pub fn new(chunk_bits: u32) -> Reload {
         Reload {
             chunk_bits,
@@ -32,13 +42,13 @@
         self.last_key.as_deref()
     }
 
-    /// How many pages were read.
+    /// The number of pages that were read.
     pub fn pages(&self) -> u32 {
         self.pages
     }
 
-    /// Takes the next page; true if it was the last.
-    pub fn take(&mut self, page: &Page) -> bool {
+    /// Adds the page that begins after `last_key`.
+    pub fn add_page(&mut self, page: &Page) -> LoadState {
         if self.pages == 0 {
             self.replica = Replica::from_first_page(self.chunk_bits, page);
         } else {
@@ -46,14 +56,18 @@
         }
         self.pages += 1;
         let Some(last) = page.items.last() else {
-            return true;
+            return LoadState::Complete;
         };
         self.last_key = Some(last.key.clone());
-        !page.more
+        if page.more {
+            LoadState::Incomplete
+        } else {
+            LoadState::Complete
+        }
     }
 
-    /// The replica that was read, with what the one in use holds that is newer. No change that a request
-    /// for changes brought after the first page was asked for may be in that one.
+    /// The loaded replica, merged with what the one in use holds that is newer. No answer to a request for
+    /// changes may have been applied to `in_use` after the first page was requested.
     pub fn finish(self, in_use: Replica) -> Replica {
         let mut replica = self.replica;
         replica.merge_newer(in_use);
--- a/crates/store/src/replica/mod.rs
+++ b/crates/store/src/replica/mod.rs
@@ -18,7 +18,7 @@
 pub use roster::Roster;
 
 use crate::keys::{self, Kind};
-use crate::versions::Versions;
+use crate::versions::{Presence, Versions};
 use std::collections::BTreeSet;
 use std::time::Duration;
 use wire::store::{
@@ -116,7 +116,7 @@
     fn put(&mut self, key: &str, value: &Value, version: u64) -> Changed {
         let kind = Kind::of(key);
         if !matches!(kind, Kind::Job | Kind::Leader | Kind::Term) {
-            self.versions.changed(key, version, true);
+            self.versions.changed(key, version, Presence::Present);
         }
         match kind {
             Kind::Job => {
--- a/crates/store/src/versions.rs
+++ b/crates/store/src/versions.rs
@@ -1,68 +1,87 @@
 //! Versions of the keys that a leader writes again and again.
 //!
-//! The store may carry a request out late, or once more. That the leader is still the same does
-//! not tell an old write of its own from a new one, so each write is made on the condition that
-//! its keys are as this leader last knew them: a repeat of it, or one that was given up and
-//! comes late, then fails.
+//! The store may apply a request late, or twice. The condition that the leader is still the same does not
+//! distinguish an old write of a leader from its newer ones. Each write is therefore conditional on its keys
+//! being as this leader last knew them: a repeated write, or an abandoned one that arrives late, then fails.
 
 use std::collections::BTreeMap;
 use wire::store::{Condition, Write};
 
-#[derive(Clone, Debug, Default)]
+/// The version that conditions use for a key that does not exist.
+const ABSENT: u64 = 0;
+
+/// Whether a key exists.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Presence {
+    /// The key exists.
+    Present,
+    /// The key was dropped.
+    Absent,
+}
+
+/// The last known change of a key.
+#[derive(Clone, Copy, Debug)]
+struct LastChange {
+    revision: u64,
+    presence: Presence,
+}
+
 /// What is known of the versions of keys.
+///
+/// Invariant: the revision that is known of a key only grows until the key is reported as dropped.
+#[derive(Clone, Debug, Default)]
 pub struct Versions {
-    /// Revision of the last change that is known, and whether the key exists since.
-    at: BTreeMap<String, (u64, bool)>,
+    last_changes: BTreeMap<String, LastChange>,
 }
 
 impl Versions {
-    /// A key has changed, as an answer or a watch says; older news change nothing.
-    pub fn changed(&mut self, key: &str, revision: u64, exists: bool) {
-        match self.at.get_mut(key) {
-            Some(known) if known.0 > revision => {}
-            Some(known) => *known = (revision, exists),
+    /// Notes a change of a key, as an answer or a watch reports it; an older one than is known is ignored.
+    pub fn changed(&mut self, key: &str, revision: u64, presence: Presence) {
+        let change = LastChange { revision, presence };
+        match self.last_changes.get_mut(key) {
+            Some(known) if known.revision > revision => {}
+            Some(known) => *known = change,
             None => {
-                self.at.insert(key.to_string(), (revision, exists));
+                self.last_changes.insert(key.to_string(), change);
             }
         }
     }
 
-    /// Takes what others know of later changes. What they know of changes up to `read_at` does not count:
-    /// at that revision all keys were read.
-    pub fn merge_newer(&mut self, others: Versions, read_at: u64) {
-        let later = others.at.into_iter().filter(|(_, known)| known.0 > read_at);
-        for (key, (revision, exists)) in later {
-            self.changed(&key, revision, exists);
+    /// Merges the changes after `read_at_revision`, at which all keys were read: what `others` knows of that
+    /// revision and before is superseded.
+    pub fn merge_newer(&mut self, others: Versions, read_at_revision: u64) {
+        for (key, change) in others.last_changes {
+            if change.revision > read_at_revision {
+                self.changed(&key, change.revision, change.presence);
+            }
         }
     }
 
-    /// A watch has shown that a key is gone: nothing older of it can come any more.
+    /// Forgets a key that a watch reports as dropped: the watch reports no older change of it afterwards.
     pub fn seen_dropped(&mut self, key: &str, revision: u64) {
-        if self.at.get(key).is_some_and(|known| known.0 <= revision) {
-            self.at.remove(key);
+        let known = self.last_changes.get(key);
+        if known.is_some_and(|known| known.revision <= revision) {
+            self.last_changes.remove(key);
         }
     }
 
-    /// Writes have been carried out at a revision.
+    /// Notes that writes were applied at a revision.
     pub fn applied(&mut self, writes: &[Write], revision: u64) {
-        for w in writes {
-            match w {
-                Write::Put { key, .. } => self.changed(key, revision, true),
-                Write::Drop { key } => self.changed(key, revision, false),
+        for write in writes {
+            match write {
+                Write::Put { key, .. } => self.changed(key, revision, Presence::Present),
+                Write::Drop { key } => self.changed(key, revision, Presence::Absent),
             }
         }
     }
 
-    /// That the key is as it is known here.
+    /// The condition that the key is as it is known here; a key of which nothing is known must not exist.
     pub fn condition(&self, key: &str) -> Condition {
-        let version = self
-            .at
-            .get(key)
-            .filter(|(_, exists)| *exists)
-            .map_or(0, |(revision, _)| *revision);
+        let known = self.last_changes.get(key);
+        let present = known.filter(|known| known.presence == Presence::Present);
         Condition {
             key: key.to_string(),
-            version,
+            version: present.map_or(ABSENT, |known| known.revision),
         }
     }
 }
--- a/crates/store/tests/budget.rs
+++ b/crates/store/tests/budget.rs
@@ -1,4 +1,4 @@
-//! Ranks and rates of a controller's budget of requests to the store.
+//! Ranks and rates of a controller's request budget.
 
 use store::budget::{Budget, Rank, Rates, Reserve, Share, Shares};
 
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn ranks_leave_room_for_the_ranks_before_them() {
+fn ranks_leave_their_reserve_to_the_ranks_before_them() {
     let mut b = budget(20.0, 10.0, 1.0);
     let mut taken = [0; 3];
     for (i, rank) in [Rank::Submission, Rank::Decision, Rank::Renewal]
@@ -40,11 +40,11 @@
         }
     }
     assert_eq!(taken, [13, 4, 3]);
-    let wait = b.take(0.0, 0, Rank::Renewal).unwrap_err();
+    let wait = b.take(0.0, 0, Rank::Renewal).unwrap_err().wait_s;
     assert!(b.take(wait + 1e-6, 0, Rank::Renewal).is_ok());
 }
 
-/// Writes that are taken in ten seconds, as fast as the budget allows.
+/// The number of writes in ten seconds, as fast as the budget allows.
 fn writes_in_ten_seconds(b: &mut Budget) -> u32 {
     let (mut now, mut writes) = (0.0, 0);
     while now < 10.0 {
@@ -64,9 +64,9 @@
     assert!((55..=61).contains(&writes), "{writes}");
 }
 
-/// A share that allows more at once gives nothing at the moment of the change.
+/// A larger burst is not available at the moment of the change.
 #[test]
-fn a_changed_share_keeps_what_was_left() {
+fn a_changed_share_keeps_the_level() {
     let mut b = budget(100.0, 10.0, 1.0);
     while b.take(0.0, 1, Rank::Renewal).is_ok() {}
     let share = Share {
@@ -88,8 +88,8 @@
     assert!(b.take(0.11, 1, Rank::Renewal).is_ok());
 }
 
-/// The rate may have fallen without notice. What was left is not used, renewals wait for no more than one
-/// request's worth, and nothing is lost for good.
+/// The rate may have fallen without notice. The rest of the burst is not used, renewals wait for no more than
+/// one request's worth, and the budget recovers.
 #[test]
 fn a_refusal_empties_the_bucket_and_renewals_go_first() {
     let mut b = budget(20.0, 10.0, 1.0);
@@ -100,9 +100,9 @@
     );
     assert!(b.take(0.0, 1, Rank::Decision).is_err());
     b.refused(0.0, 0);
-    let renewal = b.take(0.0, 0, Rank::Renewal).unwrap_err();
-    let decision = b.take(0.0, 0, Rank::Decision).unwrap_err();
-    let submission = b.take(0.0, 1, Rank::Submission).unwrap_err();
+    let renewal = b.take(0.0, 0, Rank::Renewal).unwrap_err().wait_s;
+    let decision = b.take(0.0, 0, Rank::Decision).unwrap_err().wait_s;
+    let submission = b.take(0.0, 1, Rank::Submission).unwrap_err().wait_s;
     assert!(renewal <= 1.0 / 20.0 + 1e-9 && renewal < decision && decision < submission);
     assert!(b.take(submission + 1e-6, 1, Rank::Submission).is_ok());
 }
--- a/crates/store/tests/keys.rs
+++ b/crates/store/tests/keys.rs
@@ -1,12 +1,12 @@
-//! The names of the keys, as they stand in the state service.
+//! The names of the keys in the state service.
 
 use store::keys::{
-    binding, job, progress, roster, Kind, ALL, BINDING, JOBS, LEADER, PROGRESS, ROSTER,
-    STARTED_ARRAYS, TERM,
+    binding, binding_chunk, job, job_id, progress, progress_page, roster, roster_page, Kind, ALL,
+    BINDING, JOBS, LEADER, PROGRESS, ROSTER, STARTED_ARRAYS, TERM,
 };
 
 #[test]
-fn keys_have_the_names_that_the_state_service_holds() {
+fn key_names_are_fixed() {
     let fixed = [
         ALL,
         LEADER,
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn keys_are_told_apart_by_their_names() {
+fn kinds_are_recognized_by_name() {
     for (key, kind) in [
         ("lr/leader", Kind::Leader),
         ("lr/term", Kind::Term),
@@ -51,3 +51,17 @@
         assert_eq!(Kind::of(key), kind, "{key}");
     }
 }
+
+#[test]
+fn names_are_parsed_back_into_their_parts() {
+    assert_eq!(job_id(&job("wk-000412")), Some("wk-000412"));
+    assert_eq!(progress_page(&progress(12)), Some(12));
+    assert_eq!(roster_page(&roster(0)), Some(0));
+    assert_eq!(binding_chunk(&binding("wk-1/a", 3)), Some(("wk-1/a", 3)));
+    for other in ["lr/roster/x", "lr/roster/", "lr/progress/1", "lr/begun"] {
+        assert_eq!(roster_page(other), None, "{other}");
+    }
+    for other in ["lr/binding/wk-1", "lr/binding/wk-1/x", "lr/job/wk-1/3"] {
+        assert_eq!(binding_chunk(other), None, "{other}");
+    }
+}
--- a/crates/store/tests/versions.rs
+++ b/crates/store/tests/versions.rs
@@ -1,79 +1,107 @@
 //! Versions of the keys that a leader writes.
 
 use std::collections::{BTreeMap, BTreeSet};
-use store::versions::*;
+use store::versions::{Presence, Versions};
 use wire::store::{to_value, Condition, StartedArraysRecord, Write};
 
-/// A state service that carries writes out late, and again, and loses answers. A roster that
-/// lost its newest machines to an older write of the same leader would let the next leader
-/// start their tasks a second time.
+const SEEDS: u64 = 200;
+const WRITES: u64 = 60;
+const PAGES: u32 = 3;
+
+/// A write of some pages of the roster; a higher content was sent later.
+#[derive(Clone)]
+struct Request {
+    conditions: Vec<Condition>,
+    keys: Vec<String>,
+    content: u64,
+}
+
+#[derive(Clone)]
+struct StoredKey {
+    version: u64,
+    content: u64,
+}
+
+#[derive(Default)]
+struct PlainStore {
+    revision: u64,
+    keys: BTreeMap<String, StoredKey>,
+}
+
+impl PlainStore {
+    /// Whether the conditions hold, and the request was applied.
+    fn apply(&mut self, request: &Request) -> bool {
+        let version = |key: &String| self.keys.get(key).map_or(0, |stored| stored.version);
+        let mut conditions = request.conditions.iter();
+        if conditions.any(|condition| version(&condition.key) != condition.version) {
+            return false;
+        }
+        self.revision += 1;
+        let stored = StoredKey {
+            version: self.revision,
+            content: request.content,
+        };
+        let keys = request.keys.iter().cloned();
+        self.keys.extend(keys.map(|key| (key, stored.clone())));
+        true
+    }
+}
+
+fn writes(request: &Request) -> Vec<Write> {
+    let value = to_value(&StartedArraysRecord {
+        upto: request.content,
+        waiting: Vec::new(),
+    });
+    let put = |key: &String| Write::Put {
+        key: key.clone(),
+        value: value.clone(),
+        lease: None,
+    };
+    request.keys.iter().map(put).collect()
+}
+
+/// A state service that applies writes late, and twice, and loses answers. A roster that lost its newest
+/// machines to an older write of the same leader would let the next leader start their tasks a second time.
 #[test]
 fn an_older_write_of_the_same_leader_never_undoes_a_newer_one() {
-    for seed in 0..200 {
+    for seed in 0..SEEDS {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let mut store: BTreeMap<String, (u64, u64)> = BTreeMap::new();
-        let (mut revision, mut sent, mut done) =
-            (0u64, Vec::<(Vec<Condition>, Vec<String>, u64)>::new(), 0);
+        let mut store = PlainStore::default();
+        let (mut sent, mut confirmed) = (Vec::<Request>::new(), 0);
         let mut known = Versions::default();
-        let apply = |store: &mut BTreeMap<String, (u64, u64)>,
-                     revision: &mut u64,
-                     t: &(Vec<Condition>, Vec<String>, u64)| {
-            if t.0
-                .iter()
-                .any(|c| store.get(&c.key).map_or(0, |(v, _)| *v) != c.version)
-            {
-                return false;
-            }
-            *revision += 1;
-            store.extend(t.1.iter().map(|k| (k.clone(), (*revision, t.2))));
-            true
-        };
-        for content in 1..=60u64 {
+        for content in 1..=WRITES {
             let keys: BTreeSet<String> = (0..1 + rng.usize(0..2))
-                .map(|_| format!("lr/roster/{}", rng.u32(0..3)))
+                .map(|_| format!("lr/roster/{}", rng.u32(0..PAGES)))
                 .collect();
-            let keys: Vec<String> = keys.into_iter().collect();
-            let txn = (
-                keys.iter().map(|k| known.condition(k)).collect(),
-                keys.clone(),
+            let request = Request {
+                conditions: keys.iter().map(|key| known.condition(key)).collect(),
+                keys: keys.into_iter().collect(),
                 content,
-            );
-            sent.push(txn.clone());
-            let late = rng.u32(0..4) == 0;
-            let ok = !late && apply(&mut store, &mut revision, &txn);
-            if ok && rng.u32(0..4) > 0 {
-                let value = to_value(&StartedArraysRecord {
-                    upto: content,
-                    waiting: Vec::new(),
-                });
-                let writes: Vec<Write> = keys
-                    .into_iter()
-                    .map(|key| Write::Put {
-                        key,
-                        value: value.clone(),
-                        lease: None,
-                    })
-                    .collect();
-                known.applied(&writes, revision);
-                done += 1;
-            } else if !ok || rng.bool() {
-                // An unknown outcome or a conflict: a look at the store brings what it holds.
-                store
-                    .iter()
-                    .for_each(|(k, (v, _))| known.changed(k, *v, true));
+            };
+            sent.push(request.clone());
+            let is_late = rng.u32(0..4) == 0;
+            let is_applied = !is_late && store.apply(&request);
+            if is_applied && rng.u32(0..4) > 0 {
+                known.applied(&writes(&request), store.revision);
+                confirmed += 1;
+            } else if !is_applied || rng.bool() {
+                // After an unknown outcome or a conflict, the store is read.
+                for (key, stored) in &store.keys {
+                    known.changed(key, stored.version, Presence::Present);
+                }
             }
-            // Any earlier request may be carried out now, also once more.
-            let before = store.clone();
+            // Any earlier request may be applied now, also a second time.
+            let before = store.keys.clone();
             let again = sent[rng.usize(0..sent.len())].clone();
-            apply(&mut store, &mut revision, &again);
-            for (key, (_, content)) in &store {
-                let newest = before.get(key).map_or(0, |(_, c)| *c);
+            store.apply(&again);
+            for (key, StoredKey { content, .. }) in &store.keys {
+                let newest = before.get(key).map_or(0, |stored| stored.content);
                 assert!(
                     *content >= newest,
                     "seed {seed}: {key} went back from {newest} to {content}"
                 );
             }
         }
-        assert!(done > 5, "seed {seed}: too little was written");
+        assert!(confirmed > 5, "seed {seed}: too little was written");
     }
 }
