--- a/crates/ladderroute/tests/reload.rs
+++ b/crates/ladderroute/tests/reload.rs
@@ -1,7 +1,7 @@
-//! A controller whose view is too old for the changes that the store keeps reads all keys again, in
-//! pages, while other ways go on bringing records.
+//! A controller whose view is older than the changes that the store keeps reloads all keys in pages, while
+//! records keep arriving by other means.
 
-// The helpers of these tests unwrap as the tests do.
+// The helper functions of these tests unwrap as the tests do.
 #![allow(clippy::unwrap_used)]
 
 mod stand_in;
@@ -30,8 +30,8 @@
     }
 }
 
-/// Changes that a controller misses, and that the store does not keep: the controller finds its view
-/// too old with its next request.
+/// Lets a controller miss changes that the store then discards: the controller's next request finds its view
+/// too old.
 async fn miss_changes(store: &Store, front: &Front, missed: impl std::future::Future<Output = ()>) {
     front.refuses_changes.set(true);
     let asked = front.changes_asked.get();
@@ -51,9 +51,8 @@
     leadership.is_some_and(|leadership| leadership.leader.knows(id))
 }
 
-/// A job ends while the keys are read again, by a write of this controller that was under way: the pages
-/// still hold it as open. It stays terminal, and so does what was cancelled with it; the leader does not
-/// get it back.
+/// A job ends during a reload, by a write of this controller that was in flight: the pages still hold it as
+/// open. It stays terminal, and so do the jobs that were cancelled with it; the leader does not get it back.
 #[test]
 fn what_ends_during_a_reload_stays_terminal() {
     with_fronts(|store, [a, b], [front, _]| async move {
@@ -79,7 +78,7 @@
             a.apply_job_record(&mut a.lock(), id, record, item.version);
         }
         assert!(!leader_knows(&a, "wk-1") && leader_knows(&a, "wk-5"));
-        // Nothing that comes after the reload mends it.
+        // No changes after the reload may hide a fault.
         front.refuses_changes.set(true);
         front.holds_pages.set(false);
         until(|| is_loaded(&a)).await;
@@ -98,9 +97,9 @@
     });
 }
 
-/// One request in two is refused: a reload that begins anew each time never ends.
+/// One request in two is refused: a reload that started over each time would never end.
 #[test]
-fn a_reload_goes_on_after_a_page_was_refused() {
+fn a_reload_resumes_after_a_refused_page() {
     with_fronts(|store, [a, b], [front, _]| async move {
         for n in 0..20 {
             accept(&a, &format!("wk-{n}"), &[]).await;
@@ -115,10 +114,10 @@
     });
 }
 
-/// The answer with all changes has no limit of size; a controller that takes no answer of such size would
-/// never get beyond it.
+/// The store does not limit the size of an answer with changes; a controller that accepts no answer of such size
+/// would never get beyond it.
 #[test]
-fn more_changes_than_one_answer_may_hold_are_read_in_pages() {
+fn an_answer_too_large_leads_to_a_reload_in_pages() {
     with_fronts(|store, [a, b], [front, _]| async move {
         front.refuses_changes.set(true);
         accept(&b, "wk-missed", &[]).await;
