--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -40,17 +40,17 @@
     /// The store did not carry the request out and answered with this status.
     #[error("the store did not execute the request (status {0})")]
     Refused(u16),
-    /// The request did not reach the store, for this reason.
+    /// The request did not reach the store; names the request and the cause.
     #[error("the request did not reach the store: {0}")]
     NotSent(String),
     /// Not sent: this controller's budget allows the request after so many seconds.
     #[error("own budget is used up for {0:.2} s")]
     Budget(f64),
-    /// The request may have been carried out, or may still be.
+    /// The request may have been carried out, or may still be; names the request and the cause.
     #[error("outcome unknown: {0}")]
     Unknown(String),
     /// The answer has so many bytes, more than the client accepts.
-    #[error("the answer of {0} bytes is larger than is taken")]
+    #[error("the answer of {0} bytes is larger than accepted")]
     TooLarge(usize),
     /// The lease has ended.
     #[error("no such lease")]
@@ -60,12 +60,13 @@
     TooOld,
 }
 
-impl From<Failed> for StoreError {
-    fn from(error: Failed) -> StoreError {
+impl StoreError {
+    /// The error of a request, e.g. `POST /txn`, that was not answered.
+    fn unanswered(method: &str, path: &str, error: Failed) -> StoreError {
         match error {
-            Failed::NotSent(cause) => StoreError::NotSent(cause),
+            Failed::NotSent(cause) => StoreError::NotSent(format!("{method} {path}: {cause}")),
             Failed::TooLarge(bytes) => StoreError::TooLarge(bytes),
-            Failed::Unknown(cause) => StoreError::Unknown(cause),
+            Failed::Unknown(cause) => StoreError::Unknown(format!("{method} {path}: {cause}")),
         }
     }
 }
@@ -205,7 +206,8 @@
         } else {
             &self.watches
         };
-        let answer = client.ask("GET", &path, &[], self.limit + wait).await?;
+        let answer = client.ask("GET", &path, &[], self.limit + wait).await;
+        let answer = answer.map_err(|error| StoreError::unanswered("GET", &path, error))?;
         match answer.status {
             OK => decode(&answer),
             GONE => Err(StoreError::TooOld),
@@ -215,7 +217,8 @@
 
     /// Sends a request; statuses that say nothing of the request itself are errors.
     async fn request(&self, method: &str, path: &str, body: &[u8]) -> Result<Answer, StoreError> {
-        let answer = self.requests.ask(method, path, body, self.limit).await?;
+        let answer = self.requests.ask(method, path, body, self.limit).await;
+        let answer = answer.map_err(|error| StoreError::unanswered(method, path, error))?;
         match answer.status {
             status @ (TOO_MANY_REQUESTS | FIRST_SERVER_ERROR..) => Err(StoreError::Refused(status)),
             _ => Ok(answer),
@@ -250,7 +253,8 @@
 
 /// Decodes an answer's body. The request was carried out even if its answer can't be read.
 fn decode<T: serde::de::DeserializeOwned>(answer: &Answer) -> Result<T, StoreError> {
-    cbor::decode(&answer.body).map_err(|error| StoreError::Unknown(error.to_string()))
+    cbor::decode(&answer.body)
+        .map_err(|error| StoreError::Unknown(format!("the answer can't be read: {error}")))
 }
 
 /// Tells an ended lease from a transaction that the store can't accept, e.g. for a value that is too large.
--- a/crates/store/src/leadership.rs
+++ b/crates/store/src/leadership.rs
@@ -175,9 +175,9 @@
                     version: item.version,
                 }))
             }
-            Some(item) if item.version == leadership.version => {
-                Err(StoreError::Unknown("not applied yet".into()))
-            }
+            Some(item) if item.version == leadership.version => Err(StoreError::Unknown(
+                "the next token is not applied yet".into(),
+            )),
             _ => Ok(None),
         },
     }
--- a/crates/store/tests/leadership.rs
+++ b/crates/store/tests/leadership.rs
@@ -80,8 +80,8 @@
         }
         *self.revision.borrow_mut() += 1;
         let revision = *self.revision.borrow();
-        for w in &txn.writes {
-            match w {
+        for write in &txn.writes {
+            match write {
                 Write::Put { key, value, lease } => {
                     let stored = StoredKey {
                         value: value.clone(),
