--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -135,8 +135,8 @@
         }
     }
 
-    /// Carries out a transaction. Submissions are refused at once when the budget is used up; other ranks
-    /// wait for it.
+    /// Carries out a transaction; `NoLease` if one of its writes names a lease that has ended. Submissions are
+    /// refused at once when the budget is used up; other ranks wait for it.
     pub async fn txn(&self, txn: &Txn, rank: Rank) -> Result<Decided, StoreError> {
         let writes = txn.writes.len();
         match rank {
@@ -190,7 +190,8 @@
         self.request("DELETE", &path, &[]).await.map(drop)
     }
 
-    /// Reads the changes after the revision `since`, waiting up to `wait` for the first one.
+    /// Reads the changes after the revision `since`, waiting up to `wait` for the first one; `TooOld` if the
+    /// store does not keep them any more.
     pub async fn follow(
         &self,
         prefix: &str,
--- a/crates/store/src/keys.rs
+++ b/crates/store/src/keys.rs
@@ -1,5 +1,8 @@
 //! Names of the keys that the controllers store.
 
+/// The version that a condition requires of a key that must not exist.
+pub const ABSENT: u64 = 0;
+
 /// Prefix of all keys of this service.
 pub const ALL: &str = "lr/";
 /// The leader's key, attached to its lease.
--- a/crates/store/src/leadership.rs
+++ b/crates/store/src/leadership.rs
@@ -16,9 +16,6 @@
 /// Safety margin of the leader's own authority, as a part of the lease's duration.
 pub const MARGIN: f64 = 0.03;
 
-/// The version that conditions use for a key that does not exist.
-const ABSENT: u64 = 0;
-
 /// How long authority may be used after the request that proved it was sent, for a lease of `ttl`.
 pub fn usable(ttl: Duration) -> Duration {
     ttl.mul_f64(1.0 - 2.0 * DRIFT - MARGIN)
@@ -115,7 +112,7 @@
         version: stored.version,
     };
     let txn = Txn {
-        conditions: vec![still_leader(ABSENT), term_unchanged],
+        conditions: vec![still_leader(keys::ABSENT), term_unchanged],
         writes: token_writes(&record, lease_id),
     };
     let version = match store.txn(&txn).await {
@@ -145,8 +142,8 @@
 ///
 /// # Errors
 ///
-/// `Refused`, `NotSent` and `Budget`: the token is unchanged. Any other: the outcome is not known yet, and
-/// the call may be repeated.
+/// Any error of the store. The outcome may be unknown then; the call may be repeated, and recognizes a token
+/// that an earlier attempt has recorded.
 pub async fn next_token(
     store: &impl LeaderStore,
     member: &str,
@@ -188,7 +185,7 @@
     Ok(item.map_or(
         StoredTerm {
             term: 0,
-            version: ABSENT,
+            version: keys::ABSENT,
         },
         |item| StoredTerm {
             term: from_value::<TermRecord>(&item.value).map_or(0, |record| record.term),
--- a/crates/store/src/versions.rs
+++ b/crates/store/src/versions.rs
@@ -4,12 +4,10 @@
 //! distinguish an old write of a leader from its newer ones. Each write is therefore conditional on its keys
 //! being as this leader last knew them: a repeated write, or an abandoned one that arrives late, then fails.
 
+use crate::keys;
 use std::collections::BTreeMap;
 use wire::store::{Condition, Write};
 
-/// The version that conditions use for a key that does not exist.
-const ABSENT: u64 = 0;
-
 /// Whether a key exists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Presence {
@@ -81,7 +79,7 @@
         let present = known.filter(|known| known.presence == Presence::Present);
         Condition {
             key: key.to_string(),
-            version: present.map_or(ABSENT, |known| known.revision),
+            version: present.map_or(keys::ABSENT, |known| known.revision),
         }
     }
 }
