--- a/crates/ladderroute/src/leadership.rs
+++ b/crates/ladderroute/src/leadership.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 use store::budget::{Reserve, Share, Shares};
 use store::client::StoreError;
-use store::leadership::{take, usable, LeadershipLease};
+use store::leadership::{acquire, usable, LeadershipLease};
 use wire::users::Shape;
 
 /// Parts of the store's request and write rates that the leader takes. Of the requests the others
@@ -83,13 +83,13 @@
         smol::Timer::after(pause).await;
         let free = {
             let s = node.lock();
-            s.shared.view.is_complete() && s.shared.view.replica().leader.is_none()
+            s.shared.view.is_complete() && s.shared.view.replica().leader.record().is_none()
         };
         if !free {
             continue;
         }
         smol::Timer::after(ttl.mul_f64(0.03 * fastrand::f64())).await;
-        match take(&node.store, &node.settings.member, ttl).await {
+        match acquire(&node.store, &node.settings.member, ttl).await {
             Ok(Some(lease)) => {
                 node.store.set_shares(store_shares(true, others));
                 lead_until_lost(&node, lease, ttl).await;
@@ -197,7 +197,7 @@
         lease.token,
         value_kb,
         jobs,
-        &replica.roster,
+        replica.roster.machines(),
         started_arrays,
         node.now(),
     );
@@ -207,13 +207,13 @@
     let cancelled = replica.recently_cancelled(Duration::from_secs_f64(
         node.config.lease_s + node.config.cancel_s,
     ));
-    let resources = |(id, team, (cpus, gpus))| {
+    let resources = |job: store::replica::CancelledJob| {
         (
-            id,
-            team,
+            job.id,
+            job.team,
             Resources {
-                cpus,
-                gpus,
+                cpus: job.resources.cpus,
+                gpus: job.resources.gpus,
                 memory_gb: 0.0,
             },
         )
--- a/crates/ladderroute/src/writer/pages.rs
+++ b/crates/ladderroute/src/writer/pages.rs
@@ -6,7 +6,7 @@
 use sched::ranges::Ranges;
 use std::collections::{BTreeMap, BTreeSet};
 use store::keys;
-use store::pages::Pages;
+use store::pages::{Pages, Removal};
 use store::replica::Replica;
 use wire::store::{to_value, ProgressPage, Recorded, RosterPage, RosterRecord, Write};
 use wire::users::MOST_TASKS;
@@ -51,7 +51,7 @@
             progress: Pages::new(limit),
             bound: BTreeMap::new(),
         };
-        for (n, page) in &replica.roster_pages {
+        for (n, page) in replica.roster.pages() {
             for (record, names) in &page.groups {
                 for name in names {
                     records.roster.load(
@@ -70,23 +70,24 @@
     /// Takes the progress of open jobs. What another controller laid out with other limits is taken out of
     /// its page and put anew, in chunks of this one's size.
     fn load_progress(&mut self, replica: &Replica, chunk_bits: u32) {
-        let open = |id: &String| {
+        let open = |id: &str| {
             let entry = replica.jobs.get(id);
             entry.is_none_or(|entry| entry.state == Recorded::Open)
         };
         let mut foreign: BTreeMap<String, Ranges> = BTreeMap::new();
-        for (n, page) in &replica.progress_pages {
-            for (job, first_task, bits) in replica.sections(page) {
-                let key = (job.clone(), first_task);
+        for (n, page) in replica.progress.pages() {
+            for section in replica.progress.sections(page) {
+                let (job, first_task, bits) = (section.job, section.first_task, section.bits);
+                let key = (job.to_string(), first_task);
                 let size = progress_size(job, bits);
-                self.progress.load(*n, key.clone(), size, bits.clone());
+                self.progress.load(*n, key.clone(), size, bits.to_string());
                 let is_ours = first_task % chunk_bits == 0
                     && bits.len() * BITS_PER_DIGIT <= chunk_bits as usize;
                 if !open(job) {
-                    self.progress.remove(&key, false);
+                    self.progress.remove(&key, Removal::Deferred);
                 } else if !is_ours {
-                    self.progress.remove(&key, false);
-                    let done = foreign.entry(job.clone()).or_default();
+                    self.progress.remove(&key, Removal::Deferred);
+                    let done = foreign.entry(job.to_string()).or_default();
                     done.add_bits(first_task, &store::replica::bits(bits), MOST_TASKS);
                 }
             }
@@ -118,7 +119,8 @@
             .take_while(|k| k.0 == id)
             .cloned()
             .collect();
-        mine.iter().for_each(|k| self.progress.remove(k, false));
+        mine.iter()
+            .for_each(|k| self.progress.remove(k, Removal::Deferred));
     }
 
     /// Puts a machine on the roster; says on which page.
@@ -129,7 +131,7 @@
 
     /// Takes a machine off the roster. The page stays marked until it is written.
     pub fn drop_machine(&mut self, name: &str) {
-        self.roster.remove(&name.to_string(), true);
+        self.roster.remove(&name.to_string(), Removal::Urgent);
     }
 
     /// Puts what is done of a chunk of a job's tasks; says on which page.
