--- a/crates/ladderroute/src/lib.rs
+++ b/crates/ladderroute/src/lib.rs
@@ -9,7 +9,6 @@
 pub mod leadership;
 pub mod logging;
 pub mod node;
-pub mod operator;
 pub mod outbox;
 pub mod peers;
 pub mod provisioning;
--- a/crates/ladderroute/src/main.rs
+++ b/crates/ladderroute/src/main.rs
@@ -1,7 +1,8 @@
 //! The command line.
 
 use clap::Parser;
-use ladderroute::{logging, node, operator, settings};
+use ladderroute::settings::operator;
+use ladderroute::{logging, node, settings};
 
 /// Schedules arrays and gangs on provisioned machines; one process of a group of controllers.
 #[derive(Parser, Debug)]
--- a/crates/ladderroute/src/node.rs
+++ b/crates/ladderroute/src/node.rs
@@ -2,9 +2,8 @@
 
 use crate::cluster_view::ClusterView;
 use crate::counters::Counters;
-use crate::operator::Tuning;
 use crate::outbox::Outbox;
-use crate::settings::{Settings, StateLimits};
+use crate::settings::{Settings, StateLimits, Tuning};
 use crate::writer::batch::TxnLimits;
 use sched::config::SchedulerConfig;
 use sched::leader::{Action, Leader};
--- a/crates/ladderroute/tests/stand_in/mod.rs
+++ b/crates/ladderroute/tests/stand_in/mod.rs
@@ -4,8 +4,8 @@
 
 use http::server::{Limits, Request, Response};
 use ladderroute::node::Node;
-use ladderroute::operator::Tuning;
 use ladderroute::settings::Settings;
+use ladderroute::settings::Tuning;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
