--- /dev/null
+++ b/crates/ladderroute/src/api/limits.rs
@@ -0,0 +1,72 @@
+//! How much the port for users, workers and health checks takes in, from what the settings allow.
+
+use crate::settings::{Quota, Settings};
+use http::server::Limits;
+use std::time::Duration;
+
+/// Part of the sockets left for connections from outside that is not used: a socket that was
+/// closed is counted a little longer.
+const SPARE_SHARE: f64 = 0.02;
+/// Part of the memory that requests which arrived in part may take.
+const BYTES_SHARE: f64 = 0.125;
+/// What an open connection takes of the memory, at most, in KiB.
+pub const CONNECTION_KB: f64 = 8.0;
+/// Part of the memory that open connections may take.
+const CONNECTIONS_SHARE: f64 = 0.4;
+/// Connections that are taken however little the settings allow.
+const LEAST_CONNECTIONS: usize = 16;
+/// Heartbeat intervals after which a silent worker's connection is given up.
+const IDLE_HEARTBEATS: f64 = 3.0;
+/// A connection stays open for at least so many times as long as a worker waits for an answer.
+const IDLE_ANSWERS: f64 = 4.0;
+/// KiB of a MiB, and bytes of a KiB.
+const KIB: f64 = 1024.0;
+
+/// Sockets of the controller's own listeners.
+const LISTENERS: usize = 2;
+/// Sockets for the cloud.
+const CLOUD_SOCKETS: usize = 2;
+/// Sockets for requests to the store that are not counted by its rate.
+const SPARE_STORE_SOCKETS: usize = 4;
+/// The store's requests a second for each of which, about, one is under way.
+const STORE_RPS_PER_SOCKET: f64 = 4.0;
+
+/// The limits of this controller's port.
+pub(super) fn port_limits(settings: &Settings, heartbeat_s: f64) -> Limits {
+    let params = &settings.settings;
+    limits(
+        &params.quota,
+        settings.known.len(),
+        params.state.rps,
+        heartbeat_s,
+    )
+}
+
+/// Sockets that a controller uses itself, beside `others`: its listeners, the other controllers, the
+/// store (as many requests as may be under way within their time limit, about) and the cloud.
+pub fn own_sockets(others: usize, store_rps: f64) -> usize {
+    let store = (store_rps / STORE_RPS_PER_SOCKET).ceil() as usize + SPARE_STORE_SOCKETS;
+    LISTENERS + crate::peers::most_connections(others) + CLOUD_SOCKETS + store
+}
+
+/// The limits of the port of a controller beside `others`, at a store that takes so many requests a
+/// second.
+pub fn limits(quota: &Quota, others: usize, store_rps: f64, heartbeat_s: f64) -> Limits {
+    let idle_s = (heartbeat_s * IDLE_HEARTBEATS).max(wire::ANSWER_DROPPED_S * IDLE_ANSWERS);
+    let bytes = (quota.memory_mb * KIB * KIB * BYTES_SHARE) as usize;
+    Limits {
+        connections: connections(quota, own_sockets(others, store_rps)),
+        body: wire::BODY_LIMIT,
+        bytes: bytes.max(2 * wire::BODY_LIMIT),
+        request: Duration::from_secs_f64(wire::ANSWER_DROPPED_S),
+        idle: Duration::from_secs_f64(idle_s),
+    }
+}
+
+/// Most connections from outside, beside the sockets that the controller uses itself.
+fn connections(quota: &Quota, own_sockets: usize) -> usize {
+    let sockets = quota.max_sockets.saturating_sub(own_sockets);
+    let by_sockets = (sockets as f64 * (1.0 - SPARE_SHARE)) as usize;
+    let by_memory = (quota.memory_mb * KIB * CONNECTIONS_SHARE / CONNECTION_KB) as usize;
+    by_sockets.min(by_memory).max(LEAST_CONNECTIONS)
+}
--- /dev/null
+++ b/crates/ladderroute/src/api/mod.rs
@@ -0,0 +1,118 @@
+//! The port for users, workers and health checks.
+//!
+//! - This module routes requests.
+//! - [`users`]: submit, query and cancel jobs.
+//! - `workers`: workers' heartbeats.
+//! - [`readiness`]: health checks of the balancer.
+//! - [`limits`]: how much the port takes in.
+//! - [`responses`]: responses that give a reason.
+
+pub mod limits;
+pub mod readiness;
+pub mod responses;
+pub mod users;
+mod workers;
+
+use crate::node::Node;
+use http::pool::Rank;
+use http::server::{Request, Response};
+use responses::refuse;
+use std::rc::Rc;
+use wire::users::valid_id;
+
+/// Where workers send their heartbeats.
+const HEARTBEAT_PATH: &str = "/agent/beat";
+/// Where the balancer asks whether this controller is ready.
+const READY_PATH: &str = "/ready";
+/// Where users submit jobs.
+const JOBS_PATH: &str = "/v2/runs";
+/// What the path of one job begins with; its name follows.
+const JOB_PREFIX: &str = "/v2/runs/";
+/// What follows a job's name in the path of its cancellation.
+const CANCEL_SUFFIX: &str = "/cancel";
+
+/// Serves the port until its listener fails.
+pub async fn serve(node: Rc<Node>, listener: smol::net::TcpListener) {
+    let limits = limits::port_limits(&node.settings, node.config.heartbeat_s);
+    let executor = node.executor.clone();
+    let handler = Rc::new(move |request: Request| {
+        let node = node.clone();
+        async move { handle(&node, request).await }
+    });
+    http::server::serve(executor, listener, limits, handler).await;
+}
+
+/// What a request asks for.
+enum Route<'a> {
+    Heartbeat,
+    Ready,
+    Submit,
+    Query(&'a str),
+    Cancel(&'a str),
+    NoSuchJob,
+    NoSuchPath,
+}
+
+impl Route<'_> {
+    fn of(path: &str) -> Route<'_> {
+        match path {
+            HEARTBEAT_PATH => Route::Heartbeat,
+            READY_PATH => Route::Ready,
+            JOBS_PATH => Route::Submit,
+            _ => path
+                .strip_prefix(JOB_PREFIX)
+                .map_or(Route::NoSuchPath, Route::of_job),
+        }
+    }
+
+    fn of_job(rest: &str) -> Route<'_> {
+        match rest.strip_suffix(CANCEL_SUFFIX) {
+            Some(id) if valid_id(id) => Route::Cancel(id),
+            None if valid_id(rest) => Route::Query(rest),
+            _ => Route::NoSuchJob,
+        }
+    }
+
+    /// The only method that the route takes.
+    fn method(&self) -> Option<&'static str> {
+        match self {
+            Route::Heartbeat | Route::Submit | Route::Cancel(_) => Some("POST"),
+            Route::Ready | Route::Query(_) => Some("GET"),
+            Route::NoSuchJob | Route::NoSuchPath => None,
+        }
+    }
+
+    /// Who is served first when the port is full.
+    fn rank(&self) -> Option<Rank> {
+        match self {
+            Route::Heartbeat => Some(Rank::Worker),
+            Route::Ready => Some(Rank::Probe),
+            _ => None,
+        }
+    }
+}
+
+async fn handle(node: &Rc<Node>, request: Request) -> Response {
+    let path = request.path.split('?').next().unwrap_or("");
+    let route = Route::of(path);
+    let response = match route.method() {
+        Some(method) if request.method != method => refuse(405, format!("use {method}")),
+        _ => respond(node, &route, &request.body).await,
+    };
+    match route.rank() {
+        Some(rank) => response.of(rank),
+        None => response,
+    }
+}
+
+async fn respond(node: &Rc<Node>, route: &Route<'_>, body: &[u8]) -> Response {
+    match route {
+        Route::Heartbeat => workers::heartbeat(node, body),
+        Route::Ready => readiness::ready(node),
+        Route::Submit => users::submit(node, body).await,
+        Route::Query(id) => users::query(node, id).await,
+        Route::Cancel(id) => users::cancel(node, id).await,
+        Route::NoSuchJob => refuse(404, "no such job"),
+        Route::NoSuchPath => refuse(404, "no such path"),
+    }
+}
--- a/crates/ladderroute/src/job_state.rs
+++ b/crates/ladderroute/src/api/users/job_state.rs
@@ -1,34 +1,34 @@
-//! The one gate for saying a job's state to a user.
+//! The one gate for telling a user a job's state.
 //!
 //! No controller may tell an older state than another one has told. A terminal state is final and told from
-//! memory. Whether an open job is cancelled with one that it needs is derived from other records than its
-//! own, so its own record, however new, does not say so: an open job's state is told only from a view that
-//! was read since the request arrived. Two cases need no such read:
+//! memory. Whether an open job is cancelled because of one that it needs is derived from other records than
+//! its own, so its own record, however new, does not say so: an open job's state is told only from a view
+//! that was read since the request arrived. Two cases need no such read:
 //!
 //! - A job that needs no other, and whose record was read or written for this very request: it has no
 //!   ancestors.
 //! - A job that this request has just created: nobody has been told of it before. Its dependents are held
-//!   back all the same, and a view as fresh as the leadership calls no job queued whose ancestor's
+//!   back all the same, and a view as fresh as a start requires calls no job queued whose ancestor's
 //!   cancellation was confirmed long ago.
 
+use crate::api::responses::retry_later;
 use crate::counters::Counters;
 use crate::freshness::refresh_view;
 use crate::node::Node;
-use crate::submission::retry_later;
 use http::server::Response;
 use std::rc::Rc;
 use store::replica::JobEntry;
 use wire::cbor;
 use wire::store::Recorded;
-use wire::users::{Accepted, JobState};
+use wire::users::{Accepted, JobState, Progress};
 
 /// What the view holds of a job, whatever its age.
-pub fn entry(node: &Node, id: &str) -> Option<JobEntry> {
+pub(super) fn entry(node: &Node, id: &str) -> Option<JobEntry> {
     node.lock().shared.view.replica().jobs.get(id).cloned()
 }
 
-/// What may be said of a job now; none if it was never accepted. An error is the answer to give instead.
-pub async fn look_up(node: &Rc<Node>, id: &str) -> Result<Option<JobEntry>, Response> {
+/// What may be told of a job now; none if it was never accepted. An error is the response to give instead.
+pub(super) async fn look_up(node: &Rc<Node>, id: &str) -> Result<Option<JobEntry>, Response> {
     if let Some(terminal) = entry(node, id).filter(is_terminal) {
         return Ok(Some(terminal));
     }
@@ -40,7 +40,7 @@
 }
 
 /// Answers with the state of a job whose record was read directly for this request.
-pub async fn answer_read(node: &Rc<Node>, id: &str) -> Response {
+pub(super) async fn answer_read(node: &Rc<Node>, id: &str) -> Response {
     if let Some(own) = entry(node, id).filter(has_no_ancestors) {
         return accepted(node, 200, id, &own);
     }
@@ -48,7 +48,7 @@
 }
 
 /// Answers with the state of a job whose record was written for this request.
-pub async fn answer_created(node: &Rc<Node>, id: &str) -> Response {
+pub(super) async fn answer_created(node: &Rc<Node>, id: &str) -> Response {
     let is_fresh = node.view_age() <= node.config.start_staleness_s();
     let created = entry(node, id).filter(|entry| is_fresh || has_no_ancestors(entry));
     if let Some(created) = created {
@@ -61,7 +61,7 @@
     match look_up(node, id).await {
         Ok(Some(entry)) => accepted(node, status, id, &entry),
         Ok(None) => retry_later(node, "not ready yet"),
-        Err(answer) => answer,
+        Err(response) => response,
     }
 }
 
@@ -75,28 +75,48 @@
     spec.is_none_or(|spec| spec.dependencies.is_empty())
 }
 
+/// The response to a submission or a cancellation, from an entry of the view.
+pub(super) fn accepted(node: &Node, status: u16, id: &str, entry: &JobEntry) -> Response {
+    let state = state_of(node, id, entry);
+    log_answer(node, status, id, state);
+    let id = id.into();
+    Response::new(status, cbor::encode(&Accepted { id, state }))
+}
+
+/// The response to a query, from an entry of the view.
+pub(super) fn progress(node: &Node, id: &str, entry: &JobEntry) -> Response {
+    let state = state_of(node, id, entry);
+    log_answer(node, 200, id, state);
+    let running = match state {
+        JobState::Running => running_tasks(node, id),
+        _ => 0,
+    };
+    let progress = Progress {
+        id: id.into(),
+        state,
+        done: entry.done_tasks(),
+        running,
+    };
+    Response::new(200, cbor::encode(&progress))
+}
+
 /// An entry of the view in the users' words.
-pub fn state_of(node: &Node, id: &str, entry: &JobEntry) -> JobState {
+fn state_of(node: &Node, id: &str, entry: &JobEntry) -> JobState {
     match entry.state {
         Recorded::Done => JobState::Done,
         Recorded::Cancelled => JobState::Cancelled,
-        Recorded::Open if node.lock().shared.running.get(id).is_some_and(|n| *n > 0) => {
-            JobState::Running
-        }
+        Recorded::Open if running_tasks(node, id) > 0 => JobState::Running,
         Recorded::Open => JobState::Queued,
     }
 }
 
-/// The answer to a submission or a cancellation, from an entry of the view.
-pub fn accepted(node: &Node, status: u16, id: &str, entry: &JobEntry) -> Response {
-    let state = state_of(node, id, entry);
-    log_answer(node, status, id, state);
-    let id = id.into();
-    Response::new(status, cbor::encode(&Accepted { id, state }))
+/// A job's running tasks, as the leader last told.
+fn running_tasks(node: &Node, id: &str) -> u32 {
+    node.lock().shared.running.get(id).copied().unwrap_or(0)
 }
 
 /// Logs what a user is told, and what it rests on.
-pub fn log_answer(node: &Node, status: u16, id: &str, state: JobState) {
+fn log_answer(node: &Node, status: u16, id: &str, state: JobState) {
     if !log::log_enabled!(log::Level::Debug) {
         return;
     }
--- /dev/null
+++ b/crates/ladderroute/src/api/users/query.rs
@@ -0,0 +1,16 @@
+//! Queries of jobs.
+
+use super::job_state::{look_up, progress};
+use crate::api::responses::refuse;
+use crate::node::Node;
+use http::server::Response;
+use std::rc::Rc;
+
+/// Answers how far a job is.
+pub async fn query(node: &Rc<Node>, id: &str) -> Response {
+    match look_up(node, id).await {
+        Ok(Some(entry)) => progress(node, id, &entry),
+        Ok(None) => refuse(404, "no such job"),
+        Err(response) => response,
+    }
+}
--- a/crates/ladderroute/tests/answers.rs
+++ b/crates/ladderroute/tests/answers.rs
@@ -7,7 +7,7 @@
 
 mod stand_in;
 
-use ladderroute::submission::{cancel, query, submit};
+use ladderroute::api::users::{cancel, query, submit};
 use stand_in::requests::{accepted, answered, body, finish, set, with};
 use stand_in::Fate;
 use wire::cbor;
--- a/crates/ladderroute/tests/chains.rs
+++ b/crates/ladderroute/tests/chains.rs
@@ -5,8 +5,8 @@
 
 mod stand_in;
 
+use ladderroute::api::users::{cancel, query, submit};
 use ladderroute::node::Node;
-use ladderroute::submission::{cancel, query, submit};
 use stand_in::requests::{accepted, answered, body, finish, with};
 use stand_in::{is_loaded, job_entry, Fate};
 use std::rc::Rc;
--- a/crates/ladderroute/tests/refusals.rs
+++ b/crates/ladderroute/tests/refusals.rs
@@ -6,7 +6,7 @@
 mod stand_in;
 
 use http::server::Response;
-use ladderroute::submission::{cancel, query, submit};
+use ladderroute::api::users::{cancel, query, submit};
 use stand_in::requests::{body, set, with};
 use wire::cbor;
 use wire::store::Value;
--- a/crates/ladderroute/tests/reload.rs
+++ b/crates/ladderroute/tests/reload.rs
@@ -6,8 +6,8 @@
 
 mod stand_in;
 
+use ladderroute::api::users::submit;
 use ladderroute::node::Node;
-use ladderroute::submission::submit;
 use stand_in::requests::{accepted, body, end, with_fronts};
 use stand_in::{is_loaded, job_entry, Front, Store};
 use std::rc::Rc;
--- a/crates/ladderroute/tests/stale_view.rs
+++ b/crates/ladderroute/tests/stale_view.rs
@@ -8,8 +8,8 @@
 mod stand_in;
 
 use http::server::Response;
+use ladderroute::api::users::{cancel, query, submit};
 use ladderroute::node::Node;
-use ladderroute::submission::{cancel, query, submit};
 use stand_in::requests::{accepted, answered, body, finish, with_fronts};
 use stand_in::{Fate, Front, Store};
 use std::rc::Rc;
