--- a/crates/ladderroute/src/leadership.rs
+++ b/crates/ladderroute/src/leadership.rs
@@ -2,8 +2,7 @@
 
 use crate::leader_updates::open_job;
 use crate::node::{Leadership, Node};
-use crate::writer::batch::TxnLimits;
-use crate::writer::{writer, RecordPages};
+use crate::writer::{writer, RecordPages, TxnLimits};
 use sched::leader::{Leader, OpenJob, PriorRuns};
 use sched::owner::Owner;
 use sched::placement::Resources;
--- a/crates/ladderroute/src/node.rs
+++ b/crates/ladderroute/src/node.rs
@@ -4,7 +4,7 @@
 use crate::counters::Counters;
 use crate::outbox::Outbox;
 use crate::settings::{Settings, StateLimits, Tuning};
-use crate::writer::batch::TxnLimits;
+use crate::writer::TxnLimits;
 use sched::config::SchedulerConfig;
 use sched::leader::{Action, Leader};
 use sched::owner::{Jobs, Owner};
--- a/crates/ladderroute/src/writer/batch.rs
+++ b/crates/ladderroute/src/writer/batch.rs
@@ -1,76 +1,30 @@
 //! What goes into the leader's next transaction: as much as one holds, the most urgent first.
 
+use super::limits::TxnLimits;
 use super::pages::RecordPages;
+use super::urgency::{Group, Urgency};
+use super::writes::put;
 use sched::leader::{Action, Leader};
 use std::collections::VecDeque;
 use store::keys::{self, Kind};
-use store::replica::Replica;
+use store::replica::{JobEntry, Replica};
 use wire::store::{
     to_value, BindingRecord, Condition, JobRecord, Recorded, RosterRecord, StartedArraysRecord,
-    Write,
+    Value, Write,
 };
+use wire::users::Job;
 
 /// Least bytes of a value for each place of a binding.
 const PLACE_BYTES: f64 = 64.0;
-
-/// How soon a decision has to be durable.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Urgency {
-    /// Nobody has authority until it is.
-    Token,
-    /// A gang holds resources until it is.
-    Binding,
-    /// Tasks wait for it.
-    Admission,
-    /// A user waits to hear it.
-    Finish,
-    /// Workers' heartbeats hold it until it is.
-    Progress,
-}
-
-impl Urgency {
-    /// The urgency of a decision.
-    pub fn of(action: &Action) -> Urgency {
-        match action {
-            Action::NewToken => Urgency::Token,
-            Action::Bind { .. } => Urgency::Binding,
-            Action::Roster(_, Some(_)) | Action::RecordStartedArrays(_) => Urgency::Admission,
-            Action::Finish { .. } => Urgency::Finish,
-            _ => Urgency::Progress,
-        }
-    }
-
-    /// Whether something can start only once the decision is durable.
-    pub fn holds_up_starts(self) -> bool {
-        self < Urgency::Finish
-    }
-}
-
-/// Decisions that may share a transaction. A new token goes alone, and ends of jobs among
-/// themselves, since those have conditions that may fail.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Group {
-    Token,
-    Finish,
-    Records,
-}
-
-impl Group {
-    fn of(action: &Action) -> Group {
-        match action {
-            Action::NewToken => Group::Token,
-            Action::Finish { .. } => Group::Finish,
-            _ => Group::Records,
-        }
-    }
-}
+/// Bytes of a KiB.
+const KIB: f64 = 1024.0;
 
 /// Decisions that are written together.
 #[derive(Default)]
 pub struct Batch {
     /// The decisions themselves.
     pub actions: Vec<Action>,
-    /// Conditions beside that of the leadership.
+    /// Conditions beside that on the leadership.
     pub conditions: Vec<Condition>,
     /// What is written.
     pub writes: Vec<Write>,
@@ -104,37 +58,6 @@
     }
 }
 
-/// The limits of one transaction.
-#[derive(Clone, Copy, Debug)]
-pub struct TxnLimits {
-    /// Most writes.
-    pub operations: usize,
-    /// Most KiB of a value.
-    pub value_kb: f64,
-}
-
-/// Values are made no smaller than this many KiB, whatever the store refuses.
-const LEAST_VALUE_KB: f64 = 0.5;
-
-impl TxnLimits {
-    /// The limits to keep to once the store has called a transaction malformed that held so many writes,
-    /// the largest value of so many bytes: first fewer writes, so that what is too large stands alone and
-    /// the rest is written, then smaller values.
-    pub fn lowered(self, writes: usize, largest_bytes: usize) -> TxnLimits {
-        if writes > 1 {
-            return TxnLimits {
-                operations: writes / 2,
-                ..self
-            };
-        }
-        let half_kb = largest_bytes as f64 / 2048.0;
-        TxnLimits {
-            value_kb: half_kb.clamp(LEAST_VALUE_KB, self.value_kb.max(LEAST_VALUE_KB)),
-            ..self
-        }
-    }
-}
-
 /// What became of a decision that was to join a batch.
 enum Joined {
     /// It is part of the batch.
@@ -147,10 +70,15 @@
 
 /// A batch while it is put together.
 struct Builder<'a> {
+    /// The leader's pages of small records.
     records: &'a mut RecordPages,
+    /// What the store holds.
     replica: &'a Replica,
+    /// The leader, which is told at once of ends of jobs that need no write.
     leader: &'a mut Leader,
+    /// What the transaction may hold.
     limits: TxnLimits,
+    /// What has joined so far.
     batch: Batch,
 }
 
@@ -164,32 +92,16 @@
 ) -> Batch {
     let mut actions: Vec<Action> = waiting.drain(..).collect();
     actions.sort_by_key(Urgency::of);
-    let first = actions.first().map(Group::of);
-    let batch = Batch::default();
+    let group = actions.first().map_or(Group::Records, Group::of);
     let mut builder = Builder {
         records,
         replica,
         leader,
         limits,
-        batch,
+        batch: Batch::default(),
     };
-    let mut full = false;
-    for action in actions {
-        let alone = first == Some(Group::Token) && !builder.batch.actions.is_empty();
-        if full || alone || Some(Group::of(&action)) != first {
-            waiting.push_back(action);
-            continue;
-        }
-        match builder.join(&action) {
-            Joined::Yes => builder.batch.actions.push(action),
-            Joined::Nothing => {}
-            Joined::Later => {
-                full = true;
-                waiting.push_back(action);
-            }
-        }
-    }
-    builder.finish(first.unwrap_or(Group::Records))
+    waiting.extend(builder.join_all(actions, group));
+    builder.finish(group)
 }
 
 impl Builder<'_> {
@@ -200,6 +112,30 @@
         self.limits.operations.saturating_sub(used)
     }
 
+    /// Joins the decisions of a group, in their order, until one has to wait; gives back those that have
+    /// to wait.
+    fn join_all(&mut self, actions: Vec<Action>, group: Group) -> Vec<Action> {
+        let mut waiting = Vec::new();
+        let mut is_full = false;
+        for action in actions {
+            let has_token = group == Group::Token && !self.batch.actions.is_empty();
+            if is_full || has_token || Group::of(&action) != group {
+                waiting.push(action);
+                continue;
+            }
+            match self.join(&action) {
+                Joined::Yes => self.batch.actions.push(action),
+                Joined::Nothing => {}
+                Joined::Later => {
+                    is_full = true;
+                    waiting.push(action);
+                }
+            }
+        }
+        waiting
+    }
+
+    /// Adds the writes of a decision.
     fn join(&mut self, action: &Action) -> Joined {
         match action {
             Action::NewToken => Joined::Yes,
@@ -225,11 +161,13 @@
         }
     }
 
+    /// A machine's entry on the roster.
     fn join_machine(&mut self, name: &str, record: &RosterRecord) -> Joined {
         let page = self.records.put_machine(name, record);
         self.join_roster(page)
     }
 
+    /// A page of the roster, with the pages that it is split into.
     fn join_roster(&mut self, page: u32) -> Joined {
         let unit = self.records.roster_unit(page);
         let (pages, joined) = self.pages_to_add(&self.batch.roster, unit);
@@ -237,6 +175,7 @@
         joined
     }
 
+    /// What is done of a chunk of a job's tasks.
     fn join_progress(&mut self, job: &str, first_task: u32, bits: &str) -> Joined {
         let page = self.records.put_progress(job, first_task, bits);
         let unit = self.records.progress_unit(page);
@@ -266,14 +205,16 @@
         )
     }
 
+    /// The arrays that have started.
     fn join_started_arrays(&mut self, record: &StartedArraysRecord) -> Joined {
         self.put(keys::STARTED_ARRAYS.into(), to_value(record));
         Joined::Yes
     }
 
-    /// Long bindings take several records, each below the value limit.
+    /// A gang's binding. Long ones take several records, each below the value limit, and one that no
+    /// transaction holds is written in parts, by several transactions.
     fn join_binding(&mut self, job: &str, attempt: u64, places: &[(String, u32, u32)]) -> Joined {
-        let each = ((self.limits.value_kb * 1024.0 / PLACE_BYTES) as usize).max(1);
+        let each = ((self.limits.value_kb * KIB / PLACE_BYTES) as usize).max(1);
         let written = self.records.bound_places(attempt) / each;
         let records = places.chunks(each).enumerate().skip(written);
         let left = records.len();
@@ -298,68 +239,78 @@
 
     /// The end of a job: what a later leader would need to run it is not needed any more.
     fn join_finish(&mut self, job: &str) -> Joined {
-        let entry = self.replica.jobs.get(job);
-        let Some((entry, spec)) = entry.and_then(|e| Some((e, e.job.clone()?))) else {
+        let replica = self.replica;
+        let entry = replica.jobs.get(job);
+        let Some((entry, spec)) = entry.and_then(|entry| Some((entry, entry.job.as_ref()?))) else {
             self.leader.finish_result(job, false);
             return Joined::Nothing;
         };
-        let bound = self.replica.bindings.get(job);
-        let bound: Vec<u32> = bound
-            .map(|b| b.keys().copied().collect())
-            .unwrap_or_default();
-        if 1 + bound.len() > self.remaining_writes() && !self.batch.writes.is_empty() {
+        let chunks = self.binding_chunks(job);
+        if 1 + chunks.len() > self.remaining_writes() && !self.batch.writes.is_empty() {
             return Joined::Later;
         }
+        self.put_terminal(job, entry, spec);
+        let drops = chunks.into_iter().map(|chunk| Write::Drop {
+            key: keys::binding(job, chunk),
+        });
+        let most = self.limits.operations.saturating_sub(1);
+        self.batch.writes.extend(drops.take(most));
+        Joined::Yes
+    }
+
+    /// The records that the store holds of a job's binding.
+    fn binding_chunks(&self, job: &str) -> Vec<u32> {
+        let binding = self.replica.bindings.get(job);
+        binding
+            .map(|records| records.keys().copied().collect())
+            .unwrap_or_default()
+    }
+
+    /// Puts a job's terminal record, on the condition that its record has not changed.
+    fn put_terminal(&mut self, job: &str, entry: &JobEntry, spec: &Job) {
         let key = keys::job(job);
-        let condition = Condition {
+        self.batch.conditions.push(Condition {
             key: key.clone(),
             version: entry.version,
-        };
-        self.batch.conditions.push(condition);
-        let record = JobRecord::terminal(Recorded::Done, entry.created_ms, &spec);
+        });
+        let record = JobRecord::terminal(Recorded::Done, entry.created_ms, spec);
         self.put(key, to_value(&record));
-        let drops = bound.into_iter().map(|chunk| keys::binding(job, chunk));
-        let drops = drops.map(|key| Write::Drop { key });
-        self.batch
-            .writes
-            .extend(drops.take(self.limits.operations.saturating_sub(1)));
-        Joined::Yes
     }
 
-    fn put(&mut self, key: String, value: wire::store::Value) {
-        self.batch.writes.push(Write::Put {
-            key,
-            value,
-            lease: None,
-        });
+    fn put(&mut self, key: String, value: Value) {
+        self.batch.writes.push(put(key, value));
     }
 
-    /// Adds the pages, old ones as far as there is capacity, and their conditions.
+    /// Adds the pages' writes, old pages as far as there is capacity, and the conditions.
     fn finish(mut self, group: Group) -> Batch {
         if group == Group::Records {
-            while self.remaining_writes() > 0 {
-                let page = self.records.next_roster_page(&self.batch.roster);
-                let Some(page) = page else { break };
-                if matches!(self.join_roster(page), Joined::Later) {
-                    break;
-                }
+            self.join_dirty_roster();
+        }
+        self.add_page_writes();
+        let writes = self.batch.writes.iter();
+        let conditions: Vec<Condition> = writes.filter_map(|write| self.condition(write)).collect();
+        self.batch.conditions.extend(conditions);
+        self.batch
+    }
+
+    /// Fills what remains of the transaction with pages of the roster that the store lacks.
+    fn join_dirty_roster(&mut self) {
+        while self.remaining_writes() > 0 {
+            let Some(page) = self.records.next_roster_page(&self.batch.roster) else {
+                return;
+            };
+            if matches!(self.join_roster(page), Joined::Later) {
+                return;
             }
         }
-        let roster = self
-            .batch
-            .roster
-            .iter()
-            .map(|page| self.records.roster_write(*page));
+    }
+
+    fn add_page_writes(&mut self) {
+        let roster = self.batch.roster.iter();
+        let roster = roster.map(|page| self.records.roster_write(*page));
         let progress = self.batch.progress.iter();
         let progress = progress.map(|page| self.records.progress_write(*page));
         self.batch.writes.extend(roster.chain(progress));
-        let conditions = self
-            .batch
-            .writes
-            .iter()
-            .filter_map(|write| self.condition(write));
-        self.batch.conditions.extend(conditions.collect::<Vec<_>>());
-        self.batch
     }
 
     /// A write that comes late, or once more, must not undo a newer one of this same leader. (The
--- /dev/null
+++ b/crates/ladderroute/src/writer/limits.rs
@@ -0,0 +1,34 @@
+//! What a transaction may hold.
+
+/// Values are made no smaller than this many KiB, whatever the store refuses.
+const LEAST_VALUE_KB: f64 = 0.5;
+/// Bytes of two KiB: as many KiB are half of so many bytes.
+const TWO_KIB: f64 = 2048.0;
+
+/// The limits of one transaction.
+#[derive(Clone, Copy, Debug)]
+pub struct TxnLimits {
+    /// Most writes.
+    pub operations: usize,
+    /// Most KiB of a value.
+    pub value_kb: f64,
+}
+
+impl TxnLimits {
+    /// The limits to keep to once the store has called a transaction malformed that held so many writes,
+    /// the largest value of so many bytes: first fewer writes, so that what is too large stands alone and
+    /// the rest is written, then smaller values.
+    pub fn lowered(self, writes: usize, largest_bytes: usize) -> TxnLimits {
+        if writes > 1 {
+            return TxnLimits {
+                operations: writes / 2,
+                ..self
+            };
+        }
+        let half_kb = largest_bytes as f64 / TWO_KIB;
+        TxnLimits {
+            value_kb: half_kb.clamp(LEAST_VALUE_KB, self.value_kb.max(LEAST_VALUE_KB)),
+            ..self
+        }
+    }
+}
--- a/crates/ladderroute/src/writer/outcome.rs
+++ b/crates/ladderroute/src/writer/outcome.rs
@@ -1,6 +1,7 @@
 //! The outcome of a transaction, and what the leader makes of it.
 
 use super::batch::Batch;
+use crate::cluster_view::ClusterView;
 use crate::node::{Leadership, Node, State};
 use sched::leader::Action;
 use sched::ranges::Ranges;
@@ -11,17 +12,20 @@
 use store::leadership::{next_token, still_leader, LeadershipLease};
 use wire::store::{value_bytes, LeaderRecord, Txn, Write};
 
+/// The status by which the store calls a transaction malformed.
+const MALFORMED: u16 = 400;
+
 /// What the store decided.
 pub enum Outcome {
     /// Written, at this revision.
     Written(u64),
     /// The conditions on these keys did not hold.
     Conflict(Vec<String>),
-    /// A new token, and the version of the leader's key that holds it.
+    /// A new fencing token was taken.
     Token {
         /// The token.
         token: u64,
-        /// The version.
+        /// The version of the leader's key that holds it.
         version: u64,
     },
     /// This controller does not lead any more.
@@ -44,17 +48,8 @@
     lease: &LeadershipLease,
 ) -> Result<Outcome, StoreError> {
     if batch.is_token() {
-        let token = next_token(&node.store, &node.settings.member, lease).await?;
-        return Ok(match token {
-            Some((token, version)) => Outcome::Token { token, version },
-            None => Outcome::Lost,
-        });
+        return take_token(node, lease).await;
     }
-    let leads = std::iter::once(still_leader(lease.version));
-    let txn = Txn {
-        conditions: leads.chain(batch.conditions.iter().cloned()).collect(),
-        writes: batch.writes.clone(),
-    };
     log::debug!(
         "event=write decisions={} writes={} roster_pages={} progress_pages={}",
         batch.actions.len(),
@@ -62,6 +57,7 @@
         batch.roster.len(),
         batch.progress.len()
     );
+    let txn = transaction(batch, lease);
     match node.store.txn(&txn, Rank::Decision).await? {
         Decided::Applied(revision) => Ok(Outcome::Written(revision)),
         Decided::Conflict(failed) if failed.iter().any(|key| Kind::of(key) == Kind::Leader) => {
@@ -71,44 +67,52 @@
     }
 }
 
+/// Takes a new fencing token.
+async fn take_token(node: &Rc<Node>, lease: &LeadershipLease) -> Result<Outcome, StoreError> {
+    let token = next_token(&node.store, &node.settings.member, lease).await?;
+    Ok(match token {
+        Some((token, version)) => Outcome::Token { token, version },
+        None => Outcome::Lost,
+    })
+}
+
+/// A batch as a transaction, on the condition that this is still the leader.
+fn transaction(batch: &Batch, lease: &LeadershipLease) -> Txn {
+    let leads = std::iter::once(still_leader(lease.version));
+    Txn {
+        conditions: leads.chain(batch.conditions.iter().cloned()).collect(),
+        writes: batch.writes.clone(),
+    }
+}
+
 /// Tells the leader what became of its decisions.
 pub async fn apply(node: &Rc<Node>, batch: Batch, result: Result<Outcome, StoreError>) {
-    if let Err(e) = &result {
-        log::debug!("event=write_failed error=\"{e}\"");
+    if let Err(error) = &result {
+        log::debug!("event=write_failed error=\"{error}\"");
     }
     if matches!(result, Ok(Outcome::Lost)) {
         give_up_leadership(node).await;
         return;
     }
     let mut guard = node.lock();
-    let state = &mut *guard;
-    let State { shared, .. } = state;
+    apply_decided(node, &mut guard, batch, &result);
+}
+
+/// The same, where this controller still leads as far as it knows.
+fn apply_decided(
+    node: &Rc<Node>,
+    state: &mut State,
+    batch: Batch,
+    result: &Result<Outcome, StoreError>,
+) {
+    let shared = &mut state.shared;
     let Some(leadership) = &mut shared.leadership else {
         return;
     };
-    if matches!(result, Err(StoreError::Refused(400))) {
-        lower_limits(leadership, &batch);
-    }
-    if let Ok(Outcome::Written(revision)) = result {
-        shared.view.written(&batch.writes, revision);
-        leadership.records.written(&batch.roster, &batch.progress);
-        if let Some(part) = batch.binding {
-            leadership
-                .records
-                .set_bound_places(part.attempt, Some(part.places));
-        }
-    }
-    if let Ok(Outcome::Token { token, version }) = result {
-        leadership.lease.token = token;
-        leadership.lease.version = version;
-        let member = node.settings.member.clone();
-        shared
-            .view
-            .set_leader(LeaderRecord { member, token }, version);
-    }
+    record(node, &mut shared.view, leadership, &batch, result);
     let finished: Vec<String> = batch.actions.iter().filter_map(finished_job).collect();
     for action in batch.actions {
-        apply_one(node, leadership, action, &result);
+        apply_one(node, leadership, action, result);
     }
     if leadership.records.dirty() {
         let _ = node.writer_wake.0.try_send(());
@@ -116,13 +120,48 @@
     if let Ok(Outcome::Written(revision)) = result {
         // What waited for these jobs may start now, without waiting for the watch.
         for id in finished {
-            let changes = shared.view.job_done(&id, revision);
+            let changes = shared.view.job_done(&id, *revision);
             node.notify_leader_of_changes(shared, changes);
         }
     }
     node.exchange_messages(state);
 }
 
+/// Notes what the store holds now, and what it takes.
+fn record(
+    node: &Node,
+    view: &mut ClusterView,
+    leadership: &mut Leadership,
+    batch: &Batch,
+    result: &Result<Outcome, StoreError>,
+) {
+    match *result {
+        Ok(Outcome::Written(revision)) => record_written(view, leadership, batch, revision),
+        Ok(Outcome::Token { token, version }) => {
+            leadership.lease.token = token;
+            leadership.lease.version = version;
+            let member = node.settings.member.clone();
+            view.set_leader(LeaderRecord { member, token }, version);
+        }
+        Err(StoreError::Refused(MALFORMED)) => lower_limits(leadership, batch),
+        _ => {}
+    }
+}
+
+fn record_written(
+    view: &mut ClusterView,
+    leadership: &mut Leadership,
+    batch: &Batch,
+    revision: u64,
+) {
+    view.written(&batch.writes, revision);
+    let records = &mut leadership.records;
+    records.written(&batch.roster, &batch.progress);
+    if let Some(part) = batch.binding {
+        records.set_bound_places(part.attempt, Some(part.places));
+    }
+}
+
 fn finished_job(action: &Action) -> Option<String> {
     match action {
         Action::Finish { job } => Some(job.clone()),
@@ -160,6 +199,7 @@
     }
 }
 
+/// Tells the leader what became of one decision.
 fn apply_one(
     node: &Node,
     leadership: &mut Leadership,
@@ -218,7 +258,7 @@
             leadership.leader.finish_result(&job, false);
         }
         // Not at once again: the leader comes back to it, and what else waits is written meanwhile.
-        Err(StoreError::Refused(400)) => leadership.leader.finish_result(&job, false),
+        Err(StoreError::Refused(MALFORMED)) => leadership.leader.finish_result(&job, false),
         _ => {
             leadership.writes.push_back(Action::Finish { job });
             let _ = node.writer_wake.0.try_send(());
--- a/crates/ladderroute/src/writer/pages.rs
+++ b/crates/ladderroute/src/writer/pages.rs
@@ -2,6 +2,7 @@
 //! many entries a page. A page is written whole; what is taken out of it leaves the store when
 //! the page is written next.
 
+use super::writes::put;
 use sched::leader::chunk_bits;
 use sched::ranges::Ranges;
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,26 +17,56 @@
 /// What an entry of a page takes beside its texts, at most.
 const ENTRY_BYTES: usize = 48;
 
+/// Bits of a bitmap for each of its hexadecimal digits.
+const BITS_PER_DIGIT: usize = 4;
+/// Bytes of a KiB.
+const KIB: f64 = 1024.0;
+
+/// A chunk of a job's tasks.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Chunk {
+    /// The job.
+    job: String,
+    /// The first task of the chunk.
+    first_task: u32,
+}
+
+impl Chunk {
+    fn new(job: &str, first_task: u32) -> Chunk {
+        let job = job.into();
+        Chunk { job, first_task }
+    }
+}
+
 /// Pages of small records, as this leader has them.
 pub struct RecordPages {
+    /// Machines, by name.
     roster: Pages<String, RosterRecord>,
-    /// By job and first task of a chunk.
-    progress: Pages<(String, u32), String>,
-    /// Places of gangs whose binding takes more than one transaction that are in the store already, by
+    /// Which tasks are done, as bitmaps in hexadecimal digits.
+    progress: Pages<Chunk, String>,
+    /// How many places of bindings that take more than one transaction are in the store already, by
     /// attempt.
     bound: BTreeMap<u64, usize>,
 }
 
-/// Bits of a bitmap for each of its hexadecimal digits.
-const BITS_PER_DIGIT: usize = 4;
-
 /// Most bytes of a page's entries.
 fn page_limit(value_kb: f64) -> usize {
-    (value_kb * 1024.0 * PAGE_FILL) as usize
+    (value_kb * KIB * PAGE_FILL) as usize
+}
+
+fn roster_size(name: &str, record: &RosterRecord) -> usize {
+    name.len() + record.kind.len() + record.zone.len() + ENTRY_BYTES
+}
+
+/// Whether a job is not known to be over.
+fn is_open(replica: &Replica, id: &str) -> bool {
+    let entry = replica.jobs.get(id);
+    entry.is_none_or(|entry| entry.state == Recorded::Open)
 }
 
-fn roster_size(name: &str, r: &RosterRecord) -> usize {
-    name.len() + r.kind.len() + r.zone.len() + ENTRY_BYTES
+/// Whether a bitmap is laid out in chunks of this many bits.
+fn is_laid_out(first_task: u32, bits: &str, chunk_bits: u32) -> bool {
+    first_task.is_multiple_of(chunk_bits) && bits.len() * BITS_PER_DIGIT <= chunk_bits as usize
 }
 
 fn progress_size(job: &str, bits: &str) -> usize {
@@ -51,41 +82,35 @@
             progress: Pages::new(limit),
             bound: BTreeMap::new(),
         };
+        records.load_roster(replica);
+        records.load_progress(replica, chunk_bits(value_kb));
+        records
+    }
+
+    fn load_roster(&mut self, replica: &Replica) {
         for (n, page) in &replica.roster_pages {
             for (record, names) in &page.groups {
                 for name in names {
-                    records.roster.load(
-                        *n,
-                        name.clone(),
-                        roster_size(name, record),
-                        record.clone(),
-                    );
+                    let size = roster_size(name, record);
+                    self.roster.load(*n, name.clone(), size, record.clone());
                 }
             }
         }
-        records.load_progress(replica, chunk_bits(value_kb));
-        records
     }
 
     /// Takes the progress of open jobs. What another controller laid out with other limits is taken out of
     /// its page and put anew, in chunks of this one's size.
     fn load_progress(&mut self, replica: &Replica, chunk_bits: u32) {
-        let open = |id: &String| {
-            let entry = replica.jobs.get(id);
-            entry.is_none_or(|entry| entry.state == Recorded::Open)
-        };
         let mut foreign: BTreeMap<String, Ranges> = BTreeMap::new();
         for (n, page) in &replica.progress_pages {
             for (job, first_task, bits) in replica.sections(page) {
-                let key = (job.clone(), first_task);
+                let chunk = Chunk::new(job, first_task);
                 let size = progress_size(job, bits);
-                self.progress.load(*n, key.clone(), size, bits.clone());
-                let is_ours = first_task % chunk_bits == 0
-                    && bits.len() * BITS_PER_DIGIT <= chunk_bits as usize;
-                if !open(job) {
-                    self.progress.remove(&key, false);
-                } else if !is_ours {
-                    self.progress.remove(&key, false);
+                self.progress.load(*n, chunk.clone(), size, bits.clone());
+                if !is_open(replica, job) {
+                    self.progress.remove(&chunk, false);
+                } else if !is_laid_out(first_task, bits, chunk_bits) {
+                    self.progress.remove(&chunk, false);
                     let done = foreign.entry(job.clone()).or_default();
                     done.add_bits(first_task, &store::replica::bits(bits), MOST_TASKS);
                 }
@@ -96,12 +121,13 @@
         }
     }
 
+    /// Puts progress that another controller laid out in chunks of this one's size.
     fn put_foreign(&mut self, job: &str, done: &Ranges, chunk_bits: u32) {
         let chunks: BTreeSet<u32> = done.iter().map(|task| task / chunk_bits).collect();
         for chunk in chunks {
             let first_task = chunk * chunk_bits;
             let mut all = done.clone();
-            if let Some(bits) = self.progress.get(&(job.to_string(), first_task)) {
+            if let Some(bits) = self.progress.get(&Chunk::new(job, first_task)) {
                 all.add_bits(first_task, &store::replica::bits(bits), MOST_TASKS);
             }
             let bits = all.hex(first_task, first_task + chunk_bits);
@@ -111,14 +137,12 @@
 
     /// A job is over: its progress leaves its page when that is written next.
     pub fn on_job_terminal(&mut self, id: &str) {
-        let first = (id.to_string(), 0);
-        let mine: Vec<_> = self
-            .progress
-            .keys_from(&first)
-            .take_while(|k| k.0 == id)
-            .cloned()
-            .collect();
-        mine.iter().for_each(|k| self.progress.remove(k, false));
+        let chunks = self.progress.keys_from(&Chunk::new(id, 0));
+        let chunks = chunks.take_while(|chunk| chunk.job == id);
+        let chunks: Vec<Chunk> = chunks.cloned().collect();
+        for chunk in chunks {
+            self.progress.remove(&chunk, false);
+        }
     }
 
     /// Puts a machine on the roster; says on which page.
@@ -135,8 +159,8 @@
     /// Puts what is done of a chunk of a job's tasks; says on which page.
     pub fn put_progress(&mut self, job: &str, first_task: u32, bits: &str) -> u32 {
         let size = progress_size(job, bits);
-        let key = (job.into(), first_task);
-        self.progress.put(key, size, bits.into())
+        let chunk = Chunk::new(job, first_task);
+        self.progress.put(chunk, size, bits.into())
     }
 
     /// All pages of the roster that have to be written with this one, in their order.
@@ -194,18 +218,15 @@
             };
         };
         let mut groups: BTreeMap<&RosterRecord, Vec<String>> = BTreeMap::new();
-        entries.for_each(|(name, r)| groups.entry(r).or_default().push(name.clone()));
+        for (name, record) in entries {
+            groups.entry(record).or_default().push(name.clone());
+        }
+        let groups = groups.into_iter();
+        let groups = groups.map(|(record, names)| (record.clone(), names));
         let page = RosterPage {
-            groups: groups
-                .into_iter()
-                .map(|(r, names)| (r.clone(), names))
-                .collect(),
+            groups: groups.collect(),
         };
-        Write::Put {
-            key: keys::roster(n),
-            value: to_value(&page),
-            lease: None,
-        }
+        put(keys::roster(n), to_value(&page))
     }
 
     /// A transaction's write of a page of progress.
@@ -217,14 +238,10 @@
         };
         // What begins at task 0 is read alike whatever a reader takes the size of a chunk to be.
         let (chunks, sections) = entries
-            .map(|((job, first_task), bits)| (job.clone(), *first_task, bits.clone()))
+            .map(|(chunk, bits)| (chunk.job.clone(), chunk.first_task, bits.clone()))
             .partition(|(_, first_task, _)| *first_task == 0);
         let page = ProgressPage { chunks, sections };
-        Write::Put {
-            key: keys::progress(n),
-            value: to_value(&page),
-            lease: None,
-        }
+        put(keys::progress(n), to_value(&page))
     }
 
     /// Whether the store lacks something of these pages.
--- a/crates/ladderroute/tests/batches.rs
+++ b/crates/ladderroute/tests/batches.rs
@@ -1,7 +1,7 @@
 //! What the leader writes together, and in which order.
 
-use ladderroute::writer::batch::{next_batch, Batch, TxnLimits};
-use ladderroute::writer::RecordPages;
+use ladderroute::writer::batch::{next_batch, Batch};
+use ladderroute::writer::{RecordPages, TxnLimits};
 use sched::config::SchedulerConfig;
 use sched::leader::{Action, Leader};
 use std::collections::{BTreeMap, VecDeque};
