--- a/crates/ladderroute/tests/answers.rs
+++ b/crates/ladderroute/tests/answers.rs
@@ -190,41 +190,38 @@
     });
 }
 
+/// Fields that a submission may lack.
+const OPTIONAL_FIELDS: [&str; 3] = ["chassis_list", "yard", "due_s"];
+
+fn text(s: &str) -> Value {
+    Value::Text(s.into())
+}
+
 #[test]
-fn odd_requests_are_refused_for_what_they_are() {
-    with(|store, [a, b]| async move {
-        let fields = cbor::decode::<Value>(&body("wk-9", |_| ()))
-            .unwrap()
-            .into_map()
-            .unwrap();
-        let optional = ["chassis_list", "yard", "due_s"];
-        for (i, (key, _)) in fields.iter().enumerate() {
+fn a_submission_that_lacks_a_field_or_has_one_of_the_wrong_kind_is_malformed() {
+    with(|_, [a, _]| async move {
+        let fields = cbor::decode::<Value>(&body("wk-9", |_| ())).unwrap();
+        for (i, (key, _)) in fields.into_map().unwrap().iter().enumerate() {
             let name = key.as_text().unwrap();
-            let lacks = submit(&a, &body(&format!("wk-{i}"), |m| drop(m.remove(i))))
-                .await
-                .status;
-            assert_eq!(
-                lacks,
-                if optional.contains(&name) { 201 } else { 400 },
-                "without {name}"
-            );
-            let odd = submit(
-                &a,
-                &body(&format!("wk-odd{i}"), |m| m[i].1 = Value::Map(vec![])),
-            )
-            .await
-            .status;
-            assert_eq!(odd, 400, "{name} of the wrong kind");
-            let null = submit(&a, &body(&format!("wk-null{i}"), |m| m[i].1 = Value::Null))
-                .await
-                .status;
-            assert_eq!(
-                null,
-                if optional.contains(&name) { 201 } else { 400 },
-                "{name} null"
-            );
+            let without = if OPTIONAL_FIELDS.contains(&name) {
+                201
+            } else {
+                400
+            };
+            let lacks = body(&format!("wk-{i}"), |m| drop(m.remove(i)));
+            assert_eq!(submit(&a, &lacks).await.status, without, "without {name}");
+            let odd = body(&format!("wk-odd{i}"), |m| m[i].1 = Value::Map(vec![]));
+            let status = submit(&a, &odd).await.status;
+            assert_eq!(status, 400, "{name} of the wrong kind");
+            let null = body(&format!("wk-null{i}"), |m| m[i].1 = Value::Null);
+            assert_eq!(submit(&a, &null).await.status, without, "{name} null");
         }
-        let text = |s: &str| Value::Text(s.into());
+    });
+}
+
+#[test]
+fn a_submission_with_a_value_out_of_range_is_malformed() {
+    with(|store, [a, _]| async move {
         for (name, value) in [
             ("tickets", Value::Integer(0.into())),
             ("tickets", Value::Integer(100_001.into())),
@@ -242,6 +239,14 @@
             assert_eq!(r.status, 400, "{name} {value:?}");
         }
         assert_eq!(submit(&a, b"\xff\x00").await.status, 400);
+        assert!(store.get(&store::keys::job("wk-400")).is_none());
+        assert_eq!(query(&a, "wk-400").await.status, 404);
+    });
+}
+
+#[test]
+fn a_job_that_can_never_run_is_refused() {
+    with(|store, [a, b]| async move {
         for (name, value) in [
             ("crew", text("nobody")),
             ("chassis_list", Value::Array(vec![text("g9")])),
@@ -255,24 +260,25 @@
             let r = submit(&a, &body("wk-422", |m| set(m, name, value.clone()))).await;
             assert_eq!(r.status, 422, "{name} {value:?}");
         }
-        assert!(
-            store.get(&store::keys::job("wk-400")).is_none()
-                && store.get(&store::keys::job("wk-422")).is_none()
-        );
-        assert_eq!(
-            (
-                query(&a, "wk-400").await.status,
-                query(&b, "wk-422").await.status
-            ),
-            (404, 404)
-        );
-        // A team without a limit may have any job that fits the machines.
+        assert!(store.get(&store::keys::job("wk-422")).is_none());
+        assert_eq!(query(&b, "wk-422").await.status, 404);
+    });
+}
+
+#[test]
+fn a_team_without_a_limit_may_have_any_job_that_fits_the_machines() {
+    with(|_, [a, _]| async move {
         let guest = |m: &mut Vec<(Value, Value)>| {
             set(m, "crew", text("guest"));
             set(m, "vcpus", Value::Float(96.0));
         };
         assert_eq!(submit(&a, &body("wk-guest", guest)).await.status, 201);
-        // Of an array one task has to fit, and its repeat may be odd.
+    });
+}
+
+#[test]
+fn of_an_array_one_task_has_to_fit_and_its_repeat_may_be_odd() {
+    with(|_, [a, b]| async move {
         let array = |m: &mut Vec<(Value, Value)>| {
             set(m, "shape", text("array"));
             set(m, "vcpus", Value::Float(13.0));
@@ -280,11 +286,7 @@
         assert_eq!(submit(&a, &body("wk-array", array)).await.status, 201);
         let again = submit(&b, &body("wk-array", |m| set(m, "crew", text("nobody")))).await;
         assert_eq!(accepted(&again), (200, JobState::Queued));
-        assert_eq!(
-            submit(&a, &body("wk-array", |m| drop(m.remove(5))))
-                .await
-                .status,
-            200
-        );
+        let lacks = body("wk-array", |m| drop(m.remove(5)));
+        assert_eq!(submit(&a, &lacks).await.status, 200);
     });
 }
--- a/crates/ladderroute/tests/chains.rs
+++ b/crates/ladderroute/tests/chains.rs
@@ -7,29 +7,11 @@
 
 use ladderroute::api::users::{cancel, query, submit};
 use ladderroute::node::Node;
-use stand_in::requests::{accepted, answered, body, finish, with};
+use stand_in::requests::{accept, accepted, answered, body_after, body_awaiting, finish, with};
 use stand_in::{is_loaded, job_entry, Fate};
-use std::rc::Rc;
 use wire::store::{JobRecord, Recorded, Value};
 use wire::users::{Job, JobState};
 
-/// A submission that names jobs that have to be done before.
-fn body_after(id: &str, needed: &[&str]) -> Vec<u8> {
-    let names = needed.iter().map(|id| Value::Text((*id).into())).collect();
-    body_awaiting(id, Value::Array(names))
-}
-
-fn body_awaiting(id: &str, names: Value) -> Vec<u8> {
-    body(id, |fields| {
-        fields.push((Value::Text("awaits".into()), names))
-    })
-}
-
-async fn accept(node: &Rc<Node>, id: &str, needed: &[&str]) {
-    let answer = submit(node, &body_after(id, needed)).await;
-    assert_eq!(accepted(&answer), (201, JobState::Queued), "{id}");
-}
-
 fn is_blocked(node: &Node, id: &str) -> bool {
     node.lock().shared.view.dependencies().is_blocked(id)
 }
--- a/crates/ladderroute/tests/stale_view.rs
+++ b/crates/ladderroute/tests/stale_view.rs
@@ -7,33 +7,17 @@
 
 mod stand_in;
 
-use http::server::Response;
-use ladderroute::api::users::{cancel, query, submit};
+use ladderroute::api::users::{query, submit};
 use ladderroute::node::Node;
-use stand_in::requests::{accepted, answered, body, finish, with_fronts};
+use stand_in::requests::{
+    accept, accepted, answered, body_after, cancel_confirmed, finish, is_told_to_come_back,
+    with_fronts,
+};
 use stand_in::{Fate, Front, Store};
 use std::rc::Rc;
 use std::time::Duration;
-use wire::store::Value;
 use wire::users::JobState;
 
-fn body_after(id: &str, needed: &[&str]) -> Vec<u8> {
-    let names = needed.iter().map(|id| Value::Text((*id).into())).collect();
-    body(id, |fields| {
-        fields.push((Value::Text("awaits".into()), Value::Array(names)))
-    })
-}
-
-async fn accept(node: &Rc<Node>, id: &str, needed: &[&str]) {
-    let answer = submit(node, &body_after(id, needed)).await;
-    assert_eq!(accepted(&answer), (201, JobState::Queued), "{id}");
-}
-
-async fn cancel_confirmed(node: &Rc<Node>, id: &str) {
-    let answer = cancel(node, id).await;
-    assert_eq!(accepted(&answer), (200, JobState::Cancelled), "{id}");
-}
-
 /// The changes of the store do not reach a controller any more, once it has seen those so far.
 async fn fall_behind(node: &Rc<Node>, front: &Front) {
     assert!(ladderroute::freshness::refresh_view(node).await);
@@ -53,10 +37,6 @@
     view.finish_reload(reload);
 }
 
-fn is_told_to_come_back(answer: &Response) -> bool {
-    answer.status == 503 && answer.retry_after_s.is_some()
-}
-
 /// Seen on a day at production size: `went_back`, cancelled and then queued.
 #[test]
 fn a_repeated_submission_is_told_no_older_state_of_its_chain() {
--- a/crates/ladderroute/tests/stand_in/mod.rs
+++ b/crates/ladderroute/tests/stand_in/mod.rs
@@ -20,6 +20,7 @@
 #[allow(dead_code)]
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fate {
+    /// Carried out and answered.
     Served,
     /// Carried out; the answer is lost.
     AnswerLost,
@@ -27,7 +28,9 @@
     Kept,
 }
 
+/// The state service, in memory.
 pub struct Store {
+    /// Values and their versions.
     keys: RefCell<BTreeMap<String, (Value, u64)>>,
     log: RefCell<Vec<Change>>,
     revision: Cell<u64>,
@@ -36,8 +39,11 @@
     leases: Cell<u64>,
     /// Most items of a page.
     pub page_items: Cell<usize>,
+    /// What becomes of the next transaction.
     pub fate: Cell<Fate>,
+    /// All requests are refused.
     pub refuses: Cell<bool>,
+    /// Transactions that were not carried out yet.
     kept: RefCell<Vec<Txn>>,
 }
 
@@ -58,10 +64,13 @@
     pub pages_asked: Cell<u32>,
 }
 
+/// The status of a request that the store does not serve now.
 const REFUSED: u16 = 503;
+/// The status of a request for changes that are not kept any more.
 const TOO_OLD: u16 = 410;
 
 impl Store {
+    /// An empty store that serves all requests.
     pub fn new() -> Rc<Store> {
         Rc::new(Store {
             keys: RefCell::default(),
@@ -110,7 +119,7 @@
 
     async fn handle(&self, front: &Front, request: Request) -> Response {
         if self.refuses.get() {
-            return Response::new(503, Vec::new());
+            return Response::new(REFUSED, Vec::new());
         }
         let (path, query) = request.path.split_once('?').unwrap_or((&request.path, ""));
         let field = |name: &str| {
@@ -201,6 +210,7 @@
         self.forgotten.set(self.revision.get());
     }
 
+    /// What the store holds at a key.
     pub fn get(&self, key: &str) -> Option<Item> {
         self.keys.borrow().get(key).map(|(v, n)| Item {
             key: key.into(),
@@ -231,6 +241,7 @@
         kept.iter().map(|t| self.apply(t).status).collect()
     }
 
+    /// Carries out a transaction if its conditions hold.
     pub fn apply(&self, txn: &Txn) -> Response {
         let version = |k: &str| self.keys.borrow().get(k).map_or(0, |(_, n)| *n);
         let failed: Vec<String> = txn
@@ -244,33 +255,37 @@
         }
         let revision = self.revision.get() + 1;
         self.revision.set(revision);
-        for w in &txn.writes {
-            let change = match w {
-                Write::Put { key, value, .. } => {
-                    self.keys
-                        .borrow_mut()
-                        .insert(key.clone(), (value.clone(), revision));
-                    Change {
-                        put: Some(key.clone()),
-                        dropped: None,
-                        value: Some(value.clone()),
-                        version: revision,
-                    }
-                }
-                Write::Drop { key } => {
-                    self.keys.borrow_mut().remove(key);
-                    Change {
-                        put: None,
-                        dropped: Some(key.clone()),
-                        value: None,
-                        version: revision,
-                    }
-                }
-            };
+        for write in &txn.writes {
+            let change = self.carry_out(write, revision);
             self.log.borrow_mut().push(change);
         }
         Response::new(200, cbor::encode(&Revision { revision }))
     }
+
+    /// Carries out one write; returns it as a change.
+    fn carry_out(&self, write: &Write, version: u64) -> Change {
+        let mut keys = self.keys.borrow_mut();
+        match write {
+            Write::Put { key, value, .. } => {
+                keys.insert(key.clone(), (value.clone(), version));
+                Change {
+                    put: Some(key.clone()),
+                    dropped: None,
+                    value: Some(value.clone()),
+                    version,
+                }
+            }
+            Write::Drop { key } => {
+                keys.remove(key);
+                Change {
+                    put: None,
+                    dropped: Some(key.clone()),
+                    value: None,
+                    version,
+                }
+            }
+        }
+    }
 }
 
 /// A controller with a replica that is loaded and kept current; nothing else of it runs.
--- a/crates/ladderroute/tests/stand_in/requests.rs
+++ b/crates/ladderroute/tests/stand_in/requests.rs
@@ -5,6 +5,7 @@
 
 use super::{controller, Front, Store};
 use http::server::Response;
+use ladderroute::api::users::{cancel, submit};
 use ladderroute::node::Node;
 use std::future::Future;
 use std::rc::Rc;
@@ -63,6 +64,37 @@
     cbor::encode(&Value::Map(map))
 }
 
+/// A submission that names jobs that have to be done before.
+pub fn body_after(id: &str, needed: &[&str]) -> Vec<u8> {
+    let names = needed.iter().map(|id| Value::Text((*id).into())).collect();
+    body_awaiting(id, Value::Array(names))
+}
+
+/// A submission with any value in the place of the jobs that have to be done before.
+pub fn body_awaiting(id: &str, names: Value) -> Vec<u8> {
+    body(id, |fields| {
+        fields.push((Value::Text("awaits".into()), names))
+    })
+}
+
+/// Submits a job that is created and queued.
+pub async fn accept(node: &Rc<Node>, id: &str, needed: &[&str]) {
+    let answer = submit(node, &body_after(id, needed)).await;
+    assert_eq!(accepted(&answer), (201, JobState::Queued), "{id}");
+}
+
+/// Cancels a job, which is confirmed.
+pub async fn cancel_confirmed(node: &Rc<Node>, id: &str) {
+    let answer = cancel(node, id).await;
+    assert_eq!(accepted(&answer), (200, JobState::Cancelled), "{id}");
+}
+
+/// Whether a response says "not now", with when to come back.
+pub fn is_told_to_come_back(answer: &Response) -> bool {
+    answer.status == 503 && answer.retry_after_s.is_some()
+}
+
+/// Replaces the value of a field of a submission.
 pub fn set(map: &mut [(Value, Value)], name: &str, value: Value) {
     let field = map
         .iter_mut()
@@ -71,12 +103,16 @@
     field.1 = value;
 }
 
-pub fn accepted(r: &Response) -> (u16, JobState) {
-    (r.status, cbor::decode::<Accepted>(&r.body).unwrap().state)
+/// The status and the state in the response to a submission or a cancellation.
+pub fn accepted(response: &Response) -> (u16, JobState) {
+    let Accepted { state, .. } = cbor::decode(&response.body).unwrap();
+    (response.status, state)
 }
 
-pub fn answered(r: &Response) -> (u16, JobState) {
-    (r.status, cbor::decode::<Progress>(&r.body).unwrap().state)
+/// The status and the state in the response to a query.
+pub fn answered(response: &Response) -> (u16, JobState) {
+    let Progress { state, .. } = cbor::decode(&response.body).unwrap();
+    (response.status, state)
 }
 
 /// Writes the end of a job as a leader does.
