--- a/crates/ladderroute/src/api/mod.rs
+++ b/crates/ladderroute/src/api/mod.rs
@@ -44,12 +44,19 @@
 
 /// What a request asks for.
 enum Route<'a> {
+    /// A worker's heartbeat.
     Heartbeat,
+    /// A health check.
     Ready,
+    /// The submission of a job.
     Submit,
+    /// A query of the job of this name.
     Query(&'a str),
+    /// The cancellation of the job of this name.
     Cancel(&'a str),
+    /// A job whose name is not valid.
     NoSuchJob,
+    /// Nothing that is served.
     NoSuchPath,
 }
 
--- a/crates/ladderroute/tests/command.rs
+++ b/crates/ladderroute/tests/command.rs
@@ -3,8 +3,7 @@
 // The helpers of these tests unwrap as the tests do.
 #![allow(clippy::unwrap_used)]
 
-use ladderroute::settings::Settings;
-use ladderroute::settings::Tuning;
+use ladderroute::settings::{Settings, Tuning};
 use std::path::PathBuf;
 use std::process::Command;
 
--- a/crates/ladderroute/tests/operator.rs
+++ b/crates/ladderroute/tests/operator.rs
@@ -1,6 +1,6 @@
 //! Operators' own settings.
 
-use ladderroute::settings::operator::*;
+use ladderroute::settings::Tuning;
 
 #[test]
 fn what_is_given_replaces_the_defaults_and_is_checked() {
--- a/crates/ladderroute/tests/settings.rs
+++ b/crates/ladderroute/tests/settings.rs
@@ -1,6 +1,8 @@
 //! The platform's settings: what is taken, and what is refused by name.
 
-use ladderroute::settings::Settings;
+use ladderroute::settings::{Settings, Tuning};
+
+/// A settings file that is right, with a field that is not known.
 const GOOD: &str = r#"
 member = "rung-0"
 domain = "a"
@@ -94,9 +96,7 @@
         );
     let s = Settings::parse(&text, "f").unwrap();
     assert_eq!(
-        s.scheduler_config(&ladderroute::settings::Tuning::default())
-            .wait_s
-            .get("x"),
+        s.scheduler_config(&Tuning::default()).wait_s.get("x"),
         Some(&100.0)
     );
 }
@@ -104,7 +104,7 @@
 #[test]
 fn unknown_fields_are_skipped_and_known_ones_used() {
     let s = Settings::parse(GOOD, "f").unwrap();
-    let config = s.scheduler_config(&ladderroute::settings::Tuning::default());
+    let config = s.scheduler_config(&Tuning::default());
     assert_eq!(
         (
             s.known.len(),
@@ -150,10 +150,7 @@
         "f",
     )
     .unwrap();
-    let team = s
-        .scheduler_config(&ladderroute::settings::Tuning::default())
-        .teams["red"]
-        .clone();
+    let team = s.scheduler_config(&Tuning::default()).teams["red"].clone();
     assert_eq!((team.cpus, team.gpus), (0.0, 0.0));
     assert_eq!(
         (team.cpus_max, team.gpus_max),
@@ -162,7 +159,7 @@
     // With a limit on CPUs, none for GPUs means that the team has none.
     let team = Settings::parse(GOOD, "f")
         .unwrap()
-        .scheduler_config(&ladderroute::settings::Tuning::default())
+        .scheduler_config(&Tuning::default())
         .teams["red"]
         .clone();
     assert_eq!((team.cpus_max, team.gpus_max), (20.0, 0.0));
--- a/crates/ladderroute/tests/stand_in/mod.rs
+++ b/crates/ladderroute/tests/stand_in/mod.rs
@@ -4,8 +4,7 @@
 
 use http::server::{Limits, Request, Response};
 use ladderroute::node::Node;
-use ladderroute::settings::Settings;
-use ladderroute::settings::Tuning;
+use ladderroute::settings::{Settings, Tuning};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
