--- a/crates/ladderroute/src/node.rs
+++ b/crates/ladderroute/src/node.rs
@@ -2,10 +2,9 @@
 
 use crate::cluster_view::ClusterView;
 use crate::counters::Counters;
-use crate::operator::Tuning;
 use crate::outbox::Outbox;
-use crate::settings::{Settings, StateLimits};
-use crate::writer::batch::TxnLimits;
+use crate::settings::{Settings, StateLimits, Tuning};
+use crate::writer::TxnLimits;
 use sched::config::SchedulerConfig;
 use sched::leader::{Action, Leader};
 use sched::owner::{Jobs, Owner};
