--- a/crates/sched/src/cluster/wait_estimates.rs
+++ b/crates/sched/src/cluster/wait_estimates.rs
@@ -1,6 +1,6 @@
 //! Whether work may wait for a machine in use rather than have one provisioned, and how long tasks run.
 
-use super::{Cluster, Job};
+use super::{Active, Cluster, Job, Machine};
 use crate::placement::tier;
 use crate::Secs;
 use std::collections::BTreeMap;
@@ -10,8 +10,35 @@
 /// What a slow boot takes of the nominal time, with the start of the gang's tasks.
 pub(crate) const SLOW_BOOT_FACTOR: f64 = 1.25;
 
-/// When machines in use are expected to be empty, the earliest first.
-pub(crate) type BusyMachines = Vec<(Secs, String)>;
+/// Within what time gangs of a class without an objective should start, as a multiple of the time allowed for a
+/// guaranteed start.
+const DEFAULT_WAIT_GUARANTEES: f64 = 4.0;
+
+/// A task is expected to run for at least this part of its run time from now on, however long it has run.
+const MIN_REST_SHARE: f64 = 0.25;
+
+/// Least run time of a task in seconds, so that what is learned of empty tasks gives no endless turnover.
+const MIN_RUN_S: f64 = 1.0;
+
+/// A machine in use.
+pub(crate) struct BusyMachine {
+    /// When it is expected to be empty.
+    empty_at: Secs,
+    /// Its name.
+    name: String,
+}
+
+/// Machines in use, those first that are expected to be empty first.
+pub(crate) type BusyMachines = Vec<BusyMachine>;
+
+/// Busy machines that a gang may wait for.
+#[derive(Default)]
+struct Gathered {
+    /// How many of its tasks fit on them.
+    slots: u32,
+    /// Their positions among all busy machines.
+    positions: Vec<usize>,
+}
 
 impl Cluster {
     /// Whether a gang has waited so long that machines are cordoned for it.
@@ -19,49 +46,55 @@
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
-        let within = self
-            .config
-            .wait_s
-            .get(&job.spec.class)
-            .copied()
-            .unwrap_or(self.config.guarantee_s * 4.0);
-        now - job.seen > within * self.config.max_wait_share
+        let objective_s = self.config.wait_s.get(&job.spec.class).copied();
+        let within_s = objective_s.unwrap_or(self.config.guarantee_s * DEFAULT_WAIT_GUARANTEES);
+        now - job.seen > within_s * self.config.max_wait_share
     }
 
     /// When machines on which these tasks may run are expected to be empty, the earliest first.
     pub(crate) fn busy_until(&self, requirements: &TaskRequirements, now: Secs) -> BusyMachines {
-        let mut out: BusyMachines = self
+        let usable = self
             .machines
             .iter()
-            .filter(|(_, m)| m.open() && tier(requirements, &m.kind, &m.zone, m.spot).is_some())
-            .map(|(name, m)| {
-                let ends = m.tasks.keys().filter_map(|(id, i)| {
-                    let job = self.jobs.get(id)?;
-                    let a = job.active.get(i)?;
-                    let run = self.run_s(job);
-                    Some(if a.running {
-                        (a.since + run).max(now + run * 0.25)
-                    } else {
-                        now + run
-                    })
-                });
-                (ends.fold(now, f64::max), name.clone())
-            })
-            .collect();
-        out.sort_by(|a, b| a.0.total_cmp(&b.0));
-        out
+            .filter(|(_, machine)| machine.open() && allows(requirements, machine));
+        let busy = usable.map(|(name, machine)| BusyMachine {
+            empty_at: self.empty_at(machine, now),
+            name: name.clone(),
+        });
+        let mut busy: BusyMachines = busy.collect();
+        sort_by_end(&mut busy);
+        busy
+    }
+
+    /// When the last task of a machine is expected to end.
+    fn empty_at(&self, machine: &Machine, now: Secs) -> Secs {
+        let ends = machine.tasks.keys().filter_map(|(id, index)| {
+            let job = self.jobs.get(id)?;
+            Some(self.end_of(job, job.active.get(index)?, now))
+        });
+        ends.fold(now, f64::max)
+    }
+
+    /// When a task is expected to end.
+    fn end_of(&self, job: &Job, task: &Active, now: Secs) -> Secs {
+        let run_s = self.run_s(job);
+        if task.running {
+            (task.since + run_s).max(now + run_s * MIN_REST_SHARE)
+        } else {
+            now + run_s
+        }
     }
 
     /// How long a task of a job runs, as far as was learned of its class.
     pub(crate) fn run_s(&self, job: &Job) -> f64 {
         self.classes
             .get(&job.spec.class)
-            .map_or(job.spec.estimate_s, |c| c.run_s)
-            .max(1.0)
+            .map_or(job.spec.estimate_s, |class| class.run_s)
+            .max(MIN_RUN_S)
     }
 
-    /// Whether a gang is expected to get machines that are in use early enough for its class's
-    /// objective; those machines are then taken.
+    /// Whether a gang is expected to get machines that are in use early enough for its class's objective; those
+    /// machines are then taken for as long as its tasks run.
     pub(crate) fn can_wait(
         &self,
         id: &str,
@@ -72,55 +105,82 @@
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
-        let Some(within) = self.config.wait_s.get(&job.spec.class) else {
+        let Some(latest) = self.latest_start(job, requirements) else {
             return false;
         };
-        // What is provisioned at once must still be up in time, slow boots included.
-        let boot = requirements
-            .kinds
-            .iter()
-            .filter_map(|a| self.types.get(&a.kind))
-            .map(|t| t.boot_s)
+        let Some(positions) = self.gather(job, requirements, busy_machines, latest, now) else {
+            return false;
+        };
+        let run_s = self.run_s(job);
+        for position in positions {
+            busy_machines[position].empty_at += run_s;
+        }
+        sort_by_end(busy_machines);
+        true
+    }
+
+    /// Until when a gang may wait for machines in use; none if its class has no objective.
+    fn latest_start(&self, job: &Job, requirements: &TaskRequirements) -> Option<Secs> {
+        let within_s = self.config.wait_s.get(&job.spec.class)?;
+        let kinds = requirements.kinds.iter();
+        let shortest_boot_s = kinds
+            .filter_map(|allowed| self.types.get(&allowed.kind))
+            .map(|machine_type| machine_type.boot_s)
             .fold(f64::MAX, f64::min);
-        let latest =
-            job.seen + (within * self.config.max_wait_share).min(within - boot * SLOW_BOOT_FACTOR);
-        let mut slots: BTreeMap<&str, (u32, Vec<usize>)> = BTreeMap::new();
-        let mut found = None;
-        for (at, (until, name)) in busy_machines.iter().enumerate() {
-            let Some(m) = self
-                .machines
-                .get(name)
-                .filter(|m| tier(requirements, &m.kind, &m.zone, m.spot).is_some())
-            else {
+        // What is provisioned once the wait is given up must still be up in time, slow boots included.
+        let time_to_boot_s = within_s - shortest_boot_s * SLOW_BOOT_FACTOR;
+        Some(job.seen + (within_s * self.config.max_wait_share).min(time_to_boot_s))
+    }
+
+    /// Positions of busy machines on which a whole gang fits and that are empty in time, all in one zone if it
+    /// wants that.
+    fn gather(
+        &self,
+        job: &Job,
+        requirements: &TaskRequirements,
+        busy_machines: &BusyMachines,
+        latest: Secs,
+        now: Secs,
+    ) -> Option<Vec<usize>> {
+        let mut by_zone: BTreeMap<&str, Gathered> = BTreeMap::new();
+        for (position, busy) in busy_machines.iter().enumerate() {
+            let machine = self.machines.get(&busy.name);
+            let Some(machine) = machine.filter(|machine| allows(requirements, machine)) else {
                 continue;
             };
-            if until.max(now) > latest {
-                break;
+            if busy.empty_at.max(now) > latest {
+                return None;
             }
-            let (have, chosen) = slots
-                .entry(if job.spec.one_zone { &m.zone } else { "" })
-                .or_default();
-            *have += self
-                .capacity(&m.kind)
-                .map_or(0, |c| c.count_fitting(job.resources()));
-            chosen.push(at);
-            if *have >= job.spec.tasks {
-                found = Some(std::mem::take(chosen));
-                break;
+            let zone = if job.spec.one_zone { &machine.zone } else { "" };
+            let gathered = by_zone.entry(zone).or_default();
+            let capacity = self.capacity(&machine.kind);
+            gathered.slots +=
+                capacity.map_or(0, |capacity| capacity.count_fitting(job.resources()));
+            gathered.positions.push(position);
+            if gathered.slots >= job.spec.tasks {
+                return Some(std::mem::take(&mut gathered.positions));
             }
         }
-        let Some(chosen) = found else { return false };
-        let run = self.run_s(job);
-        chosen.into_iter().for_each(|at| busy_machines[at].0 += run);
-        busy_machines.sort_by(|a, b| a.0.total_cmp(&b.0));
-        true
+        None
     }
 
     /// CPUs per second that running array tasks free for others.
     pub(crate) fn turnover(&self) -> f64 {
-        let arrays = self.jobs.values().filter(|j| j.spec.shape == Shape::Array);
+        let arrays = self
+            .jobs
+            .values()
+            .filter(|job| job.spec.shape == Shape::Array);
         arrays
-            .map(|j| j.active.len() as f64 * j.spec.cpus / self.run_s(j))
+            .map(|job| job.active.len() as f64 * job.spec.cpus / self.run_s(job))
             .sum()
     }
 }
+
+/// Whether tasks may run on a machine.
+fn allows(requirements: &TaskRequirements, machine: &Machine) -> bool {
+    tier(requirements, &machine.kind, &machine.zone, machine.spot).is_some()
+}
+
+fn sort_by_end(busy_machines: &mut BusyMachines) {
+    busy_machines.sort_by(|one, other| one.empty_at.total_cmp(&other.empty_at));
+}
