--- /dev/null
+++ b/crates/sched/src/autoscaler/incoming.rs
@@ -0,0 +1,119 @@
+//! Machines on their way, as capacity that waiting work may count on.
+
+use super::{Autoscaler, Offer};
+use crate::cluster::{Cluster, Rostered};
+use crate::placement::Resources;
+use std::collections::BTreeMap;
+use wire::peers::TaskRequirements;
+
+/// Machines on their way that come from one offer and have the same capacity left.
+struct IncomingMachines {
+    /// What they come from.
+    offer: Offer,
+    /// What is left of each machine's capacity.
+    free: Resources,
+    /// How many machines; at least one.
+    count: u32,
+}
+
+impl IncomingMachines {
+    /// Takes some of the machines out and gives capacity of each away.
+    fn split_off(&mut self, count: u32, used: Resources) -> IncomingMachines {
+        let mut free = self.free;
+        free.sub(used);
+        self.count -= count;
+        IncomingMachines {
+            offer: self.offer.clone(),
+            free,
+            count,
+        }
+    }
+}
+
+/// All machines on their way. Capacity that one job counts on is no longer there for the next.
+pub(super) struct Incoming {
+    /// Taken from in this order; one offer may appear more than once.
+    machines: Vec<IncomingMachines>,
+}
+
+impl Incoming {
+    /// Adds empty machines.
+    pub fn add(&mut self, offer: Offer, capacity: Resources, count: u32) {
+        self.machines.push(IncomingMachines {
+            offer,
+            free: capacity,
+            count,
+        });
+    }
+
+    /// How many tasks fit on the machines on which they may run.
+    pub fn count_fitting(&self, requirements: &TaskRequirements) -> u32 {
+        let resources = Resources::of(requirements);
+        self.machines
+            .iter()
+            .filter(|machines| machines.offer.is_allowed_by(requirements))
+            .map(|machines| machines.free.count_fitting(resources) * machines.count)
+            .sum()
+    }
+
+    /// Takes capacity for up to `left` tasks; says how many remain.
+    pub fn take(
+        &mut self,
+        allowed: impl Fn(&Offer) -> bool,
+        resources: Resources,
+        mut left: u32,
+    ) -> u32 {
+        let mut used = Vec::new();
+        for machines in self.machines.iter_mut().filter(|m| allowed(&m.offer)) {
+            let slots = machines.free.count_fitting(resources);
+            if left == 0 || slots == 0 {
+                continue;
+            }
+            let full = (left / slots).min(machines.count);
+            let rest = if full < machines.count {
+                left - full * slots
+            } else {
+                0
+            };
+            for (count, tasks) in [(full, slots), (u32::from(rest > 0), rest)] {
+                if count > 0 {
+                    used.push(machines.split_off(count, resources.scaled(tasks)));
+                    left -= count * tasks;
+                }
+            }
+        }
+        self.machines.retain(|machines| machines.count > 0);
+        self.machines.append(&mut used);
+        left
+    }
+}
+
+impl Autoscaler {
+    /// Machines that boot, that the cloud was asked for, and that are not on the roster yet.
+    pub(super) fn incoming(&self, cluster: &Cluster) -> Incoming {
+        let booting = self.booting.values().map(|b| (b.offer.clone(), 1));
+        let requested = self
+            .requested
+            .values()
+            .map(|request| (Offer::of_request(request), request.count));
+        let joining = cluster
+            .machines
+            .values()
+            .filter(|m| m.rostered != Rostered::Yes && m.lapsed_at.is_none() && !m.drain)
+            .map(|machine| (Offer::of_machine(machine), 1));
+        let mut counts: BTreeMap<Offer, u32> = BTreeMap::new();
+        for (offer, count) in booting.chain(requested).chain(joining) {
+            *counts.entry(offer).or_default() += count;
+        }
+        let with_capacity = counts.into_iter().filter_map(|(offer, count)| {
+            Some(IncomingMachines {
+                free: cluster.capacity(&offer.kind)?,
+                offer,
+                count,
+            })
+        });
+        Incoming {
+            machines: with_capacity.collect(),
+        }
+    }
+}
--- a/crates/sched/src/autoscaler/mod.rs
+++ b/crates/sched/src/autoscaler/mod.rs
@@ -1,226 +1,238 @@
-//! Autoscaler: which machines to provision and which to return.
-
+//! The autoscaler: which machines to provision for work that finds none, and which machines to return.
+//!
+//! It decides on the [`Cluster`] and keeps to itself only what passes between the controller and the cloud:
+//! requests in flight, machines that boot, offers that were refused, and releases. It does no I/O: the leader
+//! carries out each [`ScalingDecision`] and hands the cloud's answers back.
+
+mod arrivals;
+mod gang;
+mod incoming;
+mod market;
+mod offer;
+mod plan;
+mod retention;
 mod scale_in;
 mod scale_out;
 
-use crate::leader::{Action, Leader};
+use crate::cluster::Cluster;
 use crate::Secs;
-use scale_in::MAX_MACHINES_PER_RELEASE;
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use arrivals::Arrivals;
+use offer::{BootingMachine, Offer, Refusal};
+use std::collections::{BTreeMap, BTreeSet};
 use wire::cloud::{Listed, ListedMachine, ProvisionRequest};
-use wire::peers::TaskRequirements;
 use wire::users::Job as Spec;
 
-/// The cloud charges at least this long for a machine (a figure of the protocol).
+/// The cloud charges for at least this many seconds of a machine (a figure of the protocol).
 const MIN_CHARGE_S: f64 = 60.0;
 
-/// Idle capacity of up to so many times what the jobs need that came lately is worth keeping.
-const DEMAND_COVER: f64 = 4.0;
-
-/// Part of the time that idle machines are kept where no jobs came lately: they may come again.
-const MIN_RETENTION_SHARE: f64 = 0.25;
-
-/// Type, zone and kind (spot or ordinary).
-type Offer = (String, String, bool);
+/// Longest time between two reviews, in seconds, however long the heartbeat interval is.
+const MAX_REVIEW_INTERVAL_S: f64 = 1.0;
+
+/// Part of that interval after which work is reviewed again once the cloud has answered every request: the
+/// next request can go out at once.
+const EARLY_REVIEW_SHARE: f64 = 0.25;
+
+/// What the autoscaler has to know of the leader's present epoch.
+pub(crate) struct EpochView {
+    /// The leader's token; part of the names of requests, which are never used twice.
+    pub token: u64,
+    /// When the epoch began.
+    pub began_at: Secs,
+    /// Whether work waits until the content of all machines is known.
+    pub waits_for_unknown_machines: bool,
+}
 
-pub(crate) struct BootingMachine {
-    pub kind: String,
-    pub zone: String,
-    pub spot: bool,
-    pub requested_at: Secs,
+/// What the leader has to carry out, in the order of the fields.
+pub(crate) struct ScalingDecision {
+    /// Requests to send to the cloud.
+    pub provision: Vec<ProvisionRequest>,
+    /// Machines on which nothing may be placed any more: their owners have to be told.
+    pub close: Vec<String>,
+    /// Machines to return, in batches of which each fits one release.
+    pub deprovision: Vec<Vec<String>>,
 }
 
+/// What is under way between the controller and the cloud. A machine that the cloud has taken back never comes
+/// back into `booting`: the cloud's lists and late heartbeats may still name it.
 #[derive(Default)]
 pub(crate) struct Autoscaler {
-    pub booting: BTreeMap<String, BootingMachine>,
+    /// Machines that the cloud has granted and that have not sent a heartbeat yet, by name.
+    booting: BTreeMap<String, BootingMachine>,
+    /// Requests that the cloud has not answered, by name.
     requested: BTreeMap<String, ProvisionRequest>,
-    refused: BTreeMap<Offer, (Secs, u32)>,
-    /// The zone that each waiting gang's machines are provisioned in.
-    gang_zones: BTreeMap<String, Option<String>>,
-    /// Machines that are there for waiting gangs: not returned meanwhile.
+    /// Offers of which the cloud had fewer machines than were last asked for.
+    refused: BTreeMap<Offer, Refusal>,
+    /// The zone that each waiting gang's machines are provisioned in, by job.
+    gang_zones: BTreeMap<String, String>,
+    /// Machines that wait for the rest of a gang's: not returned meanwhile.
     retained: BTreeSet<String>,
+    /// Machines that the cloud has taken back.
     released: BTreeSet<String>,
+    /// Machines whose release the cloud has not confirmed.
     releasing: BTreeSet<String>,
+    /// Number of the last request under this leader.
     counter: u64,
-    last: Secs,
-    /// When jobs came, and the CPUs of all their tasks together.
-    arrivals: VecDeque<(Secs, f64)>,
-}
-
-/// Whether an offer is of a type and kind that tasks may use, and in a zone if one is given.
-fn allows(requirements: &TaskRequirements, zone: &Option<String>, o: &Offer) -> bool {
-    requirements
-        .kinds
-        .iter()
-        .any(|a| a.kind == o.0 && a.spot == o.2)
-        && zone.as_ref().is_none_or(|z| *z == o.1)
+    /// When the work was last reviewed.
+    reviewed_at: Secs,
+    /// Jobs that came lately.
+    arrivals: Arrivals,
 }
 
 impl Autoscaler {
+    /// The zone that a waiting gang's machines are provisioned in.
     pub fn gang_zone(&self, id: &str) -> Option<&String> {
-        self.gang_zones.get(id)?.as_ref()
+        self.gang_zones.get(id)
     }
 
+    /// Drops what is kept of a job that is over.
     pub fn forget_job(&mut self, id: &str) {
         self.gang_zones.remove(id);
     }
 
+    /// A job came.
     pub fn arrived(&mut self, job: &Spec, now: Secs) {
-        self.arrivals
-            .push_back((now, job.cpus * f64::from(job.tasks)));
-    }
-
-    /// How much of idle capacity the jobs that came after an instant make worth keeping. It waits for jobs
-    /// still to come: when hardly any came for as long as it is kept, it is returned sooner.
-    fn demand_share(&self, since: Secs, idle_cpus: f64) -> f64 {
-        let arrived = self
-            .arrivals
-            .iter()
-            .rev()
-            .take_while(|(at, _)| *at >= since);
-        let cpus: f64 = arrived.map(|(_, cpus)| cpus).sum();
-        (cpus * DEMAND_COVER / idle_cpus.max(1.0)).clamp(MIN_RETENTION_SHARE, 1.0)
-    }
-
-    /// CPUs of the tasks that came in a second, over some time.
-    fn arrival_rate(&self, now: Secs, over_s: Secs) -> f64 {
-        let arrived = self.arrivals.iter().rev();
-        let recent = arrived.take_while(|(at, _)| now - at <= over_s);
-        recent.map(|(_, cpus)| cpus).sum::<f64>() / over_s.max(1.0)
-    }
-
-    /// Forgets arrivals before an instant.
-    fn forget_arrivals(&mut self, before: Secs) {
-        while self.arrivals.front().is_some_and(|(at, _)| *at < before) {
-            self.arrivals.pop_front();
-        }
+        self.arrivals.record(job, now);
     }
 
+    /// A machine has sent its first heartbeat.
     pub fn booted(&mut self, name: &str, now: Secs) {
-        if let Some(b) = self.booting.remove(name) {
+        if let Some(machine) = self.booting.remove(name) {
             log::info!(
                 "event=machine_booted machine={name} kind={} after_s={:.1}",
-                b.kind,
-                now - b.requested_at
+                machine.offer.kind,
+                now - machine.requested_at
             );
         }
     }
 
-    pub fn is_released(&self, name: &str) -> bool {
-        self.released.contains(name)
+    /// How many machines boot.
+    pub fn booting_count(&self) -> usize {
+        self.booting.len()
     }
 
-    fn available(&self, offer: &Offer, now: Secs) -> bool {
-        self.refused
-            .get(offer)
-            .is_none_or(|(until, _)| now >= *until)
+    /// Whether the cloud has taken a machine back.
+    pub fn is_released(&self, name: &str) -> bool {
+        self.released.contains(name)
     }
 
-    /// Whether the cloud had fewer machines of an offer than were last asked for.
-    fn is_exhausted(&self, offer: &Offer) -> bool {
-        self.refused.contains_key(offer)
+    /// Whether it is time to look at the work again: once a heartbeat interval, but sooner when the cloud has
+    /// answered all that was asked and work still finds no machine.
+    pub fn is_due(&self, cluster: &Cluster, now: Secs) -> bool {
+        let interval_s = cluster.config.heartbeat_s.min(MAX_REVIEW_INTERVAL_S);
+        let since_s = now - self.reviewed_at;
+        let early = self.requested.is_empty()
+            && !cluster.unmet.is_empty()
+            && since_s >= interval_s * EARLY_REVIEW_SHARE;
+        (since_s >= interval_s || early) && !cluster.types.is_empty()
     }
-}
 
-impl Leader {
-    /// Provisions for what does not fit, and returns what is idle. Paced by the heartbeat interval, but
-    /// sooner when the cloud has answered all that was asked.
-    pub(crate) fn autoscale(&mut self, now: Secs) {
-        let pace = self.cluster.config.heartbeat_s.min(1.0);
-        let soon = self.autoscaler.requested.is_empty()
-            && !self.cluster.unmet.is_empty()
-            && now - self.autoscaler.last >= pace / 4.0;
-        if now - self.autoscaler.last < pace && !soon || self.cluster.types.is_empty() {
-            return;
+    /// Provisions for work that found no machine, and returns machines that are not worth their price.
+    pub fn decide(
+        &mut self,
+        cluster: &mut Cluster,
+        epoch: &EpochView,
+        rng: &mut fastrand::Rng,
+        now: Secs,
+    ) -> ScalingDecision {
+        self.reviewed_at = now;
+        let scarce = cluster.scarce();
+        let provision = self.scale_out(cluster, &scarce, epoch.token, rng, now);
+        let returns = self.scale_in(cluster, &scarce, epoch, now);
+        ScalingDecision {
+            provision,
+            close: returns.close,
+            deprovision: self.begin_release(returns.release),
         }
-        self.autoscaler.last = now;
-        let scarce = self.cluster.scarce();
-        self.scale_out(&scarce, now);
-        self.scale_in(&scarce, now);
     }
 
-    /// The cloud's answer to a provision request: machines, or none for no capacity. `None`: it was not
-    /// carried out or its outcome stays unknown; what came of it will be listed or heartbeat.
-    pub fn provision_result(&mut self, name: &str, machines: Option<Vec<String>>, now: Secs) {
-        let Some(request) = self.autoscaler.requested.remove(name) else {
+    /// The cloud's answer to a provision request: the names of machines, or none for no capacity. `None`: it
+    /// was not carried out, or its outcome stays unknown; what came of it will be listed or send heartbeats.
+    pub fn provision_answered(
+        &mut self,
+        cluster: &Cluster,
+        name: &str,
+        machines: Option<Vec<String>>,
+        rng: &mut fastrand::Rng,
+        now: Secs,
+    ) {
+        let Some(request) = self.requested.remove(name) else {
             return;
         };
-        let offer = (request.kind.clone(), request.zone.clone(), request.spot);
-        let got = machines.as_ref().map_or(0, Vec::len) as u32;
-        if got < request.count {
-            let n = self.autoscaler.refused.get(&offer).map_or(0, |(_, n)| *n);
-            let base = self.cluster.config.list_lag_s / 2.0;
-            let wait = if machines.is_some() {
-                base * f64::from(1u32 << n.min(2)) * (0.75 + 0.5 * self.rng.f64())
-            } else {
-                base / 4.0
-            };
-            self.autoscaler.refused.insert(offer, (now + wait, n + 1));
-        } else {
-            self.autoscaler.refused.remove(&offer);
+        let offer = Offer::of_request(&request);
+        let granted = machines.as_ref().map_or(0, Vec::len) as u32;
+        let earlier = self.refused.remove(&offer);
+        if granted < request.count {
+            let (answered, list_lag_s) = (machines.is_some(), cluster.config.list_lag_s);
+            let refusal = Refusal::after(earlier, answered, list_lag_s, rng, now);
+            self.refused.insert(offer.clone(), refusal);
         }
-        for m in machines.unwrap_or_default() {
-            if !self.cluster.machines.contains_key(&m) {
-                self.autoscaler.booting.insert(
-                    m,
-                    BootingMachine {
-                        kind: request.kind.clone(),
-                        zone: request.zone.clone(),
-                        spot: request.spot,
-                        requested_at: now,
-                    },
-                );
+        for machine in machines.unwrap_or_default() {
+            if !cluster.machines.contains_key(&machine) {
+                self.add_booting(machine, offer.clone(), now);
             }
         }
     }
 
-    /// The cloud has carried out a release, or it has to be asked again.
-    pub fn deprovision_result(&mut self, names: &[String], ok: bool) {
-        for name in names {
-            self.autoscaler.releasing.remove(name);
-            if ok {
-                self.autoscaler.released.insert(name.clone());
-                self.autoscaler.booting.remove(name);
-                self.forget_machine(name);
-            } else if let Some(m) = self.cluster.machines.get_mut(name) {
-                m.releasing = false;
-            }
-        }
+    /// The cloud has taken a machine back.
+    pub fn release_confirmed(&mut self, name: &str) {
+        self.releasing.remove(name);
+        self.released.insert(name.to_string());
+        self.booting.remove(name);
     }
 
-    /// A list of the cloud's machines: adopts what is not known, returns what has failed.
-    pub fn listed(&mut self, list: &[ListedMachine], now: Secs) {
+    /// The cloud has not taken a machine back: it has to be asked again.
+    pub fn release_failed(&mut self, name: &str) {
+        self.releasing.remove(name);
+    }
+
+    /// Takes in a list of the cloud's machines: adopts those that are not known, and gives batches of failed
+    /// ones to return.
+    pub fn take_in_list(
+        &mut self,
+        cluster: &Cluster,
+        list: &[ListedMachine],
+        now: Secs,
+    ) -> Vec<Vec<String>> {
         let mut failed = Vec::new();
-        for l in list {
-            if self.autoscaler.is_released(&l.name) || self.cluster.machines.contains_key(&l.name) {
-                continue;
-            }
-            if l.state == Listed::Failed {
-                if self.autoscaler.releasing.insert(l.name.clone()) {
-                    failed.push(l.name.clone());
-                }
+        for listed in list {
+            if self.is_released(&listed.name) || cluster.machines.contains_key(&listed.name) {
                 continue;
             }
-            if !self.autoscaler.booting.contains_key(&l.name) {
-                log::info!("event=machine_adopted machine={} kind={}", l.name, l.kind);
-                let requested_at = if l.state == Listed::Booting {
-                    now - l.age_s
-                } else {
-                    now - self.cluster.types.get(&l.kind).map_or(0.0, |t| t.boot_s)
-                };
-                self.autoscaler.booting.insert(
-                    l.name.clone(),
-                    BootingMachine {
-                        kind: l.kind.clone(),
-                        zone: l.zone.clone(),
-                        spot: l.spot,
-                        requested_at,
-                    },
-                );
+            if listed.state == Listed::Failed {
+                failed.push(listed.name.clone());
+            } else if !self.booting.contains_key(&listed.name) {
+                self.adopt(cluster, listed, now);
             }
         }
-        for names in failed.chunks(MAX_MACHINES_PER_RELEASE) {
-            self.actions.push(Action::Deprovision(names.to_vec()));
-        }
+        self.begin_release(failed)
+    }
+
+    /// Expects heartbeats of a machine that an earlier leader provisioned, or whose grant was not heard.
+    fn adopt(&mut self, cluster: &Cluster, listed: &ListedMachine, now: Secs) {
+        log::info!(
+            "event=machine_adopted machine={} kind={}",
+            listed.name,
+            listed.kind
+        );
+        let since_request_s = if listed.state == Listed::Booting {
+            listed.age_s
+        } else {
+            let machine_type = cluster.types.get(&listed.kind);
+            machine_type.map_or(0.0, |machine_type| machine_type.boot_s)
+        };
+        self.add_booting(
+            listed.name.clone(),
+            Offer::of_listed(listed),
+            now - since_request_s,
+        );
+    }
+
+    /// Expects the first heartbeat of a machine.
+    fn add_booting(&mut self, name: String, offer: Offer, requested_at: Secs) {
+        let machine = BootingMachine {
+            offer,
+            requested_at,
+        };
+        self.booting.insert(name, machine);
     }
 }
--- a/crates/sched/src/autoscaler/scale_out.rs
+++ b/crates/sched/src/autoscaler/scale_out.rs
@@ -1,442 +1,205 @@
-//! Provisioning machines for work that finds none.
+//! Provisioning machines for work that finds none, beside those that are on their way already.
 
-use super::{allows, Offer, MIN_CHARGE_S};
-use crate::cluster::BusyMachines;
-use crate::leader::{Action, Leader, Rostered};
+use super::incoming::Incoming;
+use super::market::PricedOffer;
+use super::plan::Plan;
+use super::{Autoscaler, MIN_CHARGE_S};
+use crate::cluster::{BusyMachines, Cluster, Job};
 use crate::placement::Resources;
 use crate::Secs;
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeSet;
 use wire::cloud::ProvisionRequest;
-use wire::peers::{AllowedMachineType, TaskRequirements};
+use wire::peers::TaskRequirements;
 
-/// Most machines of one request (a figure of the protocol).
-const MAX_MACHINES_PER_REQUEST: u32 = 50;
+/// CPUs that a task counts for at least where CPUs that become free are counted in tasks: one that takes no CPUs
+/// would be found capacity without end.
+const MIN_TASK_CPUS: f64 = 0.01;
 
-/// An offer is not taken at this many times the price of one whose answer is still to come.
-const MAX_PRICE_RATIO: f64 = 1.3;
-
-/// Machines on their way that have the same capacity left.
-pub(super) struct IncomingMachines {
-    pub(super) offer: Offer,
-    pub(super) free: Resources,
-    pub(super) n: u32,
+/// Capacity that running tasks of arrays free again and again while a machine boots. What one job counts on is
+/// no longer there for the next.
+struct Turnover {
+    /// CPUs that become free in a second.
+    cpus_per_s: f64,
+    /// CPUs that jobs count on already.
+    taken_cpus: f64,
 }
 
-/// Takes capacity for up to `left` tasks out of what is on its way; says how many remain.
-fn use_incoming(
-    incoming: &mut Vec<IncomingMachines>,
-    allowed: impl Fn(&Offer) -> bool,
-    resources: Resources,
-    mut left: u32,
-) -> u32 {
-    let mut changed = Vec::new();
-    for c in incoming.iter_mut().filter(|c| allowed(&c.offer)) {
-        let slots = c.free.count_fitting(resources);
-        if left == 0 || slots == 0 {
-            continue;
-        }
-        let whole = (left / slots).min(c.n);
-        let part = if whole < c.n { left - whole * slots } else { 0 };
-        for (n, tasks) in [(whole, slots), (u32::from(part > 0), part)] {
-            if n > 0 {
-                let mut free = c.free;
-                free.sub(resources.scaled(tasks));
-                changed.push(IncomingMachines {
-                    offer: c.offer.clone(),
-                    free,
-                    n,
-                });
-                c.n -= n;
-                left -= n * tasks;
-            }
-        }
+impl Turnover {
+    /// How many of `tasks` will find capacity by the time a machine has booted. Jobs that come meanwhile take
+    /// `arriving_cpus_per_s` of what becomes free.
+    fn serve(&mut self, tasks: u32, cpus: f64, boot_s: Secs, arriving_cpus_per_s: f64) -> u32 {
+        let net_cpus_per_s = (self.cpus_per_s - arriving_cpus_per_s).max(0.0);
+        let served = ((net_cpus_per_s * boot_s - self.taken_cpus) / cpus.max(MIN_TASK_CPUS))
+            .floor()
+            .clamp(0.0, f64::from(tasks));
+        self.taken_cpus += served * cpus;
+        served as u32
     }
-    incoming.retain(|c| c.n > 0);
-    incoming.append(&mut changed);
-    left
 }
 
-impl Leader {
-    fn incoming(&self) -> Vec<IncomingMachines> {
-        let mut sums: BTreeMap<Offer, u32> = BTreeMap::new();
-        let booting = self
-            .autoscaler
-            .booting
-            .values()
-            .map(|b| (&b.kind, &b.zone, b.spot, 1));
-        let requested = self
-            .autoscaler
-            .requested
-            .values()
-            .map(|h| (&h.kind, &h.zone, h.spot, h.count));
-        let freshness_reads = self
-            .cluster
-            .machines
-            .values()
-            .filter(|m| m.rostered != Rostered::Yes && m.lapsed_at.is_none() && !m.drain)
-            .map(|m| (&m.kind, &m.zone, m.spot, 1));
-        for (kind, zone, spot, n) in booting.chain(requested).chain(freshness_reads) {
-            *sums.entry((kind.clone(), zone.clone(), spot)).or_default() += n;
-        }
-        sums.into_iter()
-            .filter_map(|(offer, n)| {
-                Some(IncomingMachines {
-                    free: self.cluster.capacity(&offer.0)?,
-                    offer,
-                    n,
-                })
-            })
-            .collect()
+/// One review of the work that found no machine. It changes nothing of the cluster; what it plans counts as
+/// incoming for the rest of the work.
+pub(super) struct ScaleOut<'a> {
+    /// What is under way, and which machines and zones are kept for gangs.
+    pub autoscaler: &'a mut Autoscaler,
+    /// What is decided on.
+    pub cluster: &'a Cluster,
+    /// Machine types that are the only ones for some class: spared for its jobs.
+    scarce: &'a BTreeSet<(String, bool)>,
+    /// Source of the noise on prices.
+    pub rng: &'a mut fastrand::Rng,
+    /// The time of the review.
+    pub now: Secs,
+    /// Capacity on its way that no job counts on yet.
+    pub incoming: Incoming,
+    /// What the review asks for.
+    pub plan: Plan,
+    /// Capacity that becomes free while machines boot.
+    turnover: Turnover,
+    /// Whether a gang waits for scarce machine types.
+    gang_waits_for_scarce: bool,
+    /// When machines in use become empty; looked up for the first gang.
+    busy_machines: Option<BusyMachines>,
+}
+
+impl Autoscaler {
+    /// Requests for what the work lacks that found no machine, beside what is on its way.
+    pub(super) fn scale_out(
+        &mut self,
+        cluster: &Cluster,
+        scarce: &BTreeSet<(String, bool)>,
+        token: u64,
+        rng: &mut fastrand::Rng,
+        now: Secs,
+    ) -> Vec<ProvisionRequest> {
+        self.retained.clear();
+        let review = ScaleOut {
+            incoming: self.incoming(cluster),
+            autoscaler: self,
+            cluster,
+            scarce,
+            rng,
+            now,
+            plan: Plan::default(),
+            turnover: Turnover {
+                cpus_per_s: cluster.turnover(),
+                taken_cpus: 0.0,
+            },
+            gang_waits_for_scarce: cluster.waits_for_scarce(scarce),
+            busy_machines: None,
+        };
+        let plan = review.run();
+        self.requests(plan, token)
     }
+}
 
-    pub(super) fn scale_out(&mut self, scarce: &BTreeSet<(String, bool)>, now: Secs) {
-        let mut incoming = self.incoming();
-        // Running tasks free their capacity again and again while a machine boots.
-        let turnover = self.cluster.turnover();
-        let mut expected_free = 0.0;
-        let gang_waits = self.cluster.waits_for_scarce(scarce);
-        let mut busy_machines: Option<BusyMachines> = None;
-        let mut planned: BTreeMap<Offer, u32> = BTreeMap::new();
-        self.autoscaler.retained.clear();
-        for (id, n) in self.cluster.unmet.clone() {
-            let Some(job) = self.cluster.jobs.get(&id) else {
+impl ScaleOut<'_> {
+    /// Plans machines for each job that found none, in the order of the queue.
+    fn run(mut self) -> Plan {
+        let cluster = self.cluster;
+        for (id, tasks) in &cluster.unmet {
+            let Some(job) = cluster.jobs.get(id) else {
                 continue;
             };
-            let resources = job.resources();
-            let requirements = self.cluster.requirements_sparing(job, scarce);
-            if now < job.reclaims_until {
-                continue;
-            }
-            if job.is_gang() {
-                let mut slots = busy_machines
-                    .take()
-                    .unwrap_or_else(|| self.cluster.busy_until(&requirements, now));
-                if !self.cluster.can_wait(&id, &requirements, &mut slots, now) {
-                    self.scale_out_for_gang(&id, &requirements, &mut incoming, &mut planned, now);
-                }
-                busy_machines = Some(slots);
+            // Capacity is being taken back for it.
+            if self.now < job.reclaims_until {
                 continue;
             }
-            let all = self.cluster.requirements(job, None);
-            let mut left = use_incoming(
-                &mut incoming,
-                |o| allows(&all, &requirements.zone, o),
-                resources,
-                n,
-            );
-            while left > 0 {
-                let mut found = self.cheapest(
-                    &requirements.kinds,
-                    requirements.zone.as_deref(),
-                    resources,
-                    left,
-                    &planned,
-                    now,
-                );
-                if found.is_none() && !gang_waits && self.all_exhausted(&requirements) {
-                    // Types kept for gangs, while none waits and the others are used up.
-                    found = self.cheapest(
-                        &all.kinds,
-                        requirements.zone.as_deref(),
-                        resources,
-                        left,
-                        &planned,
-                        now,
-                    );
-                }
-                let Some((offer, capacity)) = found else {
-                    break;
-                };
-                let boot = self
-                    .cluster
-                    .types
-                    .get(&offer.0)
-                    .map_or(MIN_CHARGE_S, |t| t.boot_s);
-                // New jobs take a part of what becomes free meanwhile.
-                let net =
-                    (turnover - self.autoscaler.arrival_rate(now, boot.max(MIN_CHARGE_S))).max(0.0);
-                let served = ((net * boot - expected_free) / resources.cpus.max(0.01))
-                    .floor()
-                    .clamp(0.0, f64::from(left));
-                expected_free += served * resources.cpus;
-                left -= served as u32;
-                if left == 0 || capacity.count_fitting(resources) == 0 {
-                    break;
-                }
-                left = self.plan(
-                    offer,
-                    capacity,
-                    resources,
-                    left,
-                    &mut incoming,
-                    &mut planned,
-                );
+            let requirements = cluster.requirements_sparing(job, self.scarce);
+            if !job.is_gang() {
+                self.plan_for_array(job, &requirements, *tasks);
+            } else if !self.can_wait_for_busy_machines(id, &requirements) {
+                self.plan_for_gang(id, job, &requirements);
             }
         }
-        for ((kind, zone, spot), mut count) in planned {
-            while count > 0 {
-                self.autoscaler.counter += 1;
-                let name = format!("lr-{}-{}", self.token(), self.autoscaler.counter);
-                let request = ProvisionRequest {
-                    name: name.clone(),
-                    kind: kind.clone(),
-                    zone: zone.clone(),
-                    spot,
-                    count: count.min(MAX_MACHINES_PER_REQUEST),
-                };
-                count -= request.count;
-                log::info!(
-                    "event=provision name={name} kind={} zone={} spot={} count={}",
-                    request.kind,
-                    request.zone,
-                    request.spot,
-                    request.count
-                );
-                self.autoscaler.requested.insert(name, request.clone());
-                self.actions.push(Action::Provision(request));
-            }
-        }
-    }
-
-    /// Has machines of an offer provisioned for `left` tasks, as many as may be asked for at present; says
-    /// how many tasks remain. At least one task must fit.
-    fn plan(
-        &self,
-        offer: Offer,
-        capacity: Resources,
-        resources: Resources,
-        left: u32,
-        incoming: &mut Vec<IncomingMachines>,
-        planned: &mut BTreeMap<Offer, u32>,
-    ) -> u32 {
-        let n = (left / capacity.count_fitting(resources))
-            .clamp(1, self.request_limit(&offer, planned).max(1));
-        incoming.push(IncomingMachines {
-            offer: offer.clone(),
-            free: capacity,
-            n,
-        });
-        *planned.entry(offer.clone()).or_default() += n;
-        use_incoming(incoming, |o| *o == offer, resources, left)
+        self.plan
     }
 
-    /// Whether any offer on which these tasks may run was not refused lately.
-    fn any_offer(&self, requirements: &TaskRequirements, now: Secs) -> bool {
-        self.offers(requirements)
-            .any(|o| self.autoscaler.available(&o, now))
+    /// Whether a gang gets machines that are in use early enough; it then counts on them.
+    fn can_wait_for_busy_machines(&mut self, id: &str, requirements: &TaskRequirements) -> bool {
+        let (cluster, now) = (self.cluster, self.now);
+        let busy_machines = self
+            .busy_machines
+            .get_or_insert_with(|| cluster.busy_until(requirements, now));
+        cluster.can_wait(id, requirements, busy_machines, now)
     }
 
-    /// Whether the cloud refused every offer on which these tasks may run when it was last asked for.
-    fn all_exhausted(&self, requirements: &TaskRequirements) -> bool {
-        self.offers(requirements)
-            .all(|o| self.autoscaler.is_exhausted(&o))
+    /// Plans machines for tasks of an array that will find neither capacity on its way nor capacity that
+    /// running tasks free.
+    fn plan_for_array(&mut self, job: &Job, sparing: &TaskRequirements, tasks: u32) {
+        let resources = job.resources();
+        let all = self.cluster.requirements(job, None);
+        let mut left = self
+            .incoming
+            .take(|offer| offer.is_allowed_by(&all), resources, tasks);
+        while left > 0 {
+            let Some(choice) = self.cheapest_sparing(sparing, &all, left) else {
+                break;
+            };
+            left -= self.serve_by_turnover(left, resources.cpus, choice.boot_s);
+            if left > 0 {
+                left = self.provision(choice, resources, left);
+            }
+        }
     }
 
-    /// The offers on which these tasks may run.
-    fn offers<'a>(
-        &'a self,
-        requirements: &'a TaskRequirements,
-    ) -> impl Iterator<Item = Offer> + 'a {
-        let offers = requirements.kinds.iter().flat_map(|a| {
-            let zones = self
-                .cluster
-                .types
-                .get(&a.kind)
-                .map_or(&[][..], |t| &t.zones);
-            zones.iter().map(|z| (a.kind.clone(), z.clone(), a.spot))
-        });
-        offers.filter(|o| allows(requirements, &requirements.zone, o))
+    /// The cheapest offer without scarce machine types; with them while no gang waits for them and the others
+    /// are used up.
+    fn cheapest_sparing(
+        &mut self,
+        sparing: &TaskRequirements,
+        all: &TaskRequirements,
+        tasks: u32,
+    ) -> Option<PricedOffer> {
+        let found = self.cheapest(sparing, tasks);
+        if found.is_none() && !self.gang_waits_for_scarce && self.has_only_exhausted_offers(sparing)
+        {
+            return self.cheapest(all, tasks);
+        }
+        found
     }
 
-    /// How many more machines of an offer may be asked for at present: what is refused shows
-    /// only in the answers, and requests are few.
-    fn request_limit(&self, offer: &Offer, planned: &BTreeMap<Offer, u32>) -> u32 {
-        let requested = self
-            .autoscaler
-            .requested
-            .values()
-            .filter(|h| (&h.kind, &h.zone, h.spot) == (&offer.0, &offer.1, offer.2));
-        let sum: u32 =
-            requested.map(|h| h.count).sum::<u32>() + planned.get(offer).copied().unwrap_or(0);
-        // One machine shows whether there are some again.
-        let most = if self.autoscaler.is_exhausted(offer) {
-            1
-        } else {
-            MAX_MACHINES_PER_REQUEST * 2
-        };
-        most.saturating_sub(sum)
+    /// How many tasks need no machine that boots: running tasks make way for them as soon.
+    fn serve_by_turnover(&mut self, tasks: u32, cpus: f64, boot_s: Secs) -> u32 {
+        let arrivals = &self.autoscaler.arrivals;
+        let arriving_cpus_per_s = arrivals.cpus_per_s(self.now, boot_s.max(MIN_CHARGE_S));
+        self.turnover
+            .serve(tasks, cpus, boot_s, arriving_cpus_per_s)
     }
 
-    /// Provisions what a whole gang lacks. If its job wants one zone, that is the one which lacks
-    /// least of those that are said to have machines, and it is kept to: half a gang's machines
-    /// in each of two zones serve nobody. What is there for it already is not returned.
-    fn scale_out_for_gang(
-        &mut self,
-        id: &str,
-        requirements: &TaskRequirements,
-        incoming: &mut Vec<IncomingMachines>,
-        planned: &mut BTreeMap<Offer, u32>,
-        now: Secs,
-    ) {
-        let Some(job) = self.cluster.jobs.get(id) else {
-            return;
-        };
-        let (resources, n, spread) = (job.resources(), job.spec.tasks, job.spec.spread);
-        let every: BTreeSet<Option<String>> = requirements
-            .kinds
-            .iter()
-            .filter_map(|a| self.cluster.types.get(&a.kind))
-            .flat_map(|t| t.zones.iter().cloned().map(Some))
-            .collect();
-        if requirements.zone.is_some() || !job.spec.one_zone && !spread {
-            self.scale_out_in_zone(requirements, resources, n, incoming, planned, now);
-            return;
-        }
-        let within = |zone: &Option<String>| TaskRequirements {
-            zone: zone.clone(),
-            ..requirements.clone()
-        };
-        let has = |l: &Leader, zone: &Option<String>| {
-            let here: u32 = l
-                .cluster
-                .index
-                .fits(&within(zone))
-                .iter()
-                .map(|f| f.slots)
-                .sum();
-            let on_way: u32 = incoming
-                .iter()
-                .filter(|c| allows(requirements, zone, &c.offer))
-                .map(|c| c.free.count_fitting(resources) * c.n)
-                .sum();
-            here.saturating_add(on_way)
-        };
-        let offers = |l: &Leader, zone: &Option<String>| l.any_offer(&within(zone), now);
-        if spread {
-            // No zone may have more than half: what is above that in one is of no use.
-            let half = n.div_ceil(2);
-            let mut order: Vec<_> = every
-                .iter()
-                .map(|z| (!offers(self, z), has(self, z).min(half), z.clone()))
-                .collect();
-            order.sort_by_key(|(none, has, _)| (*none, std::cmp::Reverse(*has)));
-            let mut left = n;
-            for (_, _, zone) in order {
-                let take = left.min(half);
-                left -= take;
-                self.scale_out_in_zone(&within(&zone), resources, take, incoming, planned, now);
-            }
-            return;
-        }
-        let lacks = |l: &Leader, zone: &Option<String>| n.saturating_sub(has(l, zone));
-        let long = self.cluster.waits_long(id, now);
-        let good = |z: &&Option<String>| {
-            every.contains(*z) && (long || lacks(self, z) == 0 || offers(self, z))
-        };
-        let stays = self.autoscaler.gang_zones.get(id).filter(good).cloned();
-        let best = || {
-            every
-                .iter()
-                .min_by_key(|z| (lacks(self, z) > 0 && !offers(self, z), lacks(self, z)))
-                .cloned()
-        };
-        let Some(zone) = stays.or_else(best) else {
-            return;
-        };
-        self.autoscaler.gang_zones.insert(id.into(), zone.clone());
-        self.scale_out_in_zone(&within(&zone), resources, n, incoming, planned, now);
+    /// Plans machines of an offer for `left` tasks, as many as may be asked for at present but at least one; says
+    /// how many tasks remain, always fewer.
+    fn provision(&mut self, choice: PricedOffer, resources: Resources, left: u32) -> u32 {
+        let PricedOffer {
+            offer, capacity, ..
+        } = choice;
+        let most = self.request_limit(&offer).max(1);
+        let count = (left / capacity.count_fitting(resources)).clamp(1, most);
+        self.incoming.add(offer.clone(), capacity, count);
+        let left = self.incoming.take(|other| *other == offer, resources, left);
+        self.plan.add(offer, count);
+        left
     }
 
-    /// Keeps what is free for `n` tasks, and provisions what they lack beside what is on its way.
-    fn scale_out_in_zone(
-        &mut self,
-        requirements: &TaskRequirements,
-        resources: Resources,
-        n: u32,
-        incoming: &mut Vec<IncomingMachines>,
-        planned: &mut BTreeMap<Offer, u32>,
-        now: Secs,
-    ) {
-        let mut left = n;
-        for f in self.cluster.index.fits(requirements) {
+    /// Keeps what is free for `tasks`, and plans machines for what they lack beside what is on its way.
+    pub fn provision_in_zone(&mut self, requirements: &TaskRequirements, tasks: u32) {
+        let resources = Resources::of(requirements);
+        let mut left = tasks;
+        for fit in self.cluster.index.fits(requirements) {
             if left == 0 {
                 break;
             }
-            left -= f.slots.min(left);
-            self.autoscaler.retained.insert(f.name.to_string());
+            left -= fit.slots.min(left);
+            self.autoscaler.retained.insert(fit.name.to_string());
         }
-        left = use_incoming(
-            incoming,
-            |o| allows(requirements, &requirements.zone, o),
-            resources,
-            left,
-        );
+        left = self
+            .incoming
+            .take(|offer| offer.is_allowed_by(requirements), resources, left);
         while left > 0 {
-            let Some((offer, capacity)) = self.cheapest(
-                &requirements.kinds,
-                requirements.zone.as_deref(),
-                resources,
-                left,
-                planned,
-                now,
-            ) else {
+            let Some(choice) = self.cheapest(requirements, left) else {
                 break;
             };
-            if capacity.count_fitting(resources) == 0 {
-                break;
-            }
-            left = self.plan(offer, capacity, resources, left, incoming, planned);
-        }
-    }
-
-    /// The offer with the lowest price per task that fits, preferring one that is not too big.
-    /// None if what costs much less than the rest is being asked for to the limit: its answer
-    /// comes soon.
-    fn cheapest(
-        &mut self,
-        kinds: &[AllowedMachineType],
-        zone: Option<&str>,
-        resources: Resources,
-        n: u32,
-        planned: &BTreeMap<Offer, u32>,
-        now: Secs,
-    ) -> Option<(Offer, Resources)> {
-        let mut best: Option<(f64, Offer, Resources)> = None;
-        let mut least = f64::MAX;
-        for AllowedMachineType { kind, spot, .. } in kinds {
-            let Some(t) = self.cluster.types.get(kind) else {
-                continue;
-            };
-            let capacity = Resources::of_type(t);
-            let slots = capacity.count_fitting(resources).min(n);
-            if slots == 0 {
-                continue;
-            }
-            // Boot time is paid as well; a peak pays for little more than the least charge.
-            let hourly = if *spot { t.spot_price } else { t.price };
-            let price = hourly * (t.boot_s + MIN_CHARGE_S) / f64::from(slots);
-            for z in t
-                .zones
-                .iter()
-                .filter(|z| zone.is_none_or(|w| w == z.as_str()))
-            {
-                let offer = (kind.clone(), z.clone(), *spot);
-                // A little noise spreads machines over zones of the same price.
-                let price = price * (1.0 + 0.01 * self.rng.f64());
-                let is_probed = self.autoscaler.is_exhausted(&offer)
-                    && self.request_limit(&offer, planned) == 0;
-                if !self.autoscaler.available(&offer, now) || is_probed {
-                    continue;
-                }
-                least = least.min(price);
-                if self.request_limit(&offer, planned) > 0
-                    && best.as_ref().is_none_or(|(p, _, _)| price < *p)
-                {
-                    best = Some((price, offer, capacity));
-                }
-            }
+            left = self.provision(choice, resources, left);
         }
-        best.filter(|(price, _, _)| *price <= least * MAX_PRICE_RATIO)
-            .map(|(_, offer, capacity)| (offer, capacity))
     }
 }
--- a/crates/sched/src/leader/mod.rs
+++ b/crates/sched/src/leader/mod.rs
@@ -9,6 +9,7 @@
 mod notices;
 mod progress;
 mod requeue;
+mod scaling;
 mod summary;
 
 pub(crate) use crate::cluster::{
--- a/crates/sched/src/leader/summary.rs
+++ b/crates/sched/src/leader/summary.rs
@@ -50,7 +50,7 @@
                 .sum(),
             running: self.cluster.jobs.values().map(|j| j.active.len()).sum(),
             machines: self.cluster.machines.len(),
-            booting: self.autoscaler.booting.len(),
+            booting: self.autoscaler.booting_count(),
             unreconciled: self
                 .cluster
                 .machines
