--- a/crates/sched/src/leader/mod.rs
+++ b/crates/sched/src/leader/mod.rs
@@ -17,6 +17,7 @@
 mod reconciliation;
 mod requeue;
 mod running_counts;
+mod scaling;
 mod shard_epochs;
 mod started_arrays;
 mod stops;
--- a/crates/sched/src/leader/summary.rs
+++ b/crates/sched/src/leader/summary.rs
@@ -67,7 +67,7 @@
             queued: jobs.clone().map(|job| job.ready.len() as usize).sum(),
             running: jobs.clone().map(|job| job.active.len()).sum(),
             machines: self.cluster.machines.len(),
-            booting: self.autoscaler.booting.len(),
+            booting: self.autoscaler.booting_count(),
             unreconciled: machines.filter(|machine| !machine.reconciled).count(),
             ordinary: self.cpu_use(false),
             spot: self.cpu_use(true),
