--- a/crates/sched/src/owner/assigned_jobs.rs
+++ b/crates/sched/src/owner/assigned_jobs.rs
@@ -1,4 +1,4 @@
-//! What the tasks of jobs take, as the leader says it with each task that it gives to an owner.
+//! What the tasks of jobs take, as the leader says it with each task that it assigns to an owner.
 
 use crate::placement::Resources;
 use crate::Secs;
@@ -10,7 +10,10 @@
     image: String,
 }
 
-/// The jobs of which tasks were given.
+/// The jobs of which tasks were assigned.
+///
+/// Invariant: a job with a task on a machine, reserved or in the backlog that the leader assigned here
+/// is known, even if this controller's own replica of the store has stayed behind.
 #[derive(Default)]
 pub(super) struct AssignedJobs {
     jobs: BTreeMap<String, AssignedJob>,
@@ -18,7 +21,7 @@
 }
 
 impl AssignedJobs {
-    /// Takes what a job's tasks need.
+    /// Takes what a job's tasks need, if that is new.
     pub(super) fn learn(&mut self, job: &str, requirements: &TaskRequirements) {
         if !self.jobs.contains_key(job) {
             let assigned = AssignedJob {
@@ -37,8 +40,8 @@
         self.jobs.get(job).map(|assigned| assigned.image.as_str())
     }
 
-    /// Whether it is time to forget what is not in use any more; not asked again for that long.
-    pub(super) fn is_due(&mut self, now: Secs, every: Secs) -> bool {
+    /// Whether the last review of what is in use is `every` seconds ago; if so, one takes place now.
+    pub(super) fn begin_review(&mut self, now: Secs, every: Secs) -> bool {
         let is_due = now - self.reviewed_at >= every;
         if is_due {
             self.reviewed_at = now;
--- /dev/null
+++ b/crates/sched/src/owner/backlog.rs
@@ -0,0 +1,95 @@
+//! Tasks that wait at their owner for resources to become free.
+
+use super::machine::OwnedMachine;
+use super::outbox::Outbox;
+use super::pending_starts::StartGroup;
+use crate::placement::Resources;
+use crate::ranges::runs;
+use crate::Secs;
+use std::collections::VecDeque;
+use wire::peers::TaskRequirements;
+
+/// Array tasks that wait until `until`.
+pub(super) struct BacklogEntry {
+    pub(super) job: String,
+    pub(super) attempt: u64,
+    pub(super) requirements: TaskRequirements,
+    pub(super) indexes: VecDeque<u32>,
+    pub(super) until: Secs,
+}
+
+/// Tasks that start on whichever machine shows free resources for them first.
+///
+/// Invariant: a task leaves by being started on a machine or by being handed back, and only an epoch
+/// drops it otherwise; entries keep the order in which the leader sent them.
+#[derive(Default)]
+pub(super) struct Backlog {
+    entries: VecDeque<BacklogEntry>,
+}
+
+impl Backlog {
+    pub(super) fn push(&mut self, entry: BacklogEntry) {
+        self.entries.push_back(entry);
+    }
+
+    pub(super) fn is_empty(&self) -> bool {
+        self.entries.is_empty()
+    }
+
+    pub(super) fn clear(&mut self) {
+        self.entries.clear();
+    }
+
+    /// The jobs that have an entry.
+    pub(super) fn jobs(&self) -> impl Iterator<Item = &str> {
+        self.entries.iter().map(|entry| entry.job.as_str())
+    }
+
+    /// Hands all tasks of a job back to the leader.
+    pub(super) fn hand_back_job(&mut self, job: &str, outbox: &mut Outbox) {
+        self.hand_back(|entry| entry.job == job, outbox);
+    }
+
+    /// Hands back the tasks whose wait has ended.
+    pub(super) fn hand_back_expired(&mut self, now: Secs, outbox: &mut Outbox) {
+        self.hand_back(|entry| now >= entry.until, outbox);
+    }
+
+    fn hand_back(&mut self, is_over: impl Fn(&BacklogEntry) -> bool, outbox: &mut Outbox) {
+        self.entries.retain_mut(|entry| {
+            let over = is_over(entry);
+            if over {
+                let tasks = runs(std::mem::take(&mut entry.indexes));
+                outbox.hand_back(std::mem::take(&mut entry.job), entry.attempt, tasks);
+            }
+            !over
+        });
+    }
+
+    /// Moves as many tasks to a machine as its free resources and one answer allow.
+    pub(super) fn start_on(
+        &mut self,
+        machine: &mut OwnedMachine,
+        mut free: Resources,
+        is_terminal: impl Fn(&str) -> bool,
+    ) {
+        for entry in &mut self.entries {
+            if !machine.is_allowed_by(&entry.requirements) || is_terminal(&entry.job) {
+                continue;
+            }
+            let resources = Resources::of(&entry.requirements);
+            let count = (free.count_fitting(resources) as usize)
+                .min(entry.indexes.len())
+                .min(machine.room_in_response());
+            free.sub(resources.scaled(count as u32));
+            let group = StartGroup {
+                job: &entry.job,
+                attempt: entry.attempt,
+                resources,
+                image: &entry.requirements.image,
+            };
+            machine.add_starts(&group, entry.indexes.drain(..count));
+        }
+        self.entries.retain(|entry| !entry.indexes.is_empty());
+    }
+}
--- a/crates/sched/src/owner/heartbeats.rs
+++ b/crates/sched/src/owner/heartbeats.rs
@@ -1,14 +1,7 @@
 //! Heartbeats of machines, and the answers to them. Tasks start in these answers only.
 
-use super::machine::{
-    add_starts, new_machine, orders, reconcile_orders, withdraw_starts, STARTS_AT_ONCE,
-};
 use super::{HeartbeatResponse, Jobs, Owner};
-use crate::placement::{tier, Resources};
-use crate::shard;
 use crate::Secs;
-use std::collections::BTreeMap;
-use wire::peers::{TaskRef, TaskStatus};
 use wire::split_task;
 use wire::workers::{Heartbeat, Order, Orders, TaskState};
 
@@ -20,164 +13,90 @@
         now: Secs,
         jobs: &dyn Jobs,
     ) -> HeartbeatResponse {
-        if !self.has_authority(now) || self.token == 0 {
-            return HeartbeatResponse::Unavailable;
-        }
-        match shard::owner(&heartbeat.machine, &self.members) {
-            Some(o) if o == self.member => {}
-            Some(o) => return HeartbeatResponse::Redirect(o.to_string()),
-            None => return HeartbeatResponse::Unavailable,
-        }
-        let (token, since) = (self.token, self.epoch_at + self.extra_s);
-        if !self.machines.contains_key(&heartbeat.machine) {
-            let new = new_machine(
-                heartbeat.kind.clone(),
-                heartbeat.zone.clone(),
-                heartbeat.spot,
-                token,
-                since,
-            );
-            self.machines.insert(heartbeat.machine.clone(), new);
+        if let Some(refusal) = self.refusal(heartbeat, now) {
+            return refusal;
         }
-        let Some(m) = self.machines.get_mut(&heartbeat.machine) else {
+        let machine = self.machines.find_or_add(heartbeat, &self.epoch);
+        if machine.is_stale_copy(heartbeat) {
             return HeartbeatResponse::Unavailable;
-        };
-        let order = (heartbeat.incarnation, heartbeat.seq);
-        if m.known && order <= (m.incarnation, m.seq)
-            || m.lapsed && heartbeat.incarnation <= m.last_heard
-        {
-            // A copy that was held up; nobody waits for its answer any more.
-            return HeartbeatResponse::Unavailable;
-        }
-        m.answered = m.answered.max(now);
-        if !m.lapsed {
-            m.last_heard = m.last_heard.max(heartbeat.incarnation);
         }
-        let is_terminal = |job: &str| self.terminal_jobs.contains_key(job) || jobs.is_terminal(job);
-        if heartbeat.token < m.since {
-            // The answer tells the worker the token; the heartbeat that shows it will count. It prolongs
-            // the lease, though, and leaders may change faster than workers heartbeat: what is over is
-            // stopped all the same, for that is safe whenever the heartbeat was sent.
-            let live = heartbeat
-                .tasks
-                .iter()
-                .filter(|t| t.state != TaskState::Exited);
-            let known =
-                live.filter(|t| split_task(&t.task).is_some_and(|(job, _)| is_terminal(job)));
-            let orders = known
-                .map(|t| Order::Stop {
-                    task: t.task.clone(),
-                    attempt: t.attempt,
-                    grace_s: 0.0,
-                })
-                .collect();
-            return HeartbeatResponse::Orders(Orders { token, orders });
+        machine.renew_lease(heartbeat, now);
+        let is_terminal = |job: &str| self.terminal_jobs.is_terminal(job, jobs);
+        if !machine.counts(heartbeat) {
+            return self.respond(stops_of_terminal_jobs(heartbeat, is_terminal));
         }
-        // A worker that gets its answer stays, so that its next heartbeat comes here as well; one that
-        // does not goes to the next controller first. What such a machine was to start it never
-        // will: this heartbeat lacks it, and no later answer repeats it.
-        let unreachable = m.is_unreachable();
-        if m.last_ordered != (0, 0) {
-            m.missed_responses = if order == (m.last_ordered.0, m.last_ordered.1 + 1) {
-                0
-            } else {
-                m.missed_responses + 1
-            };
+        machine.take_status(heartbeat);
+        if machine.withdraw_lost_starts(&heartbeat.machine, &mut self.outbox) {
+            self.outbox.show_changes();
         }
-        m.last_ordered = order;
-        m.dirty |= m.is_unreachable() != unreachable;
-        m.dirty |= m.lapsed || !m.known;
-        m.lapsed = false;
-        m.known = true;
-        m.last_heard = m.last_heard.max(heartbeat.incarnation);
-        (m.incarnation, m.seq) = order;
-        let tasks: BTreeMap<TaskRef, TaskStatus> = heartbeat
-            .tasks
-            .iter()
-            .filter_map(|t| {
-                let (job, index) = split_task(&t.task)?;
-                let task = TaskRef {
-                    job: job.into(),
-                    index,
-                    attempt: t.attempt,
-                };
-                Some((
-                    task.clone(),
-                    TaskStatus {
-                        task,
-                        state: t.state,
-                        why: t.why,
-                        saved: t.saved.unwrap_or(false),
-                    },
-                ))
-            })
-            .collect();
-        if tasks != m.tasks || heartbeat.notice_s.is_some() != m.notice_s.is_some() {
-            m.dirty = true;
+        machine.reconcile_orders(is_terminal, &mut self.outbox);
+        let may_start = now < self.authority.starts_until();
+        if may_start {
+            self.start_from_backlog(&heartbeat.machine, jobs);
         }
-        m.tasks = tasks;
-        m.notice_s = heartbeat.notice_s;
-        if m.is_unreachable() {
-            log::info!(
-                "event=starts_lost machine={} tasks={}",
-                heartbeat.machine,
-                m.pending.len()
-            );
-            self.show |= withdraw_starts(m, &mut self.out, |_| true);
-        }
-        reconcile_orders(m, is_terminal, &mut self.out);
-        let starts = now < self.authority.starts_until();
-        if starts {
-            self.fill(&heartbeat.machine, jobs);
+        self.respond_with_orders(&heartbeat.machine, may_start)
+    }
+
+    /// Why this controller may not answer a heartbeat with orders; none if it may.
+    fn refusal(&self, heartbeat: &Heartbeat, now: Secs) -> Option<HeartbeatResponse> {
+        if !self.has_authority(now) || self.epoch.token() == 0 {
+            return Some(HeartbeatResponse::Unavailable);
         }
-        let Some(m) = self.machines.get(&heartbeat.machine) else {
-            return HeartbeatResponse::Unavailable;
-        };
-        // What is pending stays so until knowledge is fresh enough for starts.
-        let orders = orders(m, starts);
-        if m.dirty {
-            self.dirty_machines.insert(heartbeat.machine.clone());
+        match self.epoch.owner_of(&heartbeat.machine) {
+            Some(owner) if owner == self.member => None,
+            Some(owner) => Some(HeartbeatResponse::Redirect(owner.to_string())),
+            None => Some(HeartbeatResponse::Unavailable),
         }
-        HeartbeatResponse::Orders(Orders { token, orders })
     }
 
-    /// Fills what a machine's heartbeat shows to be free with tasks that wait for capacity, in the very
-    /// answer: otherwise the capacity waits for the leader and then for the machine's next heartbeat.
-    fn fill(&mut self, name: &str, jobs: &dyn Jobs) {
+    /// Fills what a machine's heartbeat shows to be free from the backlog, in the very answer:
+    /// otherwise the resources wait for the leader and then for the machine's next heartbeat.
+    fn start_from_backlog(&mut self, name: &str, jobs: &dyn Jobs) {
         if self.backlog.is_empty() {
             return;
         }
-        let Some(m) = self.machines.get(name).filter(|m| m.open()) else {
+        let Some(machine) = self.machines.get(name).filter(|m| m.is_open()) else {
             return;
         };
-        let Some(mut free) = self.free(name, m, jobs) else {
+        let Some(free) = self.free_resources(name, machine, jobs) else {
             return;
         };
-        let Some(m) = self.machines.get_mut(name) else {
-            return;
+        let is_terminal = |job: &str| self.terminal_jobs.is_terminal(job, jobs);
+        if let Some(machine) = self.machines.get_mut(name) {
+            self.backlog.start_on(machine, free, is_terminal);
+        }
+    }
+
+    fn respond_with_orders(&mut self, name: &str, may_start: bool) -> HeartbeatResponse {
+        let Some(machine) = self.machines.get(name) else {
+            return HeartbeatResponse::Unavailable;
         };
-        for a in self.backlog.iter_mut() {
-            if tier(&a.requirements, &m.kind, &m.zone, m.spot).is_none()
-                || jobs.is_terminal(&a.job)
-                || self.terminal_jobs.contains_key(&a.job)
-            {
-                continue;
-            }
-            let resources = Resources::of(&a.requirements);
-            let most = STARTS_AT_ONCE.saturating_sub(m.pending.len());
-            let n = (free.count_fitting(resources) as usize)
-                .min(a.indexes.len())
-                .min(most);
-            free.sub(resources.scaled(n as u32));
-            add_starts(
-                m,
-                &a.job,
-                a.attempt,
-                a.indexes.drain(..n),
-                resources,
-                &a.requirements.image,
-            );
+        if machine.is_dirty() {
+            self.dirty_machines.insert(name.to_string());
         }
-        self.backlog.retain(|a| !a.indexes.is_empty());
+        self.respond(machine.orders(may_start))
     }
+
+    fn respond(&self, orders: Vec<Order>) -> HeartbeatResponse {
+        let token = self.epoch.token();
+        HeartbeatResponse::Orders(Orders { token, orders })
+    }
+}
+
+/// The answer to a heartbeat that shows an old token: it tells the worker the token, and the heartbeat
+/// that shows that one will count. It prolongs the lease, though, and leaders may change faster than
+/// heartbeats come: tasks of terminal jobs are stopped all the same, for that is safe whenever the
+/// heartbeat was sent.
+fn stops_of_terminal_jobs(heartbeat: &Heartbeat, is_terminal: impl Fn(&str) -> bool) -> Vec<Order> {
+    let live = heartbeat
+        .tasks
+        .iter()
+        .filter(|task| task.state != TaskState::Exited);
+    live.filter(|task| split_task(&task.task).is_some_and(|(job, _)| is_terminal(job)))
+        .map(|task| Order::Stop {
+            task: task.task.clone(),
+            attempt: task.attempt,
+            grace_s: 0.0,
+        })
+        .collect()
 }
--- a/crates/sched/src/owner/machine.rs
+++ b/crates/sched/src/owner/machine.rs
@@ -1,231 +1,365 @@
-//! A machine as its owner sees it: what its newest heartbeat shows, and what it is to start, stop and clear.
+//! A machine as its owner sees it: what its newest heartbeat shows, and what it is to start, stop and
+//! clear.
 
-use crate::placement::Resources;
+use super::lease::WorkerLease;
+use super::outbox::Outbox;
+use super::pending_starts::{PendingStarts, StartGroup};
+use super::responses::{HeartbeatId, Responses};
+use crate::placement::tier;
 use crate::Secs;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use wire::peers::{MachineStatus, TaskRef, TaskStatus, ToLeader};
-use wire::task_name;
-use wire::workers::{Order, TaskState};
+use wire::peers::{MachineStatus, TaskRef, TaskRequirements, TaskStatus};
+use wire::workers::{Heartbeat, Order, ReportedTask, TaskState};
+use wire::{split_task, task_name};
 
-/// A machine that lost this many answers in a row gets no more tasks until it is seen to get one.
-const MAX_MISSED_RESPONSES: u32 = 2;
+/// How many images are remembered for each machine.
+const IMAGES_REMEMBERED: usize = 8;
 
-/// Most starts in one answer, so that it stays below the protocol's limit.
-pub(super) const STARTS_AT_ONCE: usize = 400;
-
-/// Images remembered for each machine.
-const IMAGES: usize = 8;
-
-pub(super) struct Machine {
+/// What does not change about a machine.
+pub(super) struct MachineIdentity {
     pub(super) kind: String,
     pub(super) zone: String,
     pub(super) spot: bool,
-    pub(super) usable: bool,
+}
+
+/// A machine of this owner's shard.
+///
+/// Invariant: `tasks` is what the newest heartbeat that counts shows, every earlier order is settled by
+/// it, and `is_dirty` holds while the leader has not been shown what changed.
+pub(super) struct OwnedMachine {
+    identity: MachineIdentity,
+    /// Whether the leader lets tasks be placed here.
+    usable: bool,
     /// Token under which this controller became the owner.
-    pub(super) since: u64,
-    pub(super) known: bool,
-    pub(super) incarnation: u64,
-    pub(super) seq: u64,
-    /// The newest incarnation that got an answer before the lease was over. A heartbeat of it that comes
-    /// after the lease's end is a late copy, also if no heartbeat has counted until then.
-    pub(super) last_heard: u64,
-    /// The newest instant at which an answer may have prolonged the worker's lease.
-    pub(super) answered: Secs,
-    pub(super) lapsed: bool,
-    pub(super) notice_s: Option<f64>,
-    /// (incarnation, seq) of the last heartbeat that was answered with orders, and how many since came
-    /// from a worker that had not stayed here, so that the answer did not reach it.
-    pub(super) last_ordered: (u64, u64),
-    pub(super) missed_responses: u32,
-    pub(super) tasks: BTreeMap<TaskRef, TaskStatus>,
-    pub(super) pending: BTreeMap<TaskRef, Resources>,
-    pub(super) stops: BTreeMap<TaskRef, f64>,
-    pub(super) clears: BTreeSet<TaskRef>,
-    pub(super) images: VecDeque<String>,
-    pub(super) dirty: bool,
+    owned_since: u64,
+    lease: WorkerLease,
+    responses: Responses,
+    /// The newest heartbeat that counts.
+    newest: Option<HeartbeatId>,
+    notice_s: Option<f64>,
+    tasks: BTreeMap<TaskRef, TaskStatus>,
+    pending: PendingStarts,
+    /// Tasks to stop, with their grace in seconds.
+    stops: BTreeMap<TaskRef, f64>,
+    clears: BTreeSet<TaskRef>,
+    /// Images that were needed here, the latest first.
+    images: VecDeque<String>,
+    is_dirty: bool,
 }
 
-impl Machine {
-    /// Whether tasks may be placed there.
-    pub(super) fn open(&self) -> bool {
+impl OwnedMachine {
+    /// A machine that becomes this owner's under `owned_since`; an earlier owner may have renewed its
+    /// lease until `renewed_at`.
+    pub(super) fn new(
+        identity: MachineIdentity,
+        owned_since: u64,
+        renewed_at: Secs,
+    ) -> OwnedMachine {
+        OwnedMachine {
+            identity,
+            usable: false,
+            owned_since,
+            lease: WorkerLease::new(renewed_at),
+            responses: Responses::default(),
+            newest: None,
+            notice_s: None,
+            tasks: BTreeMap::new(),
+            pending: PendingStarts::default(),
+            stops: BTreeMap::new(),
+            clears: BTreeSet::new(),
+            images: VecDeque::new(),
+            is_dirty: false,
+        }
+    }
+
+    pub(super) fn identity(&self) -> &MachineIdentity {
+        &self.identity
+    }
+
+    /// Whether tasks may be placed here.
+    pub(super) fn is_open(&self) -> bool {
         self.usable
-            && self.known
-            && !self.lapsed
+            && self.newest.is_some()
+            && !self.lease.has_expired()
             && self.notice_s.is_none()
-            && !self.is_unreachable()
+            && !self.responses.are_lost()
     }
 
-    pub(super) fn is_unreachable(&self) -> bool {
-        self.missed_responses >= MAX_MISSED_RESPONSES
+    pub(super) fn is_allowed_by(&self, requirements: &TaskRequirements) -> bool {
+        let MachineIdentity { kind, zone, spot } = &self.identity;
+        tier(requirements, kind, zone, *spot).is_some()
     }
-}
 
-pub(super) fn new_machine(
-    kind: String,
-    zone: String,
-    spot: bool,
-    since: u64,
-    answered: Secs,
-) -> Machine {
-    Machine {
-        kind,
-        zone,
-        spot,
-        usable: false,
-        since,
-        known: false,
-        incarnation: 0,
-        seq: 0,
-        last_heard: 0,
-        answered,
-        lapsed: false,
-        notice_s: None,
-        last_ordered: (0, 0),
-        missed_responses: 0,
-        tasks: BTreeMap::new(),
-        pending: BTreeMap::new(),
-        stops: BTreeMap::new(),
-        clears: BTreeSet::new(),
-        images: VecDeque::new(),
-        dirty: false,
+    /// Tasks that hold resources of the machine.
+    pub(super) fn live_tasks(&self) -> impl Iterator<Item = &TaskRef> {
+        let live = self.tasks.values().filter(|task| is_live(task));
+        live.map(|status| &status.task)
+    }
+
+    pub(super) fn pending(&self) -> &PendingStarts {
+        &self.pending
+    }
+
+    /// Whether nothing holds resources here, so that the machine may soon be returned.
+    pub(super) fn is_empty(&self) -> bool {
+        self.pending.is_empty() && self.live_tasks().next().is_none()
+    }
+
+    /// Images that were needed here, the latest first.
+    pub(super) fn images(&self) -> impl Iterator<Item = &String> {
+        self.images.iter()
     }
-}
 
-/// A machine is to start tasks of a job, with the answers to its heartbeats; says how many.
-pub(super) fn add_starts(
-    m: &mut Machine,
-    job: &str,
-    attempt: u64,
-    indexes: impl Iterator<Item = u32>,
-    resources: Resources,
-    image: &str,
-) -> u32 {
-    let before = m.pending.len();
-    m.pending.extend(indexes.map(|index| {
-        (
-            TaskRef {
-                job: job.into(),
-                index,
-                attempt,
-            },
-            resources,
+    /// The tasks that the newest heartbeat shows, exited ones included.
+    pub(super) fn shown_tasks(&self) -> impl Iterator<Item = &TaskRef> {
+        self.tasks.keys()
+    }
+
+    /// The newest instant at which an answer may have prolonged the worker's lease.
+    pub(super) fn answered_at(&self) -> Secs {
+        self.lease.renewed_at()
+    }
+
+    pub(super) fn is_dirty(&self) -> bool {
+        self.is_dirty
+    }
+
+    pub(super) fn mark_dirty(&mut self) {
+        self.is_dirty = true;
+    }
+
+    pub(super) fn set_usable(&mut self, usable: bool) {
+        self.usable = usable;
+    }
+
+    /// What the leader is to be shown, if something has changed and anything is known of the machine.
+    pub(super) fn take_changed_status(&mut self, token: u64, name: &str) -> Option<MachineStatus> {
+        let changed = std::mem::take(&mut self.is_dirty);
+        let has_news = self.newest.is_some() || self.lease.has_expired();
+        (changed && has_news).then(|| self.status(token, name))
+    }
+
+    fn status(&self, token: u64, name: &str) -> MachineStatus {
+        MachineStatus {
+            token,
+            name: name.into(),
+            kind: self.identity.kind.clone(),
+            zone: self.identity.zone.clone(),
+            spot: self.identity.spot,
+            incarnation: self.newest.unwrap_or_default().incarnation,
+            lapsed: self.lease.has_expired(),
+            notice_s: self.notice_s,
+            tasks: self.tasks.values().cloned().collect(),
+            pending: self.pending.tasks().cloned().collect(),
+            usable: self.usable,
+            unreachable: self.responses.are_lost(),
+        }
+    }
+
+    /// One line for logs and failed tests.
+    pub(super) fn explain(&self, name: &str) -> String {
+        let newest = self.newest.unwrap_or_default();
+        format!(
+            "{name} usable={} since={} known={} incarnation={} seq={} answered={:.1} lapsed={} tasks={} pending={} stops={}",
+            self.usable,
+            self.owned_since,
+            self.newest.is_some(),
+            newest.incarnation,
+            newest.seq,
+            self.lease.renewed_at(),
+            self.lease.has_expired(),
+            self.tasks.len(),
+            self.pending.len(),
+            self.stops.len()
         )
-    }));
-    let n = m.pending.len() - before;
-    if n > 0 {
-        remember(m, image);
-        m.dirty = true;
     }
-    n as u32
 }
 
-fn remember(m: &mut Machine, image: &str) {
-    m.images.retain(|i| i != image);
-    m.images.push_front(image.to_string());
-    m.images.truncate(IMAGES);
-}
+/// Heartbeats and the worker's lease.
+impl OwnedMachine {
+    /// Whether this is a copy that was held up; nobody waits for its answer any more.
+    pub(super) fn is_stale_copy(&self, heartbeat: &Heartbeat) -> bool {
+        let id = HeartbeatId::of(heartbeat);
+        self.newest.is_some_and(|newest| id <= newest)
+            || self.lease.precedes_expiry(heartbeat.incarnation)
+    }
+
+    /// A heartbeat is answered now: whatever the answer says, it prolongs the worker's lease.
+    pub(super) fn renew_lease(&mut self, heartbeat: &Heartbeat, now: Secs) {
+        self.lease.renew(heartbeat.incarnation, now);
+    }
+
+    /// Whether a heartbeat was certainly sent after the worker began to drop earlier owners' orders.
+    pub(super) fn counts(&self, heartbeat: &Heartbeat) -> bool {
+        heartbeat.token >= self.owned_since
+    }
+
+    /// Takes what a heartbeat that counts shows.
+    pub(super) fn take_status(&mut self, heartbeat: &Heartbeat) {
+        let id = HeartbeatId::of(heartbeat);
+        let were_lost = self.responses.are_lost();
+        self.responses.answer(id);
+        self.is_dirty |= self.responses.are_lost() != were_lost;
+        self.is_dirty |= self.lease.has_expired() || self.newest.is_none();
+        self.lease.revive(heartbeat.incarnation);
+        self.newest = Some(id);
+        let tasks: BTreeMap<TaskRef, TaskStatus> =
+            heartbeat.tasks.iter().filter_map(shown_task).collect();
+        self.is_dirty |=
+            tasks != self.tasks || heartbeat.notice_s.is_some() != self.notice_s.is_some();
+        self.tasks = tasks;
+        self.notice_s = heartbeat.notice_s;
+    }
+
+    /// Whether the worker has certainly killed its tasks, and this was not noted before.
+    pub(super) fn lease_has_just_expired(&self, now: Secs, expiry_s: Secs) -> bool {
+        !self.lease.has_expired() && self.lease.is_certainly_over(now, expiry_s)
+    }
 
-pub(super) fn status_of(token: u64, name: &str, m: &Machine) -> MachineStatus {
-    MachineStatus {
-        token,
-        name: name.into(),
-        kind: m.kind.clone(),
-        zone: m.zone.clone(),
-        spot: m.spot,
-        incarnation: m.incarnation,
-        lapsed: m.lapsed,
-        notice_s: m.notice_s,
-        tasks: m.tasks.values().cloned().collect(),
-        pending: m.pending.keys().cloned().collect(),
-        usable: m.usable,
-        unreachable: m.is_unreachable(),
+    /// The worker has killed and forgotten its tasks; only a later incarnation counts.
+    pub(super) fn expire_lease(&mut self, name: &str, outbox: &mut Outbox) {
+        log::info!(
+            "event=machine_lease_expired machine={name} tasks={}",
+            self.tasks.len()
+        );
+        self.lease.expire();
+        self.tasks.clear();
+        self.withdraw_all_starts(outbox);
+        self.stops.clear();
+        self.clears.clear();
+        self.images.clear();
+        self.is_dirty = true;
+    }
+
+    /// Whether the machine is closed, the leader knows all of it, and nothing was heard for
+    /// `retention_s`. Should it send a heartbeat again, it is taken up as a new one.
+    pub(super) fn may_be_forgotten(&self, now: Secs, retention_s: Secs) -> bool {
+        self.lease.has_expired()
+            && !self.usable
+            && !self.is_dirty
+            && self.lease.is_certainly_over(now, retention_s)
     }
 }
 
-/// Takes back starts that certainly did not take effect and never will, and says so. A view alone does
-/// not: the leader may never have been shown that this machine took them on.
-pub(super) fn withdraw_starts(
-    m: &mut Machine,
-    out: &mut Vec<ToLeader>,
-    which: impl Fn(&TaskRef) -> bool,
-) -> bool {
-    let before = m.pending.len();
-    let tasks = &m.tasks;
-    m.pending.retain(|t, _| {
-        let drop = !tasks.contains_key(t) && which(t);
-        if drop {
-            out.push(ToLeader::HandBack {
-                job: t.job.clone(),
-                attempt: t.attempt,
-                tasks: vec![(t.index, 1)],
-            });
+/// Orders.
+impl OwnedMachine {
+    /// Adds tasks to start with the answers to the machine's heartbeats; says how many.
+    pub(super) fn add_starts(
+        &mut self,
+        group: &StartGroup,
+        indexes: impl Iterator<Item = u32>,
+    ) -> u32 {
+        let added = self.pending.add(group, indexes);
+        if added > 0 {
+            self.remember_image(group.image);
+            self.is_dirty = true;
         }
-        !drop
-    });
-    let changed = m.pending.len() != before;
-    m.dirty |= changed;
-    changed
-}
+        added
+    }
 
-/// The newest heartbeat of a machine has just been taken. It settles every earlier order: a start that
-/// it lacks did not take effect and never will. What it shows of jobs that are over is to be stopped,
-/// in every answer until a heartbeat shows it gone, whoever owned the machine before and whether or not
-/// the leader has said so.
-pub(super) fn reconcile_orders(
-    m: &mut Machine,
-    is_terminal: impl Fn(&str) -> bool,
-    out: &mut Vec<ToLeader>,
-) {
-    for t in m
-        .tasks
-        .values()
-        .filter(|t| t.state != TaskState::Exited && is_terminal(&t.task.job))
-    {
-        m.stops.insert(t.task.clone(), 0.0);
-    }
-    let (stops, unusable) = (
-        std::mem::take(&mut m.stops),
-        !m.usable || m.notice_s.is_some(),
-    );
-    withdraw_starts(m, out, |t| {
-        unusable || stops.contains_key(t) || is_terminal(&t.job)
-    });
-    m.stops = stops;
-    let tasks = &m.tasks;
-    let before = m.pending.len();
-    m.pending.retain(|t, _| !tasks.contains_key(t));
-    m.dirty |= m.pending.len() != before;
-    m.clears
-        .retain(|t| tasks.get(t).is_some_and(|v| v.state == TaskState::Exited));
-    m.stops
-        .retain(|t, _| tasks.get(t).is_some_and(|v| v.state != TaskState::Exited));
-}
+    /// How many more starts the next answer may carry.
+    pub(super) fn room_in_response(&self) -> usize {
+        self.pending.room_in_response()
+    }
 
-/// Orders for a machine whose newest heartbeat was settled; starts only if they are allowed now.
-pub(super) fn orders(m: &Machine, starts: bool) -> Vec<Order> {
-    let mut out = Vec::new();
-    for t in &m.clears {
-        out.push(Order::Clear {
-            task: task_name(&t.job, t.index),
-            attempt: t.attempt,
-        });
+    /// A task is to be stopped, within the shortest grace (in seconds) that was asked for.
+    pub(super) fn add_stop(&mut self, task: TaskRef, grace_s: f64) {
+        let grace = self.stops.get(&task).map_or(grace_s, |g| g.min(grace_s));
+        self.stops.insert(task, grace);
     }
-    for (t, grace) in &m.stops {
-        out.push(Order::Stop {
-            task: task_name(&t.job, t.index),
-            attempt: t.attempt,
-            grace_s: *grace,
-        });
+
+    /// An exited task is to be forgotten by the worker.
+    pub(super) fn add_clear(&mut self, task: TaskRef) {
+        self.clears.insert(task);
     }
-    for t in m
-        .pending
-        .keys()
-        .take(if starts { STARTS_AT_ONCE } else { 0 })
-    {
-        out.push(Order::Start {
-            task: task_name(&t.job, t.index),
-            attempt: t.attempt,
+
+    /// Takes back all starts if answers don't reach the worker; says whether there were any.
+    pub(super) fn withdraw_lost_starts(&mut self, name: &str, outbox: &mut Outbox) -> bool {
+        if !self.responses.are_lost() {
+            return false;
+        }
+        log::info!(
+            "event=starts_lost machine={name} tasks={}",
+            self.pending.len()
+        );
+        self.withdraw_all_starts(outbox)
+    }
+
+    fn withdraw_all_starts(&mut self, outbox: &mut Outbox) -> bool {
+        let withdrawn = self.pending.withdraw(&self.tasks, |_| true, outbox);
+        self.is_dirty |= withdrawn;
+        withdrawn
+    }
+
+    /// The newest heartbeat has just been taken. It settles every earlier order: a start that it lacks
+    /// did not take effect and never will. What it shows of terminal jobs is to be stopped, in every
+    /// answer until a heartbeat shows it gone, whoever owned the machine before and whether or not the
+    /// leader has said so.
+    pub(super) fn reconcile_orders(
+        &mut self,
+        is_terminal: impl Fn(&str) -> bool,
+        outbox: &mut Outbox,
+    ) {
+        let tasks = &self.tasks;
+        let live = |task: &TaskRef| tasks.get(task).map(is_live);
+        let terminal = tasks.values().filter(|task| is_live(task));
+        let terminal = terminal.filter(|status| is_terminal(&status.task.job));
+        self.stops
+            .extend(terminal.map(|status| (status.task.clone(), 0.0)));
+        let is_closed = !self.usable || self.notice_s.is_some();
+        let stops = &self.stops;
+        let is_void =
+            |task: &TaskRef| is_closed || stops.contains_key(task) || is_terminal(&task.job);
+        self.is_dirty |= self.pending.withdraw(tasks, is_void, outbox);
+        self.is_dirty |= self.pending.settle(tasks);
+        self.clears.retain(|task| live(task) == Some(false));
+        self.stops.retain(|task, _| live(task) == Some(true));
+    }
+
+    /// Orders for the answer to a heartbeat that was taken; without starts if these must wait until
+    /// the controller's knowledge is fresh enough for them.
+    pub(super) fn orders(&self, may_start: bool) -> Vec<Order> {
+        let clears = self.clears.iter().map(|task| Order::Clear {
+            task: task_name(&task.job, task.index),
+            attempt: task.attempt,
         });
+        let stops = self.stops.iter().map(|(task, grace_s)| Order::Stop {
+            task: task_name(&task.job, task.index),
+            attempt: task.attempt,
+            grace_s: *grace_s,
+        });
+        let allowed = may_start.then(|| self.pending.next_response());
+        let starts = allowed.into_iter().flatten().map(|task| Order::Start {
+            task: task_name(&task.job, task.index),
+            attempt: task.attempt,
+        });
+        clears.chain(stops).chain(starts).collect()
+    }
+
+    fn remember_image(&mut self, image: &str) {
+        self.images.retain(|known| known != image);
+        self.images.push_front(image.to_string());
+        self.images.truncate(IMAGES_REMEMBERED);
     }
-    out
+}
+
+fn is_live(status: &TaskStatus) -> bool {
+    status.state != TaskState::Exited
+}
+
+/// A task that a heartbeat shows; none if its name is no task's.
+fn shown_task(shown: &ReportedTask) -> Option<(TaskRef, TaskStatus)> {
+    let (job, index) = split_task(&shown.task)?;
+    let task = TaskRef {
+        job: job.into(),
+        index,
+        attempt: shown.attempt,
+    };
+    let status = TaskStatus {
+        task: task.clone(),
+        state: shown.state,
+        why: shown.why,
+        saved: shown.saved.unwrap_or(false),
+    };
+    Some((task, status))
 }
--- /dev/null
+++ b/crates/sched/src/owner/messages.rs
@@ -0,0 +1,122 @@
+//! Messages of the leader to an owner.
+
+use super::backlog::BacklogEntry;
+use super::epoch::OwnerEpoch;
+use super::reservations::Reservation;
+use super::{Jobs, Owner};
+use crate::ranges::indexes_of;
+use crate::Secs;
+use wire::cloud::MachineType;
+use wire::peers::{ToLeader, ToOwner};
+
+/// The instant `wait_ms` milliseconds after `now`.
+fn after_ms(now: Secs, wait_ms: u64) -> Secs {
+    now + wait_ms as f64 / 1000.0
+}
+
+impl Owner {
+    /// Takes a message of the leader (its grants are the caller's business).
+    pub fn on_leader_message(&mut self, message: ToOwner, now: Secs, jobs: &dyn Jobs) {
+        self.outbox.show_changes();
+        match message {
+            ToOwner::Epoch {
+                token,
+                prev,
+                members,
+                extra_ms,
+                machines,
+            } => {
+                let epoch = OwnerEpoch::new(token, members, after_ms(now, extra_ms));
+                self.start_epoch(epoch, prev, machines);
+            }
+            ToOwner::Catalog { types } => self.set_catalog(types),
+            ToOwner::SetUsable { machine, usable } => self.set_usable(machine, usable),
+            ToOwner::Stop {
+                machine,
+                task,
+                grace_s,
+            } => {
+                if let Some(machine) = self.machines.get_mut(&machine) {
+                    machine.add_stop(task, grace_s);
+                }
+            }
+            ToOwner::Clear { machine, task } => {
+                if let Some(machine) = self.machines.get_mut(&machine) {
+                    machine.add_clear(task);
+                }
+            }
+            ToOwner::Terminal { jobs } => self.note_terminal(jobs, now),
+            ToOwner::Bind { attempt } => self.bind(attempt, now),
+            ToOwner::ReleaseReservation { attempt } => {
+                self.release(attempt);
+            }
+            ToOwner::Assign { .. } | ToOwner::AssignBacklog { .. } | ToOwner::Reserve { .. } => {
+                self.on_tasks(message, now, jobs);
+            }
+            ToOwner::Grant { .. } | ToOwner::ViewAge { .. } | ToOwner::RunningCounts { .. } => {}
+        }
+    }
+
+    /// Takes tasks that the leader gives to this owner.
+    fn on_tasks(&mut self, message: ToOwner, now: Secs, jobs: &dyn Jobs) {
+        match message {
+            ToOwner::Assign {
+                job,
+                attempt,
+                requirements,
+                tasks,
+            } => self.assign(job, attempt, &requirements, &tasks, now, jobs),
+            ToOwner::AssignBacklog {
+                job,
+                attempt,
+                requirements,
+                tasks,
+                wait_ms,
+            } => {
+                self.assigned.learn(&job, &requirements);
+                self.backlog.push(BacklogEntry {
+                    job,
+                    attempt,
+                    requirements,
+                    indexes: indexes_of(&tasks).collect(),
+                    until: after_ms(now, wait_ms),
+                });
+            }
+            ToOwner::Reserve {
+                job,
+                attempt,
+                requirements,
+                places,
+                wait_ms,
+            } => {
+                let until = after_ms(now, wait_ms);
+                let reservation = Reservation::new(job, &requirements, places, until);
+                let reserved = self.reserve(attempt, &requirements, reservation, jobs);
+                self.outbox
+                    .push(ToLeader::ReserveResult { attempt, reserved });
+            }
+            _ => {}
+        }
+    }
+
+    fn set_catalog(&mut self, types: Vec<MachineType>) {
+        self.types = types.into_iter().map(|t| (t.name.clone(), t)).collect();
+        self.index.clear();
+        self.dirty_machines.extend(self.machines.names().cloned());
+    }
+
+    fn set_usable(&mut self, name: String, usable: bool) {
+        if let Some(machine) = self.machines.get_mut(&name) {
+            machine.set_usable(usable);
+            machine.mark_dirty();
+            self.dirty_machines.insert(name);
+        }
+    }
+
+    fn note_terminal(&mut self, jobs: Vec<String>, now: Secs) {
+        for job in jobs {
+            self.backlog.hand_back_job(&job, &mut self.outbox);
+            self.terminal_jobs.insert(job, now);
+        }
+    }
+}
--- /dev/null
+++ b/crates/sched/src/owner/placement.rs
@@ -0,0 +1,233 @@
+//! Placing tasks on machines: starts at once, and reservations for gangs.
+
+use super::machine::{MachineIdentity, OwnedMachine};
+use super::pending_starts::StartGroup;
+use super::reservations::Reservation;
+use super::{Jobs, Owner};
+use crate::capacity_index::{Fit, IndexedMachine};
+use crate::placement::Resources;
+use crate::ranges::{indexes_of, runs};
+use crate::Secs;
+use std::cmp::Reverse;
+use wire::peers::{TaskRequirements, ToLeader};
+
+/// Machines that suit alike are told apart by their last answer's age, in this many steps of a
+/// heartbeat interval.
+const SILENCE_STEPS: f64 = 4.0;
+
+impl Owner {
+    /// Starts array tasks, given as (first, count) runs, on the machines that suit them best; hands the
+    /// rest back.
+    pub(super) fn assign(
+        &mut self,
+        job: String,
+        attempt: u64,
+        requirements: &TaskRequirements,
+        tasks: &[(u32, u32)],
+        now: Secs,
+        jobs: &dyn Jobs,
+    ) {
+        self.assigned.learn(&job, requirements);
+        self.refresh_index(jobs);
+        let group = StartGroup {
+            job: &job,
+            attempt,
+            resources: Resources::of(requirements),
+            image: &requirements.image,
+        };
+        let mut indexes = indexes_of(tasks).peekable();
+        for fit in self.suitable_machines(requirements, now) {
+            if indexes.peek().is_none() {
+                break;
+            }
+            let Some(machine) = self.machines.get_mut(&fit.name) else {
+                continue;
+            };
+            let started = machine.add_starts(&group, indexes.by_ref().take(fit.slots as usize));
+            self.index
+                .take(&fit.name, group.resources, started, group.image);
+            self.dirty_machines.insert(fit.name.to_string());
+        }
+        let unplaced = runs(indexes);
+        if !unplaced.is_empty() {
+            self.outbox.hand_back(job, attempt, unplaced);
+        }
+    }
+
+    /// The machines on which a task fits, the best first. A start goes with the answer to a heartbeat:
+    /// of machines that suit alike, the one whose next heartbeat is due first starts first.
+    fn suitable_machines(&self, requirements: &TaskRequirements, now: Secs) -> Vec<Fit> {
+        let step_s = self.config.heartbeat_s / SILENCE_STEPS;
+        let silence = |name: &str| {
+            self.machines.get(name).map_or(0, |machine| {
+                ((now - machine.answered_at()) / step_s).clamp(0.0, SILENCE_STEPS) as u32
+            })
+        };
+        let mut found = self.index.fits(requirements);
+        found.sort_by_cached_key(|fit| {
+            let rank = fit.rank;
+            (
+                rank.needs_slow_fetch,
+                rank.tier,
+                rank.is_empty,
+                rank.needs_fetch,
+                Reverse(silence(&fit.name)),
+                rank.cpus_left_thousandths,
+                fit.name.clone(),
+            )
+        });
+        found
+    }
+
+    /// Reserves all places of a gang's part, or none of them; says whether it did.
+    pub(super) fn reserve(
+        &mut self,
+        attempt: u64,
+        requirements: &TaskRequirements,
+        reservation: Reservation,
+        jobs: &dyn Jobs,
+    ) -> bool {
+        let fits = |name: &str, count: u32| {
+            let machine = self.machines.get(name).filter(|m| m.is_open());
+            let free = machine.and_then(|machine| self.free_resources(name, machine, jobs));
+            free.is_some_and(|free| free.count_fitting(reservation.resources) >= count)
+        };
+        let mut places = reservation.places.iter();
+        if !places.all(|place| fits(&place.machine, place.count)) {
+            return false;
+        }
+        self.dirty_machines.extend(reservation.machines().cloned());
+        self.assigned.learn(&reservation.job, requirements);
+        self.reservations.insert(attempt, reservation);
+        true
+    }
+
+    /// Starts the tasks of a reservation, or tells the leader that it no longer holds.
+    pub(super) fn bind(&mut self, attempt: u64, now: Secs) {
+        let reservation = self.release(attempt);
+        // A machine that was lost while it was reserved would never start the task, nor show it gone.
+        let is_open = |name: &String| self.machines.get(name).is_some_and(OwnedMachine::is_open);
+        let holds = |held: &Reservation| now < held.until && held.machines().all(is_open);
+        match reservation.filter(holds) {
+            Some(reservation) => self.start_reserved(attempt, &reservation),
+            None => self.outbox.push(ToLeader::ReserveResult {
+                attempt,
+                reserved: false,
+            }),
+        }
+    }
+
+    fn start_reserved(&mut self, attempt: u64, reservation: &Reservation) {
+        let group = StartGroup {
+            job: &reservation.job,
+            attempt,
+            resources: reservation.resources,
+            image: &reservation.image,
+        };
+        for place in &reservation.places {
+            if let Some(machine) = self.machines.get_mut(&place.machine) {
+                let end = place.first_index + place.count;
+                machine.add_starts(&group, place.first_index..end);
+            }
+        }
+    }
+
+    /// Ends a reservation and returns it.
+    pub(super) fn release(&mut self, attempt: u64) -> Option<Reservation> {
+        let reservation = self.reservations.remove(attempt)?;
+        self.dirty_machines.extend(reservation.machines().cloned());
+        Some(reservation)
+    }
+
+    /// What is left of a machine's resources; none while what a task takes there is not known.
+    pub(super) fn free_resources(
+        &self,
+        name: &str,
+        machine: &OwnedMachine,
+        jobs: &dyn Jobs,
+    ) -> Option<Resources> {
+        let kind = &machine.identity().kind;
+        let mut free = self.types.get(kind).map(Resources::of_type)?;
+        for task in machine.live_tasks() {
+            free.sub(self.resources(&task.job, jobs)?);
+        }
+        for resources in machine.pending().resources() {
+            free.sub(resources);
+        }
+        self.reservations.subtract_from(&mut free, name);
+        Some(free)
+    }
+
+    /// Brings the index up to what has changed since it was last looked at.
+    fn refresh_index(&mut self, jobs: &dyn Jobs) {
+        for name in std::mem::take(&mut self.dirty_machines) {
+            let open = self.machines.get(&name).filter(|m| m.is_open());
+            let found = open.and_then(|m| Some((m, self.types.get(&m.identity().kind)?)));
+            let Some((machine, machine_type)) = found else {
+                self.index.remove(&name);
+                continue;
+            };
+            let free = self.free_resources(&name, machine, jobs);
+            let entry = self.index_entry(machine, free.unwrap_or_default(), jobs);
+            let MachineIdentity { zone, spot, .. } = machine.identity();
+            self.index.put(
+                &name,
+                machine_type,
+                zone,
+                *spot,
+                self.config.guarantee_s,
+                entry,
+            );
+            if free.is_none() {
+                // A job that is not known here yet: look again next time.
+                self.dirty_machines.insert(name);
+            }
+        }
+    }
+
+    fn index_entry(
+        &self,
+        machine: &OwnedMachine,
+        free: Resources,
+        jobs: &dyn Jobs,
+    ) -> IndexedMachine {
+        let mut images: Vec<String> = machine.images().cloned().collect();
+        for image in machine
+            .shown_tasks()
+            .filter_map(|task| self.image(&task.job, jobs))
+        {
+            if !images.contains(&image) {
+                images.push(image);
+            }
+        }
+        IndexedMachine {
+            owner: String::new(),
+            free,
+            images,
+            empty: machine.is_empty(),
+        }
+    }
+
+    /// What a task of a job takes, by this controller's replica or by the leader's word.
+    fn resources(&self, job: &str, jobs: &dyn Jobs) -> Option<Resources> {
+        jobs.resources(job).or_else(|| self.assigned.resources(job))
+    }
+
+    fn image(&self, job: &str, jobs: &dyn Jobs) -> Option<String> {
+        let assigned = || self.assigned.image(job).map(str::to_string);
+        jobs.image(job).or_else(assigned)
+    }
+
+    /// Forgets what was assigned and is neither on a machine nor on its way to one.
+    pub(super) fn forget_unused_jobs(&mut self) {
+        let tasks = self
+            .machines
+            .iter()
+            .flat_map(|(_, machine)| machine.shown_tasks().chain(machine.pending().tasks()));
+        let in_use = tasks
+            .map(|task| task.job.as_str())
+            .chain(self.reservations.jobs())
+            .chain(self.backlog.jobs());
+        self.assigned.keep(&in_use.collect());
+    }
+}
--- /dev/null
+++ b/crates/sched/src/owner/reservations.rs
@@ -0,0 +1,100 @@
+//! Resources reserved for gangs, of which every task must have its place before any may start.
+
+use crate::placement::Resources;
+use crate::Secs;
+use std::collections::BTreeMap;
+use wire::peers::TaskRequirements;
+
+/// Where some tasks of a gang are to run.
+pub(super) struct ReservedPlace {
+    pub(super) machine: String,
+    pub(super) first_index: u32,
+    pub(super) count: u32,
+}
+
+/// Resources on machines for a gang until it is bound, or until the wait ends.
+pub(super) struct Reservation {
+    pub(super) job: String,
+    /// What one task takes.
+    pub(super) resources: Resources,
+    pub(super) image: String,
+    pub(super) places: Vec<ReservedPlace>,
+    pub(super) until: Secs,
+}
+
+impl Reservation {
+    /// The places are (machine, first index, count), as the leader sends them.
+    pub(super) fn new(
+        job: String,
+        requirements: &TaskRequirements,
+        places: Vec<(String, u32, u32)>,
+        until: Secs,
+    ) -> Reservation {
+        let place = |(machine, first_index, count)| ReservedPlace {
+            machine,
+            first_index,
+            count,
+        };
+        Reservation {
+            job,
+            resources: Resources::of(requirements),
+            image: requirements.image.clone(),
+            places: places.into_iter().map(place).collect(),
+            until,
+        }
+    }
+
+    /// The names of its machines.
+    pub(super) fn machines(&self) -> impl Iterator<Item = &String> {
+        self.places.iter().map(|place| &place.machine)
+    }
+}
+
+/// Reservations by the gang's attempt.
+///
+/// Invariant: what a reservation holds is nobody else's until it is removed.
+#[derive(Default)]
+pub(super) struct Reservations {
+    by_attempt: BTreeMap<u64, Reservation>,
+}
+
+impl Reservations {
+    pub(super) fn insert(&mut self, attempt: u64, reservation: Reservation) {
+        self.by_attempt.insert(attempt, reservation);
+    }
+
+    pub(super) fn remove(&mut self, attempt: u64) -> Option<Reservation> {
+        self.by_attempt.remove(&attempt)
+    }
+
+    pub(super) fn clear(&mut self) {
+        self.by_attempt.clear();
+    }
+
+    /// The jobs that hold a reservation.
+    pub(super) fn jobs(&self) -> impl Iterator<Item = &str> {
+        self.by_attempt.values().map(|held| held.job.as_str())
+    }
+
+    /// Takes what is reserved on a machine off its free resources.
+    pub(super) fn subtract_from(&self, free: &mut Resources, machine: &str) {
+        for reservation in self.by_attempt.values() {
+            for place in &reservation.places {
+                if place.machine == machine {
+                    free.sub(reservation.resources.scaled(place.count));
+                }
+            }
+        }
+    }
+
+    /// Drops the reservations whose wait has ended; names their machines to `released`.
+    pub(super) fn expire(&mut self, now: Secs, released: &mut impl Extend<String>) {
+        self.by_attempt.retain(|_, reservation| {
+            let keep = now < reservation.until;
+            if !keep {
+                released.extend(reservation.machines().cloned());
+            }
+            keep
+        });
+    }
+}
--- /dev/null
+++ b/crates/sched/src/owner/terminal_jobs.rs
@@ -0,0 +1,30 @@
+//! Jobs that the leader said are over.
+
+use super::Jobs;
+use crate::Secs;
+use std::collections::BTreeMap;
+
+/// Jobs that the leader said are done or cancelled, and when it did.
+///
+/// Invariant: a job stays here until its last task is certainly gone, so that its tasks are stopped
+/// and never started, whether or not this controller's own replica knows that it is over.
+#[derive(Default)]
+pub(super) struct TerminalJobs {
+    told_at: BTreeMap<String, Secs>,
+}
+
+impl TerminalJobs {
+    pub(super) fn insert(&mut self, job: String, now: Secs) {
+        self.told_at.insert(job, now);
+    }
+
+    /// Whether a job is over by the leader's word or by this controller's own replica.
+    pub(super) fn is_terminal(&self, job: &str, jobs: &dyn Jobs) -> bool {
+        self.told_at.contains_key(job) || jobs.is_terminal(job)
+    }
+
+    /// Forgets what was told `retention_s` ago or before.
+    pub(super) fn forget_old(&mut self, retention_s: Secs, now: Secs) {
+        self.told_at.retain(|_, at| now - *at < retention_s);
+    }
+}
--- a/crates/sched/src/placement.rs
+++ b/crates/sched/src/placement.rs
@@ -101,23 +101,36 @@
         .map(|a| a.tier)
 }
 
-/// How well a machine suits; less is better.
-pub type Rank = (bool, u8, bool, bool, u64);
+/// How well a machine suits; the smaller, the better. The fields are compared in their order: not one
+/// that would fetch for long; the cheaper tier; one that is in use; one that has the image; then the
+/// one with the least left, so that others become empty and can be returned.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Rank {
+    /// Fetching the image would take a good part of the time allowed for a start.
+    pub needs_slow_fetch: bool,
+    /// The tier of its type, zone and kind for the task.
+    pub tier: u8,
+    /// Nothing runs there, so it may soon be returned.
+    pub is_empty: bool,
+    /// The image is not there yet.
+    pub needs_fetch: bool,
+    /// Thousandths of CPUs that the task would leave free.
+    pub cpus_left_thousandths: u64,
+}
 
-/// The better a machine suits, the smaller its rank: not one that would fetch for long; the
-/// cheaper tier; one that is in use; one that has the image; then the one with the least capacity
-/// left, so that others become empty and can be returned.
-pub fn rank(requirements: &TaskRequirements, c: &Candidate) -> Option<Rank> {
-    if !c.free.can_fit(Resources::of(requirements)) {
+/// The rank of a machine for a task; none if the task does not fit.
+pub fn rank(requirements: &TaskRequirements, candidate: &Candidate) -> Option<Rank> {
+    if !candidate.free.can_fit(Resources::of(requirements)) {
         return None;
     }
-    Some((
-        c.slow_fetch && !c.has_image,
-        c.tier,
-        c.empty,
-        !c.has_image,
-        ((c.free.cpus - requirements.cpus).max(0.0) * 1000.0) as u64,
-    ))
+    let cpus_left = (candidate.free.cpus - requirements.cpus).max(0.0);
+    Some(Rank {
+        needs_slow_fetch: candidate.slow_fetch && !candidate.has_image,
+        tier: candidate.tier,
+        is_empty: candidate.empty,
+        needs_fetch: !candidate.has_image,
+        cpus_left_thousandths: (cpus_left * 1000.0) as u64,
+    })
 }
 
 /// Images above this size take more than half of the time allowed for a guaranteed start.
--- a/crates/sched/src/ranges.rs
+++ b/crates/sched/src/ranges.rs
@@ -95,6 +95,12 @@
     }
 }
 
+/// The indexes of (first, count) runs, in their order.
+pub fn indexes_of(runs: &[(u32, u32)]) -> impl Iterator<Item = u32> + '_ {
+    runs.iter()
+        .flat_map(|&(first, count)| first..first.saturating_add(count))
+}
+
 /// Joins sorted indexes into (first, count) runs.
 pub fn runs(indexes: impl IntoIterator<Item = u32>) -> Vec<(u32, u32)> {
     let mut out: Vec<(u32, u32)> = Vec::new();
