--- a/crates/sched/src/authority.rs
+++ b/crates/sched/src/authority.rs
@@ -1,5 +1,5 @@
 //! How long a controller may answer workers' heartbeats and start tasks: until its authority ends,
-//! and no longer than its knowledge of the store allows.
+//! and no longer than its knowledge of the store is fresh enough.
 //!
 //! A cancellation is confirmed by any controller on the store's word alone. What was confirmed
 //! after the last answered read was sent is not known here. An answer that prolongs a lease at `t`
@@ -12,27 +12,31 @@
 use crate::config::SchedulerConfig;
 use crate::Secs;
 
-/// Authority and the age of what is known.
+/// Authority and the age of what is known. Its instants are on the process's steady clock.
+///
+/// Invariant: neither bound lies later than `until`, nor later than `read_at` plus its staleness.
 #[derive(Clone, Debug)]
 pub struct Authority {
     until: Secs,
     /// When the last read of the store that was answered was sent, here or by the leader.
     read_at: Secs,
     /// When authority that had run out came back: reads sent before do not count.
-    back: Secs,
-    answer_s: Secs,
-    start_s: Secs,
+    regained_at: Secs,
+    /// How old knowledge of the store may be for an answer to a heartbeat.
+    answer_staleness_s: Secs,
+    /// How old knowledge of the store may be for a start.
+    start_staleness_s: Secs,
 }
 
 impl Authority {
+    /// No authority, and nothing known of the store.
     pub fn new(config: &SchedulerConfig) -> Authority {
-        let (answer_s, start_s) = (config.answer_staleness_s(), config.start_staleness_s());
         Authority {
             until: f64::MIN,
             read_at: f64::MIN,
-            back: f64::MIN,
-            answer_s,
-            start_s,
+            regained_at: f64::MIN,
+            answer_staleness_s: config.answer_staleness_s(),
+            start_staleness_s: config.start_staleness_s(),
         }
     }
 
@@ -44,7 +48,7 @@
     /// A renewal of the leadership was answered at `now`.
     pub fn renew(&mut self, until: Secs, now: Secs) {
         if now >= self.until {
-            self.back = now;
+            self.regained_at = now;
         }
         self.until = self.until.max(until);
     }
@@ -59,24 +63,26 @@
         self.until
     }
 
+    /// When the last read of the store that counts was sent; `f64::MIN` before the first.
     pub fn read_at(&self) -> Secs {
         self.read_at
     }
 
     /// Until when heartbeats may be answered.
     pub fn answers_until(&self) -> Secs {
-        self.bounded(self.answer_s)
+        self.bounded(self.answer_staleness_s)
     }
 
     /// Until when tasks may be started.
     pub fn starts_until(&self) -> Secs {
-        self.bounded(self.start_s)
+        self.bounded(self.start_staleness_s)
     }
 
-    fn bounded(&self, age: Secs) -> Secs {
-        if self.read_at < self.back {
+    /// The end of authority, or of knowledge that may be `staleness_s` old.
+    fn bounded(&self, staleness_s: Secs) -> Secs {
+        if self.read_at < self.regained_at {
             return f64::MIN;
         }
-        self.until.min(self.read_at + age)
+        self.until.min(self.read_at + staleness_s)
     }
 }
--- a/crates/sched/src/placement.rs
+++ b/crates/sched/src/placement.rs
@@ -4,26 +4,40 @@
 use wire::cloud::MachineType;
 use wire::peers::TaskRequirements;
 
-/// Amounts of a machine or a task.
+/// Amounts that a machine has or that a task takes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Resources {
+    /// CPUs; a task may take a fraction of one.
     pub cpus: f64,
+    /// GPUs.
     pub gpus: f64,
+    /// Memory in gigabytes.
     pub memory_gb: f64,
 }
 
 /// Sums of decimals are compared with this slack.
 pub const ROUNDING_SLACK: f64 = 1e-6;
 
+/// The most tasks that are counted on one machine: tasks that take nothing would fit without end.
+const MAX_FITTING: f64 = 1e6;
+
+/// Free CPUs are ranked in this many parts of one.
+const RANKED_PARTS_PER_CPU: f64 = 1000.0;
+
+/// An image is slow to fetch if that takes more than the time allowed for a start, divided by this.
+const SLOW_FETCH_DIVISOR: f64 = 2.0;
+
 impl Resources {
-    pub fn of_type(t: &MachineType) -> Resources {
+    /// What a machine of this type has.
+    pub fn of_type(machine_type: &MachineType) -> Resources {
         Resources {
-            cpus: t.cpus,
-            gpus: t.gpus,
-            memory_gb: t.memory_gb,
+            cpus: machine_type.cpus,
+            gpus: machine_type.gpus,
+            memory_gb: machine_type.memory_gb,
         }
     }
 
+    /// What one task takes.
     pub fn of(requirements: &TaskRequirements) -> Resources {
         Resources {
             cpus: requirements.cpus,
@@ -32,54 +46,58 @@
         }
     }
 
-    pub fn add(&mut self, o: Resources) {
-        self.cpus += o.cpus;
-        self.gpus += o.gpus;
-        self.memory_gb += o.memory_gb;
+    /// Adds each amount of `other`.
+    pub fn add(&mut self, other: Resources) {
+        self.cpus += other.cpus;
+        self.gpus += other.gpus;
+        self.memory_gb += other.memory_gb;
     }
 
-    pub fn sub(&mut self, o: Resources) {
-        self.cpus -= o.cpus;
-        self.gpus -= o.gpus;
-        self.memory_gb -= o.memory_gb;
+    /// Subtracts each amount of `other`; the result may be negative.
+    pub fn sub(&mut self, other: Resources) {
+        self.cpus -= other.cpus;
+        self.gpus -= other.gpus;
+        self.memory_gb -= other.memory_gb;
     }
 
-    /// The same for `n` tasks.
-    pub fn scaled(&self, n: u32) -> Resources {
-        let n = f64::from(n);
+    /// The same for `count` tasks.
+    pub fn scaled(&self, count: u32) -> Resources {
+        let count = f64::from(count);
         Resources {
-            cpus: self.cpus * n,
-            gpus: self.gpus * n,
-            memory_gb: self.memory_gb * n,
+            cpus: self.cpus * count,
+            gpus: self.gpus * count,
+            memory_gb: self.memory_gb * count,
         }
     }
 
-    pub fn can_fit(&self, o: Resources) -> bool {
-        o.cpus <= self.cpus + ROUNDING_SLACK
-            && o.gpus <= self.gpus + ROUNDING_SLACK
-            && o.memory_gb <= self.memory_gb + ROUNDING_SLACK
+    /// Whether `needed` fits into these amounts, up to `ROUNDING_SLACK`.
+    pub fn can_fit(&self, needed: Resources) -> bool {
+        needed.cpus <= self.cpus + ROUNDING_SLACK
+            && needed.gpus <= self.gpus + ROUNDING_SLACK
+            && needed.memory_gb <= self.memory_gb + ROUNDING_SLACK
     }
 
-    /// How many tasks of this size fit.
-    pub fn count_fitting(&self, o: Resources) -> u32 {
-        let one = |have: f64, need: f64| {
-            if need <= 0.0 {
+    /// How many tasks that each take `needed` fit, up to a million.
+    pub fn count_fitting(&self, needed: Resources) -> u32 {
+        let fitting = |free: f64, needed: f64| {
+            if needed <= 0.0 {
                 f64::INFINITY
             } else {
-                ((have + ROUNDING_SLACK) / need).floor().max(0.0)
+                ((free + ROUNDING_SLACK) / needed).floor().max(0.0)
             }
         };
-        one(self.cpus, o.cpus)
-            .min(one(self.gpus, o.gpus))
-            .min(one(self.memory_gb, o.memory_gb))
-            .min(1e6) as u32
+        fitting(self.cpus, needed.cpus)
+            .min(fitting(self.gpus, needed.gpus))
+            .min(fitting(self.memory_gb, needed.memory_gb))
+            .min(MAX_FITTING) as u32
     }
 }
 
 /// A machine that might take a task.
 pub struct Candidate {
-    /// The tier of its type, zone and kind for these needs.
+    /// The tier of its type, zone and kind for the task.
     pub tier: u8,
+    /// What is free there.
     pub free: Resources,
     /// The image is there, or is being fetched for another task.
     pub has_image: bool,
@@ -89,16 +107,20 @@
     pub empty: bool,
 }
 
-/// The tier of a machine for these needs; none if the task may not run there at all.
+/// The tier of a machine for a task; none if the task may not run there at all.
 pub fn tier(requirements: &TaskRequirements, kind: &str, zone: &str, spot: bool) -> Option<u8> {
-    if requirements.zone.as_deref().is_some_and(|z| z != zone) {
+    if requirements
+        .zone
+        .as_deref()
+        .is_some_and(|wanted| wanted != zone)
+    {
         return None;
     }
     requirements
         .kinds
         .iter()
-        .find(|a| a.kind == kind && a.spot == spot)
-        .map(|a| a.tier)
+        .find(|allowed| allowed.kind == kind && allowed.spot == spot)
+        .map(|allowed| allowed.tier)
 }
 
 /// How well a machine suits; the smaller, the better. The fields are compared in their order: not one
@@ -129,11 +151,12 @@
         tier: candidate.tier,
         is_empty: candidate.empty,
         needs_fetch: !candidate.has_image,
-        cpus_left_thousandths: (cpus_left * 1000.0) as u64,
+        cpus_left_thousandths: (cpus_left * RANKED_PARTS_PER_CPU) as u64,
     })
 }
 
-/// Images above this size take more than half of the time allowed for a guaranteed start.
-pub fn slow_above_gb(t: &MachineType, guarantee_s: f64) -> f64 {
-    t.fetch_gb_per_s * guarantee_s / 2.0
+/// The size in gigabytes above which fetching an image takes more than half of `guarantee_s`, the time
+/// allowed for a guaranteed start.
+pub fn slow_above_gb(machine_type: &MachineType, guarantee_s: f64) -> f64 {
+    machine_type.fetch_gb_per_s * guarantee_s / SLOW_FETCH_DIVISOR
 }
--- a/crates/sched/src/ranges.rs
+++ b/crates/sched/src/ranges.rs
@@ -1,61 +1,79 @@
 //! Sets of task indexes as sorted ranges, so that a job of 100,000 tasks costs a few words.
 
+const BITS_PER_BYTE: usize = 8;
+
 /// A set of numbers, kept as sorted ranges `[from, to)` that don't touch.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Ranges(Vec<(u32, u32)>);
 
 impl Ranges {
+    /// The numbers below `n`.
     pub fn full(n: u32) -> Ranges {
         Ranges(if n == 0 { Vec::new() } else { vec![(0, n)] })
     }
 
+    /// Whether it has no member.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
+    /// How many members it has.
     pub fn len(&self) -> u32 {
-        self.0.iter().map(|(a, b)| b - a).sum()
+        self.0.iter().map(|(from, to)| to - from).sum()
+    }
+
+    /// Whether `number` is a member.
+    pub fn contains(&self, number: u32) -> bool {
+        self.holds_before(self.position_after(number), number)
     }
 
-    pub fn contains(&self, i: u32) -> bool {
-        let at = self.0.partition_point(|&(a, _)| a <= i);
-        at > 0 && i < self.0[at - 1].1
+    /// The position of the first range that begins after `number`.
+    fn position_after(&self, number: u32) -> usize {
+        self.0.partition_point(|&(from, _)| from <= number)
     }
 
-    pub fn insert(&mut self, i: u32) -> bool {
-        let at = self.0.partition_point(|&(a, _)| a <= i);
-        if at > 0 && i < self.0[at - 1].1 {
+    /// Whether the range before position `at`, which begins no later than `number`, has it.
+    fn holds_before(&self, at: usize, number: u32) -> bool {
+        at > 0 && number < self.0[at - 1].1
+    }
+
+    /// Adds a number; says whether it is new.
+    pub fn insert(&mut self, number: u32) -> bool {
+        let at = self.position_after(number);
+        if self.holds_before(at, number) {
             return false;
         }
-        let joins_left = at > 0 && self.0[at - 1].1 == i;
-        let joins_right = at < self.0.len() && self.0[at].0 == i + 1;
+        let joins_left = at > 0 && self.0[at - 1].1 == number;
+        let joins_right = at < self.0.len() && self.0[at].0 == number + 1;
         match (joins_left, joins_right) {
             (true, true) => {
                 self.0[at - 1].1 = self.0[at].1;
                 self.0.remove(at);
             }
-            (true, false) => self.0[at - 1].1 = i + 1,
-            (false, true) => self.0[at].0 = i,
-            (false, false) => self.0.insert(at, (i, i + 1)),
+            (true, false) => self.0[at - 1].1 = number + 1,
+            (false, true) => self.0[at].0 = number,
+            (false, false) => self.0.insert(at, (number, number + 1)),
         }
         true
     }
 
-    pub fn remove(&mut self, i: u32) -> bool {
-        let at = self.0.partition_point(|&(a, _)| a <= i);
-        if at == 0 || i >= self.0[at - 1].1 {
+    /// Takes a number out; says whether it was a member.
+    pub fn remove(&mut self, number: u32) -> bool {
+        let after = self.position_after(number);
+        if !self.holds_before(after, number) {
             return false;
         }
-        let (a, b) = self.0[at - 1];
-        match (a == i, b == i + 1) {
+        let at = after - 1;
+        let (from, to) = self.0[at];
+        match (from == number, to == number + 1) {
             (true, true) => {
-                self.0.remove(at - 1);
+                self.0.remove(at);
             }
-            (true, false) => self.0[at - 1].0 = i + 1,
-            (false, true) => self.0[at - 1].1 = i,
+            (true, false) => self.0[at].0 = number + 1,
+            (false, true) => self.0[at].1 = number,
             (false, false) => {
-                self.0[at - 1].1 = i;
-                self.0.insert(at, (i + 1, b));
+                self.0[at].1 = number;
+                self.0.insert(after, (number + 1, to));
             }
         }
         true
@@ -68,27 +86,29 @@
         Some(first)
     }
 
+    /// The members in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = u32> + '_ {
-        self.0.iter().flat_map(|&(a, b)| a..b)
+        self.0.iter().flat_map(|&(from, to)| from..to)
     }
 
-    /// The set as a bitmap in hexadecimal for numbers `[from, to)`.
+    /// The set as a bitmap in hexadecimal for the numbers `[from, to)`: in each byte the lowest bit
+    /// stands for the lowest number.
     pub fn hex(&self, from: u32, to: u32) -> String {
-        let mut bytes = vec![0u8; ((to - from) as usize).div_ceil(8)];
-        for i in self.iter().filter(|i| (from..to).contains(i)) {
-            let at = (i - from) as usize;
-            bytes[at / 8] |= 1 << (at % 8);
+        let mut bytes = vec![0u8; ((to - from) as usize).div_ceil(BITS_PER_BYTE)];
+        for number in self.iter().filter(|number| (from..to).contains(number)) {
+            let at = (number - from) as usize;
+            bytes[at / BITS_PER_BYTE] |= 1 << (at % BITS_PER_BYTE);
         }
-        bytes.iter().map(|b| format!("{b:02x}")).collect()
+        bytes.iter().map(|byte| format!("{byte:02x}")).collect()
     }
 
-    /// Adds the numbers of a bitmap that begins at `from`.
+    /// Adds the numbers of a bitmap that begins at `from`, except those from `below` on.
     pub fn add_bits(&mut self, from: u32, bits: &[u8], below: u32) {
         for (at, byte) in bits.iter().enumerate() {
-            for bit in 0..8 {
-                let i = from + (at * 8 + bit) as u32;
-                if byte >> bit & 1 == 1 && i < below {
-                    self.insert(i);
+            for bit in 0..BITS_PER_BYTE {
+                let number = from + (at * BITS_PER_BYTE + bit) as u32;
+                if byte >> bit & 1 == 1 && number < below {
+                    self.insert(number);
                 }
             }
         }
@@ -103,12 +123,12 @@
 
 /// Joins sorted indexes into (first, count) runs.
 pub fn runs(indexes: impl IntoIterator<Item = u32>) -> Vec<(u32, u32)> {
-    let mut out: Vec<(u32, u32)> = Vec::new();
-    for i in indexes {
-        match out.last_mut() {
-            Some((a, n)) if *a + *n == i => *n += 1,
-            _ => out.push((i, 1)),
+    let mut joined: Vec<(u32, u32)> = Vec::new();
+    for index in indexes {
+        match joined.last_mut() {
+            Some((first, count)) if *first + *count == index => *count += 1,
+            _ => joined.push((index, 1)),
         }
     }
-    out
+    joined
 }
