--- a/crates/sched/src/capacity_index.rs
+++ b/crates/sched/src/capacity_index.rs
@@ -1,6 +1,6 @@
 //! Machines that may take tasks, kept from one pass to the next and ordered by what placement
 //! ranks on: type, zone and kind as pools, and in each pool the free CPUs. A job looks only at
-//! the pools that it allows, and there only at machines with enough capacity.
+//! the pools that it allows, and there only at machines with enough free CPUs.
 
 use crate::placement::{rank, slow_above_gb, tier, Candidate, Rank, Resources};
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,11 +8,17 @@
 use wire::cloud::MachineType;
 use wire::peers::TaskRequirements;
 
+/// Pools order their machines by free CPUs in this many parts of one.
+const ORDERED_PARTS_PER_CPU: f64 = 1000.0;
+
 /// What placement needs to know of one machine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct IndexedMachine {
+    /// The member that owns the machine; empty in an owner's own index.
     pub owner: String,
+    /// What new tasks may take.
     pub free: Resources,
+    /// Images that are there or are being fetched.
     pub images: Vec<String>,
     /// Nothing runs there, so it may soon be returned.
     pub empty: bool,
@@ -24,126 +30,174 @@
     kind: String,
     zone: Rc<str>,
     spot: bool,
+    /// Images above this size in gigabytes take long to fetch.
     slow_above_gb: f64,
     /// Its machines by free CPUs and name.
     by_cpus: BTreeMap<(u64, Rc<str>), Rc<IndexedMachine>>,
 }
 
 impl Pool {
-    fn put(&mut self, name: &Rc<str>, spot: &Rc<IndexedMachine>) {
-        let key = (thousandths(spot.free.cpus), name.clone());
-        self.by_cpus.insert(key, spot.clone());
+    fn put(&mut self, name: &Rc<str>, machine: &Rc<IndexedMachine>) {
+        let key = (ordered_cpus(machine.free.cpus), name.clone());
+        self.by_cpus.insert(key, machine.clone());
     }
 
-    fn remove(&mut self, name: &Rc<str>, spot: &IndexedMachine) {
-        self.by_cpus
-            .remove(&(thousandths(spot.free.cpus), name.clone()));
+    fn remove(&mut self, name: &Rc<str>, machine: &IndexedMachine) {
+        let key = (ordered_cpus(machine.free.cpus), name.clone());
+        self.by_cpus.remove(&key);
+    }
+
+    /// Adds the machines on which a task fits, in the order of their free CPUs.
+    fn add_fits(&self, requirements: &TaskRequirements, tier: u8, fits: &mut Vec<Fit>) {
+        let resources = Resources::of(requirements);
+        // One part less: the pool's order is rounded, the comparison of a task with a machine is not.
+        let least = ordered_cpus(requirements.cpus).saturating_sub(1);
+        for ((_, name), machine) in self.by_cpus.range((least, Rc::from(""))..) {
+            let candidate = Candidate {
+                tier,
+                free: machine.free,
+                has_image: machine.images.contains(&requirements.image),
+                slow_fetch: requirements.image_gb > self.slow_above_gb,
+                empty: machine.empty,
+            };
+            if let Some(rank) = rank(requirements, &candidate) {
+                fits.push(Fit {
+                    rank,
+                    name: name.clone(),
+                    zone: self.zone.clone(),
+                    slots: machine.free.count_fitting(resources),
+                });
+            }
+        }
     }
 }
 
 /// A machine on which at least one task fits.
 #[derive(Clone, Debug, PartialEq, PartialOrd)]
 pub struct Fit {
+    /// How well it suits.
     pub rank: Rank,
+    /// The machine's name.
     pub name: Rc<str>,
+    /// The machine's zone.
     pub zone: Rc<str>,
     /// How many tasks fit.
     pub slots: u32,
 }
 
+/// A machine's entry: the position of its pool, and what is known of it.
+#[derive(Debug)]
+struct Entry {
+    pool: usize,
+    machine: Rc<IndexedMachine>,
+}
+
+/// The machines that may take tasks.
+///
+/// Invariant: each machine is in exactly one pool, under the free CPUs of its entry.
 #[derive(Debug, Default)]
 pub struct Index {
     pools: Vec<Pool>,
-    machines: BTreeMap<Rc<str>, (usize, Rc<IndexedMachine>)>,
+    machines: BTreeMap<Rc<str>, Entry>,
 }
 
-fn thousandths(cpus: f64) -> u64 {
-    (cpus.max(0.0) * 1000.0).round() as u64
+fn ordered_cpus(cpus: f64) -> u64 {
+    (cpus.max(0.0) * ORDERED_PARTS_PER_CPU).round() as u64
 }
 
 impl Index {
-    fn pool(&mut self, t: &MachineType, zone: &str, spot: bool, guarantee_s: f64) -> usize {
-        match self
-            .pools
-            .iter()
-            .position(|p| p.kind == t.name && *p.zone == *zone && p.spot == spot)
-        {
-            Some(at) => at,
-            None => {
-                let slow_above_gb = slow_above_gb(t, guarantee_s);
-                self.pools.push(Pool {
-                    kind: t.name.clone(),
-                    zone: zone.into(),
-                    spot,
-                    slow_above_gb,
-                    by_cpus: BTreeMap::new(),
-                });
-                self.pools.len() - 1
-            }
-        }
+    /// The position of a pool, which is added if it is new.
+    fn pool(
+        &mut self,
+        machine_type: &MachineType,
+        zone: &str,
+        spot: bool,
+        guarantee_s: f64,
+    ) -> usize {
+        let same = |pool: &Pool| {
+            pool.kind == machine_type.name && *pool.zone == *zone && pool.spot == spot
+        };
+        self.pools.iter().position(same).unwrap_or_else(|| {
+            self.pools.push(Pool {
+                kind: machine_type.name.clone(),
+                zone: zone.into(),
+                spot,
+                slow_above_gb: slow_above_gb(machine_type, guarantee_s),
+                by_cpus: BTreeMap::new(),
+            });
+            self.pools.len() - 1
+        })
     }
 
-    /// Takes a machine in, or what has changed of it.
+    /// Takes a machine in, or what has changed of it. `guarantee_s` is the time in seconds allowed for
+    /// a guaranteed start.
     pub fn put(
         &mut self,
         name: &str,
-        t: &MachineType,
+        machine_type: &MachineType,
         zone: &str,
         spot: bool,
         guarantee_s: f64,
-        s: IndexedMachine,
+        machine: IndexedMachine,
     ) {
         let key: Rc<str> = match self.machines.get_key_value(name) {
-            Some((_, (_, old))) if **old == s => return,
-            Some((key, (pool, old))) => {
-                self.pools[*pool].remove(key, old);
+            Some((_, old)) if *old.machine == machine => return,
+            Some((key, old)) => {
+                self.pools[old.pool].remove(key, &old.machine);
                 key.clone()
             }
             None => name.into(),
         };
-        let pool = self.pool(t, zone, spot, guarantee_s);
-        let s = Rc::new(s);
-        self.pools[pool].put(&key, &s);
-        self.machines.insert(key, (pool, s));
+        let pool = self.pool(machine_type, zone, spot, guarantee_s);
+        self.insert(key, pool, machine);
+    }
+
+    fn insert(&mut self, name: Rc<str>, pool: usize, machine: IndexedMachine) {
+        let machine = Rc::new(machine);
+        self.pools[pool].put(&name, &machine);
+        self.machines.insert(name, Entry { pool, machine });
     }
 
+    /// Takes a machine out, if it is there.
     pub fn remove(&mut self, name: &str) {
-        if let Some((key, (pool, s))) = self.machines.remove_entry(name) {
-            self.pools[pool].remove(&key, &s);
+        if let Some((name, entry)) = self.machines.remove_entry(name) {
+            self.pools[entry.pool].remove(&name, &entry.machine);
         }
     }
 
+    /// Takes all machines out.
     pub fn clear(&mut self) {
         *self = Index::default();
     }
 
+    /// What is known of a machine; none if it is not here.
     pub fn get(&self, name: &str) -> Option<&IndexedMachine> {
-        self.machines.get(name).map(|(_, s)| &**s)
+        self.machines.get(name).map(|entry| &*entry.machine)
     }
 
+    /// The zones in which there are machines.
     pub fn zones(&self) -> BTreeSet<Rc<str>> {
         self.pools
             .iter()
-            .filter(|p| !p.by_cpus.is_empty())
-            .map(|p| p.zone.clone())
+            .filter(|pool| !pool.by_cpus.is_empty())
+            .map(|pool| pool.zone.clone())
             .collect()
     }
 
-    /// Sets capacity of a machine aside for tasks that need an image.
-    pub fn take(&mut self, name: &str, resources: Resources, n: u32, image: &str) {
-        let Some((key, (pool, s))) = self.machines.get_key_value(name) else {
+    /// Sets resources of a machine aside for `count` tasks that need an image.
+    pub fn take(&mut self, name: &str, resources: Resources, count: u32, image: &str) {
+        let Some((name, entry)) = self.machines.remove_entry(name) else {
             return;
         };
-        let (key, pool, mut s) = (key.clone(), *pool, IndexedMachine::clone(s));
-        self.pools[pool].remove(&key, &s);
-        s.free.sub(resources.scaled(n));
-        s.empty = false;
-        if !s.images.iter().any(|i| i == image) {
-            s.images.insert(0, image.to_string());
+        self.pools[entry.pool].remove(&name, &entry.machine);
+        // The pool's share is gone, so that this takes the machine over rather than copying it.
+        let mut machine = Rc::unwrap_or_clone(entry.machine);
+        machine.free.sub(resources.scaled(count));
+        machine.empty = false;
+        if !machine.images.iter().any(|known| known == image) {
+            machine.images.insert(0, image.to_string());
         }
-        let s = Rc::new(s);
-        self.pools[pool].put(&key, &s);
-        self.machines.insert(key, (pool, s));
+        self.insert(name, entry.pool, machine);
     }
 
     /// The machines on which a task fits, the best first. Whatever one takes makes it suit the
@@ -152,54 +206,37 @@
         self.fits_outside(requirements, None)
     }
 
-    /// The same without what is cordoned.
+    /// The same without the machines that are kept for tasks with the requirements `cordon`.
     pub fn fits_outside(
         &self,
         requirements: &TaskRequirements,
         cordon: Option<&TaskRequirements>,
     ) -> Vec<Fit> {
-        let resources = Resources::of(requirements);
-        let from = thousandths(requirements.cpus).saturating_sub(1);
-        let mut out = Vec::new();
-        for p in &self.pools {
-            let Some(tier_here) = tier(requirements, &p.kind, &p.zone, p.spot) else {
-                continue;
-            };
-            if cordon.is_some_and(|a| tier(a, &p.kind, &p.zone, p.spot).is_some()) {
+        let mut fits = Vec::new();
+        for pool in &self.pools {
+            let tier_for = |task: &TaskRequirements| tier(task, &pool.kind, &pool.zone, pool.spot);
+            if cordon.and_then(tier_for).is_some() {
                 continue;
             }
-            for ((_, name), s) in p.by_cpus.range((from, Rc::from(""))..) {
-                let c = Candidate {
-                    tier: tier_here,
-                    free: s.free,
-                    has_image: s.images.contains(&requirements.image),
-                    slow_fetch: requirements.image_gb > p.slow_above_gb,
-                    empty: s.empty,
-                };
-                if let Some(rank) = rank(requirements, &c) {
-                    out.push(Fit {
-                        rank,
-                        name: name.clone(),
-                        zone: p.zone.clone(),
-                        slots: s.free.count_fitting(resources),
-                    });
-                }
+            if let Some(tier) = tier_for(requirements) {
+                pool.add_fits(requirements, tier, &mut fits);
             }
         }
-        out.sort_unstable_by(|a, b| (a.rank, &a.name).cmp(&(b.rank, &b.name)));
-        out
+        fits.sort_unstable_by(|a, b| (a.rank, &a.name).cmp(&(b.rank, &b.name)));
+        fits
     }
 
-    /// Everything in it, for comparison with a plain rebuild.
+    /// Everything in it by name, as (type, zone, spot, machine), for comparison with a plain rebuild.
     pub fn contents(&self) -> BTreeMap<String, (String, String, bool, IndexedMachine)> {
-        let one = |(n, (p, s)): (&Rc<str>, &(usize, Rc<IndexedMachine>))| {
-            let p = &self.pools[*p];
-            let spot = IndexedMachine::clone(s);
+        let describe = |(name, entry): (&Rc<str>, &Entry)| {
+            let pool = &self.pools[entry.pool];
+            let machine = IndexedMachine::clone(&entry.machine);
+            let zone = pool.zone.to_string();
             (
-                n.to_string(),
-                (p.kind.clone(), p.zone.to_string(), p.spot, spot),
+                name.to_string(),
+                (pool.kind.clone(), zone, pool.spot, machine),
             )
         };
-        self.machines.iter().map(one).collect()
+        self.machines.iter().map(describe).collect()
     }
 }
--- a/crates/sched/src/dependencies.rs
+++ b/crates/sched/src/dependencies.rs
@@ -45,6 +45,7 @@
 /// How many priorities there are.
 const PRIORITIES: usize = 4;
 
+/// An open job that needs another one, or is needed by one.
 #[derive(Clone, Debug)]
 struct Node {
     /// The job's own priority.
@@ -87,6 +88,16 @@
         let effective = most_urgent.map_or(self.own, |priority| priority.min(self.own));
         std::mem::replace(&mut self.effective, effective)
     }
+
+    /// What its dependencies are to learn: it was treated with the priority `before` until now.
+    fn shifts(&self, before: Priority) -> Vec<Shift> {
+        let shift = |dependency: &Rc<str>| Shift {
+            dependency: dependency.clone(),
+            before: Some(before),
+            after: Some(self.effective),
+        };
+        self.dependencies.iter().map(shift).collect()
+    }
 }
 
 /// A dependent of a job is treated with another priority, is new, or is gone.
@@ -97,6 +108,8 @@
 }
 
 /// The graph of open jobs.
+///
+/// Invariant: a node names another as a dependency if and only if that one names it as a dependent.
 #[derive(Clone, Debug, Default)]
 pub struct Dependencies {
     nodes: HashMap<Rc<str>, Node>,
@@ -131,23 +144,7 @@
         if job.dependencies.is_empty() && !self.nodes.contains_key(&id) {
             return Vec::new();
         }
-        let node = self
-            .nodes
-            .entry(id.clone())
-            .or_insert_with(|| Node::new(job.priority, true));
-        node.known = true;
-        node.own = job.priority;
-        let before = node.refresh();
-        let after = node.effective;
-        let known_edges = node.dependencies.clone();
-        let mut shifts: Vec<Shift> = known_edges
-            .iter()
-            .map(|dependency| Shift {
-                dependency: dependency.clone(),
-                before: Some(before),
-                after: Some(after),
-            })
-            .collect();
+        let (priority, mut shifts) = self.note_record(&id, job.priority);
         let mut is_cancelled = false;
         for name in &job.dependencies {
             let needed = match record(name) {
@@ -160,11 +157,10 @@
                 None => Node::new(Priority::BestEffort, false),
             };
             if let Some(dependency) = self.connect(&id, name, needed) {
-                let (before, after) = (None, Some(after));
                 shifts.push(Shift {
                     dependency,
-                    before,
-                    after,
+                    before: None,
+                    after: Some(priority),
                 });
             }
         }
@@ -177,6 +173,20 @@
         effects
     }
 
+    /// Notes that a job's record was seen, with its own priority. Returns the priority with which the
+    /// job is treated, and the shifts for the dependencies known before.
+    fn note_record(&mut self, id: &Rc<str>, own: Priority) -> (Priority, Vec<Shift>) {
+        let node = self
+            .nodes
+            .entry(id.clone())
+            .or_insert_with(|| Node::new(own, true));
+        node.known = true;
+        node.own = own;
+        let before = node.refresh();
+        let after = node.effective;
+        (after, node.shifts(before))
+    }
+
     /// Notes that a job waits for another, which gets `node` if it has none yet. Names the other if
     /// that was not known before.
     fn connect(&mut self, dependent: &Rc<str>, dependency: &str, node: Node) -> Option<Rc<str>> {
@@ -269,12 +279,7 @@
                 continue;
             }
             effects.push(Effect::Reprioritized(shift.dependency.to_string(), after));
-            let further = node.dependencies.iter().map(|dependency| Shift {
-                dependency: dependency.clone(),
-                before: Some(before),
-                after: Some(after),
-            });
-            shifts.extend(further.collect::<Vec<_>>());
+            shifts.extend(node.shifts(before));
         }
         effects
     }
