--- a/crates/sched/src/owner/backlog.rs
+++ b/crates/sched/src/owner/backlog.rs
@@ -80,7 +80,7 @@
             let resources = Resources::of(&entry.requirements);
             let count = (free.count_fitting(resources) as usize)
                 .min(entry.indexes.len())
-                .min(machine.room_in_response());
+                .min(machine.starts_left_in_response());
             free.sub(resources.scaled(count as u32));
             let group = StartGroup {
                 job: &entry.job,
--- a/crates/sched/src/owner/machine.rs
+++ b/crates/sched/src/owner/machine.rs
@@ -2,15 +2,16 @@
 //! clear.
 
 use super::lease::WorkerLease;
+use super::orders::{is_live, OutstandingOrders};
 use super::outbox::Outbox;
 use super::pending_starts::{PendingStarts, StartGroup};
 use super::responses::{HeartbeatId, Responses};
 use crate::placement::tier;
 use crate::Secs;
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::collections::{BTreeMap, VecDeque};
 use wire::peers::{MachineStatus, TaskRef, TaskRequirements, TaskStatus};
-use wire::workers::{Heartbeat, Order, ReportedTask, TaskState};
-use wire::{split_task, task_name};
+use wire::split_task;
+use wire::workers::{Heartbeat, Order, ReportedTask};
 
 /// How many images are remembered for each machine.
 const IMAGES_REMEMBERED: usize = 8;
@@ -38,10 +39,7 @@
     newest: Option<HeartbeatId>,
     notice_s: Option<f64>,
     tasks: BTreeMap<TaskRef, TaskStatus>,
-    pending: PendingStarts,
-    /// Tasks to stop, with their grace in seconds.
-    stops: BTreeMap<TaskRef, f64>,
-    clears: BTreeSet<TaskRef>,
+    orders: OutstandingOrders,
     /// Images that were needed here, the latest first.
     images: VecDeque<String>,
     is_dirty: bool,
@@ -64,9 +62,7 @@
             newest: None,
             notice_s: None,
             tasks: BTreeMap::new(),
-            pending: PendingStarts::default(),
-            stops: BTreeMap::new(),
-            clears: BTreeSet::new(),
+            orders: OutstandingOrders::default(),
             images: VecDeque::new(),
             is_dirty: false,
         }
@@ -96,13 +92,14 @@
         live.map(|status| &status.task)
     }
 
+    /// Starts that no heartbeat has settled yet.
     pub(super) fn pending(&self) -> &PendingStarts {
-        &self.pending
+        self.orders.starts()
     }
 
     /// Whether nothing holds resources here, so that the machine may soon be returned.
     pub(super) fn is_empty(&self) -> bool {
-        self.pending.is_empty() && self.live_tasks().next().is_none()
+        self.pending().is_empty() && self.live_tasks().next().is_none()
     }
 
     /// Images that were needed here, the latest first.
@@ -150,7 +147,7 @@
             lapsed: self.lease.has_expired(),
             notice_s: self.notice_s,
             tasks: self.tasks.values().cloned().collect(),
-            pending: self.pending.tasks().cloned().collect(),
+            pending: self.pending().tasks().cloned().collect(),
             usable: self.usable,
             unreachable: self.responses.are_lost(),
         }
@@ -169,8 +166,8 @@
             self.lease.renewed_at(),
             self.lease.has_expired(),
             self.tasks.len(),
-            self.pending.len(),
-            self.stops.len()
+            self.pending().len(),
+            self.orders.stop_count()
         )
     }
 }
@@ -225,8 +222,7 @@
         self.lease.expire();
         self.tasks.clear();
         self.withdraw_all_starts(outbox);
-        self.stops.clear();
-        self.clears.clear();
+        self.orders.forget_stops_and_clears();
         self.images.clear();
         self.is_dirty = true;
     }
@@ -249,7 +245,7 @@
         group: &StartGroup,
         indexes: impl Iterator<Item = u32>,
     ) -> u32 {
-        let added = self.pending.add(group, indexes);
+        let added = self.orders.add_starts(group, indexes);
         if added > 0 {
             self.remember_image(group.image);
             self.is_dirty = true;
@@ -258,19 +254,18 @@
     }
 
     /// How many more starts the next answer may carry.
-    pub(super) fn room_in_response(&self) -> usize {
-        self.pending.room_in_response()
+    pub(super) fn starts_left_in_response(&self) -> usize {
+        self.orders.starts().starts_left_in_response()
     }
 
     /// A task is to be stopped, within the shortest grace (in seconds) that was asked for.
     pub(super) fn add_stop(&mut self, task: TaskRef, grace_s: f64) {
-        let grace = self.stops.get(&task).map_or(grace_s, |g| g.min(grace_s));
-        self.stops.insert(task, grace);
+        self.orders.add_stop(task, grace_s);
     }
 
     /// An exited task is to be forgotten by the worker.
     pub(super) fn add_clear(&mut self, task: TaskRef) {
-        self.clears.insert(task);
+        self.orders.add_clear(task);
     }
 
     /// Takes back all starts if answers don't reach the worker; says whether there were any.
@@ -280,60 +275,35 @@
         }
         log::info!(
             "event=starts_lost machine={name} tasks={}",
-            self.pending.len()
+            self.pending().len()
         );
         self.withdraw_all_starts(outbox)
     }
 
     fn withdraw_all_starts(&mut self, outbox: &mut Outbox) -> bool {
-        let withdrawn = self.pending.withdraw(&self.tasks, |_| true, outbox);
+        let withdrawn = self.orders.withdraw_all_starts(&self.tasks, outbox);
         self.is_dirty |= withdrawn;
         withdrawn
     }
 
-    /// The newest heartbeat has just been taken. It settles every earlier order: a start that it lacks
-    /// did not take effect and never will. What it shows of terminal jobs is to be stopped, in every
-    /// answer until a heartbeat shows it gone, whoever owned the machine before and whether or not the
-    /// leader has said so.
+    /// Settles every earlier order by the heartbeat that has just been taken.
     pub(super) fn reconcile_orders(
         &mut self,
         is_terminal: impl Fn(&str) -> bool,
         outbox: &mut Outbox,
     ) {
-        let tasks = &self.tasks;
-        let live = |task: &TaskRef| tasks.get(task).map(is_live);
-        let terminal = tasks.values().filter(|task| is_live(task));
-        let terminal = terminal.filter(|status| is_terminal(&status.task.job));
-        self.stops
-            .extend(terminal.map(|status| (status.task.clone(), 0.0)));
         let is_closed = !self.usable || self.notice_s.is_some();
-        let stops = &self.stops;
-        let is_void =
-            |task: &TaskRef| is_closed || stops.contains_key(task) || is_terminal(&task.job);
-        self.is_dirty |= self.pending.withdraw(tasks, is_void, outbox);
-        self.is_dirty |= self.pending.settle(tasks);
-        self.clears.retain(|task| live(task) == Some(false));
-        self.stops.retain(|task, _| live(task) == Some(true));
+        self.orders.stop_terminal(&self.tasks, &is_terminal);
+        self.is_dirty |= self
+            .orders
+            .settle_starts(&self.tasks, is_closed, &is_terminal, outbox);
+        self.orders.settle_stops_and_clears(&self.tasks);
     }
 
     /// Orders for the answer to a heartbeat that was taken; without starts if these must wait until
     /// the controller's knowledge is fresh enough for them.
     pub(super) fn orders(&self, may_start: bool) -> Vec<Order> {
-        let clears = self.clears.iter().map(|task| Order::Clear {
-            task: task_name(&task.job, task.index),
-            attempt: task.attempt,
-        });
-        let stops = self.stops.iter().map(|(task, grace_s)| Order::Stop {
-            task: task_name(&task.job, task.index),
-            attempt: task.attempt,
-            grace_s: *grace_s,
-        });
-        let allowed = may_start.then(|| self.pending.next_response());
-        let starts = allowed.into_iter().flatten().map(|task| Order::Start {
-            task: task_name(&task.job, task.index),
-            attempt: task.attempt,
-        });
-        clears.chain(stops).chain(starts).collect()
+        self.orders.next_response(may_start)
     }
 
     fn remember_image(&mut self, image: &str) {
@@ -343,10 +313,6 @@
     }
 }
 
-fn is_live(status: &TaskStatus) -> bool {
-    status.state != TaskState::Exited
-}
-
 /// A task that a heartbeat shows; none if its name is no task's.
 fn shown_task(shown: &ReportedTask) -> Option<(TaskRef, TaskStatus)> {
     let (job, index) = split_task(&shown.task)?;
--- a/crates/sched/src/owner/messages.rs
+++ b/crates/sched/src/owner/messages.rs
@@ -9,11 +9,6 @@
 use wire::cloud::MachineType;
 use wire::peers::{ToLeader, ToOwner};
 
-/// The instant `wait_ms` milliseconds after `now`.
-fn after_ms(now: Secs, wait_ms: u64) -> Secs {
-    now + wait_ms as f64 / 1000.0
-}
-
 impl Owner {
     /// Takes a message of the leader (its grants are the caller's business).
     pub fn on_leader_message(&mut self, message: ToOwner, now: Secs, jobs: &dyn Jobs) {
@@ -57,7 +52,7 @@
         }
     }
 
-    /// Takes tasks that the leader gives to this owner.
+    /// Takes tasks that the leader sends to start, to wait or to be reserved for; no other message.
     fn on_tasks(&mut self, message: ToOwner, now: Secs, jobs: &dyn Jobs) {
         match message {
             ToOwner::Assign {
@@ -120,3 +115,8 @@
         }
     }
 }
+
+/// The instant `wait_ms` milliseconds after `now`.
+fn after_ms(now: Secs, wait_ms: u64) -> Secs {
+    now + wait_ms as f64 / 1000.0
+}
--- a/crates/sched/src/owner/mod.rs
+++ b/crates/sched/src/owner/mod.rs
@@ -18,6 +18,7 @@
 mod machine;
 mod machines;
 mod messages;
+mod orders;
 mod outbox;
 mod pending_starts;
 mod placement;
--- /dev/null
+++ b/crates/sched/src/owner/orders.rs
@@ -0,0 +1,126 @@
+//! What a machine is to start, stop and clear.
+
+use super::outbox::Outbox;
+use super::pending_starts::{PendingStarts, StartGroup};
+use std::collections::{BTreeMap, BTreeSet};
+use wire::peers::{TaskRef, TaskStatus};
+use wire::task_name;
+use wire::workers::{Order, TaskState};
+
+/// Orders for a machine that no heartbeat has settled.
+///
+/// Invariant: an order stays until a heartbeat that counts shows that it took effect, or never will, or
+/// until the worker's lease is over.
+#[derive(Default)]
+pub(super) struct OutstandingOrders {
+    starts: PendingStarts,
+    /// Tasks to stop, with their grace in seconds.
+    stops: BTreeMap<TaskRef, f64>,
+    /// Exited tasks that the worker is to forget.
+    clears: BTreeSet<TaskRef>,
+}
+
+impl OutstandingOrders {
+    pub(super) fn starts(&self) -> &PendingStarts {
+        &self.starts
+    }
+
+    pub(super) fn stop_count(&self) -> usize {
+        self.stops.len()
+    }
+
+    /// Adds starts; says how many were not there before.
+    pub(super) fn add_starts(
+        &mut self,
+        group: &StartGroup,
+        indexes: impl Iterator<Item = u32>,
+    ) -> u32 {
+        self.starts.add(group, indexes)
+    }
+
+    /// Adds a stop; the shortest grace that was asked for counts.
+    pub(super) fn add_stop(&mut self, task: TaskRef, grace_s: f64) {
+        let asked_before = self.stops.get(&task);
+        let grace_s = asked_before.map_or(grace_s, |before| before.min(grace_s));
+        self.stops.insert(task, grace_s);
+    }
+
+    pub(super) fn add_clear(&mut self, task: TaskRef) {
+        self.clears.insert(task);
+    }
+
+    /// Takes back all starts that no heartbeat shows; says whether there were any.
+    pub(super) fn withdraw_all_starts(
+        &mut self,
+        shown: &BTreeMap<TaskRef, TaskStatus>,
+        outbox: &mut Outbox,
+    ) -> bool {
+        self.starts.withdraw(shown, |_| true, outbox)
+    }
+
+    pub(super) fn forget_stops_and_clears(&mut self) {
+        self.stops.clear();
+        self.clears.clear();
+    }
+
+    /// What a heartbeat shows of terminal jobs is to be stopped, in every answer until a heartbeat
+    /// shows it gone, whoever owned the machine before and whether or not the leader has said so.
+    pub(super) fn stop_terminal(
+        &mut self,
+        shown: &BTreeMap<TaskRef, TaskStatus>,
+        is_terminal: impl Fn(&str) -> bool,
+    ) {
+        let live = shown.values().filter(|status| is_live(status));
+        let terminal = live.filter(|status| is_terminal(&status.task.job));
+        self.stops
+            .extend(terminal.map(|status| (status.task.clone(), 0.0)));
+    }
+
+    /// Settles the starts by a heartbeat: one that it lacks did not take effect and never will, so that
+    /// it is withdrawn if it is not wanted any more. Says whether anything changed.
+    pub(super) fn settle_starts(
+        &mut self,
+        shown: &BTreeMap<TaskRef, TaskStatus>,
+        is_closed: bool,
+        is_terminal: impl Fn(&str) -> bool,
+        outbox: &mut Outbox,
+    ) -> bool {
+        let stops = &self.stops;
+        let is_void =
+            |task: &TaskRef| is_closed || stops.contains_key(task) || is_terminal(&task.job);
+        let withdrawn = self.starts.withdraw(shown, is_void, outbox);
+        let started = self.starts.settle(shown);
+        withdrawn || started
+    }
+
+    /// Drops the stops and clears that took effect, or that have lost their object.
+    pub(super) fn settle_stops_and_clears(&mut self, shown: &BTreeMap<TaskRef, TaskStatus>) {
+        let live = |task: &TaskRef| shown.get(task).map(is_live);
+        self.clears.retain(|task| live(task) == Some(false));
+        self.stops.retain(|task, _| live(task) == Some(true));
+    }
+
+    /// The orders of the next answer; without starts if these must wait.
+    pub(super) fn next_response(&self, may_start: bool) -> Vec<Order> {
+        let clears = self.clears.iter().map(|task| Order::Clear {
+            task: task_name(&task.job, task.index),
+            attempt: task.attempt,
+        });
+        let stops = self.stops.iter().map(|(task, grace_s)| Order::Stop {
+            task: task_name(&task.job, task.index),
+            attempt: task.attempt,
+            grace_s: *grace_s,
+        });
+        let allowed = may_start.then(|| self.starts.next_response());
+        let starts = allowed.into_iter().flatten().map(|task| Order::Start {
+            task: task_name(&task.job, task.index),
+            attempt: task.attempt,
+        });
+        clears.chain(stops).chain(starts).collect()
+    }
+}
+
+/// Whether a task holds resources of its machine.
+pub(super) fn is_live(status: &TaskStatus) -> bool {
+    status.state != TaskState::Exited
+}
--- a/crates/sched/src/owner/pending_starts.rs
+++ b/crates/sched/src/owner/pending_starts.rs
@@ -74,7 +74,7 @@
     }
 
     /// How many more starts the next answer may carry.
-    pub(super) fn room_in_response(&self) -> usize {
+    pub(super) fn starts_left_in_response(&self) -> usize {
         STARTS_PER_RESPONSE.saturating_sub(self.starts.len())
     }
 
