--- a/crates/ladderroute/src/api.rs
+++ b/crates/ladderroute/src/api.rs
@@ -1,7 +1,7 @@
 //! The port for users, workers and health checks.
 
+use crate::controller::{Controller as Node, ReplicaJobs, State};
 use crate::counters::Counters;
-use crate::node::{Node, ReplicaJobs, State};
 use crate::submission::{cancel, query, refuse, retry_later, submit};
 use http::pool::Rank;
 use http::server::{Limits, OnWritten, Request, Response};
@@ -26,7 +26,10 @@
 /// Sockets that this controller uses itself: its listeners, the other controllers, the store (as
 /// many requests as may be under way within their time limit, about) and the cloud.
 fn own_sockets(others: usize, store_rps: f64) -> usize {
-    2 + crate::peers::most_connections(others) + 2 + (store_rps / 4.0).ceil() as usize + 4
+    2 + crate::controller::limits::max_peer_connections(others)
+        + 2
+        + (store_rps / 4.0).ceil() as usize
+        + 4
 }
 
 /// Limits of the port, from what the settings allow.
--- /dev/null
+++ b/crates/ladderroute/src/controller/shared_state.rs
@@ -0,0 +1,65 @@
+//! What the tasks of one controller share behind its lock: data only, no tasks.
+
+use crate::cluster_view::ClusterView;
+use crate::outbox::Outbox;
+use crate::writer::batch::TxnLimits;
+use crate::writer::pages::RecordPages;
+use sched::leader::{Action, Leader};
+use sched::owner::Owner;
+use std::collections::{HashMap, VecDeque};
+use std::time::Instant;
+use store::leadership::LeadershipLease;
+use wire::cloud::MachineType;
+
+/// A leadership of this controller.
+pub struct Leadership {
+    pub leader: Leader,
+    pub lease: LeadershipLease,
+    pub records: RecordPages,
+    /// What its transactions may hold.
+    pub limits: TxnLimits,
+    /// Decisions that have to be written, and requests to the cloud.
+    pub writes: VecDeque<Action>,
+    pub cloud: VecDeque<Action>,
+    pub links: HashMap<String, Link>,
+}
+
+/// A connection of another controller to this leader.
+pub struct Link {
+    pub frames: Outbox,
+    /// Which process and which of its connections: an older one never replaces a newer one.
+    pub start: u64,
+    pub count: u64,
+}
+
+/// What the tasks of this process share beside the owner's state.
+pub struct Shared {
+    /// What this controller knows of the store.
+    pub view: ClusterView,
+    pub catalog: Option<Vec<MachineType>>,
+    pub leadership: Option<Leadership>,
+    /// Running tasks by job, as the leader last told.
+    pub running: HashMap<String, u32>,
+    /// Messages to the leader, while there is a connection.
+    pub to_leader: Option<Outbox>,
+    pub store_failing_since: Option<Instant>,
+}
+
+/// All that lives behind the one lock.
+pub struct State {
+    pub owner: Owner,
+    pub shared: Shared,
+}
+
+impl Shared {
+    pub fn new(view: ClusterView) -> Shared {
+        Shared {
+            view,
+            catalog: None,
+            leadership: None,
+            running: HashMap::new(),
+            to_leader: None,
+            store_failing_since: None,
+        }
+    }
+}
--- a/crates/ladderroute/src/freshness.rs
+++ b/crates/ladderroute/src/freshness.rs
@@ -3,12 +3,10 @@
 //! every query that was waiting when it was sent.
 
 use crate::cluster_view::{Read, ViewReload};
+use crate::controller::{Controller, State};
 use crate::counters::Counters;
-use crate::node::Node;
-use smol::channel::Sender;
-use std::cell::{Cell, RefCell};
 use std::rc::Rc;
-use std::time::{Duration, Instant};
+use std::time::Duration;
 use store::budget::Rank;
 use store::client::StoreError;
 use store::keys;
@@ -20,29 +18,10 @@
 /// there is always one.
 const WATCH_SHARE: f64 = 0.2;
 
-/// Freshness reads of this controller.
-#[derive(Default)]
-pub struct FreshnessReads {
-    waiting: RefCell<Vec<Sender<bool>>>,
-    busy: Cell<bool>,
-    /// When the newest freshness read was answered.
-    answered: Cell<Option<Instant>>,
-}
-
-impl FreshnessReads {
-    /// Whether freshness reads follow each other at least this closely, as when many users ask.
-    fn reads_every(&self, interval: Duration) -> bool {
-        self.answered
-            .get()
-            .is_some_and(|at| at.elapsed() < interval)
-    }
-}
-
 /// Brings the view up to the store's present state; false if that can't be done now.
-pub async fn refresh_view(node: &Rc<Node>) -> bool {
-    let (done, result) = smol::channel::bounded(1);
-    node.freshness_reads.waiting.borrow_mut().push(done);
-    if !node.freshness_reads.busy.replace(true) {
+pub async fn refresh_view(node: &Rc<Controller>) -> bool {
+    let (result, is_first) = node.freshness_reads.enqueue();
+    if is_first {
         let n = node.clone();
         node.executor
             .spawn(async move { serve_waiting(n).await })
@@ -52,18 +31,16 @@
 }
 
 /// Time between two requests of this controller when all together take a part of the rate.
-fn pace(node: &Node, share: f64) -> Duration {
+fn pace(node: &Controller, share: f64) -> Duration {
     Duration::from_secs_f64((node.settings.known.len() + 1) as f64 / (node.limits.rps * share))
 }
 
-async fn serve_waiting(node: Rc<Node>) {
+async fn serve_waiting(node: Rc<Controller>) {
     let pace = pace(&node, READS_SHARE);
     loop {
-        let waiting = node.freshness_reads.waiting.take();
-        if waiting.is_empty() {
-            node.freshness_reads.busy.set(false);
+        let Some(waiting) = node.freshness_reads.take_waiting() else {
             return;
-        }
+        };
         let ok = once(&node).await;
         for w in waiting {
             let _ = w.try_send(ok);
@@ -73,7 +50,7 @@
 }
 
 /// One freshness read; false if the view is not up to date after it.
-pub async fn once(node: &Rc<Node>) -> bool {
+pub async fn once(node: &Rc<Controller>) -> bool {
     let Some(read) = begin_read(node) else {
         return false;
     };
@@ -81,7 +58,7 @@
         Ok(changes) => {
             let taken = node.take_changes(&changes, read);
             node.note_store_health(true);
-            node.freshness_reads.answered.set(Some(Instant::now()));
+            node.freshness_reads.note_answered();
             taken
         }
         Err(StoreError::TooOld) => {
@@ -98,24 +75,24 @@
     }
 }
 
-fn begin_read(node: &Node) -> Option<Read> {
+fn begin_read(node: &Controller) -> Option<Read> {
     node.lock().shared.view.begin_read(node.now())
 }
 
-async fn ask(node: &Node, read: Read, wait: Duration) -> Result<Changes, StoreError> {
+async fn ask(node: &Controller, read: Read, wait: Duration) -> Result<Changes, StoreError> {
     node.store
         .follow(keys::ALL, read.since, wait, Rank::Decision)
         .await
 }
 
 /// Changes can't bring the view up to date any more.
-fn too_old(node: &Node, read: Read, error: &StoreError) {
+fn too_old(node: &Controller, read: Read, error: &StoreError) {
     log::info!("event=view_too_old since={} error=\"{error}\"", read.since);
     node.lock().shared.view.too_old(read);
 }
 
 /// Loads the view and keeps it current for as long as the process lives.
-pub async fn follow(node: Rc<Node>) {
+pub async fn follow(node: Rc<Controller>) {
     let pause = Duration::from_secs_f64(node.config.heartbeat_s.min(1.0) / 5.0);
     let mut reload = None;
     loop {
@@ -137,7 +114,7 @@
 }
 
 /// One long watch, and a while in which more changes gather: the next brings them together.
-async fn watch(node: &Rc<Node>, read: Read, pause: Duration) {
+async fn watch(node: &Rc<Controller>, read: Read, pause: Duration) {
     let wait = Duration::from_secs_f64(wire::ANSWER_DROPPED_S);
     let pace = pace(node, WATCH_SHARE);
     match ask(node, read, wait).await {
@@ -162,7 +139,7 @@
 
 /// Reads all keys, from where an earlier try got to, and takes them into the view.
 async fn continue_reload(
-    node: &Rc<Node>,
+    node: &Rc<Controller>,
     in_progress: &mut Option<ViewReload>,
 ) -> Result<(), StoreError> {
     let mut reload = match in_progress.take() {
@@ -188,7 +165,7 @@
     Ok(())
 }
 
-impl Node {
+impl Controller {
     /// Takes the changes that a read has brought into the view, and what follows; false if the view was
     /// read anew since the read was sent.
     pub fn take_changes(&self, changes: &Changes, read: Read) -> bool {
@@ -219,7 +196,7 @@
     }
 
     /// What was cancelled is stopped before any heartbeat is answered on the strength of the view.
-    fn act_on_view(&self, state: &mut crate::node::State) {
+    fn act_on_view(&self, state: &mut State) {
         self.exchange_messages(state);
         let read_at = state.shared.view.read_at();
         state.owner.authority.prove(read_at);
--- a/crates/ladderroute/src/job_state.rs
+++ b/crates/ladderroute/src/job_state.rs
@@ -11,9 +11,9 @@
 //!   back all the same, and a view as fresh as the leadership calls no job queued whose ancestor's
 //!   cancellation was confirmed long ago.
 
+use crate::controller::Controller as Node;
 use crate::counters::Counters;
 use crate::freshness::refresh_view;
-use crate::node::Node;
 use crate::submission::retry_later;
 use http::server::Response;
 use std::rc::Rc;
--- a/crates/ladderroute/src/leader_updates.rs
+++ b/crates/ladderroute/src/leader_updates.rs
@@ -1,14 +1,14 @@
 //! What the leader, if it is here, gets to know when something new of jobs is in the view.
 
 use crate::cluster_view::JobChange;
-use crate::node::{Node, Shared, State};
+use crate::controller::{Controller, Shared, State};
 use sched::leader::{OpenJob, PriorRuns};
 use std::rc::Rc;
 use store::replica::JobEntry;
 use wire::store::JobRecord;
 use wire::users::Job;
 
-impl Node {
+impl Controller {
     /// Takes a job's record, as the store holds it at a version, with all that follows.
     pub fn apply_job_record(&self, state: &mut State, id: &str, record: JobRecord, version: u64) {
         let changes = state.shared.view.apply_job_record(id, record, version);
--- a/crates/ladderroute/src/leadership.rs
+++ b/crates/ladderroute/src/leadership.rs
@@ -1,81 +1,26 @@
 //! Leading: campaign, renewal, the leader's clock, and the writer of its decisions.
 
+use crate::controller::{Controller, Leadership};
 use crate::leader_updates::open_job;
-use crate::node::{Leadership, Node};
+use crate::store_budget::store_shares;
 use crate::writer::batch::TxnLimits;
-use crate::writer::{writer, RecordPages};
+use crate::writer::pages::RecordPages;
+use crate::writer::writer;
 use sched::leader::{Leader, OpenJob, PriorRuns};
 use sched::owner::Owner;
 use sched::placement::Resources;
 use std::collections::HashMap;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use store::budget::{Reserve, Share, Shares};
 use store::client::StoreError;
 use store::leadership::{take, usable, LeadershipLease};
 use wire::users::Shape;
 
-/// Parts of the store's request and write rates that the leader takes. Of the requests the others
-/// share the rest, since a renewal that the store refused would cost the leadership. Writes come
-/// in bursts, seldom at several controllers at once, and one that is refused is only made again:
-/// so the others share nearly all of them beside the leader.
-const LEADER_REQUESTS: f64 = 0.3;
-const LEADER_WRITES: f64 = 0.8;
-const ALL_SHARE: f64 = 0.95;
-
-/// Renewals and decisions of the leader go before the submissions that it takes itself.
-const LEADER_RESERVE: Reserve = Reserve {
-    decision: 0.15,
-    submission: 0.35,
-};
-/// Of the writes less is kept back: the store refuses few of them, and one that it refused is made again.
-const LEADER_WRITE_RESERVE: Reserve = Reserve {
-    decision: 0.1,
-    submission: 0.2,
-};
-/// The others write little beside submissions: only cancellations go before them.
-const FOLLOWER_RESERVE: Reserve = Reserve {
-    decision: 0.0,
-    submission: 0.1,
-};
-/// Seconds' worth of writes that one of the others may make at once, since users come in bursts.
-const FOLLOWER_BURST_S: f64 = 2.0;
-
 /// Freshness reads of the leader in its store lease, when nothing else makes them.
 const READS_PER_LEASE: u32 = 5;
 
-/// A controller's parts of the store's request and write rates, with so many others.
-pub fn store_shares(leading: bool, others: usize) -> Shares {
-    let share = |part: f64| Share {
-        part,
-        burst_s: 1.0,
-        reserve: LEADER_RESERVE,
-    };
-    match (others, leading) {
-        (0, _) => Shares {
-            requests: share(ALL_SHARE),
-            writes: share(ALL_SHARE),
-        },
-        (_, true) => Shares {
-            requests: share(LEADER_REQUESTS),
-            writes: Share {
-                reserve: LEADER_WRITE_RESERVE,
-                ..share(LEADER_WRITES)
-            },
-        },
-        (n, false) => Shares {
-            requests: share((ALL_SHARE - LEADER_REQUESTS) / n as f64),
-            writes: Share {
-                part: ALL_SHARE / n as f64,
-                burst_s: FOLLOWER_BURST_S,
-                reserve: FOLLOWER_RESERVE,
-            },
-        },
-    }
-}
-
 /// Tries to become the leader whenever there is none.
-pub async fn campaign(node: Rc<Node>) {
+pub async fn campaign(node: Rc<Controller>) {
     let ttl = node.leader_ttl();
     let pause = ttl / 40;
     let others = node.settings.known.len();
@@ -107,7 +52,7 @@
 }
 
 /// Leads until the lease is lost.
-async fn lead_until_lost(node: &Rc<Node>, lease: LeadershipLease, ttl: Duration) {
+async fn lead_until_lost(node: &Rc<Controller>, lease: LeadershipLease, ttl: Duration) {
     log::info!(
         "event=leader member={} token={} version={} authority_s={:.2}",
         node.settings.member,
@@ -117,7 +62,7 @@
     );
     // The view must hold all that was accepted and recorded before this leadership, and be fresh:
     // nothing is started on the strength of an old one.
-    let behind = |node: &Node| {
+    let behind = |node: &Controller| {
         let (s, now) = (node.lock(), node.now());
         let view = &s.shared.view;
         view.replica().revision < lease.version || now - view.read_at() > ttl.as_secs_f64() / 2.0
@@ -155,7 +100,7 @@
     state.shared.view.leader_ended(&node.settings.member);
 }
 
-fn begin_leadership(node: &Rc<Node>, lease: &LeadershipLease) {
+fn begin_leadership(node: &Rc<Controller>, lease: &LeadershipLease) {
     let mut guard = node.lock();
     let state = &mut *guard;
     let replica = state.shared.view.replica();
@@ -247,7 +192,7 @@
 }
 
 /// Renews the lease; returns when it is certainly lost.
-async fn renew(node: &Rc<Node>, ttl: Duration) {
+async fn renew(node: &Rc<Controller>, ttl: Duration) {
     let mut paused = false;
     loop {
         let lease = match &node.lock().shared.leadership {
@@ -286,7 +231,7 @@
 
 /// Keeps the view fresh: authority reaches no further than its age allows. On
 /// a busy day users' questions and the watch do it.
-async fn keep_view_fresh(node: Rc<Node>, every: Duration) {
+async fn keep_view_fresh(node: Rc<Controller>, every: Duration) {
     loop {
         let age = node.view_age();
         if age >= every.as_secs_f64() {
@@ -299,7 +244,7 @@
 }
 
 /// Lets time pass for the leader.
-async fn clock(node: Rc<Node>) {
+async fn clock(node: Rc<Controller>) {
     let step = Duration::from_secs_f64((node.config.heartbeat_s / 10.0).clamp(0.05, 0.1));
     let mut logged = sched::leader::Summary::default();
     loop {
--- a/crates/ladderroute/src/main.rs
+++ b/crates/ladderroute/src/main.rs
@@ -1,7 +1,7 @@
 //! The command line.
 
 use clap::Parser;
-use ladderroute::{logging, node, operator, settings};
+use ladderroute::{logging, operator, settings, startup};
 
 /// Schedules arrays and gangs on provisioned machines; one process of a group of controllers.
 #[derive(Parser, Debug)]
@@ -36,11 +36,11 @@
         }
     };
     if args.check_config {
-        node::warn_if_tight(&settings.scheduler_config(&tuning));
+        startup::warn_if_tight(&settings.scheduler_config(&tuning));
         println!("ladderroute: settings are valid");
         return std::process::ExitCode::SUCCESS;
     }
-    match node::run(settings, tuning) {
+    match startup::run(settings, tuning) {
         Ok(()) => std::process::ExitCode::SUCCESS,
         Err(e) => {
             log::error!("event=end error=\"{e}\"");
--- a/crates/ladderroute/src/peers.rs
+++ b/crates/ladderroute/src/peers.rs
@@ -1,6 +1,7 @@
 //! The controllers' own port: owners connect to the leader and keep one stream of frames.
 
-use crate::node::{Link, Node, ReplicaJobs};
+use crate::controller::limits::max_peer_connections;
+use crate::controller::{Controller, Link, ReplicaJobs};
 use crate::outbox::Outbox;
 use http::within;
 use smol::io::{AsyncReadExt, AsyncWriteExt};
@@ -72,14 +73,9 @@
     let _ = stream.shutdown(std::net::Shutdown::Both);
 }
 
-/// Most connections of other controllers: each may have several, old ones that are dead among them.
-pub fn most_connections(others: usize) -> usize {
-    (others + 1) * 4
-}
-
 /// Serves the other controllers' connections.
-pub async fn serve(node: Rc<Node>, listener: TcpListener) {
-    let most = most_connections(node.settings.known.len());
+pub async fn serve(node: Rc<Controller>, listener: TcpListener) {
+    let most = max_peer_connections(node.settings.known.len());
     let open = Rc::new(std::cell::Cell::new(0usize));
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -101,7 +97,7 @@
     }
 }
 
-async fn owner_connection(node: &Rc<Node>, stream: TcpStream) {
+async fn owner_connection(node: &Rc<Controller>, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
     let limit = Duration::from_secs_f64(wire::ANSWER_DROPPED_S);
     let mut frames = Frames::new(stream.clone());
@@ -178,7 +174,7 @@
 }
 
 /// Takes a message of an owner; false if this controller does not lead any more.
-fn on_owner_message(node: &Rc<Node>, member: &str, link: &Outbox, message: ToLeader) -> bool {
+fn on_owner_message(node: &Rc<Controller>, member: &str, link: &Outbox, message: ToLeader) -> bool {
     let now = node.now();
     let mut guard = node.lock();
     let state = &mut *guard;
@@ -216,7 +212,7 @@
 }
 
 /// Keeps a connection to whoever leads.
-pub async fn join_leader(node: Rc<Node>) {
+pub async fn join_leader(node: Rc<Controller>) {
     let start = fastrand::u64(..);
     let mut count = 0;
     let pause = Duration::from_secs_f64(node.config.heartbeat_s.min(1.0) / 5.0);
@@ -245,7 +241,13 @@
     }
 }
 
-async fn follow_leader(node: &Rc<Node>, leader: &str, stream: TcpStream, start: u64, count: u64) {
+async fn follow_leader(
+    node: &Rc<Controller>,
+    leader: &str,
+    stream: TcpStream,
+    start: u64,
+    count: u64,
+) {
     let _ = stream.set_nodelay(true);
     let limit = Duration::from_secs_f64(wire::ANSWER_DROPPED_S / 2.0);
     let sender = node.outbox();
--- a/crates/ladderroute/src/provisioning.rs
+++ b/crates/ladderroute/src/provisioning.rs
@@ -1,6 +1,6 @@
 //! Talking to the cloud: catalog, list, provision request, release, all within its request rate.
 
-use crate::node::Node;
+use crate::controller::Controller;
 use sched::leader::Action;
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,16 +14,16 @@
 /// Tries of one provision request under the same name before its outcome is left to the list.
 const PROVISION_ATTEMPTS: u32 = 4;
 
-fn limit(node: &Node) -> Duration {
+fn limit(node: &Controller) -> Duration {
     Duration::from_secs_f64((node.settings.settings.cloud.list_lag_s / 2.0).clamp(1.0, 5.0))
 }
 
 /// Time between two of this controller's requests to the cloud.
-fn pace(node: &Node) -> Duration {
+fn pace(node: &Controller) -> Duration {
     Duration::from_secs_f64(1.6 / node.settings.settings.cloud.rps)
 }
 
-async fn fetch_catalog(node: &Rc<Node>) -> bool {
+async fn fetch_catalog(node: &Rc<Controller>) -> bool {
     let Ok(answer) = node.cloud.ask("GET", "/catalog", &[], limit(node)).await else {
         return false;
     };
@@ -44,7 +44,7 @@
 }
 
 /// Learns the machine types once; the leader keeps the prices current.
-pub async fn learn_catalog(node: Rc<Node>) {
+pub async fn learn_catalog(node: Rc<Controller>) {
     while !fetch_catalog(&node).await {
         smol::Timer::after(pace(&node).mul_f64(2.0 + fastrand::f64())).await;
     }
@@ -52,7 +52,7 @@
 }
 
 /// Reads the list and the prices again and again, while leading.
-pub async fn watch_cloud(node: Rc<Node>) {
+pub async fn watch_cloud(node: Rc<Controller>) {
     let lag = node.settings.settings.cloud.list_lag_s;
     let mut round = 0;
     loop {
@@ -91,7 +91,7 @@
 }
 
 /// Carries out provision requests and releases, one at a time.
-pub async fn carry_out_requests(node: Rc<Node>) {
+pub async fn carry_out_requests(node: Rc<Controller>) {
     loop {
         let action = node
             .lock()
@@ -129,7 +129,7 @@
     }
 }
 
-fn with_leader(node: &Rc<Node>, f: impl FnOnce(&mut sched::leader::Leader, f64)) {
+fn with_leader(node: &Rc<Controller>, f: impl FnOnce(&mut sched::leader::Leader, f64)) {
     let now = node.now();
     let mut guard = node.lock();
     let state = &mut *guard;
@@ -141,7 +141,7 @@
 
 /// The machines that came of a provision request: empty for no capacity, none if it did not come about.
 async fn provision_machines(
-    node: &Rc<Node>,
+    node: &Rc<Controller>,
     request: &wire::cloud::ProvisionRequest,
 ) -> Option<Vec<String>> {
     let body = cbor::encode(request);
--- a/crates/ladderroute/src/submission.rs
+++ b/crates/ladderroute/src/submission.rs
@@ -1,10 +1,10 @@
 //! Users' requests: submit, query, cancel.
 
+use crate::controller::Controller as Node;
 use crate::freshness::refresh_view;
 use crate::job_state::{
     accepted, answer_created, answer_read, entry, log_answer, look_up, state_of,
 };
-use crate::node::Node;
 use http::server::Response;
 use std::rc::Rc;
 use store::budget::Rank;
--- a/crates/ladderroute/src/writer/mod.rs
+++ b/crates/ladderroute/src/writer/mod.rs
@@ -3,11 +3,11 @@
 
 pub mod batch;
 mod outcome;
-mod pages;
+pub mod pages;
 
 pub use pages::RecordPages;
 
-use crate::node::Node;
+use crate::controller::Controller as Node;
 use batch::{Batch, Urgency};
 use http::within;
 use outcome::Outcome;
--- a/crates/ladderroute/src/writer/outcome.rs
+++ b/crates/ladderroute/src/writer/outcome.rs
@@ -1,7 +1,7 @@
 //! The outcome of a transaction, and what the leader makes of it.
 
 use super::batch::Batch;
-use crate::node::{Leadership, Node, State};
+use crate::controller::{Controller as Node, Leadership, State};
 use sched::leader::Action;
 use sched::ranges::Ranges;
 use std::rc::Rc;
--- a/crates/ladderroute/tests/chains.rs
+++ b/crates/ladderroute/tests/chains.rs
@@ -5,7 +5,7 @@
 
 mod stand_in;
 
-use ladderroute::node::Node;
+use ladderroute::controller::Controller;
 use ladderroute::submission::{cancel, query, submit};
 use stand_in::requests::{accepted, answered, body, finish, with};
 use stand_in::{is_loaded, job_entry, Fate};
@@ -25,12 +25,12 @@
     })
 }
 
-async fn accept(node: &Rc<Node>, id: &str, needed: &[&str]) {
+async fn accept(node: &Rc<Controller>, id: &str, needed: &[&str]) {
     let answer = submit(node, &body_after(id, needed)).await;
     assert_eq!(accepted(&answer), (201, JobState::Queued), "{id}");
 }
 
-fn is_blocked(node: &Node, id: &str) -> bool {
+fn is_blocked(node: &Controller, id: &str) -> bool {
     node.lock().shared.view.dependencies().is_blocked(id)
 }
 
--- /dev/null
+++ b/crates/ladderroute/tests/module_order.rs
@@ -0,0 +1,179 @@
+//! The modules form layers: none imports one that imports it, directly or round a circle.
+
+#![allow(clippy::unwrap_used)]
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::path::Path;
+
+/// A module's path below the crate, such as `["controller", "shared_state"]`; the root's is empty.
+type Module = Vec<String>;
+
+/// Pairs of modules that still import each other. Whoever parts a pair takes it off this list.
+const KNOWN_PAIRS: [[&str; 2]; 2] = [["job_state", "submission"], ["operator", "settings"]];
+
+/// All modules below a directory, with their sources as far as their own unit tests.
+fn read_modules(directory: &Path, parent: &Module, sources: &mut BTreeMap<Module, String>) {
+    for file in std::fs::read_dir(directory).unwrap() {
+        let path = file.unwrap().path();
+        let stem = path.file_stem().unwrap().to_str().unwrap().to_string();
+        let mut module = parent.clone();
+        if path.is_dir() {
+            module.push(stem);
+            read_modules(&path, &module, sources);
+            continue;
+        }
+        if stem != "mod" {
+            module.push(stem);
+        }
+        let text = std::fs::read_to_string(&path).unwrap();
+        let code = text.split("#[cfg(test)]").next().unwrap();
+        let lines = code.lines().filter(|l| !l.trim_start().starts_with("//"));
+        sources.insert(module, lines.collect::<Vec<_>>().join("\n"));
+    }
+}
+
+/// The paths of a `use` tree: `a::{b, c::d}` names `a::b` and `a::c::d`.
+fn expand(tree: &str) -> Vec<String> {
+    let Some((prefix, rest)) = tree.split_once('{') else {
+        let path = tree.split(" as ").next().unwrap();
+        return vec![path.split_whitespace().collect()];
+    };
+    let inside = rest.rsplit_once('}').unwrap().0;
+    let (mut depth, mut parts) = (0, vec![String::new()]);
+    for c in inside.chars() {
+        match c {
+            '{' => depth += 1,
+            '}' => depth -= 1,
+            ',' if depth == 0 => {
+                parts.push(String::new());
+                continue;
+            }
+            _ => {}
+        }
+        parts.last_mut().unwrap().push(c);
+    }
+    let named = parts.iter().map(|part| part.trim());
+    let named = named.filter(|part| !part.is_empty());
+    let prefix = prefix.trim();
+    named
+        .flat_map(|part| expand(&format!("{prefix}{part}")))
+        .collect()
+}
+
+/// The paths that a source names: those of its `use` items, and those that begin with `crate` within code.
+fn named_paths(source: &str) -> Vec<String> {
+    let mut paths = Vec::new();
+    for item in source.split(';') {
+        let start = item.find("use ").filter(|at| {
+            let line = item[..*at].rsplit('\n').next().unwrap();
+            matches!(line.trim(), "" | "pub" | "pub(crate)" | "pub(super)")
+        });
+        if let Some(at) = start {
+            paths.extend(expand(&item[at + "use ".len()..]));
+        }
+    }
+    for (at, _) in source.match_indices("crate::") {
+        let is_path = |c: char| c.is_alphanumeric() || c == '_' || c == ':';
+        paths.push(source[at..].chars().take_while(|c| is_path(*c)).collect());
+    }
+    paths
+}
+
+/// The module that a path named in another one leads to; none if it leads out of the crate.
+fn resolve(path: &str, from: &Module, sources: &BTreeMap<Module, String>) -> Option<Module> {
+    let mut segments = path.split("::").filter(|s| !s.is_empty()).peekable();
+    let mut at = match *segments.peek()? {
+        "crate" => Module::new(),
+        "self" => from.clone(),
+        "super" => {
+            let mut at = from.clone();
+            while segments.next_if_eq(&"super").is_some() {
+                at.pop();
+            }
+            at
+        }
+        first => {
+            let child: Module = from.iter().cloned().chain([first.to_string()]).collect();
+            return sources
+                .contains_key(&child)
+                .then(|| resolve(&format!("self::{path}"), from, sources))
+                .flatten();
+        }
+    };
+    for segment in segments.filter(|s| !matches!(*s, "crate" | "self")) {
+        at.push(segment.to_string());
+        if !sources.contains_key(&at) {
+            at.pop();
+            break;
+        }
+    }
+    Some(at)
+}
+
+/// For each module those that it imports.
+fn imports() -> BTreeMap<String, BTreeSet<String>> {
+    let mut sources = BTreeMap::new();
+    let src = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
+    read_modules(&src, &Module::new(), &mut sources);
+    let mut imports = BTreeMap::new();
+    for (module, source) in &sources {
+        let paths = named_paths(source);
+        let targets = paths
+            .iter()
+            .filter_map(|path| resolve(path, module, &sources))
+            .filter(|target| target != module && !target.is_empty())
+            .map(|target| target.join("::"));
+        imports.insert(module.join("::"), targets.collect::<BTreeSet<_>>());
+    }
+    imports
+}
+
+/// All modules that a module imports, directly or through others.
+fn reached(from: &str, imports: &BTreeMap<String, BTreeSet<String>>) -> BTreeSet<String> {
+    let (mut found, mut left) = (BTreeSet::new(), vec![from.to_string()]);
+    while let Some(module) = left.pop() {
+        for target in &imports[&module] {
+            if found.insert(target.clone()) {
+                left.push(target.clone());
+            }
+        }
+    }
+    found
+}
+
+/// The modules that a module is in a circle with, itself among them; none if it is in no circle.
+fn circle_of(module: &str, imports: &BTreeMap<String, BTreeSet<String>>) -> Vec<String> {
+    let imports_it = |other: &String| reached(other, imports).contains(module);
+    let others = reached(module, imports).into_iter();
+    others.filter(imports_it).collect()
+}
+
+#[test]
+fn no_module_imports_one_that_imports_it() {
+    let imports = imports();
+    let circles: BTreeSet<Vec<String>> = imports
+        .keys()
+        .map(|module| circle_of(module, &imports))
+        .filter(|circle| !circle.is_empty())
+        .collect();
+    let known = KNOWN_PAIRS.map(|pair| pair.map(String::from).to_vec());
+    assert_eq!(circles, BTreeSet::from(known), "imports: {imports:#?}");
+}
+
+/// The check itself sees what it is there for.
+#[test]
+fn imports_are_read_from_the_sources() {
+    let imports = imports();
+    assert!(imports["leadership"].contains("controller"));
+    assert!(imports["controller"].contains("controller::shared_state"));
+    assert!(imports["controller::message_exchange"].contains("controller"));
+    assert!(imports["controller::shared_state"].contains("writer::batch"));
+    assert!(
+        imports["startup"].contains("leadership"),
+        "paths within code"
+    );
+    assert_eq!(
+        expand("crate::a::{b, c::{d, e as f}}"),
+        ["crate::a::b", "crate::a::c::d", "crate::a::c::e"]
+    );
+}
--- a/crates/ladderroute/tests/reload.rs
+++ b/crates/ladderroute/tests/reload.rs
@@ -6,7 +6,7 @@
 
 mod stand_in;
 
-use ladderroute::node::Node;
+use ladderroute::controller::Controller;
 use ladderroute::submission::submit;
 use stand_in::requests::{accepted, body, end, with_fronts};
 use stand_in::{is_loaded, job_entry, Front, Store};
@@ -15,7 +15,7 @@
 use wire::store::{from_value, JobRecord, Recorded, Txn, Value, Write};
 use wire::users::JobState;
 
-async fn accept(node: &Rc<Node>, id: &str, needed: &[&str]) {
+async fn accept(node: &Rc<Controller>, id: &str, needed: &[&str]) {
     let names = needed.iter().map(|id| Value::Text((*id).into())).collect();
     let sent = body(id, |fields| {
         fields.push((Value::Text("awaits".into()), Value::Array(names)))
@@ -41,11 +41,11 @@
     front.refuses_changes.set(false);
 }
 
-fn state(node: &Node, id: &str) -> Option<Recorded> {
+fn state(node: &Controller, id: &str) -> Option<Recorded> {
     job_entry(node, id).map(|entry| entry.state)
 }
 
-fn leader_knows(node: &Node, id: &str) -> bool {
+fn leader_knows(node: &Controller, id: &str) -> bool {
     let state = node.lock();
     let leadership = state.shared.leadership.as_ref();
     leadership.is_some_and(|leadership| leadership.leader.knows(id))
--- a/crates/ladderroute/tests/stale_view.rs
+++ b/crates/ladderroute/tests/stale_view.rs
@@ -8,7 +8,7 @@
 mod stand_in;
 
 use http::server::Response;
-use ladderroute::node::Node;
+use ladderroute::controller::Controller;
 use ladderroute::submission::{cancel, query, submit};
 use stand_in::requests::{accepted, answered, body, finish, with_fronts};
 use stand_in::{Fate, Front, Store};
@@ -24,18 +24,18 @@
     })
 }
 
-async fn accept(node: &Rc<Node>, id: &str, needed: &[&str]) {
+async fn accept(node: &Rc<Controller>, id: &str, needed: &[&str]) {
     let answer = submit(node, &body_after(id, needed)).await;
     assert_eq!(accepted(&answer), (201, JobState::Queued), "{id}");
 }
 
-async fn cancel_confirmed(node: &Rc<Node>, id: &str) {
+async fn cancel_confirmed(node: &Rc<Controller>, id: &str) {
     let answer = cancel(node, id).await;
     assert_eq!(accepted(&answer), (200, JobState::Cancelled), "{id}");
 }
 
 /// The changes of the store do not reach a controller any more, once it has seen those so far.
-async fn fall_behind(node: &Rc<Node>, front: &Front) {
+async fn fall_behind(node: &Rc<Controller>, front: &Front) {
     assert!(ladderroute::freshness::refresh_view(node).await);
     front.refuses_changes.set(true);
     // A request that was under way is refused, too, once one sent later was.
@@ -46,7 +46,7 @@
 }
 
 /// The view of a controller is from so long ago that it proves nothing any more.
-fn read_long_ago(node: &Node, store: &Store) {
+fn read_long_ago(node: &Controller, store: &Store) {
     let view = &mut node.lock().shared.view;
     let mut reload = view.begin_reload(node.now() - node.config.start_staleness_s());
     assert!(reload.take(&store.items_after("")));
--- a/crates/ladderroute/tests/stand_in/mod.rs
+++ b/crates/ladderroute/tests/stand_in/mod.rs
@@ -3,7 +3,7 @@
 pub mod requests;
 
 use http::server::{Limits, Request, Response};
-use ladderroute::node::Node;
+use ladderroute::controller::Controller;
 use ladderroute::operator::Tuning;
 use ladderroute::settings::Settings;
 use std::cell::{Cell, RefCell};
@@ -278,7 +278,7 @@
     executor: &Rc<smol::LocalExecutor<'static>>,
     i: usize,
     store: SocketAddr,
-) -> Rc<Node> {
+) -> Rc<Controller> {
     let text = include_str!("settings.toml")
         .replace("MEMBER", &format!("rung-{i}"))
         .replace("OTHER", &format!("rung-{}", 1 - i));
@@ -287,7 +287,7 @@
         "settings",
     )
     .unwrap();
-    let node = ladderroute::node::new(settings, &Tuning::default(), executor.clone());
+    let node = ladderroute::startup::new(settings, &Tuning::default(), executor.clone());
     node.lock().shared.catalog = Some(vec![wire::cloud::MachineType {
         name: "g8".into(),
         cpus: 96.0,
@@ -310,13 +310,13 @@
 }
 
 /// Whether a controller has read all keys.
-pub fn is_loaded(node: &Node) -> bool {
+pub fn is_loaded(node: &Controller) -> bool {
     node.lock().shared.view.is_complete()
 }
 
 /// What a controller's view holds of a job.
 // Not every test uses it.
 #[allow(dead_code)]
-pub fn job_entry(node: &Node, id: &str) -> Option<JobEntry> {
+pub fn job_entry(node: &Controller, id: &str) -> Option<JobEntry> {
     node.lock().shared.view.replica().jobs.get(id).cloned()
 }
--- a/crates/ladderroute/tests/stand_in/requests.rs
+++ b/crates/ladderroute/tests/stand_in/requests.rs
@@ -5,7 +5,7 @@
 
 use super::{controller, Front, Store};
 use http::server::Response;
-use ladderroute::node::Node;
+use ladderroute::controller::Controller;
 use std::future::Future;
 use std::rc::Rc;
 use wire::cbor;
@@ -13,13 +13,13 @@
 use wire::users::{Accepted, JobState, Progress};
 
 /// Runs a test with a store and two controllers.
-pub fn with<F: Future<Output = ()>>(test: impl FnOnce(Rc<Store>, [Rc<Node>; 2]) -> F) {
+pub fn with<F: Future<Output = ()>>(test: impl FnOnce(Rc<Store>, [Rc<Controller>; 2]) -> F) {
     with_fronts(|store, nodes, _| test(store, nodes));
 }
 
 /// Runs a test with a store, two controllers, and the way of each to the store.
 pub fn with_fronts<F: Future<Output = ()>>(
-    test: impl FnOnce(Rc<Store>, [Rc<Node>; 2], [Rc<Front>; 2]) -> F,
+    test: impl FnOnce(Rc<Store>, [Rc<Controller>; 2], [Rc<Front>; 2]) -> F,
 ) {
     let executor = Rc::new(smol::LocalExecutor::new());
     smol::block_on(executor.clone().run(async move {
