--- a/crates/ladderroute/src/controller/message_exchange.rs
+++ b/crates/ladderroute/src/controller/message_exchange.rs
@@ -42,7 +42,7 @@
                     }
                     Action::Send(to, message) => {
                         if let Some(link) = leadership.links.get(&to) {
-                            link.frames.send(frame(&message));
+                            link.outbox.send(frame(&message));
                         }
                     }
                     action @ (Action::Provision(_) | Action::Deprovision(_)) => {
--- a/crates/ladderroute/src/controller/mod.rs
+++ b/crates/ladderroute/src/controller/mod.rs
@@ -8,7 +8,7 @@
 
 pub use freshness_reads::FreshnessReads;
 pub use replica_jobs::ReplicaJobs;
-pub use shared_state::{Leadership, Link, Shared, State};
+pub use shared_state::{ConnectionId, Leadership, Link, Shared, State};
 
 use crate::counters::Counters;
 use crate::outbox::Outbox;
--- a/crates/ladderroute/src/controller/shared_state.rs
+++ b/crates/ladderroute/src/controller/shared_state.rs
@@ -26,12 +26,29 @@
 
 /// A connection of another controller to this leader.
 pub struct Link {
-    pub frames: Outbox,
-    /// Which process and which of its connections: an older one never replaces a newer one.
+    /// What waits to be sent on it.
+    pub outbox: Outbox,
+    /// Which connection of the other controller it is.
+    pub id: ConnectionId,
+}
+
+/// One of the connections that a controller has made to leaders.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ConnectionId {
+    /// The process, by a number that it drew at its start.
     pub start: u64,
+    /// The connection, counted from the start of the process.
     pub count: u64,
 }
 
+impl ConnectionId {
+    /// Whether this connection takes the place of another one: an older one of the same process, which may
+    /// arrive late, never does.
+    pub fn replaces(self, current: ConnectionId) -> bool {
+        self.start != current.start || self.count > current.count
+    }
+}
+
 /// What the tasks of this process share beside the owner's state.
 pub struct Shared {
     /// What this controller knows of the store.
--- /dev/null
+++ b/crates/ladderroute/src/controller_links/follower_side.rs
@@ -0,0 +1,240 @@
+//! The owner's side of the links: keeps a connection to whoever leads, and takes the authority granted there.
+
+use super::frames::{write_frames, FrameReader};
+use crate::controller::{ConnectionId, Controller, ReplicaJobs, State};
+use crate::outbox::Outbox;
+use http::within;
+use sched::owner::Owner;
+use smol::net::TcpStream;
+use std::cell::{Cell, RefCell};
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+use store::leadership::DRIFT;
+use wire::peers::{frame, unframe, ToLeader, ToOwner};
+
+/// How long a connection to the leader may take to come about, in seconds.
+const CONNECT_LIMIT_S: f64 = wire::ANSWER_DROPPED_S / 4.0;
+
+/// The leader answers pings; a connection that is silent for longer is ended, and so is one on which a
+/// write takes longer; in seconds.
+const SILENCE_LIMIT_S: f64 = wire::ANSWER_DROPPED_S / 2.0;
+
+/// Pings within the time after which the leader gives up a silent owner.
+const PINGS_PER_SILENCE: f64 = 4.0;
+
+/// How many of the newest pings may still be answered.
+const PINGS_KEPT: u64 = 64;
+
+/// How far two clocks may drift apart, each by `DRIFT` from true time.
+const RELATIVE_DRIFT: f64 = 2.0 * DRIFT;
+
+/// Keeps a connection to whoever leads.
+pub async fn join_leader(controller: Rc<Controller>) {
+    let connect_limit = Duration::from_secs_f64(CONNECT_LIMIT_S);
+    let start = fastrand::u64(..);
+    let mut count = 0;
+    let pause = Duration::from_secs_f64(controller.config.heartbeat_s.min(1.0) / 5.0);
+    loop {
+        if let Some((leader, address)) = other_leader(&controller) {
+            count += 1;
+            let connected = within(connect_limit, TcpStream::connect(address)).await;
+            if let Some(Ok(stream)) = connected {
+                let id = ConnectionId { start, count };
+                follow_leader(&controller, &leader, stream, id).await;
+                log::info!("event=left_leader member={leader}");
+            }
+        }
+        smol::Timer::after(pause).await;
+    }
+}
+
+/// The controller that leads, as far as the view says, if it is another one, and its address.
+fn other_leader(controller: &Controller) -> Option<(String, SocketAddr)> {
+    let leader = leading_member(controller)?;
+    let known = &controller.settings.known;
+    let peer = known.iter().find(|peer| peer.member == leader)?;
+    Some((leader, peer.addr))
+}
+
+/// Who leads, as far as the view says.
+fn leading_member(controller: &Controller) -> Option<String> {
+    let state = controller.lock();
+    let leader = state.shared.view.replica().leader.as_ref();
+    leader.map(|(record, _version)| record.member.clone())
+}
+
+/// Takes the leader's messages until it does not lead any more or the connection ends.
+async fn follow_leader(
+    controller: &Rc<Controller>,
+    leader: &str,
+    stream: TcpStream,
+    id: ConnectionId,
+) {
+    let _ = stream.set_nodelay(true);
+    let limit = Duration::from_secs_f64(SILENCE_LIMIT_S);
+    let outbox = controller.outbox();
+    let hello = ToLeader::Hello {
+        member: controller.settings.member.clone(),
+        start: id.start,
+        count: id.count,
+    };
+    outbox.send_first(&frame(&hello));
+    let writer = controller
+        .executor
+        .spawn(write_frames(stream.clone(), outbox.clone(), limit));
+    let mut frames = FrameReader::new(stream, limit);
+    let pings = Rc::new(Pings::new(outbox.clone()));
+    let interval = controller.config.owner_silence_s() / PINGS_PER_SILENCE;
+    let pinger = controller.executor.spawn(keep_pinging(
+        pings.clone(),
+        Duration::from_secs_f64(interval),
+    ));
+    let mut connection = LeaderConnection {
+        leader,
+        outbox,
+        pings,
+        has_joined: false,
+    };
+    while !connection.outbox.is_closed() && leads(controller, leader) {
+        let Some(message) = next_message(&mut frames).await else {
+            break;
+        };
+        connection.take_message(controller, message);
+    }
+    controller.lock().shared.to_leader = None;
+    connection.outbox.close();
+    drop(pinger);
+    drop(writer);
+}
+
+/// The leader's next message; none if the connection has to end.
+async fn next_message(frames: &mut FrameReader) -> Option<ToOwner> {
+    unframe(&frames.next().await?)
+}
+
+fn leads(controller: &Controller, member: &str) -> bool {
+    let state = controller.lock();
+    let leader = state.shared.view.replica().leader.as_ref();
+    leader.is_some_and(|(record, _version)| record.member == member)
+}
+
+/// The pings of one connection: what the leader grants counts from the sending of a ping.
+struct Pings {
+    outbox: Outbox,
+    next: Cell<u64>,
+    sent_at: RefCell<HashMap<u64, Instant>>,
+}
+
+impl Pings {
+    fn new(outbox: Outbox) -> Pings {
+        Pings {
+            outbox,
+            next: Cell::new(0),
+            sent_at: RefCell::default(),
+        }
+    }
+
+    fn send(&self) {
+        let n = self.next.replace(self.next.get() + 1);
+        let mut sent_at = self.sent_at.borrow_mut();
+        sent_at.insert(n, Instant::now());
+        sent_at.retain(|k, _| k + PINGS_KEPT > n);
+        self.outbox.send_first(&frame(&ToLeader::Ping { n }));
+    }
+
+    /// When a ping was sent; none for one that was not, or so long ago that it is forgotten.
+    fn sent_at(&self, n: u64) -> Option<Instant> {
+        self.sent_at.borrow().get(&n).copied()
+    }
+
+    fn forget(&self, n: u64) {
+        self.sent_at.borrow_mut().remove(&n);
+    }
+}
+
+async fn keep_pinging(pings: Rc<Pings>, interval: Duration) {
+    loop {
+        pings.send();
+        smol::Timer::after(interval).await;
+    }
+}
+
+/// A connection of this owner to the leader.
+struct LeaderConnection<'a> {
+    leader: &'a str,
+    outbox: Outbox,
+    pings: Rc<Pings>,
+    /// Whether the leader has begun an epoch on this connection; nothing is granted before.
+    has_joined: bool,
+}
+
+impl LeaderConnection<'_> {
+    /// Takes a message of the leader.
+    fn take_message(&mut self, controller: &Controller, message: ToOwner) {
+        let now = controller.now();
+        let mut guard = controller.lock();
+        let state = &mut *guard;
+        match message {
+            ToOwner::Grant { n, token, valid_ms } => {
+                self.take_grant(controller, &mut state.owner, n, token, valid_ms)
+            }
+            ToOwner::ViewAge { n, age_ms } => {
+                self.take_view_age(controller, &mut state.owner, n, age_ms)
+            }
+            ToOwner::RunningCounts { running } => {
+                state.shared.running = running.into_iter().collect()
+            }
+            message => {
+                if matches!(message, ToOwner::Epoch { .. }) {
+                    self.join(state);
+                    self.pings.send();
+                }
+                let jobs = ReplicaJobs(state.shared.view.replica());
+                state.owner.on_leader_message(message, now, &jobs);
+                controller.exchange_messages(state);
+            }
+        }
+    }
+
+    /// The leader begins an epoch: with the first one on this connection, this owner is under it.
+    fn join(&mut self, state: &mut State) {
+        if std::mem::replace(&mut self.has_joined, true) {
+            return;
+        }
+        log::info!("event=joined_leader member={}", self.leader);
+        // Authority from an earlier leader is not authority under this one.
+        state.owner.authority.set(f64::MIN);
+        state.shared.to_leader = Some(self.outbox.clone());
+    }
+
+    /// Takes the authority that the leader grants. This is the only place where an owner gets authority
+    /// from another controller.
+    fn take_grant(
+        &self,
+        controller: &Controller,
+        owner: &mut Owner,
+        n: u64,
+        token: u64,
+        valid_ms: u64,
+    ) {
+        let is_current = self.has_joined && token == owner.token();
+        // Counted from the ping's sending, so that delays only shorten it.
+        if let Some(sent_at) = self.pings.sent_at(n).filter(|_| is_current) {
+            let valid_s = valid_ms as f64 / 1000.0 * (1.0 - RELATIVE_DRIFT);
+            owner.authority.set(controller.at(sent_at) + valid_s);
+        }
+    }
+
+    /// Takes the age of the leader's view as proof of the staleness of what this owner knows.
+    fn take_view_age(&self, controller: &Controller, owner: &mut Owner, n: u64, age_ms: u64) {
+        let sent_at = self.pings.sent_at(n);
+        self.pings.forget(n);
+        // Counted back from the ping's sending: delays only make it older.
+        if let Some(sent_at) = sent_at.filter(|_| self.has_joined) {
+            let age_s = age_ms as f64 / 1000.0 * (1.0 + RELATIVE_DRIFT);
+            owner.authority.prove(controller.at(sent_at) - age_s);
+        }
+    }
+}
--- /dev/null
+++ b/crates/ladderroute/src/controller_links/leader_side.rs
@@ -0,0 +1,205 @@
+//! The leader's side of the links: takes the owners' connections and answers their pings with authority.
+
+use super::frames::{write_frames, FrameReader};
+use crate::controller::limits::max_peer_connections;
+use crate::controller::{ConnectionId, Controller, Leadership, Link, State};
+use crate::outbox::Outbox;
+use sched::authority::Authority;
+use smol::net::{TcpListener, TcpStream};
+use std::cell::Cell;
+use std::rc::Rc;
+use std::time::Duration;
+use wire::peers::{frame, unframe, ToLeader, ToOwner};
+
+/// An owner pings often; a connection that is silent for longer is ended, and so is one on which a
+/// write takes longer; in seconds.
+const SILENCE_LIMIT_S: f64 = wire::ANSWER_DROPPED_S;
+
+/// Pause after an accept that failed, as it does when the process is out of sockets.
+const ACCEPT_RETRY: Duration = Duration::from_millis(50);
+
+/// Part of an owner's silence limit for which one ping grants authority.
+const GRANT_SILENCE_SHARE: f64 = 1.25;
+
+/// A connection of an owner to this leader.
+struct OwnerConnection {
+    member: String,
+    id: ConnectionId,
+    outbox: Outbox,
+}
+
+/// Whether a connection goes on after a message.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Next {
+    Continue,
+    /// This controller does not lead any more.
+    End,
+}
+
+/// Serves the other controllers' connections.
+pub async fn serve(controller: Rc<Controller>, listener: TcpListener) {
+    let max_connections = max_peer_connections(controller.settings.known.len());
+    let open = Rc::new(Cell::new(0usize));
+    loop {
+        let Ok((stream, _)) = listener.accept().await else {
+            smol::Timer::after(ACCEPT_RETRY).await;
+            continue;
+        };
+        if open.get() >= max_connections {
+            continue;
+        }
+        open.set(open.get() + 1);
+        let (controller, open) = (controller.clone(), open.clone());
+        controller
+            .executor
+            .clone()
+            .spawn(async move {
+                serve_connection(&controller, stream).await;
+                open.set(open.get() - 1);
+            })
+            .detach();
+    }
+}
+
+async fn serve_connection(controller: &Rc<Controller>, stream: TcpStream) {
+    let _ = stream.set_nodelay(true);
+    let limit = Duration::from_secs_f64(SILENCE_LIMIT_S);
+    let mut frames = FrameReader::new(stream.clone(), limit);
+    let Some(ToLeader::Hello {
+        member,
+        start,
+        count,
+    }) = next_message(&mut frames).await
+    else {
+        return;
+    };
+    let known = &controller.settings.known;
+    if !known.iter().any(|peer| peer.member == member) {
+        return;
+    }
+    let connection = OwnerConnection {
+        member,
+        id: ConnectionId { start, count },
+        outbox: controller.outbox(),
+    };
+    if !admit(controller, &connection) {
+        return;
+    }
+    let writer = controller.executor.spawn(write_frames(
+        stream.clone(),
+        connection.outbox.clone(),
+        limit,
+    ));
+    while let Some(message) = next_message(&mut frames).await {
+        if connection.outbox.is_closed()
+            || take_message(controller, &connection, message) == Next::End
+        {
+            break;
+        }
+    }
+    drop(writer);
+    remove(controller, &connection);
+}
+
+/// The owner's next message; none if the connection has to end.
+async fn next_message(frames: &mut FrameReader) -> Option<ToLeader> {
+    unframe(&frames.next().await?)
+}
+
+/// Makes a connection the owner's link; false if this controller does not lead, or if the owner has a
+/// newer connection already.
+fn admit(controller: &Controller, connection: &OwnerConnection) -> bool {
+    let mut guard = controller.lock();
+    let Some(leadership) = &mut guard.shared.leadership else {
+        return false;
+    };
+    let member = &connection.member;
+    let links = &mut leadership.links;
+    if links
+        .get(member)
+        .is_some_and(|link| !connection.id.replaces(link.id))
+    {
+        return false;
+    }
+    if let Some(old) = links.remove(member) {
+        old.outbox.close();
+        leadership.leader.owner_lost(member);
+    }
+    log::info!("event=owner_joined member={member}");
+    leadership.leader.owner_heard(member, controller.now());
+    let link = Link {
+        outbox: connection.outbox.clone(),
+        id: connection.id,
+    };
+    leadership.links.insert(member.clone(), link);
+    true
+}
+
+/// Forgets a connection that ended, unless a newer one has taken its place.
+fn remove(controller: &Controller, connection: &OwnerConnection) {
+    let mut guard = controller.lock();
+    let Some(leadership) = &mut guard.shared.leadership else {
+        return;
+    };
+    let member = &connection.member;
+    let current = leadership.links.get(member).map(|link| link.id);
+    if current == Some(connection.id) {
+        log::info!("event=owner_left member={member}");
+        leadership.links.remove(member);
+        leadership.leader.owner_lost(member);
+    }
+}
+
+/// Takes a message of an owner.
+fn take_message(controller: &Controller, connection: &OwnerConnection, message: ToLeader) -> Next {
+    let now = controller.now();
+    let mut guard = controller.lock();
+    let state = &mut *guard;
+    let State { owner, shared } = state;
+    let Some(leadership) = &mut shared.leadership else {
+        return Next::End;
+    };
+    leadership.leader.owner_heard(&connection.member, now);
+    match message {
+        ToLeader::Ping { n } => {
+            answer_ping(controller, leadership, &owner.authority, connection, n, now)
+        }
+        other => {
+            let leader = &mut leadership.leader;
+            leader.on_owner_message(&connection.member, other, now);
+            controller.exchange_messages(state);
+        }
+    }
+    Next::Continue
+}
+
+/// Grants authority to an owner that is heard, and tells it the age of the leader's view. This is the only
+/// place where authority is granted.
+fn answer_ping(
+    controller: &Controller,
+    leadership: &mut Leadership,
+    authority: &Authority,
+    connection: &OwnerConnection,
+    n: u64,
+    now: f64,
+) {
+    // An owner's authority ends before the leader's own, and soon after the last ping.
+    let silent_at = now + controller.config.owner_silence_s() * GRANT_SILENCE_SHARE;
+    let until = authority.answers_until().min(silent_at);
+    let leader = &mut leadership.leader;
+    let Some(valid_s) = leader.grant(&connection.member, now, until) else {
+        return;
+    };
+    let grant = ToOwner::Grant {
+        n,
+        token: leader.token(),
+        valid_ms: (valid_s * 1000.0) as u64,
+    };
+    connection.outbox.send_first(&frame(&grant));
+    let view_age = ToOwner::ViewAge {
+        n,
+        age_ms: ((now - authority.read_at()) * 1000.0).ceil() as u64,
+    };
+    // Queued behind all that the leader has made of what it knows.
+    connection.outbox.send(frame(&view_age));
+}
--- a/crates/ladderroute/src/leadership.rs
+++ b/crates/ladderroute/src/leadership.rs
@@ -93,7 +93,7 @@
     state.owner.authority.set(f64::MIN);
     if let Some(leadership) = state.shared.leadership.take() {
         for link in leadership.links.values() {
-            link.frames.close();
+            link.outbox.close();
         }
     }
     log::info!("event=leader_ended member={}", node.settings.member);
--- a/crates/ladderroute/src/lib.rs
+++ b/crates/ladderroute/src/lib.rs
@@ -3,6 +3,7 @@
 pub mod api;
 pub mod cluster_view;
 pub mod controller;
+pub mod controller_links;
 pub mod counters;
 pub mod freshness;
 pub mod job_state;
@@ -11,7 +12,6 @@
 pub mod logging;
 pub mod operator;
 pub mod outbox;
-pub mod peers;
 pub mod provisioning;
 pub mod settings;
 pub mod startup;
--- a/crates/ladderroute/src/startup.rs
+++ b/crates/ladderroute/src/startup.rs
@@ -82,10 +82,10 @@
             .spawn(crate::leadership::campaign(node.clone()))
             .detach();
         executor
-            .spawn(crate::peers::serve(node.clone(), back))
+            .spawn(crate::controller_links::serve(node.clone(), back))
             .detach();
         executor
-            .spawn(crate::peers::join_leader(node.clone()))
+            .spawn(crate::controller_links::join_leader(node.clone()))
             .detach();
         executor
             .spawn(crate::provisioning::learn_catalog(node.clone()))
