--- a/crates/ladderroute/src/controller/mod.rs
+++ b/crates/ladderroute/src/controller/mod.rs
@@ -5,6 +5,7 @@
 mod message_exchange;
 mod replica_jobs;
 mod shared_state;
+pub mod view_updates;
 
 pub use freshness_reads::FreshnessReads;
 pub use replica_jobs::ReplicaJobs;
@@ -70,7 +71,12 @@
         self.state.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// The leader's store lease.
+    /// A seed for the next leader's random choices; no two leaders of this process have the same.
+    pub fn next_seed(&self) -> u64 {
+        self.seed.replace(self.seed.get().wrapping_add(1))
+    }
+
+    /// The time of the leader's store lease.
     pub fn leader_ttl(&self) -> Duration {
         Duration::from_secs_f64(self.config.leader_lease_s)
     }
--- /dev/null
+++ b/crates/ladderroute/src/freshness/reads.rs
@@ -0,0 +1,97 @@
+//! Freshness reads: short reads of the store's changes, shared by all queries that wait for one.
+
+use crate::cluster_view::Read;
+use crate::controller::Controller;
+use std::rc::Rc;
+use std::time::Duration;
+use store::budget::Rank;
+use store::client::StoreError;
+use store::keys;
+use wire::store::Changes;
+
+/// Freshness reads of all controllers take at most this part of the request rate.
+const READS_SHARE: f64 = 0.35;
+
+/// Brings the view up to the store's present state; false if that can't be done now. One freshness read
+/// serves every query that was waiting when it was sent.
+pub async fn refresh_view(controller: &Rc<Controller>) -> bool {
+    let (result, starts_serving) = controller.freshness_reads.enqueue();
+    if starts_serving {
+        let controller = controller.clone();
+        controller
+            .executor
+            .clone()
+            .spawn(serve_waiting(controller))
+            .detach();
+    }
+    result.recv().await.unwrap_or(false)
+}
+
+/// Makes freshness reads, at the pace allowed, until no query waits.
+async fn serve_waiting(controller: Rc<Controller>) {
+    let pace = pace(&controller, READS_SHARE);
+    while let Some(waiting) = controller.freshness_reads.take_waiting() {
+        let is_fresh = read_once(&controller).await;
+        for query in waiting {
+            let _ = query.try_send(is_fresh);
+        }
+        smol::Timer::after(pace).await;
+    }
+}
+
+/// Time between two requests of this controller when all together take a part of the rate.
+pub fn pace(controller: &Controller, share: f64) -> Duration {
+    let controllers = controller.settings.known.len() + 1;
+    Duration::from_secs_f64(controllers as f64 / (controller.limits.rps * share))
+}
+
+/// One freshness read; false if the view is not up to date after it.
+pub async fn read_once(controller: &Rc<Controller>) -> bool {
+    let Some(read) = begin_read(controller) else {
+        return false;
+    };
+    match read_changes(controller, read, Duration::ZERO).await {
+        Ok(changes) => {
+            let is_applied = controller.apply_changes(&changes, read);
+            controller.note_store_health(true);
+            controller.freshness_reads.note_answered();
+            is_applied
+        }
+        Err(StoreError::TooOld) => {
+            note_too_old(controller, read, &StoreError::TooOld);
+            false
+        }
+        Err(e) => {
+            log::debug!("event=read_failed since={} error=\"{e}\"", read.since);
+            // A read that this controller's own budget held back says nothing of the store.
+            if !matches!(e, StoreError::Budget(_)) {
+                controller.note_store_health(false);
+            }
+            false
+        }
+    }
+}
+
+/// The read that brings the view up to date, as sent now; none if all keys have to be read.
+pub fn begin_read(controller: &Controller) -> Option<Read> {
+    let state = controller.lock();
+    state.shared.view.begin_read(controller.now())
+}
+
+/// Asks the store for the changes since the view's revision; waits up to `wait` for the first one.
+pub async fn read_changes(
+    controller: &Controller,
+    read: Read,
+    wait: Duration,
+) -> Result<Changes, StoreError> {
+    let store = &controller.store;
+    store
+        .follow(keys::ALL, read.since, wait, Rank::Decision)
+        .await
+}
+
+/// Changes can't bring the view up to date any more.
+pub fn note_too_old(controller: &Controller, read: Read, error: &StoreError) {
+    log::info!("event=view_too_old since={} error=\"{error}\"", read.since);
+    controller.lock().shared.view.too_old(read);
+}
--- /dev/null
+++ b/crates/ladderroute/src/freshness/watch.rs
@@ -0,0 +1,103 @@
+//! The long watch of the store's changes, and the reload of all keys where a watch can no longer bring them.
+
+use super::reads::{begin_read, note_too_old, pace, read_changes};
+use crate::cluster_view::{Read, ViewReload};
+use crate::controller::Controller;
+use std::rc::Rc;
+use std::time::Duration;
+use store::budget::Rank;
+use store::client::StoreError;
+use store::keys;
+
+/// The long watches take at most this part of the request rate: each returns with the first change, and
+/// under load there is always one.
+const WATCH_SHARE: f64 = 0.2;
+
+/// How long a watch waits for a change, in seconds.
+const WATCH_WAIT_S: f64 = wire::ANSWER_DROPPED_S;
+
+/// Loads the view and keeps it current for as long as the process lives.
+pub async fn follow(controller: Rc<Controller>) {
+    let retry_pause = Duration::from_secs_f64(controller.config.heartbeat_s.min(1.0) / 5.0);
+    let mut reload = None;
+    loop {
+        if let Some(read) = begin_read(&controller) {
+            watch(&controller, read, retry_pause).await;
+        } else if let Err(e) = continue_reload(&controller, &mut reload).await {
+            log_load_failure(&controller, reload.as_ref(), &e);
+            controller.note_store_health(false);
+            smol::Timer::after(retry_pause).await;
+        }
+    }
+}
+
+/// One long watch, and a while in which more changes gather: the next brings them together.
+async fn watch(controller: &Rc<Controller>, read: Read, retry_pause: Duration) {
+    let pace = pace(controller, WATCH_SHARE);
+    let wait = Duration::from_secs_f64(WATCH_WAIT_S);
+    match read_changes(controller, read, wait).await {
+        Ok(changes) => {
+            controller.apply_changes(&changes, read);
+            controller.note_store_health(true);
+            smol::Timer::after(pace).await;
+            // Freshness reads bring the same; the requests are better spent on submissions.
+            while controller.freshness_reads.reads_every(pace) {
+                smol::Timer::after(pace / 2).await;
+            }
+        }
+        // An answer with more than is taken would only grow: the keys themselves are read in pages.
+        Err(e @ (StoreError::TooOld | StoreError::TooLarge(_))) => {
+            note_too_old(controller, read, &e)
+        }
+        Err(e) => {
+            log::debug!("event=follow_failed since={} error=\"{e}\"", read.since);
+            controller.note_store_health(false);
+            smol::Timer::after(retry_pause).await;
+        }
+    }
+}
+
+/// Reads all keys, from where an earlier try got to, and takes them into the view.
+async fn continue_reload(
+    controller: &Rc<Controller>,
+    in_progress: &mut Option<ViewReload>,
+) -> Result<(), StoreError> {
+    let mut reload = match in_progress.take() {
+        Some(reload) => reload,
+        None => begin_reload(controller),
+    };
+    loop {
+        let page = controller
+            .store
+            .range(keys::ALL, reload.last_key(), Rank::Decision)
+            .await;
+        match page {
+            Ok(page) if reload.take(&page) => break,
+            Ok(_) => {}
+            Err(e) => {
+                *in_progress = Some(reload);
+                return Err(e);
+            }
+        }
+    }
+    controller.finish_reload(reload);
+    controller.note_store_health(true);
+    Ok(())
+}
+
+fn begin_reload(controller: &Controller) -> ViewReload {
+    let mut state = controller.lock();
+    state.shared.view.begin_reload(controller.now())
+}
+
+/// Once is enough for people; the reload is tried again and again.
+fn log_load_failure(controller: &Controller, reload: Option<&ViewReload>, error: &StoreError) {
+    let is_first = controller.lock().shared.store_failing_since.is_none();
+    let level = if is_first {
+        log::Level::Info
+    } else {
+        log::Level::Debug
+    };
+    let pages = reload.map_or(0, ViewReload::pages);
+    log::log!(level, "event=load_failed pages={pages} error=\"{error}\"");
+}
--- /dev/null
+++ b/crates/ladderroute/src/leadership/mod.rs
@@ -0,0 +1,155 @@
+//! Leadership: campaigns for the store lease, builds the leader from the cluster view, and leads until the
+//! lease is lost.
+
+mod begin;
+mod lease;
+
+use crate::controller::Controller;
+use crate::store_budget::store_shares;
+use crate::writer::writer;
+use crate::{freshness, provisioning};
+use begin::begin_leadership;
+use lease::{keep_view_fresh, renew_until_lost};
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+use store::leadership::{take, LeadershipLease};
+
+/// How often a controller looks, within the time of the store lease, whether there is a leader.
+const LOOKS_PER_LEASE: u32 = 40;
+
+/// A campaign begins after a random wait of up to this part of the lease, so that seldom two meet.
+const CAMPAIGN_JITTER: f64 = 0.03;
+
+/// After a campaign that failed the next waits for this part of the lease, and for a random part beside.
+const FAILED_CAMPAIGN_PAUSE: f64 = 0.05;
+const FAILED_CAMPAIGN_JITTER: f64 = 0.1;
+
+/// Steps of the leader's clock in a heartbeat interval, and the bounds of a step in seconds.
+const CLOCK_STEPS_PER_HEARTBEAT: f64 = 10.0;
+const MIN_CLOCK_STEP_S: f64 = 0.05;
+const MAX_CLOCK_STEP_S: f64 = 0.1;
+
+/// Tries to become the leader whenever there is none.
+pub async fn campaign(controller: Rc<Controller>) {
+    let ttl = controller.leader_ttl();
+    let others = controller.settings.known.len();
+    loop {
+        smol::Timer::after(ttl / LOOKS_PER_LEASE).await;
+        if !is_vacant(&controller) {
+            continue;
+        }
+        smol::Timer::after(ttl.mul_f64(CAMPAIGN_JITTER * fastrand::f64())).await;
+        match take(&controller.store, &controller.settings.member, ttl).await {
+            Ok(Some(lease)) => {
+                controller.store.set_shares(store_shares(true, others));
+                lead_until_lost(&controller, lease, ttl).await;
+                controller.store.set_shares(store_shares(false, others));
+            }
+            Ok(None) => {
+                // Another one leads: the view learns who.
+                freshness::read_once(&controller).await;
+            }
+            Err(e) => {
+                log::info!("event=campaign_failed error=\"{e}\"");
+                let pause = FAILED_CAMPAIGN_PAUSE + FAILED_CAMPAIGN_JITTER * fastrand::f64();
+                smol::Timer::after(ttl.mul_f64(pause)).await;
+            }
+        }
+    }
+}
+
+/// Whether the view is known to be whole and holds no leader.
+fn is_vacant(controller: &Controller) -> bool {
+    let state = controller.lock();
+    let view = &state.shared.view;
+    view.is_complete() && view.replica().leader.is_none()
+}
+
+/// Leads until the lease is lost.
+async fn lead_until_lost(controller: &Rc<Controller>, lease: LeadershipLease, ttl: Duration) {
+    log::info!(
+        "event=leader member={} token={} version={} authority_s={:.2}",
+        controller.settings.member,
+        lease.token,
+        lease.version,
+        controller.at(lease.until) - controller.now()
+    );
+    if !catch_up(controller, &lease, ttl).await {
+        let _ = controller.store.revoke(lease.lease_id).await;
+        return;
+    }
+    begin_leadership(controller, &lease);
+    let executor = &controller.executor;
+    let tasks = [
+        executor.spawn(run_clock(controller.clone())),
+        executor.spawn(writer(controller.clone())),
+        executor.spawn(keep_view_fresh(controller.clone(), ttl)),
+        executor.spawn(provisioning::carry_out_requests(controller.clone())),
+        executor.spawn(provisioning::watch_cloud(controller.clone())),
+    ];
+    renew_until_lost(controller, ttl).await;
+    drop(tasks);
+    end_leadership(controller);
+}
+
+/// Waits until the view holds all that was accepted and recorded before this leadership, and is fresh:
+/// nothing is started on the strength of an old one. False if the lease runs out before.
+async fn catch_up(controller: &Rc<Controller>, lease: &LeadershipLease, ttl: Duration) -> bool {
+    while is_behind(controller, lease, ttl) {
+        if Instant::now() > lease.until {
+            return false;
+        }
+        if !freshness::read_once(controller).await {
+            smol::Timer::after(ttl / LOOKS_PER_LEASE).await;
+        }
+    }
+    true
+}
+
+fn is_behind(controller: &Controller, lease: &LeadershipLease, ttl: Duration) -> bool {
+    let (state, now) = (controller.lock(), controller.now());
+    let view = &state.shared.view;
+    view.replica().revision < lease.version || now - view.read_at() > ttl.as_secs_f64() / 2.0
+}
+
+fn end_leadership(controller: &Controller) {
+    let mut state = controller.lock();
+    state.owner.authority.set(f64::MIN);
+    if let Some(leadership) = state.shared.leadership.take() {
+        for link in leadership.links.values() {
+            link.outbox.close();
+        }
+    }
+    log::info!("event=leader_ended member={}", controller.settings.member);
+    state.shared.view.leader_ended(&controller.settings.member);
+}
+
+/// Lets time pass for the leader.
+async fn run_clock(controller: Rc<Controller>) {
+    let step_s = controller.config.heartbeat_s / CLOCK_STEPS_PER_HEARTBEAT;
+    let step = Duration::from_secs_f64(step_s.clamp(MIN_CLOCK_STEP_S, MAX_CLOCK_STEP_S));
+    let mut logged = sched::leader::Summary::default();
+    loop {
+        smol::Timer::after(step).await;
+        let now = controller.now();
+        let mut guard = controller.lock();
+        let state = &mut *guard;
+        let Some(leadership) = &mut state.shared.leadership else {
+            return;
+        };
+        if !state.owner.has_authority(now) {
+            // Nothing is decided without authority; it may come back with a renewal and a read.
+            continue;
+        }
+        let leader = &mut leadership.leader;
+        leader.tick(now, controller.settings.known.len());
+        if log::log_enabled!(log::Level::Debug) {
+            let summary = leader.summary();
+            if summary != logged {
+                log::debug!("event=cluster_summary {summary}");
+                logged = summary;
+            }
+        }
+        controller.exchange_messages(state);
+    }
+}
--- a/crates/ladderroute/src/lib.rs
+++ b/crates/ladderroute/src/lib.rs
@@ -7,7 +7,6 @@
 pub mod counters;
 pub mod freshness;
 pub mod job_state;
-pub mod leader_updates;
 pub mod leadership;
 pub mod logging;
 pub mod operator;
--- a/crates/ladderroute/src/writer/mod.rs
+++ b/crates/ladderroute/src/writer/mod.rs
@@ -45,7 +45,7 @@
         if overtaken {
             // An earlier write of unknown outcome was carried out after all: see what it left.
             log::info!("event=write_overtaken");
-            crate::freshness::once(&node).await;
+            crate::freshness::read_once(&node).await;
         }
         if retry || overtaken {
             smol::Timer::after(pause).await;
