--- a/crates/ladderroute/src/provisioning.rs
+++ b/crates/ladderroute/src/provisioning.rs
@@ -1,177 +1,244 @@
-//! Talking to the cloud: catalog, list, provision request, release, all within its request rate.
+//! Provisioning: the cloud's catalog and list of machines, provision requests and releases, all within the
+//! cloud's request rate.
 
 use crate::controller::Controller;
-use sched::leader::Action;
+use sched::leader::{Action, Leader};
+use sched::Secs;
+use serde::de::DeserializeOwned;
 use std::rc::Rc;
 use std::time::Duration;
 use wire::cbor;
-use wire::cloud::{Catalog, MachineList, Names};
+use wire::cloud::{Catalog, MachineList, Names, ProvisionRequest};
+use wire::users::Refusal;
+
+/// The cloud takes this many machines at most into one page of the list (a figure of the protocol).
+const MAX_LISTED: u32 = 500;
 
 /// Prices are read once in this many lists.
 const LISTS_PER_CATALOG: u32 = 5;
-/// Most machines in one page of the list (a figure of the protocol).
-const MOST_LISTED: u32 = 500;
+
+/// Lists within the time by which the list may lag behind, as far as the cloud's rate allows.
+const LISTS_PER_LAG: f64 = 2.0;
+
+/// Least time between two lists, in intervals of the cloud's rate.
+const MIN_LIST_INTERVALS: f64 = 4.0;
+
 /// Tries of one provision request under the same name before its outcome is left to the list.
 const PROVISION_ATTEMPTS: u32 = 4;
 
-fn limit(node: &Controller) -> Duration {
-    Duration::from_secs_f64((node.settings.settings.cloud.list_lag_s / 2.0).clamp(1.0, 5.0))
-}
+/// Time between two of this controller's requests, in intervals of the cloud's rate.
+const PACE_INTERVALS: f64 = 1.6;
 
-/// Time between two of this controller's requests to the cloud.
-fn pace(node: &Controller) -> Duration {
-    Duration::from_secs_f64(1.6 / node.settings.settings.cloud.rps)
+/// Bounds of the time for which an answer is waited for, in seconds.
+const MIN_ANSWER_LIMIT_S: f64 = 1.0;
+const MAX_ANSWER_LIMIT_S: f64 = 5.0;
+
+/// The words in which the cloud says that it has no machine of the kind asked for.
+const NO_CAPACITY: &str = "no capacity";
+
+/// What came of a provision request.
+enum ProvisionOutcome {
+    /// These machines boot.
+    Machines(Vec<String>),
+    /// The cloud has no such machines at present.
+    NoCapacity,
+    /// It was not carried out, or its outcome stays unknown until the machines are listed.
+    Unknown,
 }
 
-async fn fetch_catalog(node: &Rc<Controller>) -> bool {
-    let Ok(answer) = node.cloud.ask("GET", "/catalog", &[], limit(node)).await else {
-        return false;
-    };
-    let Some(catalog) = (answer.status == 200)
-        .then(|| cbor::decode::<Catalog>(&answer.body).ok())
-        .flatten()
-    else {
-        return false;
-    };
-    let mut guard = node.lock();
-    let state = &mut *guard;
-    if let Some(leadership) = &mut state.shared.leadership {
-        leadership.leader.catalog(catalog.types.clone());
+impl ProvisionOutcome {
+    /// As the leader takes it.
+    fn into_machines(self) -> Option<Vec<String>> {
+        match self {
+            ProvisionOutcome::Machines(names) => Some(names),
+            ProvisionOutcome::NoCapacity => Some(Vec::new()),
+            ProvisionOutcome::Unknown => None,
+        }
     }
-    state.shared.catalog = Some(catalog.types);
-    node.exchange_messages(state);
-    true
 }
 
 /// Learns the machine types once; the leader keeps the prices current.
-pub async fn learn_catalog(node: Rc<Controller>) {
-    while !fetch_catalog(&node).await {
-        smol::Timer::after(pace(&node).mul_f64(2.0 + fastrand::f64())).await;
+pub async fn learn_catalog(controller: Rc<Controller>) {
+    while !fetch_catalog(&controller).await {
+        let pause = pace(&controller).mul_f64(2.0 + fastrand::f64());
+        smol::Timer::after(pause).await;
     }
     log::info!("event=catalog");
 }
 
 /// Reads the list and the prices again and again, while leading.
-pub async fn watch_cloud(node: Rc<Controller>) {
-    let lag = node.settings.settings.cloud.list_lag_s;
-    let mut round = 0;
+pub async fn watch_cloud(controller: Rc<Controller>) {
+    let cloud = &controller.settings.settings.cloud;
+    let interval_s = (cloud.list_lag_s / LISTS_PER_LAG).max(MIN_LIST_INTERVALS / cloud.rps);
+    let mut lists = 0;
     loop {
-        smol::Timer::after(Duration::from_secs_f64(
-            (lag / 2.0).max(4.0 / node.settings.settings.cloud.rps),
-        ))
-        .await;
-        round += 1;
-        if round == LISTS_PER_CATALOG {
-            round = 0;
-            fetch_catalog(&node).await;
-        }
-        let mut since = Some(String::new());
-        while let Some(after) = since.take() {
-            let path = if after.is_empty() {
-                format!("/machines?most={MOST_LISTED}")
-            } else {
-                format!("/machines?since={after}&most={MOST_LISTED}")
-            };
-            let Ok(answer) = node.cloud.ask("GET", &path, &[], limit(&node)).await else {
-                break;
-            };
-            let Some(list) = (answer.status == 200)
-                .then(|| cbor::decode::<MachineList>(&answer.body).ok())
-                .flatten()
-            else {
-                break;
-            };
-            with_leader(&node, |l, now| l.listed(&list.machines, now));
-            if list.more {
-                since = list.machines.last().map(|m| m.name.clone());
-                smol::Timer::after(pace(&node)).await;
-            }
+        smol::Timer::after(Duration::from_secs_f64(interval_s)).await;
+        lists += 1;
+        if lists == LISTS_PER_CATALOG {
+            lists = 0;
+            fetch_catalog(&controller).await;
         }
+        list_machines(&controller).await;
     }
 }
 
 /// Carries out provision requests and releases, one at a time.
-pub async fn carry_out_requests(node: Rc<Controller>) {
+pub async fn carry_out_requests(controller: Rc<Controller>) {
     loop {
-        let action = node
-            .lock()
-            .shared
-            .leadership
-            .as_mut()
-            .and_then(|l| l.cloud.pop_front());
-        let Some(action) = action else {
-            let _ = node.provisioning_wake.1.recv().await;
+        let Some(action) = next_request(&controller) else {
+            let _ = controller.provisioning_wake.1.recv().await;
             continue;
         };
         match action {
-            Action::Provision(request) => {
-                let got = provision_machines(&node, &request).await;
-                if let Some(names) = &got {
-                    log::info!(
-                        "event=provisioned name={} machines={}",
-                        request.name,
-                        names.join(",")
-                    );
-                }
-                with_leader(&node, |l, now| l.provision_result(&request.name, got, now));
-            }
-            Action::Deprovision(names) => {
-                let body = cbor::encode(&Names {
-                    machines: names.clone(),
-                });
-                let ok = matches!(node.cloud.ask("POST", "/machines/release", &body, limit(&node)).await, Ok(a) if a.status == 200);
-                log::info!("event=deprovision ok={ok} machines={}", names.join(","));
-                with_leader(&node, |l, _| l.deprovision_result(&names, ok));
-            }
+            Action::Provision(request) => provision(&controller, &request).await,
+            Action::Deprovision(names) => deprovision(&controller, names).await,
             _ => {}
         }
-        smol::Timer::after(pace(&node)).await;
+        smol::Timer::after(pace(&controller)).await;
     }
 }
 
-fn with_leader(node: &Rc<Controller>, f: impl FnOnce(&mut sched::leader::Leader, f64)) {
-    let now = node.now();
-    let mut guard = node.lock();
+fn next_request(controller: &Controller) -> Option<Action> {
+    let mut state = controller.lock();
+    state.shared.leadership.as_mut()?.cloud.pop_front()
+}
+
+/// Reads the machine types and their prices; false if the cloud did not tell them.
+async fn fetch_catalog(controller: &Rc<Controller>) -> bool {
+    let Some(catalog) = get::<Catalog>(controller, "/catalog").await else {
+        return false;
+    };
+    let mut guard = controller.lock();
     let state = &mut *guard;
     if let Some(leadership) = &mut state.shared.leadership {
-        f(&mut leadership.leader, now);
-        node.exchange_messages(state);
+        leadership.leader.catalog(catalog.types.clone());
     }
+    state.shared.catalog = Some(catalog.types);
+    controller.exchange_messages(state);
+    true
 }
 
-/// The machines that came of a provision request: empty for no capacity, none if it did not come about.
-async fn provision_machines(
-    node: &Rc<Controller>,
-    request: &wire::cloud::ProvisionRequest,
-) -> Option<Vec<String>> {
+/// Reads the whole list, page after page; what can't be read now is read by the next list.
+async fn list_machines(controller: &Rc<Controller>) {
+    let mut since = Some(String::new());
+    while let Some(after) = since.take() {
+        let Some(list) = get::<MachineList>(controller, &list_path(&after)).await else {
+            return;
+        };
+        with_leader(controller, |leader, now| leader.listed(&list.machines, now));
+        if list.more {
+            since = list.machines.last().map(|machine| machine.name.clone());
+            smol::Timer::after(pace(controller)).await;
+        }
+    }
+}
+
+/// The path of the page that begins after a machine; the first page begins after the empty name.
+fn list_path(after: &str) -> String {
+    if after.is_empty() {
+        format!("/machines?most={MAX_LISTED}")
+    } else {
+        format!("/machines?since={after}&most={MAX_LISTED}")
+    }
+}
+
+async fn provision(controller: &Rc<Controller>, request: &ProvisionRequest) {
+    let outcome = request_machines(controller, request).await;
+    let machines = outcome.into_machines();
+    if let Some(names) = &machines {
+        let (name, names) = (&request.name, names.join(","));
+        log::info!("event=provisioned name={name} machines={names}");
+    }
+    with_leader(controller, |leader, now| {
+        leader.provision_result(&request.name, machines, now)
+    });
+}
+
+/// Asks for machines until the outcome is told, or so often that it is left to the list.
+async fn request_machines(
+    controller: &Rc<Controller>,
+    request: &ProvisionRequest,
+) -> ProvisionOutcome {
     let body = cbor::encode(request);
+    let limit = answer_limit(controller);
     for _ in 0..PROVISION_ATTEMPTS {
-        match node
-            .cloud
-            .ask("POST", "/machines", &body, limit(node))
-            .await
-        {
-            Ok(a) if a.status == 200 => {
-                return cbor::decode::<Names>(&a.body).ok().map(|n| n.machines)
-            }
-            Ok(a) if a.status == 503 => {
-                let error = cbor::decode::<wire::users::Refusal>(&a.body)
-                    .map(|r| r.error)
-                    .unwrap_or_default();
-                return (error == "no capacity").then(Vec::new);
+        let answer = controller.cloud.ask("POST", "/machines", &body, limit);
+        match answer.await {
+            Ok(answer) if answer.status == 200 => return provisioned(&answer.body),
+            Ok(answer) if answer.status == 503 => return unavailable(&answer.body),
+            Ok(answer) if answer.status == 429 => {
+                smol::Timer::after(pace(controller).mul_f64(2.0)).await;
             }
-            Ok(a) if a.status == 429 => smol::Timer::after(pace(node).mul_f64(2.0)).await,
-            Ok(a) => {
-                log::error!(
-                    "event=provision_refused status={} kind={}",
-                    a.status,
-                    request.kind
-                );
-                return None;
+            Ok(answer) => {
+                let (status, kind) = (answer.status, &request.kind);
+                log::error!("event=provision_refused status={status} kind={kind}");
+                return ProvisionOutcome::Unknown;
             }
             // The same name again: the cloud provisions only once for it.
-            Err(_) => smol::Timer::after(pace(node)).await,
-        };
+            Err(_) => {
+                smol::Timer::after(pace(controller)).await;
+            }
+        }
+    }
+    ProvisionOutcome::Unknown
+}
+
+fn provisioned(body: &[u8]) -> ProvisionOutcome {
+    match cbor::decode::<Names>(body) {
+        Ok(names) => ProvisionOutcome::Machines(names.machines),
+        Err(_) => ProvisionOutcome::Unknown,
+    }
+}
+
+fn unavailable(body: &[u8]) -> ProvisionOutcome {
+    match cbor::decode::<Refusal>(body) {
+        Ok(refusal) if refusal.error == NO_CAPACITY => ProvisionOutcome::NoCapacity,
+        _ => ProvisionOutcome::Unknown,
+    }
+}
+
+async fn deprovision(controller: &Rc<Controller>, machines: Vec<String>) {
+    let names = machines.join(",");
+    let request = Names { machines };
+    let body = cbor::encode(&request);
+    let limit = answer_limit(controller);
+    let path = "/machines/release";
+    let answer = controller.cloud.ask("POST", path, &body, limit).await;
+    let ok = answer.is_ok_and(|answer| answer.status == 200);
+    log::info!("event=deprovision ok={ok} machines={names}");
+    with_leader(controller, |leader, _| {
+        leader.deprovision_result(&request.machines, ok)
+    });
+}
+
+/// What the cloud holds at a path; none if it does not tell now.
+async fn get<T: DeserializeOwned>(controller: &Controller, path: &str) -> Option<T> {
+    let limit = answer_limit(controller);
+    let answer = controller.cloud.ask("GET", path, &[], limit).await.ok()?;
+    if answer.status != 200 {
+        return None;
+    }
+    cbor::decode(&answer.body).ok()
+}
+
+/// How long an answer of the cloud is waited for.
+fn answer_limit(controller: &Controller) -> Duration {
+    let list_lag_s = controller.settings.settings.cloud.list_lag_s;
+    Duration::from_secs_f64((list_lag_s / 2.0).clamp(MIN_ANSWER_LIMIT_S, MAX_ANSWER_LIMIT_S))
+}
+
+/// Time between two of this controller's requests to the cloud.
+fn pace(controller: &Controller) -> Duration {
+    Duration::from_secs_f64(PACE_INTERVALS / controller.settings.settings.cloud.rps)
+}
+
+/// Tells the leader something, if it is here, and lets it act.
+fn with_leader(controller: &Controller, tell: impl FnOnce(&mut Leader, Secs)) {
+    let now = controller.now();
+    let mut guard = controller.lock();
+    let state = &mut *guard;
+    if let Some(leadership) = &mut state.shared.leadership {
+        tell(&mut leadership.leader, now);
+        controller.exchange_messages(state);
     }
-    None
 }
