--- a/crates/ladderroute/src/controller/message_exchange.rs
+++ b/crates/ladderroute/src/controller/message_exchange.rs
@@ -2,62 +2,77 @@
 
 use super::{Controller, ReplicaJobs, State};
 use sched::leader::Action;
+use sched::Secs;
 use wire::peers::{frame, ToOwner};
 
 impl Controller {
-    /// Moves what the owner and the leader have to say to each other and outside.
+    /// Moves what the owner and the leader have to say to each other and outside, until neither has more.
     pub fn exchange_messages(&self, state: &mut State) {
         let now = self.now();
-        let State { owner, shared } = state;
         loop {
-            let mut idle = true;
-            for message in owner.drain() {
-                match (&mut shared.leadership, &shared.to_leader) {
-                    (Some(leadership), _) => {
-                        leadership
-                            .leader
-                            .on_owner_message(&self.settings.member, message, now)
-                    }
-                    (None, Some(link)) => link.send(frame(&message)),
-                    _ => {}
-                }
-                idle = false;
+            let owner_spoke = self.route_owner_messages(state, now);
+            if state.shared.leadership.is_none() {
+                return;
             }
-            let Some(leadership) = &mut shared.leadership else {
+            let leader_spoke = self.route_leader_actions(state, now);
+            if !owner_spoke && !leader_spoke {
                 return;
-            };
-            for action in leadership.leader.drain() {
-                idle = false;
-                match action {
-                    Action::Send(to, message) if to == self.settings.member => {
-                        if let ToOwner::RunningCounts { running } = message {
-                            shared.running = running.into_iter().collect();
-                        } else {
-                            owner.on_leader_message(
-                                message,
-                                now,
-                                &ReplicaJobs(shared.view.replica()),
-                            );
-                        }
-                    }
-                    Action::Send(to, message) => {
-                        if let Some(link) = leadership.links.get(&to) {
-                            link.outbox.send(frame(&message));
-                        }
+            }
+        }
+    }
+
+    /// Hands the owner's messages to the leader, here or over the link; whether there were any.
+    fn route_owner_messages(&self, state: &mut State, now: Secs) -> bool {
+        let State { owner, shared } = state;
+        let mut any = false;
+        for message in owner.drain() {
+            any = true;
+            match (&mut shared.leadership, &shared.to_leader) {
+                (Some(leadership), _) => {
+                    let leader = &mut leadership.leader;
+                    leader.on_owner_message(&self.settings.member, message, now);
+                }
+                (None, Some(link)) => link.send(frame(&message)),
+                (None, None) => {}
+            }
+        }
+        any
+    }
+
+    /// Hands the leader's actions to the owners, the store writer and provisioning; whether there were any.
+    fn route_leader_actions(&self, state: &mut State, now: Secs) -> bool {
+        let State { owner, shared } = state;
+        let Some(leadership) = &mut shared.leadership else {
+            return false;
+        };
+        let mut any = false;
+        for action in leadership.leader.drain() {
+            any = true;
+            match action {
+                Action::Send(to, message) if to == self.settings.member => match message {
+                    ToOwner::RunningCounts { running } => {
+                        shared.running = running.into_iter().collect();
                     }
-                    action @ (Action::Provision(_) | Action::Deprovision(_)) => {
-                        leadership.cloud.push_back(action);
-                        let _ = self.provisioning_wake.0.try_send(());
+                    message => {
+                        let jobs = ReplicaJobs(shared.view.replica());
+                        owner.on_leader_message(message, now, &jobs);
                     }
-                    action => {
-                        leadership.writes.push_back(action);
-                        let _ = self.writer_wake.0.try_send(());
+                },
+                Action::Send(to, message) => {
+                    if let Some(link) = leadership.links.get(&to) {
+                        link.outbox.send(frame(&message));
                     }
                 }
-            }
-            if idle {
-                return;
+                action @ (Action::Provision(_) | Action::Deprovision(_)) => {
+                    leadership.cloud.push_back(action);
+                    let _ = self.provisioning_wake.0.try_send(());
+                }
+                action => {
+                    leadership.writes.push_back(action);
+                    let _ = self.writer_wake.0.try_send(());
+                }
             }
         }
+        any
     }
 }
--- a/crates/ladderroute/src/controller/mod.rs
+++ b/crates/ladderroute/src/controller/mod.rs
@@ -1,4 +1,4 @@
-//! One controller: the settings it runs with, its clients and the state its services share.
+//! One controller: the settings it runs with, its clients, and the state that its services share.
 
 mod freshness_reads;
 pub mod limits;
@@ -15,60 +15,77 @@
 use crate::outbox::Outbox;
 use crate::settings::{Settings, StateLimits};
 use sched::config::SchedulerConfig;
-use smol::channel::Sender;
+use sched::Secs;
+use smol::channel::{Receiver, Sender};
 use std::cell::Cell;
 use std::rc::Rc;
-use std::sync::{Mutex, MutexGuard};
+use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 use store::client::Store;
 
 /// Part of the memory that messages waiting for one slow connection between controllers may take;
 /// more ends it.
-const OUTBOX_SHARE: f64 = 1.0 / 32.0;
+const OUTBOX_MEMORY_SHARE: f64 = 1.0 / 32.0;
 
-/// One controller.
+/// Bytes in a megabyte of the settings.
+const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
+
+/// One controller. Its services are handed this, and find each other's results in the state behind the lock.
 pub struct Controller {
+    /// The platform's settings.
     pub settings: Settings,
+    /// What the decisions need to know of the settings.
     pub config: SchedulerConfig,
     /// The limits of the state service that this process keeps to.
     pub limits: StateLimits,
+    /// The client of the state service.
     pub store: Store,
+    /// The client of the cloud.
     pub cloud: http::client::Client,
+    /// Where the services' tasks run.
     pub executor: Rc<smol::LocalExecutor<'static>>,
+    /// The instant from which `now` counts.
     pub started_at: Instant,
+    /// The shared state; see [`Controller::lock`].
     pub state: Mutex<State>,
+    /// The queries that wait for a freshness read.
     pub freshness_reads: FreshnessReads,
+    /// Counters for the running summary.
     pub counters: Counters,
-    pub writer_wake: (Sender<()>, smol::channel::Receiver<()>),
-    pub provisioning_wake: (Sender<()>, smol::channel::Receiver<()>),
+    /// Wakes the store writer: there is something to write.
+    pub writer_wake: (Sender<()>, Receiver<()>),
+    /// Wakes provisioning: there is a request to the cloud.
+    pub provisioning_wake: (Sender<()>, Receiver<()>),
+    /// The next leader's seed.
     pub seed: Cell<u64>,
 }
 
 impl Controller {
-    pub fn now(&self) -> f64 {
+    /// The time since the start, in seconds.
+    pub fn now(&self) -> Secs {
         self.started_at.elapsed().as_secs_f64()
     }
 
     /// An instant on the scale of `now`.
-    pub fn at(&self, t: Instant) -> f64 {
-        t.saturating_duration_since(self.started_at).as_secs_f64()
+    pub fn at(&self, instant: Instant) -> Secs {
+        let since_start = instant.saturating_duration_since(self.started_at);
+        since_start.as_secs_f64()
     }
 
     /// For how long the view has not been proved to hold all that the store holds, in seconds.
-    pub fn view_age(&self) -> f64 {
+    pub fn view_age(&self) -> Secs {
         self.now() - self.lock().shared.view.read_at()
     }
 
     /// A queue for a connection to another controller.
     pub fn outbox(&self) -> Outbox {
-        Outbox::new(
-            (self.settings.settings.quota.memory_mb * 1024.0 * 1024.0 * OUTBOX_SHARE) as usize,
-        )
+        let memory = self.settings.settings.quota.memory_mb * BYTES_PER_MB;
+        Outbox::new((memory * OUTBOX_MEMORY_SHARE) as usize)
     }
 
     /// The shared state; never held across an await.
     pub fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().unwrap_or_else(|e| e.into_inner())
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// A seed for the next leader's random choices; no two leaders of this process have the same.
@@ -83,11 +100,12 @@
 
     /// Notes whether the store answers, for `/ready`.
     pub fn note_store_health(&self, ok: bool) {
-        let mut s = self.lock();
-        match (ok, s.shared.store_failing_since) {
-            (true, _) => s.shared.store_failing_since = None,
-            (false, None) => s.shared.store_failing_since = Some(Instant::now()),
-            _ => {}
+        let mut state = self.lock();
+        let failing_since = &mut state.shared.store_failing_since;
+        if ok {
+            *failing_since = None;
+        } else if failing_since.is_none() {
+            *failing_since = Some(Instant::now());
         }
     }
 }
--- a/crates/ladderroute/src/controller/replica_jobs.rs
+++ b/crates/ladderroute/src/controller/replica_jobs.rs
@@ -4,26 +4,34 @@
 use sched::placement::Resources;
 use store::replica::Replica;
 use wire::store::Recorded;
+use wire::users::Job;
 
 /// What owners need to know of jobs, out of the replica.
 pub struct ReplicaJobs<'a>(pub &'a Replica);
 
+impl ReplicaJobs<'_> {
+    /// The job itself, while it is open.
+    fn spec(&self, job: &str) -> Option<&Job> {
+        self.0.jobs.get(job)?.job.as_deref()
+    }
+}
+
 impl Jobs for ReplicaJobs<'_> {
     fn resources(&self, job: &str) -> Option<Resources> {
-        let j = self.0.jobs.get(job)?.job.as_ref()?;
+        let spec = self.spec(job)?;
         Some(Resources {
-            cpus: j.cpus,
-            gpus: j.gpus,
-            memory_gb: j.memory_gb,
+            cpus: spec.cpus,
+            gpus: spec.gpus,
+            memory_gb: spec.memory_gb,
         })
     }
+
     fn image(&self, job: &str) -> Option<String> {
-        Some(self.0.jobs.get(job)?.job.as_ref()?.image.clone())
+        Some(self.spec(job)?.image.clone())
     }
+
     fn is_terminal(&self, job: &str) -> bool {
-        self.0
-            .jobs
-            .get(job)
-            .is_some_and(|e| e.state != Recorded::Open)
+        let entry = self.0.jobs.get(job);
+        entry.is_some_and(|entry| entry.state != Recorded::Open)
     }
 }
--- a/crates/ladderroute/src/controller/shared_state.rs
+++ b/crates/ladderroute/src/controller/shared_state.rs
@@ -1,4 +1,4 @@
-//! What the tasks of one controller share behind its lock: data only, no tasks.
+//! What the services of one controller share behind its lock: data only, no tasks.
 
 use crate::cluster_view::ClusterView;
 use crate::outbox::Outbox;
@@ -11,16 +11,59 @@
 use store::leadership::LeadershipLease;
 use wire::cloud::MachineType;
 
+/// All that lives behind the one lock.
+pub struct State {
+    /// The shard owner: what workers are answered from.
+    pub owner: Owner,
+    /// The rest.
+    pub shared: Shared,
+}
+
+/// What the services share beside the owner's state.
+pub struct Shared {
+    /// What this controller knows of the store.
+    pub view: ClusterView,
+    /// The machine types, once the cloud has told them.
+    pub catalog: Option<Vec<MachineType>>,
+    /// The leadership, while this controller leads.
+    pub leadership: Option<Leadership>,
+    /// Running tasks by job, as the leader last told.
+    pub running: HashMap<String, u32>,
+    /// Messages to the leader, while there is a connection.
+    pub to_leader: Option<Outbox>,
+    /// Since when the store has not answered; none while it does.
+    pub store_failing_since: Option<Instant>,
+}
+
+impl Shared {
+    /// The state at the start, with a view that holds nothing so far.
+    pub fn new(view: ClusterView) -> Shared {
+        Shared {
+            view,
+            catalog: None,
+            leadership: None,
+            running: HashMap::new(),
+            to_leader: None,
+            store_failing_since: None,
+        }
+    }
+}
+
 /// A leadership of this controller.
 pub struct Leadership {
+    /// The decisions.
     pub leader: Leader,
+    /// The store lease under which it leads.
     pub lease: LeadershipLease,
+    /// Its durable records that share keys.
     pub records: RecordPages,
     /// What its transactions may hold.
     pub limits: TxnLimits,
-    /// Decisions that have to be written, and requests to the cloud.
+    /// Decisions that have to be written.
     pub writes: VecDeque<Action>,
+    /// Requests to the cloud.
     pub cloud: VecDeque<Action>,
+    /// The other controllers' connections, by member.
     pub links: HashMap<String, Link>,
 }
 
@@ -48,35 +91,3 @@
         self.start != current.start || self.count > current.count
     }
 }
-
-/// What the tasks of this process share beside the owner's state.
-pub struct Shared {
-    /// What this controller knows of the store.
-    pub view: ClusterView,
-    pub catalog: Option<Vec<MachineType>>,
-    pub leadership: Option<Leadership>,
-    /// Running tasks by job, as the leader last told.
-    pub running: HashMap<String, u32>,
-    /// Messages to the leader, while there is a connection.
-    pub to_leader: Option<Outbox>,
-    pub store_failing_since: Option<Instant>,
-}
-
-/// All that lives behind the one lock.
-pub struct State {
-    pub owner: Owner,
-    pub shared: Shared,
-}
-
-impl Shared {
-    pub fn new(view: ClusterView) -> Shared {
-        Shared {
-            view,
-            catalog: None,
-            leadership: None,
-            running: HashMap::new(),
-            to_leader: None,
-            store_failing_since: None,
-        }
-    }
-}
--- a/crates/ladderroute/src/counters.rs
+++ b/crates/ladderroute/src/counters.rs
@@ -1,10 +1,14 @@
-//! Counters that tell, after the fact, how close decisions came to the age of what they rest on.
+//! Counters that tell, after the fact, how close answers came to the end of authority, and how stale what
+//! they rest on was when they were written.
 
 use std::cell::Cell;
 use std::fmt;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
+/// The longest time between a check and the writing of the answer that rests on it.
+type LongestEffect = Rc<Cell<Duration>>;
+
 /// The running summary of one process.
 #[derive(Debug, Default)]
 pub struct Counters {
@@ -18,41 +22,43 @@
     pub answers_refused: Cell<u64>,
     /// The least time that authority had left when a heartbeat was answered, in seconds.
     least_margin_s: Cell<Option<f64>>,
-    /// The longest time between a check and the moment when the answer was written to its connection.
-    longest_effect: Rc<Cell<Duration>>,
+    longest_effect: LongestEffect,
 }
 
-/// When what an answer rests on was checked, to be held against the moment when the answer is written.
+/// The instant at which what an answer rests on was checked, to be held against the one at which the answer
+/// is written to its connection.
 #[derive(Clone, Debug)]
 pub struct Checked {
     at: Instant,
-    longest: Rc<Cell<Duration>>,
+    longest_effect: LongestEffect,
 }
 
 impl Checked {
-    /// The answer was written.
+    /// Notes that the answer was written.
     pub fn written(&self) {
-        self.longest.set(self.longest.get().max(self.at.elapsed()));
+        let effect = self.at.elapsed();
+        self.longest_effect
+            .set(self.longest_effect.get().max(effect));
     }
 }
 
 impl Counters {
-    /// One more.
+    /// Counts one more.
     pub fn count(counter: &Cell<u64>) {
         counter.set(counter.get() + 1);
     }
 
-    /// A heartbeat was answered while authority had so much time left.
+    /// Notes that a heartbeat was answered while authority had so much time left, in seconds.
     pub fn margin(&self, margin_s: f64) {
         let least = self.least_margin_s.get().unwrap_or(f64::MAX);
         self.least_margin_s.set(Some(least.min(margin_s)));
     }
 
-    /// What an answer rests on is checked now.
+    /// Notes that what an answer rests on is checked now.
     pub fn checked(&self) -> Checked {
         Checked {
             at: Instant::now(),
-            longest: self.longest_effect.clone(),
+            longest_effect: self.longest_effect.clone(),
         }
     }
 }
--- a/crates/ladderroute/src/leadership/mod.rs
+++ b/crates/ladderroute/src/leadership/mod.rs
@@ -5,7 +5,7 @@
 mod lease;
 
 use crate::controller::Controller;
-use crate::store_budget::store_shares;
+use crate::store_budget::{store_shares, Role};
 use crate::writer::writer;
 use crate::{freshness, provisioning};
 use begin::begin_leadership;
@@ -41,9 +41,13 @@
         smol::Timer::after(ttl.mul_f64(CAMPAIGN_JITTER * fastrand::f64())).await;
         match take(&controller.store, &controller.settings.member, ttl).await {
             Ok(Some(lease)) => {
-                controller.store.set_shares(store_shares(true, others));
+                controller
+                    .store
+                    .set_shares(store_shares(Role::Leader, others));
                 lead_until_lost(&controller, lease, ttl).await;
-                controller.store.set_shares(store_shares(false, others));
+                controller
+                    .store
+                    .set_shares(store_shares(Role::Follower, others));
             }
             Ok(None) => {
                 // Another one leads: the view learns who.
--- a/crates/ladderroute/src/logging.rs
+++ b/crates/ladderroute/src/logging.rs
@@ -1,25 +1,27 @@
 //! Logs: single lines of `key=value` on standard error, at the level of `LOG_LEVEL`.
 
+use log::LevelFilter;
 use std::io::Write;
 use std::time::Instant;
 
+/// Starts logging. Each line says how many seconds the process is up.
 pub fn start() {
-    let level = match std::env::var("LOG_LEVEL").as_deref() {
-        Ok("debug") => log::LevelFilter::Debug,
-        Ok("info") => log::LevelFilter::Info,
-        _ => log::LevelFilter::Error,
-    };
     let started_at = Instant::now();
     env_logger::Builder::new()
-        .filter_level(level)
+        .filter_level(level(std::env::var("LOG_LEVEL").ok().as_deref()))
         .format(move |out, record| {
-            writeln!(
-                out,
-                "up={:.3} level={} {}",
-                started_at.elapsed().as_secs_f64(),
-                record.level().as_str().to_lowercase(),
-                record.args()
-            )
+            let up_s = started_at.elapsed().as_secs_f64();
+            let level = record.level().as_str().to_lowercase();
+            writeln!(out, "up={up_s:.3} level={level} {}", record.args())
         })
         .init();
 }
+
+/// The level of that name; errors alone for none, or for one that is not known.
+fn level(name: Option<&str>) -> LevelFilter {
+    match name {
+        Some("debug") => LevelFilter::Debug,
+        Some("info") => LevelFilter::Info,
+        _ => LevelFilter::Error,
+    }
+}
--- a/crates/ladderroute/src/main.rs
+++ b/crates/ladderroute/src/main.rs
@@ -1,7 +1,13 @@
 //! The command line.
 
 use clap::Parser;
-use ladderroute::{logging, operator, settings, startup};
+use ladderroute::operator::Tuning;
+use ladderroute::settings::{Settings, SettingsError};
+use ladderroute::{logging, startup};
+use std::process::ExitCode;
+
+/// Exit status for settings that can't be used.
+const INVALID_SETTINGS: u8 = 2;
 
 /// Schedules arrays and gangs on provisioned machines; one process of a group of controllers.
 #[derive(Parser, Debug)]
@@ -18,33 +24,38 @@
     check_config: bool,
 }
 
-fn main() -> std::process::ExitCode {
+impl Args {
+    /// Reads both files of settings.
+    fn load(&self) -> Result<(Settings, Tuning), SettingsError> {
+        let settings = Settings::load(&self.config)?;
+        let tuning = match &self.operator {
+            Some(file) => Tuning::load(file)?,
+            None => Tuning::default(),
+        };
+        Ok((settings, tuning))
+    }
+}
+
+fn main() -> ExitCode {
     let args = Args::parse();
     logging::start();
-    let loaded = settings::Settings::load(&args.config).and_then(|s| {
-        let tuning = args
-            .operator
-            .as_deref()
-            .map_or_else(|| Ok(operator::Tuning::default()), operator::Tuning::load)?;
-        Ok((s, tuning))
-    });
-    let (settings, tuning) = match loaded {
-        Ok(l) => l,
+    let (settings, tuning) = match args.load() {
+        Ok(loaded) => loaded,
         Err(e) => {
             eprintln!("ladderroute: {e}");
-            return std::process::ExitCode::from(2);
+            return ExitCode::from(INVALID_SETTINGS);
         }
     };
     if args.check_config {
         startup::warn_if_tight(&settings.scheduler_config(&tuning));
         println!("ladderroute: settings are valid");
-        return std::process::ExitCode::SUCCESS;
+        return ExitCode::SUCCESS;
     }
     match startup::run(settings, tuning) {
-        Ok(()) => std::process::ExitCode::SUCCESS,
+        Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             log::error!("event=end error=\"{e}\"");
-            std::process::ExitCode::FAILURE
+            ExitCode::FAILURE
         }
     }
 }
--- a/crates/ladderroute/src/outbox.rs
+++ b/crates/ladderroute/src/outbox.rs
@@ -1,20 +1,21 @@
-//! Messages that wait for a connection between controllers. What keeps authority alive goes
-//! before bulk, and what waits is bounded in bytes.
+//! Messages that wait for a connection between controllers. What keeps authority alive goes before bulk, and
+//! what waits is bounded in bytes.
 
 use smol::channel::{Receiver, Sender};
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// What one write takes at most, so that an urgent message never waits behind more.
-pub const WRITE_AT_ONCE: usize = 64 << 10;
+/// What one write takes of bulk at most, so that an urgent message never waits behind more.
+pub const MAX_WRITE_BYTES: usize = 64 << 10;
 
 #[derive(Default)]
 struct Queue {
     urgent: Vec<u8>,
+    /// Frames that keep their order, joined to writes.
     bulk: VecDeque<Vec<u8>>,
-    bytes: usize,
-    most: usize,
+    bulk_bytes: usize,
+    max_bulk_bytes: usize,
 }
 
 /// The sending side of a connection; clones share one queue.
@@ -25,10 +26,10 @@
 }
 
 impl Outbox {
-    /// At most so many bytes wait.
-    pub fn new(most: usize) -> Outbox {
+    /// An empty queue, in which so many bytes may wait; more close it.
+    pub fn new(max_bulk_bytes: usize) -> Outbox {
         let queue = Queue {
-            most,
+            max_bulk_bytes,
             ..Queue::default()
         };
         Outbox {
@@ -37,10 +38,12 @@
         }
     }
 
+    /// Ends the connection: nothing more is taken out of the queue.
     pub fn close(&self) {
         self.wake.0.close();
     }
 
+    /// Whether the connection has to end, or has ended.
     pub fn is_closed(&self) -> bool {
         self.wake.0.is_closed()
     }
@@ -48,19 +51,19 @@
     /// Queues frames that keep their order.
     pub fn send(&self, bytes: Vec<u8>) {
         {
-            let mut q = self.queue.borrow_mut();
-            q.bytes += bytes.len();
-            if q.bytes > q.most {
+            let mut queue = self.queue.borrow_mut();
+            queue.bulk_bytes += bytes.len();
+            if queue.bulk_bytes > queue.max_bulk_bytes {
                 // What is lost on the way would leave the two with different pictures.
-                log::info!("event=link_overflow bytes={}", q.bytes);
+                log::info!("event=link_overflow bytes={}", queue.bulk_bytes);
                 self.close();
                 return;
             }
-            match q.bulk.back_mut() {
-                Some(last) if last.len() + bytes.len() <= WRITE_AT_ONCE => {
+            match queue.bulk.back_mut() {
+                Some(last) if last.len() + bytes.len() <= MAX_WRITE_BYTES => {
                     last.extend_from_slice(&bytes)
                 }
-                _ => q.bulk.push_back(bytes),
+                _ => queue.bulk.push_back(bytes),
             }
         }
         let _ = self.wake.0.try_send(());
@@ -72,7 +75,7 @@
         let _ = self.wake.0.try_send(());
     }
 
-    /// What is to be written next; waits for it. None once it is closed.
+    /// What is to be written next; waits for it. None once the queue is closed.
     pub async fn next(&self) -> Option<Vec<u8>> {
         loop {
             if self.is_closed() {
@@ -87,15 +90,15 @@
 
     /// What is queued and may be written at once; none if nothing is queued.
     pub fn take(&self) -> Option<Vec<u8>> {
-        let mut q = self.queue.borrow_mut();
-        let mut out = std::mem::take(&mut q.urgent);
-        if let Some(bulk) = q.bulk.pop_front() {
-            q.bytes -= bulk.len();
-            if out.is_empty() {
+        let mut queue = self.queue.borrow_mut();
+        let mut write = std::mem::take(&mut queue.urgent);
+        if let Some(bulk) = queue.bulk.pop_front() {
+            queue.bulk_bytes -= bulk.len();
+            if write.is_empty() {
                 return Some(bulk);
             }
-            out.extend_from_slice(&bulk);
+            write.extend_from_slice(&bulk);
         }
-        (!out.is_empty()).then_some(out)
+        (!write.is_empty()).then_some(write)
     }
 }
--- a/crates/ladderroute/src/startup/mod.rs
+++ b/crates/ladderroute/src/startup/mod.rs
@@ -1,13 +1,19 @@
-//! Wiring: builds a controller from its settings and starts its services.
+//! Wiring: builds a controller from its settings, starts its services, and runs them until its listeners
+//! fail. A process ends by being killed: all that has to outlive it is in the store.
+
+mod owner_clock;
 
 use crate::cluster_view::ClusterView;
 use crate::controller::{Controller, FreshnessReads, Shared, State};
 use crate::counters::Counters;
 use crate::operator::Tuning;
 use crate::settings::Settings;
-use crate::store_budget::store_shares;
+use crate::store_budget::{store_shares, Role};
+use crate::{api, controller_links, freshness, leadership, provisioning};
 use sched::config::SchedulerConfig;
 use sched::owner::Owner;
+use smol::net::TcpListener;
+use smol::LocalExecutor;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::sync::Mutex;
@@ -15,32 +21,37 @@
 use store::budget::Rates;
 use store::client::Store;
 
+/// Most connections to the cloud that are kept for the next request.
+const CLOUD_CONNECTIONS: usize = 2;
+
+/// Most bytes of an answer of the cloud.
+const MAX_CLOUD_ANSWER_BYTES: usize = 4 << 20;
+
+/// Part of the workers' lease for which an answer of the store is waited for, and its bounds in seconds.
+const STORE_LIMIT_SHARE: f64 = 0.1;
+const MIN_STORE_LIMIT_S: f64 = 0.5;
+const MAX_STORE_LIMIT_S: f64 = 1.5;
+
 /// A controller that has not begun to run.
 pub fn new(
     settings: Settings,
     tuning: &Tuning,
-    executor: Rc<smol::LocalExecutor<'static>>,
+    executor: Rc<LocalExecutor<'static>>,
 ) -> Rc<Controller> {
     let config = settings.scheduler_config(tuning);
-    let p = settings.settings.clone();
-    let shares = store_shares(false, settings.known.len());
-    let limits = p.state.limits();
-    let rates = Rates {
-        requests_per_s: limits.rps,
-        writes_per_s: limits.write_rps,
+    let limits = settings.settings.state.limits();
+    let chunk_bits = sched::leader::chunk_bits(settings.settings.state.value_kb);
+    let cloud = settings.services.cloud;
+    let state = State {
+        owner: Owner::new(&settings.member, config.clone()),
+        shared: Shared::new(ClusterView::new(chunk_bits)),
     };
-    let chunk_bits = sched::leader::chunk_bits(p.state.value_kb);
-    let shared = Shared::new(ClusterView::new(chunk_bits));
-    let limit = Duration::from_secs_f64((config.lease_s * 0.1).clamp(0.5, 1.5));
     Rc::new(Controller {
-        store: Store::new(settings.services.state, rates, shares, limit),
-        cloud: http::client::Client::new(settings.services.cloud, 2, 4 << 20),
+        store: store_client(&settings, &config),
+        cloud: http::client::Client::new(cloud, CLOUD_CONNECTIONS, MAX_CLOUD_ANSWER_BYTES),
         executor,
         started_at: Instant::now(),
-        state: Mutex::new(State {
-            owner: Owner::new(&settings.member, config.clone()),
-            shared,
-        }),
+        state: Mutex::new(state),
         freshness_reads: FreshnessReads::default(),
         counters: Counters::default(),
         writer_wake: smol::channel::bounded(1),
@@ -52,6 +63,19 @@
     })
 }
 
+/// The client of the state service, with a follower's shares of its rates.
+fn store_client(settings: &Settings, config: &SchedulerConfig) -> Store {
+    let limits = settings.settings.state.limits();
+    let rates = Rates {
+        requests_per_s: limits.rps,
+        writes_per_s: limits.write_rps,
+    };
+    let shares = store_shares(Role::Follower, settings.known.len());
+    let limit_s = config.lease_s * STORE_LIMIT_SHARE;
+    let limit = Duration::from_secs_f64(limit_s.clamp(MIN_STORE_LIMIT_S, MAX_STORE_LIMIT_S));
+    Store::new(settings.services.state, rates, shares, limit)
+}
+
 /// Says what the settings make impossible, though the service starts with them.
 pub fn warn_if_tight(config: &SchedulerConfig) {
     if !config.cancels_in_time() {
@@ -60,86 +84,43 @@
     }
 }
 
-/// Runs the controller until its listeners fail.
+/// Runs a controller until its listeners fail.
 pub fn run(settings: Settings, tuning: Tuning) -> std::io::Result<()> {
-    let executor = Rc::new(smol::LocalExecutor::new());
-    let node = new(settings, &tuning, executor.clone());
+    let executor = Rc::new(LocalExecutor::new());
+    let controller = new(settings, &tuning, executor.clone());
     log::info!(
         "event=start member={} api={} back={}",
-        node.settings.member,
-        node.settings.api_addr,
-        node.settings.back
+        controller.settings.member,
+        controller.settings.api_addr,
+        controller.settings.back
     );
-    warn_if_tight(&node.config);
-    let run = executor.clone();
-    smol::block_on(run.run(async move {
-        let api = smol::net::TcpListener::bind(node.settings.api_addr).await?;
-        let back = smol::net::TcpListener::bind(node.settings.back).await?;
-        executor
-            .spawn(crate::freshness::follow(node.clone()))
-            .detach();
-        executor
-            .spawn(crate::leadership::campaign(node.clone()))
-            .detach();
-        executor
-            .spawn(crate::controller_links::serve(node.clone(), back))
-            .detach();
-        executor
-            .spawn(crate::controller_links::join_leader(node.clone()))
-            .detach();
-        executor
-            .spawn(crate::provisioning::learn_catalog(node.clone()))
-            .detach();
-        executor.spawn(tick(node.clone())).detach();
-        crate::api::serve(node, api).await;
-        Ok(())
-    }))
+    warn_if_tight(&controller.config);
+    smol::block_on(executor.run(serve(controller)))
 }
 
-/// Lets time pass for the owner's state.
-async fn tick(node: Rc<Controller>) {
-    let step = Duration::from_secs_f64((node.config.heartbeat_s / 20.0).clamp(0.05, 0.1));
-    let mut log = AuthorityLog::default();
-    loop {
-        smol::Timer::after(step).await;
-        let now = node.now();
-        let mut state = node.lock();
-        state.owner.tick(now);
-        log.look_at(&node, &state, now);
-        node.exchange_messages(&mut state);
-    }
-}
-
-/// Logs changes of authority and the running summary.
-#[derive(Default)]
-struct AuthorityLog {
-    has_authority: bool,
-    summary: String,
-    summed_up_at: f64,
-}
-
-impl AuthorityLog {
-    fn look_at(&mut self, node: &Controller, state: &State, now: f64) {
-        let has_authority = state.owner.has_authority(now);
-        if std::mem::replace(&mut self.has_authority, has_authority) != has_authority {
-            let authority = &state.owner.authority;
-            log::info!(
-                "event=authority held={has_authority} token={} lasts_s={:.2} staleness_s={:.2} view_age_s={:.2}",
-                state.owner.token(),
-                authority.until() - now,
-                now - authority.read_at(),
-                now - state.shared.view.read_at()
-            );
-        }
-        let is_due = now - self.summed_up_at >= node.config.lease_s;
-        if !is_due || !log::log_enabled!(log::Level::Info) {
-            return;
-        }
-        self.summed_up_at = now;
-        let summary = node.counters.to_string();
-        if summary != self.summary {
-            log::info!("event=health {summary}");
-            self.summary = summary;
-        }
-    }
+/// Listens on both ports and starts the services.
+async fn serve(controller: Rc<Controller>) -> std::io::Result<()> {
+    let api_listener = TcpListener::bind(controller.settings.api_addr).await?;
+    let link_listener = TcpListener::bind(controller.settings.back).await?;
+    let executor = &controller.executor;
+    executor
+        .spawn(freshness::follow(controller.clone()))
+        .detach();
+    executor
+        .spawn(leadership::campaign(controller.clone()))
+        .detach();
+    executor
+        .spawn(controller_links::serve(controller.clone(), link_listener))
+        .detach();
+    executor
+        .spawn(controller_links::join_leader(controller.clone()))
+        .detach();
+    executor
+        .spawn(provisioning::learn_catalog(controller.clone()))
+        .detach();
+    executor
+        .spawn(owner_clock::run(controller.clone()))
+        .detach();
+    api::serve(controller, api_listener).await;
+    Ok(())
 }
--- a/crates/ladderroute/src/store_budget.rs
+++ b/crates/ladderroute/src/store_budget.rs
@@ -1,13 +1,16 @@
 //! How the controllers divide the store's request and write rates among themselves.
+//!
+//! Of the requests the leader takes a fixed part and the others share the rest, since a renewal that the
+//! store refused would cost the leadership. Writes come in bursts, seldom at several controllers at once, and
+//! one that is refused is only made again: so the others share nearly all of them beside the leader.
 
 use store::budget::{Reserve, Share, Shares};
 
-/// Parts of the store's request and write rates that the leader takes. Of the requests the others
-/// share the rest, since a renewal that the store refused would cost the leadership. Writes come
-/// in bursts, seldom at several controllers at once, and one that is refused is only made again:
-/// so the others share nearly all of them beside the leader.
+/// Part of the request rate that the leader takes.
 const LEADER_REQUESTS: f64 = 0.3;
+/// Part of the write rate that the leader takes.
 const LEADER_WRITES: f64 = 0.8;
+/// Part of each rate that all controllers take together.
 const ALL_SHARE: f64 = 0.95;
 
 /// Renewals and decisions of the leader go before the submissions that it takes itself.
@@ -25,35 +28,51 @@
     decision: 0.0,
     submission: 0.1,
 };
+
+/// Seconds' worth of requests that may be made at once.
+const BURST_S: f64 = 1.0;
 /// Seconds' worth of writes that one of the others may make at once, since users come in bursts.
 const FOLLOWER_BURST_S: f64 = 2.0;
 
-/// A controller's parts of the store's request and write rates, with so many others.
-pub fn store_shares(leading: bool, others: usize) -> Shares {
-    let share = |part: f64| Share {
-        part,
-        burst_s: 1.0,
-        reserve: LEADER_RESERVE,
-    };
-    match (others, leading) {
+/// What a controller is to the others.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Role {
+    /// It decides for all.
+    Leader,
+    /// One of the others.
+    Follower,
+}
+
+/// A controller's shares of the store's request and write rates, with so many others.
+pub fn store_shares(role: Role, others: usize) -> Shares {
+    match (others, role) {
         (0, _) => Shares {
             requests: share(ALL_SHARE),
             writes: share(ALL_SHARE),
         },
-        (_, true) => Shares {
+        (_, Role::Leader) => Shares {
             requests: share(LEADER_REQUESTS),
             writes: Share {
                 reserve: LEADER_WRITE_RESERVE,
                 ..share(LEADER_WRITES)
             },
         },
-        (n, false) => Shares {
-            requests: share((ALL_SHARE - LEADER_REQUESTS) / n as f64),
+        (others, Role::Follower) => Shares {
+            requests: share((ALL_SHARE - LEADER_REQUESTS) / others as f64),
             writes: Share {
-                part: ALL_SHARE / n as f64,
+                part: ALL_SHARE / others as f64,
                 burst_s: FOLLOWER_BURST_S,
                 reserve: FOLLOWER_RESERVE,
             },
         },
     }
 }
+
+/// A part of a rate, with the leader's reserve.
+fn share(part: f64) -> Share {
+    Share {
+        part,
+        burst_s: BURST_S,
+        reserve: LEADER_RESERVE,
+    }
+}
--- a/crates/ladderroute/tests/outbox.rs
+++ b/crates/ladderroute/tests/outbox.rs
@@ -1,6 +1,6 @@
 //! Messages that wait for a connection between controllers.
 
-use ladderroute::outbox::{Outbox, WRITE_AT_ONCE};
+use ladderroute::outbox::{Outbox, MAX_WRITE_BYTES};
 
 /// After an outage of the store thousands of finished tasks are cleared at once: the count of
 /// frames was bounded, so that the queue overflowed, and the owner was lost for no reason.
@@ -15,12 +15,12 @@
     o.send_first(&[2; 9]);
     let next = smol::block_on(o.next()).unwrap();
     assert_eq!(next[..9], [2; 9]);
-    assert!(next.len() <= WRITE_AT_ONCE + 9);
+    assert!(next.len() <= MAX_WRITE_BYTES + 9);
     let mut left = 0;
     while let Some(bytes) = o.take() {
         left += bytes.len();
     }
-    assert!(left > 16_000 * 60 - 3 * WRITE_AT_ONCE);
+    assert!(left > 16_000 * 60 - 3 * MAX_WRITE_BYTES);
 }
 
 #[test]
