--- /dev/null
+++ b/crates/ladderroute/tests/links.rs
@@ -0,0 +1,142 @@
+//! Links between controllers: an owner joins the leader over loopback and is granted authority there.
+
+// A test that unwraps fails where it should.
+#![allow(clippy::unwrap_used)]
+
+#[allow(dead_code)]
+mod stand_in;
+
+use ladderroute::controller::{ConnectionId, Controller};
+use ladderroute::{controller_links, freshness, leadership, startup};
+use smol::io::{AsyncReadExt, AsyncWriteExt};
+use smol::net::{TcpListener, TcpStream};
+use smol::LocalExecutor;
+use std::future::Future;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+use wire::peers::{frame, ToLeader};
+
+const PATIENCE: Duration = Duration::from_secs(20);
+
+async fn until(what: &str, mut holds: impl FnMut() -> bool) {
+    let begun_at = Instant::now();
+    while !holds() {
+        assert!(begun_at.elapsed() < PATIENCE, "{what}");
+        smol::Timer::after(Duration::from_millis(5)).await;
+    }
+}
+
+/// A controller that keeps its view current; the other one's link port is at `peer`.
+fn start(
+    executor: &Rc<LocalExecutor<'static>>,
+    i: usize,
+    store: SocketAddr,
+    peer: SocketAddr,
+) -> Rc<Controller> {
+    let text = include_str!("stand_in/settings.toml")
+        .replace("MEMBER", &format!("rung-{i}"))
+        .replace("OTHER", &format!("rung-{}", 1 - i))
+        .replace("127.0.0.2:8081", &peer.to_string())
+        .replace("127.0.0.9:2379", &store.to_string());
+    let settings = ladderroute::settings::Settings::parse(&text, "settings").unwrap();
+    let controller = startup::new(settings, &Default::default(), executor.clone());
+    let follow = freshness::follow(controller.clone());
+    executor.spawn(follow).detach();
+    controller
+}
+
+/// Runs a test with a leader, an owner that joins it, and the address of the leader's link port.
+fn with_link<F: Future<Output = ()>>(test: impl FnOnce([Rc<Controller>; 2], SocketAddr) -> F) {
+    let executor = Rc::new(LocalExecutor::new());
+    smol::block_on(executor.clone().run(async move {
+        let store = stand_in::Store::new();
+        let (_front, store_addr) = store.open(&executor).await;
+        let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let port = listener.local_addr().unwrap();
+        let leader = start(&executor, 0, store_addr, port);
+        let serve = controller_links::serve(leader.clone(), listener);
+        executor.spawn(serve).detach();
+        let campaign = leadership::campaign(leader.clone());
+        executor.spawn(campaign).detach();
+        until("leads", || leader.lock().shared.leadership.is_some()).await;
+        let owner = start(&executor, 1, store_addr, port);
+        let join = controller_links::join_leader(owner.clone());
+        executor.spawn(join).detach();
+        test([leader, owner], port).await;
+    }));
+}
+
+/// Which connection of the owner the leader has.
+fn link_of_owner(leader: &Controller) -> Option<ConnectionId> {
+    let state = leader.lock();
+    let links = &state.shared.leadership.as_ref()?.links;
+    links.get("rung-1").map(|link| link.id)
+}
+
+fn has_authority(controller: &Controller) -> bool {
+    controller.lock().owner.has_authority(controller.now())
+}
+
+#[test]
+fn an_owner_that_joins_is_granted_authority_under_the_leaders_token() {
+    with_link(|[leader, owner], _| async move {
+        until("granted", || has_authority(&owner)).await;
+        assert!(owner.lock().shared.to_leader.is_some());
+        assert_eq!(owner.lock().owner.token(), leader.lock().owner.token());
+        // It rests on pings: longer than any single grant lasts, it is held on.
+        let lasts_s = leader.config.owner_silence_s() * 1.5;
+        smol::Timer::after(Duration::from_secs_f64(lasts_s.min(5.0))).await;
+        assert!(has_authority(&owner));
+    });
+}
+
+#[test]
+fn an_owner_joins_anew_on_a_newer_connection_when_its_link_ends() {
+    with_link(|[leader, owner], _| async move {
+        until("granted", || has_authority(&owner)).await;
+        let first = link_of_owner(&leader).unwrap();
+        owner.lock().shared.to_leader.as_ref().unwrap().close();
+        let newer = || link_of_owner(&leader).is_some_and(|id| id.replaces(first));
+        until("joined anew", newer).await;
+        let second = link_of_owner(&leader).unwrap();
+        assert_eq!(second.start, first.start);
+        assert!(second.count > first.count);
+    });
+}
+
+/// A connection that comes late, older than the one in use, must not take its place; nor is anyone let in
+/// who is not in the settings.
+#[test]
+fn older_connections_and_strangers_are_turned_away() {
+    with_link(|[leader, owner], port| async move {
+        until("granted", || has_authority(&owner)).await;
+        let current = link_of_owner(&leader).unwrap();
+        for (member, start, count) in [
+            ("rung-1", current.start, current.count),
+            ("rung-1", current.start, current.count - 1),
+            ("rung-7", current.start.wrapping_add(1), 1),
+        ] {
+            let member = member.to_string();
+            let mut stream = TcpStream::connect(port).await.unwrap();
+            let hello = frame(&ToLeader::Hello {
+                member,
+                start,
+                count,
+            });
+            stream.write_all(&hello).await.unwrap();
+            let end = stream.read(&mut [0; 64]).await;
+            assert!(matches!(end, Ok(0) | Err(_)), "{end:?}");
+            assert_eq!(link_of_owner(&leader), Some(current));
+        }
+    });
+}
+
+#[test]
+fn a_connection_replaces_older_ones_of_its_process_and_those_of_other_processes() {
+    let id = |start, count| ConnectionId { start, count };
+    assert!(id(1, 2).replaces(id(1, 1)));
+    assert!(id(2, 1).replaces(id(1, 5)));
+    assert!(!id(1, 1).replaces(id(1, 1)));
+    assert!(!id(1, 1).replaces(id(1, 2)));
+}
