--- a/crates/ladderroute/src/leadership/begin.rs
+++ b/crates/ladderroute/src/leadership/begin.rs
@@ -24,7 +24,7 @@
         // ran on would lead.
         leader.expect_others();
     }
-    // The book of earlier epochs must not answer on this leadership's authority.
+    // What was assigned in earlier epochs must not be answered on this leadership's authority.
     state.owner = Owner::new(&controller.settings.member, controller.config.clone());
     state.owner.authority.set(controller.at(lease.until));
     state.owner.authority.prove(state.shared.view.read_at());
