--- a/crates/ladderroute/src/api/limits.rs
+++ b/crates/ladderroute/src/api/limits.rs
@@ -46,7 +46,7 @@
 /// store (as many requests as may be under way within their time limit, about) and the cloud.
 pub fn own_sockets(others: usize, store_rps: f64) -> usize {
     let store = (store_rps / STORE_RPS_PER_SOCKET).ceil() as usize + SPARE_STORE_SOCKETS;
-    LISTENERS + crate::peers::most_connections(others) + CLOUD_SOCKETS + store
+    LISTENERS + crate::controller::limits::max_peer_connections(others) + CLOUD_SOCKETS + store
 }
 
 /// The limits of the port of a controller beside `others`, at a store that takes so many requests a
--- a/crates/ladderroute/src/api/mod.rs
+++ b/crates/ladderroute/src/api/mod.rs
@@ -13,7 +13,7 @@
 pub mod users;
 mod workers;
 
-use crate::node::Node;
+use crate::controller::Controller;
 use http::connections::Rank;
 use http::server::{Request, Response};
 use responses::refuse;
@@ -32,7 +32,7 @@
 const CANCEL_SUFFIX: &str = "/cancel";
 
 /// Serves the port until its listener fails.
-pub async fn serve(node: Rc<Node>, listener: smol::net::TcpListener) {
+pub async fn serve(node: Rc<Controller>, listener: smol::net::TcpListener) {
     let limits = limits::port_limits(&node.settings, node.config.heartbeat_s);
     let executor = node.executor.clone();
     let handler = Rc::new(move |request: Request| {
@@ -99,7 +99,7 @@
     }
 }
 
-async fn handle(node: &Rc<Node>, request: Request) -> Response {
+async fn handle(node: &Rc<Controller>, request: Request) -> Response {
     let path = request.path.split('?').next().unwrap_or("");
     let route = Route::of(path);
     let response = match route.method() {
@@ -112,7 +112,7 @@
     }
 }
 
-async fn respond(node: &Rc<Node>, route: &Route<'_>, body: &[u8]) -> Response {
+async fn respond(node: &Rc<Controller>, route: &Route<'_>, body: &[u8]) -> Response {
     match route {
         Route::Heartbeat => workers::heartbeat(node, body),
         Route::Ready => readiness::ready(node),
--- a/crates/ladderroute/src/api/readiness.rs
+++ b/crates/ladderroute/src/api/readiness.rs
@@ -1,7 +1,7 @@
 //! Whether the balancer should send users to this controller.
 
 use super::responses::retry_later;
-use crate::node::{Node, State};
+use crate::controller::{Controller, State};
 use http::server::Response;
 
 /// For how long the store has to fail until the balancer may be told, as a part of the time after which
@@ -48,7 +48,7 @@
 
 /// Ready: the jobs and the machine types are known, and this controller is not worse off than
 /// the others.
-pub(super) fn ready(node: &Node) -> Response {
+pub(super) fn ready(node: &Controller) -> Response {
     if is_ready(node) {
         Response::new(200, Vec::new())
     } else {
@@ -56,7 +56,7 @@
     }
 }
 
-fn is_ready(node: &Node) -> bool {
+fn is_ready(node: &Controller) -> bool {
     let now = node.now();
     let state = node.lock();
     let shared = &state.shared;
@@ -72,7 +72,7 @@
     }
 }
 
-fn role(node: &Node, state: &State, now: f64) -> Role {
+fn role(node: &Controller, state: &State, now: f64) -> Role {
     match &state.shared.leadership {
         Some(leadership) => Role::Leader {
             owners: leadership.links.len(),
--- a/crates/ladderroute/src/api/responses.rs
+++ b/crates/ladderroute/src/api/responses.rs
@@ -1,6 +1,6 @@
 //! Responses that give a reason instead of what was asked for.
 
-use crate::node::Node;
+use crate::controller::Controller;
 use http::server::Response;
 use wire::cbor;
 use wire::users::Refusal;
@@ -17,7 +17,7 @@
 }
 
 /// "Not now", at once, with when to come back.
-pub fn retry_later(node: &Node, error: &str) -> Response {
+pub fn retry_later(node: &Controller, error: &str) -> Response {
     // A read of the store is possible again after about this long.
     let again_s = node.config.heartbeat_s / 2.0;
     // Closing lets the balancer choose again: another controller may be able to.
--- a/crates/ladderroute/src/api/users/cancellation.rs
+++ b/crates/ladderroute/src/api/users/cancellation.rs
@@ -2,7 +2,7 @@
 
 use super::job_state::{accepted, entry, look_up};
 use crate::api::responses::{refuse, retry_later};
-use crate::node::Node;
+use crate::controller::Controller;
 use http::server::Response;
 use std::rc::Rc;
 use store::budget::Rank;
@@ -17,7 +17,7 @@
 const ATTEMPTS: usize = 3;
 
 /// Cancels a job, unless it is terminal already, and answers with its state.
-pub async fn cancel(node: &Rc<Node>, id: &str) -> Response {
+pub async fn cancel(node: &Rc<Controller>, id: &str) -> Response {
     let found = match look_up(node, id).await {
         Ok(Some(entry)) => entry,
         Ok(None) => return refuse(404, "no such job"),
@@ -31,7 +31,7 @@
 
 /// Writes the cancellation until the job is terminal; an error is the response to give instead.
 async fn cancel_entry(
-    node: &Rc<Node>,
+    node: &Rc<Controller>,
     id: &str,
     mut found: JobEntry,
 ) -> Result<JobEntry, Response> {
@@ -65,7 +65,7 @@
 }
 
 async fn write_cancellation(
-    node: &Rc<Node>,
+    node: &Rc<Controller>,
     id: &str,
     found: &JobEntry,
     job: &Job,
@@ -100,7 +100,7 @@
 }
 
 /// The cancellation of a job is in the store.
-fn confirm(node: &Node, id: &str, record: JobRecord, version: u64) {
+fn confirm(node: &Controller, id: &str, record: JobRecord, version: u64) {
     let mut guard = node.lock();
     let state = &mut *guard;
     node.apply_job_record(state, id, record, version);
@@ -111,7 +111,7 @@
 }
 
 /// Reads a job's record again; an error is the response to give instead.
-async fn read_again(node: &Rc<Node>, id: &str) -> Result<JobEntry, Response> {
+async fn read_again(node: &Rc<Controller>, id: &str) -> Result<JobEntry, Response> {
     let Ok(Some(item)) = node.store.get(&keys::job(id), Rank::Decision).await else {
         return Err(retry_later(node, "the outcome is not known yet"));
     };
--- a/crates/ladderroute/src/api/users/job_state.rs
+++ b/crates/ladderroute/src/api/users/job_state.rs
@@ -12,9 +12,9 @@
 //!   cancellation was confirmed long ago.
 
 use crate::api::responses::retry_later;
+use crate::controller::Controller;
 use crate::counters::Counters;
 use crate::freshness::refresh_view;
-use crate::node::Node;
 use http::server::Response;
 use std::rc::Rc;
 use store::replica::JobEntry;
@@ -23,12 +23,12 @@
 use wire::users::{Accepted, JobState, Progress};
 
 /// What the view holds of a job, whatever its age.
-pub(super) fn entry(node: &Node, id: &str) -> Option<JobEntry> {
+pub(super) fn entry(node: &Controller, id: &str) -> Option<JobEntry> {
     node.lock().shared.view.replica().jobs.get(id).cloned()
 }
 
 /// What may be told of a job now; none if it was never accepted. An error is the response to give instead.
-pub(super) async fn look_up(node: &Rc<Node>, id: &str) -> Result<Option<JobEntry>, Response> {
+pub(super) async fn look_up(node: &Rc<Controller>, id: &str) -> Result<Option<JobEntry>, Response> {
     if let Some(terminal) = entry(node, id).filter(is_terminal) {
         return Ok(Some(terminal));
     }
@@ -40,7 +40,7 @@
 }
 
 /// Answers with the state of a job whose record was read directly for this request.
-pub(super) async fn answer_read(node: &Rc<Node>, id: &str) -> Response {
+pub(super) async fn answer_read(node: &Rc<Controller>, id: &str) -> Response {
     if let Some(own) = entry(node, id).filter(has_no_ancestors) {
         return accepted(node, 200, id, &own);
     }
@@ -48,7 +48,7 @@
 }
 
 /// Answers with the state of a job whose record was written for this request.
-pub(super) async fn answer_created(node: &Rc<Node>, id: &str) -> Response {
+pub(super) async fn answer_created(node: &Rc<Controller>, id: &str) -> Response {
     let is_fresh = node.view_age() <= node.config.start_staleness_s();
     let created = entry(node, id).filter(|entry| is_fresh || has_no_ancestors(entry));
     if let Some(created) = created {
@@ -57,7 +57,7 @@
     answer_looked_up(node, 201, id).await
 }
 
-async fn answer_looked_up(node: &Rc<Node>, status: u16, id: &str) -> Response {
+async fn answer_looked_up(node: &Rc<Controller>, status: u16, id: &str) -> Response {
     match look_up(node, id).await {
         Ok(Some(entry)) => accepted(node, status, id, &entry),
         Ok(None) => retry_later(node, "not ready yet"),
@@ -76,7 +76,7 @@
 }
 
 /// The response to a submission or a cancellation, from an entry of the view.
-pub(super) fn accepted(node: &Node, status: u16, id: &str, entry: &JobEntry) -> Response {
+pub(super) fn accepted(node: &Controller, status: u16, id: &str, entry: &JobEntry) -> Response {
     let state = state_of(node, id, entry);
     log_answer(node, status, id, state);
     let id = id.into();
@@ -84,7 +84,7 @@
 }
 
 /// The response to a query, from an entry of the view.
-pub(super) fn progress(node: &Node, id: &str, entry: &JobEntry) -> Response {
+pub(super) fn progress(node: &Controller, id: &str, entry: &JobEntry) -> Response {
     let state = state_of(node, id, entry);
     log_answer(node, 200, id, state);
     let running = match state {
@@ -101,7 +101,7 @@
 }
 
 /// An entry of the view in the users' words.
-fn state_of(node: &Node, id: &str, entry: &JobEntry) -> JobState {
+fn state_of(node: &Controller, id: &str, entry: &JobEntry) -> JobState {
     match entry.state {
         Recorded::Done => JobState::Done,
         Recorded::Cancelled => JobState::Cancelled,
@@ -111,12 +111,12 @@
 }
 
 /// A job's running tasks, as the leader last told.
-fn running_tasks(node: &Node, id: &str) -> u32 {
+fn running_tasks(node: &Controller, id: &str) -> u32 {
     node.lock().shared.running.get(id).copied().unwrap_or(0)
 }
 
 /// Logs what a user is told, and what it rests on.
-fn log_answer(node: &Node, status: u16, id: &str, state: JobState) {
+fn log_answer(node: &Controller, status: u16, id: &str, state: JobState) {
     if !log::log_enabled!(log::Level::Debug) {
         return;
     }
--- a/crates/ladderroute/src/api/users/submission.rs
+++ b/crates/ladderroute/src/api/users/submission.rs
@@ -3,8 +3,8 @@
 use super::feasibility::{check, Infeasible};
 use super::job_state::{accepted, answer_created, answer_read, entry, look_up};
 use crate::api::responses::{refuse, retry_later, too_many};
+use crate::controller::Controller;
 use crate::freshness::refresh_view;
-use crate::node::Node;
 use http::server::Response;
 use std::rc::Rc;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -19,7 +19,7 @@
 const STORE_REFUSAL_S: f64 = 1.0;
 
 /// Accepts a job, or says why not.
-pub async fn submit(node: &Rc<Node>, body: &[u8]) -> Response {
+pub async fn submit(node: &Rc<Controller>, body: &[u8]) -> Response {
     if !is_loaded(node) {
         return retry_later(node, "not ready yet");
     }
@@ -32,7 +32,7 @@
     }
 }
 
-fn is_loaded(node: &Node) -> bool {
+fn is_loaded(node: &Controller) -> bool {
     node.lock().shared.view.is_complete()
 }
 
@@ -45,7 +45,7 @@
 
 /// Answers a submission of a job that is in the view already with that job's state, whatever else the
 /// submission says.
-async fn answer_repeat(node: &Rc<Node>, body: &[u8]) -> Option<Response> {
+async fn answer_repeat(node: &Rc<Controller>, body: &[u8]) -> Option<Response> {
     let SubmittedId { id } = cbor::decode(body).ok()?;
     entry(node, &id)?;
     Some(match look_up(node, &id).await {
@@ -56,7 +56,7 @@
 }
 
 /// The job that a submission asks for, if it can run; an error is the response to give instead.
-async fn check_submission(node: &Rc<Node>, body: &[u8]) -> Result<Job, Response> {
+async fn check_submission(node: &Rc<Controller>, body: &[u8]) -> Result<Job, Response> {
     let job: Job = cbor::decode(body).map_err(|error| {
         log::debug!("event=submission_malformed error=\"{error}\"");
         refuse(400, error.to_string())
@@ -72,7 +72,7 @@
 }
 
 /// Whether a job can ever run; none while the machine types are not known.
-fn check_feasible(node: &Node, job: &Job) -> Option<Result<(), Infeasible>> {
+fn check_feasible(node: &Controller, job: &Job) -> Option<Result<(), Infeasible>> {
     let state = node.lock();
     let machine_types = state.shared.catalog.as_ref()?;
     let value_bytes = node.limits.value_bytes();
@@ -81,7 +81,7 @@
 
 /// A job that can never run may be known to the store all the same, through another controller: then
 /// this is a repeat.
-async fn answer_infeasible(node: &Rc<Node>, job: &Job, why: Infeasible) -> Response {
+async fn answer_infeasible(node: &Rc<Controller>, job: &Job, why: Infeasible) -> Response {
     let Job { id, team, .. } = job;
     match look_up(node, id).await {
         Ok(Some(entry)) => accepted(node, 200, id, &entry),
@@ -95,7 +95,7 @@
 
 /// Checks that all jobs that a submission names were accepted, as far as the store shows now: by any
 /// controller, perhaps a moment ago.
-async fn check_dependencies(node: &Rc<Node>, job: &Job) -> Result<(), Response> {
+async fn check_dependencies(node: &Rc<Controller>, job: &Job) -> Result<(), Response> {
     if unknown_dependency(node, job).is_none() {
         return Ok(());
     }
@@ -113,7 +113,7 @@
 }
 
 /// The first job that a submission names and the view does not hold.
-fn unknown_dependency(node: &Node, job: &Job) -> Option<String> {
+fn unknown_dependency(node: &Controller, job: &Job) -> Option<String> {
     let state = node.lock();
     let jobs = &state.shared.view.replica().jobs;
     let is_unknown = |id: &&String| !jobs.contains_key(id);
@@ -121,7 +121,7 @@
 }
 
 /// Writes a job's record, and answers by what the store decided.
-async fn record(node: &Rc<Node>, job: Job) -> Response {
+async fn record(node: &Rc<Controller>, job: Job) -> Response {
     let id = job.id.clone();
     let record = JobRecord {
         state: Recorded::Open,
@@ -169,7 +169,7 @@
 }
 
 /// A job's record was written for this request.
-async fn confirm(node: &Rc<Node>, id: &str, record: JobRecord, version: u64) -> Response {
+async fn confirm(node: &Rc<Controller>, id: &str, record: JobRecord, version: u64) -> Response {
     node.note_store_health(true);
     log::info!(
         "event=accepted job={id} class={} tasks={} team={} revision={version}",
@@ -183,7 +183,7 @@
 }
 
 /// Whether the job was accepted is never guessed: it is if the store has its record.
-async fn read_back(node: &Rc<Node>, id: &str) -> Response {
+async fn read_back(node: &Rc<Controller>, id: &str) -> Response {
     let Ok(Some(item)) = node.store.get(&keys::job(id), Rank::Decision).await else {
         return retry_later(node, "the outcome is not known yet");
     };
--- a/crates/ladderroute/src/api/workers.rs
+++ b/crates/ladderroute/src/api/workers.rs
@@ -1,8 +1,8 @@
 //! Workers' heartbeats, and what a response to one rests on.
 
 use super::responses::refuse;
+use crate::controller::{Controller, ReplicaJobs, State};
 use crate::counters::{Checked, Counters};
-use crate::node::{Node, ReplicaJobs, State};
 use http::server::{OnWritten, Response};
 use sched::owner::HeartbeatResponse;
 use std::fmt;
@@ -10,7 +10,7 @@
 use wire::workers::{Heartbeat, Orders, Redirect};
 
 /// Serves a worker's heartbeat.
-pub(super) fn heartbeat(node: &Node, body: &[u8]) -> Response {
+pub(super) fn heartbeat(node: &Controller, body: &[u8]) -> Response {
     let heartbeat: Heartbeat = match cbor::decode(body) {
         Ok(heartbeat) => heartbeat,
         Err(error) => {
@@ -43,7 +43,7 @@
 
 /// The check of authority right before the response to a heartbeat is written: authority may have
 /// ended since the owner decided, and orders without it could start a task twice.
-fn may_answer_orders(node: &Node, state: &State) -> bool {
+fn may_answer_orders(node: &Controller, state: &State) -> bool {
     state.owner.has_authority(node.now())
 }
 
@@ -58,7 +58,7 @@
     Response::new(421, cbor::encode(&Redirect { member }))
 }
 
-fn no_authority(node: &Node) -> Response {
+fn no_authority(node: &Controller) -> Response {
     Counters::count(&node.counters.heartbeats_refused);
     refuse(503, "no authority at present")
 }
--- /dev/null
+++ b/crates/ladderroute/src/controller/replica_jobs.rs
@@ -0,0 +1,37 @@
+//! The jobs of the replica, as the owner asks for them.
+
+use sched::owner::Jobs;
+use sched::placement::Resources;
+use store::replica::Replica;
+use wire::store::Recorded;
+use wire::users::Job;
+
+/// What owners need to know of jobs, out of the replica.
+pub struct ReplicaJobs<'a>(pub &'a Replica);
+
+impl ReplicaJobs<'_> {
+    /// The job itself, while it is open.
+    fn spec(&self, job: &str) -> Option<&Job> {
+        self.0.jobs.get(job)?.job.as_deref()
+    }
+}
+
+impl Jobs for ReplicaJobs<'_> {
+    fn resources(&self, job: &str) -> Option<Resources> {
+        let spec = self.spec(job)?;
+        Some(Resources {
+            cpus: spec.cpus,
+            gpus: spec.gpus,
+            memory_gb: spec.memory_gb,
+        })
+    }
+
+    fn image(&self, job: &str) -> Option<String> {
+        Some(self.spec(job)?.image.clone())
+    }
+
+    fn is_terminal(&self, job: &str) -> bool {
+        let entry = self.0.jobs.get(job);
+        entry.is_some_and(|entry| entry.state != Recorded::Open)
+    }
+}
--- a/crates/ladderroute/src/main.rs
+++ b/crates/ladderroute/src/main.rs
@@ -1,8 +1,12 @@
 //! The command line.
 
 use clap::Parser;
-use ladderroute::settings::operator;
-use ladderroute::{logging, node, settings};
+use ladderroute::settings::{Settings, SettingsError, Tuning};
+use ladderroute::{logging, startup};
+use std::process::ExitCode;
+
+/// Exit status for settings that can't be used.
+const INVALID_SETTINGS: u8 = 2;
 
 /// Schedules arrays and gangs on provisioned machines; one process of a group of controllers.
 #[derive(Parser, Debug)]
@@ -19,33 +23,38 @@
     check_config: bool,
 }
 
-fn main() -> std::process::ExitCode {
+impl Args {
+    /// Reads both files of settings.
+    fn load(&self) -> Result<(Settings, Tuning), SettingsError> {
+        let settings = Settings::load(&self.config)?;
+        let tuning = match &self.operator {
+            Some(file) => Tuning::load(file)?,
+            None => Tuning::default(),
+        };
+        Ok((settings, tuning))
+    }
+}
+
+fn main() -> ExitCode {
     let args = Args::parse();
     logging::start();
-    let loaded = settings::Settings::load(&args.config).and_then(|s| {
-        let tuning = args
-            .operator
-            .as_deref()
-            .map_or_else(|| Ok(operator::Tuning::default()), operator::Tuning::load)?;
-        Ok((s, tuning))
-    });
-    let (settings, tuning) = match loaded {
-        Ok(l) => l,
+    let (settings, tuning) = match args.load() {
+        Ok(loaded) => loaded,
         Err(e) => {
             eprintln!("ladderroute: {e}");
-            return std::process::ExitCode::from(2);
+            return ExitCode::from(INVALID_SETTINGS);
         }
     };
     if args.check_config {
-        node::warn_if_tight(&settings.scheduler_config(&tuning));
+        startup::warn_if_tight(&settings.scheduler_config(&tuning));
         println!("ladderroute: settings are valid");
-        return std::process::ExitCode::SUCCESS;
+        return ExitCode::SUCCESS;
     }
-    match node::run(settings, tuning) {
-        Ok(()) => std::process::ExitCode::SUCCESS,
+    match startup::run(settings, tuning) {
+        Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             log::error!("event=end error=\"{e}\"");
-            std::process::ExitCode::FAILURE
+            ExitCode::FAILURE
         }
     }
 }
--- a/crates/ladderroute/src/writer/mod.rs
+++ b/crates/ladderroute/src/writer/mod.rs
@@ -9,16 +9,13 @@
 //! - `outcome`: what the store decided, and what the leader makes of it.
 
 pub mod batch;
-mod limits;
+pub mod limits;
 mod outcome;
-mod pages;
+pub mod pages;
 pub mod urgency;
 mod writes;
 
-pub use limits::TxnLimits;
-pub use pages::RecordPages;
-
-use crate::node::Node;
+use crate::controller::Controller;
 use batch::Batch;
 use http::within;
 use outcome::Outcome;
@@ -39,7 +36,7 @@
 const PAUSE_PARTS: f64 = 10.0;
 
 /// Writes decisions, one transaction after the other.
-pub async fn writer(node: Rc<Node>) {
+pub async fn writer(node: Rc<Controller>) {
     let mut last = None::<Instant>;
     loop {
         collect(&node, last).await;
@@ -62,19 +59,19 @@
     AfterPause,
 }
 
-fn pause(node: &Node) -> Duration {
+fn pause(node: &Controller) -> Duration {
     Duration::from_secs_f64(node.config.heartbeat_s.min(PAUSE_INTERVAL_MAX_S) / PAUSE_PARTS)
 }
 
 /// Waits while decisions may be collected for one transaction.
-async fn collect(node: &Node, last: Option<Instant>) {
+async fn collect(node: &Controller, last: Option<Instant>) {
     while let Some(remaining) = collect_time(node, last) {
         let _ = within(remaining, node.writer_wake.1.recv()).await;
     }
 }
 
 /// For how long decisions may still be collected.
-fn collect_time(node: &Node, last: Option<Instant>) -> Option<Duration> {
+fn collect_time(node: &Controller, last: Option<Instant>) -> Option<Duration> {
     let most = Duration::from_secs_f64(DONE_TOLD_S * COLLECT_SHARE);
     let since = last.map_or(most, |at| at.elapsed());
     let may_wait = since < most && !starts_wait(node);
@@ -82,7 +79,7 @@
 }
 
 /// Whether a decision waits that has to be durable before something starts.
-fn starts_wait(node: &Node) -> bool {
+fn starts_wait(node: &Controller) -> bool {
     let state = node.lock();
     let Some(leadership) = &state.shared.leadership else {
         return true;
@@ -94,7 +91,7 @@
 }
 
 /// What is to be written next, and under which leadership lease.
-fn next_batch(node: &Node) -> Option<(Batch, LeadershipLease)> {
+fn next_batch(node: &Controller) -> Option<(Batch, LeadershipLease)> {
     let mut guard = node.lock();
     let shared = &mut guard.shared;
     let leadership = shared.leadership.as_mut()?;
@@ -109,7 +106,7 @@
 }
 
 /// Writes a batch and applies its outcome.
-async fn write(node: &Rc<Node>, batch: Batch, lease: &LeadershipLease) -> Next {
+async fn write(node: &Rc<Controller>, batch: Batch, lease: &LeadershipLease) -> Next {
     let result = outcome::write(node, &batch, lease).await;
     let is_refused = matches!(
         result,
@@ -120,7 +117,7 @@
     if is_overtaken {
         // An earlier write of unknown outcome was carried out after all: see what it left.
         log::info!("event=write_overtaken");
-        crate::freshness::once(node).await;
+        crate::freshness::read_once(node).await;
     }
     if is_refused || is_overtaken {
         Next::AfterPause
--- a/crates/ladderroute/src/writer/outcome.rs
+++ b/crates/ladderroute/src/writer/outcome.rs
@@ -2,7 +2,7 @@
 
 use super::batch::Batch;
 use crate::cluster_view::ClusterView;
-use crate::node::{Leadership, Node, State};
+use crate::controller::{Controller, Leadership, State};
 use sched::leader::Action;
 use sched::ranges::Ranges;
 use std::rc::Rc;
@@ -43,7 +43,7 @@
 
 /// Writes a batch on the condition that this is still the leader.
 pub async fn write(
-    node: &Rc<Node>,
+    node: &Rc<Controller>,
     batch: &Batch,
     lease: &LeadershipLease,
 ) -> Result<Outcome, StoreError> {
@@ -68,7 +68,7 @@
 }
 
 /// Takes a new fencing token.
-async fn take_token(node: &Rc<Node>, lease: &LeadershipLease) -> Result<Outcome, StoreError> {
+async fn take_token(node: &Rc<Controller>, lease: &LeadershipLease) -> Result<Outcome, StoreError> {
     let token = next_token(&node.store, &node.settings.member, lease).await?;
     Ok(match token {
         Some(NextToken { token, version }) => Outcome::Token { token, version },
@@ -86,7 +86,7 @@
 }
 
 /// Tells the leader what became of its decisions.
-pub async fn apply(node: &Rc<Node>, batch: Batch, result: Result<Outcome, StoreError>) {
+pub async fn apply(node: &Rc<Controller>, batch: Batch, result: Result<Outcome, StoreError>) {
     if let Err(error) = &result {
         log::debug!("event=write_failed error=\"{error}\"");
     }
@@ -100,7 +100,7 @@
 
 /// The same, where this controller still leads as far as it knows.
 fn apply_decided(
-    node: &Rc<Node>,
+    node: &Rc<Controller>,
     state: &mut State,
     batch: Batch,
     result: &Result<Outcome, StoreError>,
@@ -129,7 +129,7 @@
 
 /// Notes what the store holds now, and what it takes.
 fn record(
-    node: &Node,
+    node: &Controller,
     view: &mut ClusterView,
     leadership: &mut Leadership,
     batch: &Batch,
@@ -186,7 +186,7 @@
 }
 
 /// Ends the lease, so that the renewal finds it gone and the next leader can come.
-async fn give_up_leadership(node: &Rc<Node>) {
+async fn give_up_leadership(node: &Rc<Controller>) {
     log::info!("event=leadership_lost");
     let lease = node
         .lock()
@@ -201,7 +201,7 @@
 
 /// Tells the leader what became of one decision.
 fn apply_one(
-    node: &Node,
+    node: &Controller,
     leadership: &mut Leadership,
     action: Action,
     result: &Result<Outcome, StoreError>,
@@ -244,7 +244,7 @@
 /// Of several ends of jobs, only those whose own condition failed have changed meanwhile: the
 /// others are written again.
 fn apply_finish(
-    node: &Node,
+    node: &Controller,
     leadership: &mut Leadership,
     job: String,
     result: &Result<Outcome, StoreError>,
--- a/crates/ladderroute/tests/batches.rs
+++ b/crates/ladderroute/tests/batches.rs
@@ -1,7 +1,8 @@
 //! What the leader writes together, and in which order.
 
 use ladderroute::writer::batch::{next_batch, Batch};
-use ladderroute::writer::{RecordPages, TxnLimits};
+use ladderroute::writer::limits::TxnLimits;
+use ladderroute::writer::pages::RecordPages;
 use sched::config::SchedulerConfig;
 use sched::leader::{Action, Leader};
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/ladderroute/tests/chains.rs
+++ b/crates/ladderroute/tests/chains.rs
@@ -6,13 +6,13 @@
 mod stand_in;
 
 use ladderroute::api::users::{cancel, query, submit};
-use ladderroute::node::Node;
+use ladderroute::controller::Controller;
 use stand_in::requests::{accept, accepted, answered, body_after, body_awaiting, finish, with};
 use stand_in::{is_loaded, job_entry, Fate};
 use wire::store::{JobRecord, Recorded, Value};
 use wire::users::{Job, JobState};
 
-fn is_blocked(node: &Node, id: &str) -> bool {
+fn is_blocked(node: &Controller, id: &str) -> bool {
     node.lock().shared.view.dependencies().is_blocked(id)
 }
 
--- a/crates/ladderroute/tests/stale_view.rs
+++ b/crates/ladderroute/tests/stale_view.rs
@@ -8,7 +8,7 @@
 mod stand_in;
 
 use ladderroute::api::users::{query, submit};
-use ladderroute::node::Node;
+use ladderroute::controller::Controller;
 use stand_in::requests::{
     accept, accepted, answered, body_after, cancel_confirmed, finish, is_told_to_come_back,
     with_fronts,
@@ -19,7 +19,7 @@
 use wire::users::JobState;
 
 /// The changes of the store do not reach a controller any more, once it has seen those so far.
-async fn fall_behind(node: &Rc<Node>, front: &Front) {
+async fn fall_behind(node: &Rc<Controller>, front: &Front) {
     assert!(ladderroute::freshness::refresh_view(node).await);
     front.refuses_changes.set(true);
     // A request that was under way is refused, too, once one sent later was.
@@ -30,7 +30,7 @@
 }
 
 /// The view of a controller is from so long ago that it proves nothing any more.
-fn read_long_ago(node: &Node, store: &Store) {
+fn read_long_ago(node: &Controller, store: &Store) {
     let view = &mut node.lock().shared.view;
     let mut reload = view.begin_reload(node.now() - node.config.start_staleness_s());
     assert_eq!(
--- a/crates/ladderroute/tests/stand_in/requests.rs
+++ b/crates/ladderroute/tests/stand_in/requests.rs
@@ -6,7 +6,7 @@
 use super::{controller, Front, Store};
 use http::server::Response;
 use ladderroute::api::users::{cancel, submit};
-use ladderroute::node::Node;
+use ladderroute::controller::Controller;
 use std::future::Future;
 use std::rc::Rc;
 use wire::cbor;
@@ -14,13 +14,13 @@
 use wire::users::{Accepted, JobState, Progress};
 
 /// Runs a test with a store and two controllers.
-pub fn with<F: Future<Output = ()>>(test: impl FnOnce(Rc<Store>, [Rc<Node>; 2]) -> F) {
+pub fn with<F: Future<Output = ()>>(test: impl FnOnce(Rc<Store>, [Rc<Controller>; 2]) -> F) {
     with_fronts(|store, nodes, _| test(store, nodes));
 }
 
 /// Runs a test with a store, two controllers, and the way of each to the store.
 pub fn with_fronts<F: Future<Output = ()>>(
-    test: impl FnOnce(Rc<Store>, [Rc<Node>; 2], [Rc<Front>; 2]) -> F,
+    test: impl FnOnce(Rc<Store>, [Rc<Controller>; 2], [Rc<Front>; 2]) -> F,
 ) {
     let executor = Rc::new(smol::LocalExecutor::new());
     smol::block_on(executor.clone().run(async move {
@@ -78,13 +78,13 @@
 }
 
 /// Submits a job that is created and queued.
-pub async fn accept(node: &Rc<Node>, id: &str, needed: &[&str]) {
+pub async fn accept(node: &Rc<Controller>, id: &str, needed: &[&str]) {
     let answer = submit(node, &body_after(id, needed)).await;
     assert_eq!(accepted(&answer), (201, JobState::Queued), "{id}");
 }
 
 /// Cancels a job, which is confirmed.
-pub async fn cancel_confirmed(node: &Rc<Node>, id: &str) {
+pub async fn cancel_confirmed(node: &Rc<Controller>, id: &str) {
     let answer = cancel(node, id).await;
     assert_eq!(accepted(&answer), (200, JobState::Cancelled), "{id}");
 }
