--- a/crates/sched/src/preempt.rs
+++ b/crates/sched/src/preempt.rs
@@ -94,7 +94,7 @@
         }
         self.preemption_at = now;
         let scarce = self.cluster.scarce();
-        let first = self.cordon_for_gang(&scarce, now).map(|(id, _)| id);
+        let first = self.cordon_for_gang(&scarce, now).map(|cordon| cordon.job);
         let mut fields = self.fields(now);
         for (id, n) in due {
             let Some(job) = self.cluster.jobs.get(&id) else {
--- a/crates/sched/src/queue/arrays.rs
+++ b/crates/sched/src/queue/arrays.rs
@@ -1,259 +1,274 @@
-//! Arrays: ready tasks go to the owners of machines with free resources, and ahead of what becomes free.
+//! Placement of arrays: ready tasks are assigned to the owners of machines with free resources, and
+//! what is left over joins the owners' backlogs.
 
-use super::Pass;
+use super::pass::Pass;
+use crate::capacity_index::Fit;
 use crate::leader::{Action, Active, Leader, StartRecord, TaskLocation};
 use crate::machine_status::LONGEST_BACKOFF_S;
+use crate::placement::Resources;
 use crate::ranges::runs;
 use crate::Secs;
 use std::collections::BTreeMap;
 use std::rc::Rc;
-use wire::peers::{AllowedMachineType, TaskRequirements, ToOwner};
+use wire::peers::{TaskRequirements, ToOwner};
 
-/// Tasks may wait at an owner for what becomes free in so many times the time that the leader needs
-/// to learn of capacity and to give it away.
-const BACKLOG_FACTOR: f64 = 2.0;
+/// Most images remembered for a machine, the newest first.
+const IMAGES_REMEMBERED: usize = 8;
 
-/// What found no capacity after this many times the same is handed back.
-const BACKLOG_WAIT_FACTOR: f64 = 5.0;
+/// How many more tasks of an array each zone may take.
+enum ZoneLimits {
+    /// The job doesn't mind its zones.
+    Unlimited,
+    /// Tasks that each zone may take; none in a zone that is not named.
+    PerZone(BTreeMap<Rc<str>, u32>),
+}
+
+impl ZoneLimits {
+    /// How many tasks may still go to a zone.
+    fn left_in(&self, zone: &Rc<str>) -> u32 {
+        match self {
+            ZoneLimits::Unlimited => u32::MAX,
+            ZoneLimits::PerZone(left) => left.get(zone).copied().unwrap_or(0),
+        }
+    }
+
+    /// Charges tasks to a zone.
+    fn charge(&mut self, zone: &Rc<str>, tasks: u32) {
+        if let ZoneLimits::PerZone(limits) = self {
+            if let Some(left) = limits.get_mut(zone) {
+                *left = left.saturating_sub(tasks);
+            }
+        }
+    }
+
+    /// The zone that an owner has to keep to for tasks placed there, if zones matter.
+    fn binding_zone(&self, zone: &Rc<str>) -> Option<Rc<str>> {
+        match self {
+            ZoneLimits::Unlimited => None,
+            ZoneLimits::PerZone(_) => Some(zone.clone()),
+        }
+    }
+}
+
+/// The owner that tasks are assigned to, and the zone that it has to keep to.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct Destination {
+    owner: String,
+    zone: Option<Rc<str>>,
+}
+
+/// The array tasks assigned in one pass: a message for each destination.
+struct Assignment<'a> {
+    job: &'a str,
+    /// Shared by all tasks that are assigned together.
+    attempt: u64,
+    requirements: &'a TaskRequirements,
+    by_destination: BTreeMap<Destination, Vec<u32>>,
+}
 
 impl Leader {
+    /// Places up to `admitted` ready tasks of an array; what finds no capacity counts as unmet and
+    /// may join the owners' backlogs.
     pub(super) fn place_array(
         &mut self,
         id: &str,
-        requirements: &TaskRequirements,
-        quota: u32,
+        requirements: TaskRequirements,
+        admitted: u32,
         pass: &mut Pass,
-        now: Secs,
     ) {
-        let Some((start_record, cpus)) = self
-            .cluster
-            .jobs
-            .get(id)
-            .map(|j| (j.start_record, j.spec.cpus))
-        else {
+        let Some(job) = self.cluster.jobs.get(id) else {
             return;
         };
-        let found = self
+        let fits = self
             .cluster
             .index
-            .fits_outside(requirements, pass.cordon_against(id));
+            .fits_outside(&requirements, pass.cordon_against(id));
         // Recorded before its first start, so that a later leader knows which jobs an earlier
         // one has never touched and need not wait for every machine with them.
-        if start_record != StartRecord::Written {
-            let fits = found
-                .iter()
-                .map(|f| f.slots)
-                .fold(0, u32::saturating_add)
-                .min(quota);
-            if fits < quota {
-                self.note_unmet(id, quota - fits, now);
-            }
-            // Those whose turn comes soon are recorded in time.
-            let turnover = *pass.turnover.get_or_insert_with(|| self.cluster.turnover());
-            let soon = pass.queued <= turnover * self.reaction_s() * BACKLOG_WAIT_FACTOR;
-            pass.queued += f64::from(quota - fits) * cpus;
-            if let Some(job) = self.cluster.jobs.get_mut(id).filter(|_| soon || fits > 0) {
-                job.start_record = StartRecord::Requested;
-            }
+        if job.start_record != StartRecord::Written {
+            self.await_start_record(id, &fits, admitted, pass);
             return;
         }
-        let Some(job) = self.cluster.jobs.get(id) else {
+        let Some(zone_limits) = self.zone_limits_of(id, &fits) else {
             return;
         };
-        let zoned = job.spec.one_zone || job.spec.spread;
-        let mut limits = if zoned {
-            self.cluster.zone_limits(job, &found)
-        } else {
-            Some(BTreeMap::new())
-        };
-        let Some(limits) = limits.as_mut() else {
+        let zones_matter = matches!(zone_limits, ZoneLimits::PerZone(_));
+        let placed = self.assign_array(id, &requirements, admitted, fits, zone_limits, pass);
+        if placed < admitted {
+            let left = admitted - placed;
+            pass.queued_cpus += requirements.cpus * f64::from(left);
+            self.note_unmet(id, left, pass.now);
+            if !zones_matter {
+                self.assign_backlog(id, requirements, left, pass);
+            }
+        }
+    }
+
+    /// Asks for the record that an array has begun if its turn comes now or soon, so that the record
+    /// is there in time. Until it is written, none of its tasks may start.
+    fn await_start_record(&mut self, id: &str, fits: &[Fit], admitted: u32, pass: &mut Pass) {
+        let fitting = fits
+            .iter()
+            .map(|fit| fit.slots)
+            .fold(0, u32::saturating_add)
+            .min(admitted);
+        let unmet = admitted - fitting;
+        if unmet > 0 {
+            self.note_unmet(id, unmet, pass.now);
+        }
+        let soon = self.frees_soon(pass.queued_cpus, pass);
+        let Some(job) = self.cluster.jobs.get_mut(id) else {
             return;
         };
-        let (resources, team) = (job.resources(), job.spec.team.clone());
-        let mut indexes = job
-            .ready
-            .iter()
-            .take(quota as usize)
-            .collect::<Vec<u32>>()
-            .into_iter();
-        let mut assigned: BTreeMap<(String, Option<Rc<str>>), Vec<u32>> = BTreeMap::new();
-        let attempt = self.next_attempt();
+        pass.queued_cpus += f64::from(unmet) * job.spec.cpus;
+        if soon || fitting > 0 {
+            job.start_record = StartRecord::Requested;
+        }
+    }
+
+    /// How many tasks of an array each zone may take; none while the place of one of its tasks is
+    /// not known and zones matter to it.
+    fn zone_limits_of(&self, id: &str, fits: &[Fit]) -> Option<ZoneLimits> {
+        let job = self.cluster.jobs.get(id)?;
+        if !job.spec.one_zone && !job.spec.spread {
+            return Some(ZoneLimits::Unlimited);
+        }
+        self.cluster.zone_limits(job, fits).map(ZoneLimits::PerZone)
+    }
+
+    /// Assigns ready tasks to the machines that fit, the best machine first, and returns how many
+    /// found one.
+    fn assign_array(
+        &mut self,
+        id: &str,
+        requirements: &TaskRequirements,
+        admitted: u32,
+        fits: Vec<Fit>,
+        mut zone_limits: ZoneLimits,
+        pass: &mut Pass,
+    ) -> u32 {
+        let Some(job) = self.cluster.jobs.get(id) else {
+            return 0;
+        };
+        let (resources, spec) = (job.resources(), job.spec.clone());
+        let ready: Vec<u32> = job.ready.iter().take(admitted as usize).collect();
+        let mut ready = ready.into_iter();
+        let mut assignment = Assignment {
+            job: id,
+            attempt: self.next_attempt(),
+            requirements,
+            by_destination: BTreeMap::new(),
+        };
         let mut placed = 0;
-        for f in found {
-            let most = if zoned {
-                limits.get(&f.zone).copied().unwrap_or(0)
-            } else {
-                u32::MAX
-            };
-            let mine: Vec<u32> = indexes.by_ref().take(f.slots.min(most) as usize).collect();
-            if mine.is_empty() {
-                if indexes.len() == 0 {
-                    break;
-                }
-                continue;
+        for fit in fits {
+            if ready.len() == 0 {
+                break;
             }
-            let n = mine.len() as u32;
-            if let Some(left) = limits.get_mut(&f.zone) {
-                *left = left.saturating_sub(n);
-            }
-            let Some(owner) = self.cluster.index.get(&f.name).map(|s| s.owner.clone()) else {
+            let most = fit.slots.min(zone_limits.left_in(&fit.zone));
+            let tasks: Vec<u32> = ready.by_ref().take(most as usize).collect();
+            if tasks.is_empty() {
                 continue;
-            };
-            self.cluster
-                .index
-                .take(&f.name, resources, n, &requirements.image);
-            self.note_image(&f.name, &requirements.image);
-            for index in &mine {
-                self.assign_task(id, *index, attempt, owner.clone(), f.name.to_string(), now);
             }
-            assigned
-                .entry((owner, zoned.then(|| f.zone.clone())))
-                .or_default()
-                .extend(mine);
-            placed += n;
+            zone_limits.charge(&fit.zone, tasks.len() as u32);
+            let zone = zone_limits.binding_zone(&fit.zone);
+            placed += self.assign_to_machine(&mut assignment, &fit.name, zone, tasks, pass.now);
         }
-        pass.charge(&team, resources, placed);
-        for ((owner, zone), indexes) in assigned {
-            let mut requirements = requirements.clone();
-            if let Some(zone) = zone {
+        pass.charge(&spec.team, resources, placed);
+        self.send_assignment(assignment);
+        placed
+    }
+
+    /// Takes capacity of one machine for tasks of an array, and returns how many it took.
+    fn assign_to_machine(
+        &mut self,
+        assignment: &mut Assignment,
+        machine: &str,
+        zone: Option<Rc<str>>,
+        tasks: Vec<u32>,
+        now: Secs,
+    ) -> u32 {
+        let Some(owner) = self.cluster.index.get(machine).map(|m| m.owner.clone()) else {
+            return 0;
+        };
+        let count = tasks.len() as u32;
+        let requirements = assignment.requirements;
+        self.take_capacity(machine, requirements, count);
+        for index in &tasks {
+            let location = TaskLocation::Assigned(owner.clone(), machine.to_string());
+            self.assign_task(assignment.job, *index, assignment.attempt, location, now);
+        }
+        assignment
+            .by_destination
+            .entry(Destination { owner, zone })
+            .or_default()
+            .extend(tasks);
+        count
+    }
+
+    /// Tells the owners which tasks to place and start.
+    fn send_assignment(&mut self, assignment: Assignment) {
+        for (destination, indexes) in assignment.by_destination {
+            let mut requirements = assignment.requirements.clone();
+            if let Some(zone) = destination.zone {
                 requirements.zone = Some(zone.to_string());
             }
             self.actions.push(Action::Send(
-                owner,
+                destination.owner,
                 ToOwner::Assign {
-                    job: id.into(),
-                    attempt,
+                    job: assignment.job.into(),
+                    attempt: assignment.attempt,
                     requirements,
                     tasks: runs(indexes),
                 },
             ));
         }
-        if placed < quota {
-            pass.queued += resources.cpus * f64::from(quota - placed);
-            self.note_unmet(id, quota - placed, now);
-            if !zoned {
-                self.assign_backlog(id, requirements, quota - placed, pass, now);
-            }
-        }
     }
 
-    /// What found no capacity counts as demand. For what fails wherever it is tried nothing is provisioned at
-    /// once, but should it be the machines' fault after all, it must not wait for ever.
+    /// What found no capacity counts as demand. For what fails wherever it is tried nothing is
+    /// provisioned at once; but should it be the machines' fault after all, it must not wait for
+    /// ever.
     pub(super) fn note_unmet(&mut self, id: &str, tasks: u32, now: Secs) {
-        if self
+        let counts = self
             .cluster
             .jobs
             .get(id)
-            .is_some_and(|j| !j.is_broken() || now - j.backoff_until > LONGEST_BACKOFF_S)
-        {
+            .is_some_and(|job| !job.is_broken() || now - job.backoff_until > LONGEST_BACKOFF_S);
+        if counts {
             self.cluster.unmet.push((id.into(), tasks));
         }
     }
 
-    /// The time after which capacity that a heartbeat showed has a task from here.
-    fn reaction_s(&self) -> Secs {
-        self.cluster.config.heartbeat_s.min(1.0) / 2.0
-            + self.cluster.config.heartbeat_s / crate::owner::STATUS_ROUNDS_PER_HEARTBEAT
-    }
-
-    /// CPUs that tasks may wait for at each owner: what array tasks free there in a short time,
-    /// less what waits already.
-    fn backlog_capacity(&self) -> BTreeMap<String, f64> {
-        let mut used: BTreeMap<&str, f64> = BTreeMap::new();
-        for m in self.cluster.machines.values().filter(|m| m.open()) {
-            *used.entry(&m.owner).or_default() += m.used.cpus;
-        }
-        let all: f64 = used.values().sum();
-        let free = self.cluster.turnover() * self.reaction_s() * BACKLOG_FACTOR;
-        let waits = |owner: &str| self.cluster.backlog.get(owner).copied().unwrap_or(0.0);
-        used.into_iter()
-            .map(|(owner, cpus)| (owner.to_string(), free * cpus / all.max(1.0) - waits(owner)))
-            .collect()
-    }
-
-    /// Lets tasks that found no capacity wait at the owners for the first that becomes free: a task's
-    /// end and the next one's start then take one heartbeat and its answer.
-    fn assign_backlog(
+    /// Takes capacity of a machine out of the index for `tasks` tasks, and expects their image there.
+    pub(super) fn take_capacity(
         &mut self,
-        id: &str,
+        machine: &str,
         requirements: &TaskRequirements,
-        most: u32,
-        pass: &mut Pass,
-        now: Secs,
+        tasks: u32,
     ) {
-        let Some(job) = self.cluster.jobs.get(id) else {
-            return;
-        };
-        let (each, team) = (job.resources(), job.spec.team.clone());
-        let cordon = pass.cordon_against(id).map_or(&[][..], |a| &a.kinds);
-        let kinds: Vec<AllowedMachineType> = requirements
-            .kinds
-            .iter()
-            .filter(|k| !cordon.iter().any(|a| a.kind == k.kind && a.spot == k.spot))
-            .cloned()
-            .collect();
-        if kinds.is_empty() {
-            return;
-        }
-        let resources = pass.backlog.get_or_insert_with(|| self.backlog_capacity());
-        let fits = |cpus: f64| (cpus / each.cpus.max(0.01)).floor().max(0.0) as u32;
-        let n = resources
-            .values()
-            .map(|cpus| fits(*cpus))
-            .fold(0, u32::saturating_add)
-            .min(most);
-        if n == 0 {
-            return;
-        }
-        let mut indexes = job
-            .ready
-            .iter()
-            .take(n as usize)
-            .collect::<Vec<u32>>()
-            .into_iter();
-        let requirements = TaskRequirements {
-            kinds,
-            ..requirements.clone()
-        };
-        let attempt = self.next_attempt();
-        let wait_ms = (self.reaction_s() * BACKLOG_WAIT_FACTOR * 1000.0) as u64;
-        for (owner, cpus) in resources.iter_mut() {
-            let mine: Vec<u32> = indexes.by_ref().take(fits(*cpus) as usize).collect();
-            if mine.is_empty() {
-                continue;
-            }
-            *cpus -= each.cpus * mine.len() as f64;
-            for index in &mine {
-                self.assign_task(id, *index, attempt, owner.clone(), String::new(), now);
-            }
-            let message = ToOwner::AssignBacklog {
-                job: id.into(),
-                attempt,
-                requirements: requirements.clone(),
-                tasks: runs(mine),
-                wait_ms,
-            };
-            self.actions.push(Action::Send(owner.clone(), message));
-        }
-        pass.charge(&team, each, n);
+        let resources = Resources::of(requirements);
+        self.cluster
+            .index
+            .take(machine, resources, tasks, &requirements.image);
+        self.note_image(machine, &requirements.image);
     }
 
-    pub(super) fn note_image(&mut self, machine: &str, image: &str) {
-        if let Some(m) = self.cluster.machines.get_mut(machine) {
-            m.images.retain(|i| i != image);
-            m.images.insert(0, image.to_string());
-            m.images.truncate(8);
+    /// Remembers an image as the newest on a machine.
+    fn note_image(&mut self, machine: &str, image: &str) {
+        if let Some(state) = self.cluster.machines.get_mut(machine) {
+            state.images.retain(|known| known != image);
+            state.images.insert(0, image.to_string());
+            state.images.truncate(IMAGES_REMEMBERED);
         }
         self.cluster.dirty_machines.insert(machine.into());
     }
 
+    /// Records that a task is in an owner's hands from now on, to be started.
     pub(super) fn assign_task(
         &mut self,
         id: &str,
         index: u32,
         attempt: u64,
-        owner: String,
-        machine: String,
+        location: TaskLocation,
         now: Secs,
     ) {
         self.cluster.set_active(
@@ -261,7 +276,7 @@
             index,
             Active {
                 attempt,
-                location: TaskLocation::Assigned(owner, machine),
+                location,
                 running: false,
                 stop_sent: false,
                 since: now,
--- /dev/null
+++ b/crates/sched/src/queue/backlog.rs
@@ -0,0 +1,144 @@
+//! Backlogs: array tasks that found no capacity wait at the owners for the first that becomes free.
+//! A task's end and the next one's start then take one heartbeat and its answer, without the leader
+//! in between.
+
+use super::pass::Pass;
+use super::{contains_offer, MS_PER_S};
+use crate::leader::{Action, Leader, TaskLocation};
+use crate::owner::STATUS_ROUNDS_PER_HEARTBEAT;
+use crate::placement::Resources;
+use crate::ranges::runs;
+use crate::Secs;
+use std::collections::BTreeMap;
+use wire::peers::{TaskRequirements, ToOwner};
+
+/// Reaction times of the leader for which an owner's backlog lasts: it takes what array tasks free
+/// there in that time.
+const BACKLOG_FACTOR: f64 = 2.0;
+
+/// Reaction times of the leader after which an owner hands back a task that found no capacity.
+const BACKLOG_WAIT_FACTOR: f64 = 5.0;
+
+/// The fewest CPUs that a task counts for in a backlog: one may ask for none at all.
+const MIN_BACKLOG_CPUS: f64 = 0.01;
+
+/// A pass takes place twice in a heartbeat interval, and twice in this many seconds if that is
+/// shorter (see `Leader::tick`).
+const LONGEST_TWO_PASSES_S: Secs = 1.0;
+
+impl Leader {
+    /// The time after which capacity that a heartbeat showed has a task from here: until the next
+    /// pass, and until the owner has passed on what the heartbeat brought.
+    fn reaction_s(&self) -> Secs {
+        let heartbeat_s = self.cluster.config.heartbeat_s;
+        heartbeat_s.min(LONGEST_TWO_PASSES_S) / 2.0 + heartbeat_s / STATUS_ROUNDS_PER_HEARTBEAT
+    }
+
+    /// Whether running array tasks are expected to free this many CPUs within the time that a task
+    /// may wait in a backlog.
+    pub(super) fn frees_soon(&self, cpus: f64, pass: &mut Pass) -> bool {
+        let turnover = *pass.turnover.get_or_insert_with(|| self.cluster.turnover());
+        cpus <= turnover * self.reaction_s() * BACKLOG_WAIT_FACTOR
+    }
+
+    /// CPUs of tasks that may join each owner's backlog: what array tasks free there in a short
+    /// time, less what waits already.
+    fn backlog_capacity(&self) -> BTreeMap<String, f64> {
+        let mut used: BTreeMap<&str, f64> = BTreeMap::new();
+        for machine in self.cluster.machines.values().filter(|m| m.open()) {
+            *used.entry(&machine.owner).or_default() += machine.used.cpus;
+        }
+        let all: f64 = used.values().sum();
+        let freed = self.cluster.turnover() * self.reaction_s() * BACKLOG_FACTOR;
+        let waiting = |owner: &str| self.cluster.backlog.get(owner).copied().unwrap_or(0.0);
+        used.into_iter()
+            .map(|(owner, cpus)| {
+                let share = freed * cpus / all.max(1.0);
+                (owner.to_string(), share - waiting(owner))
+            })
+            .collect()
+    }
+
+    /// Lets up to `most` tasks that found no capacity join the owners' backlogs.
+    pub(super) fn assign_backlog(
+        &mut self,
+        id: &str,
+        requirements: TaskRequirements,
+        most: u32,
+        pass: &mut Pass,
+    ) {
+        let Some(requirements) = outside_cordon(requirements, pass.cordon_against(id)) else {
+            return;
+        };
+        let Some(job) = self.cluster.jobs.get(id) else {
+            return;
+        };
+        let (resources, spec) = (job.resources(), job.spec.clone());
+        let backlog = pass.backlog.get_or_insert_with(|| self.backlog_capacity());
+        let count = backlog
+            .values()
+            .map(|cpus| tasks_within(*cpus, resources))
+            .fold(0, u32::saturating_add)
+            .min(most);
+        if count == 0 {
+            return;
+        }
+        let ready: Vec<u32> = job.ready.iter().take(count as usize).collect();
+        self.send_backlog(id, &requirements, ready, backlog, pass.now);
+        pass.charge(&spec.team, resources, count);
+    }
+
+    /// Hands ready tasks to the owners, to each as many as its backlog takes.
+    fn send_backlog(
+        &mut self,
+        id: &str,
+        requirements: &TaskRequirements,
+        ready: Vec<u32>,
+        backlog: &mut BTreeMap<String, f64>,
+        now: Secs,
+    ) {
+        let attempt = self.next_attempt();
+        let wait_ms = (self.reaction_s() * BACKLOG_WAIT_FACTOR * MS_PER_S) as u64;
+        let resources = Resources::of(requirements);
+        let mut ready = ready.into_iter();
+        for (owner, cpus) in backlog {
+            let share = tasks_within(*cpus, resources);
+            let tasks: Vec<u32> = ready.by_ref().take(share as usize).collect();
+            if tasks.is_empty() {
+                continue;
+            }
+            *cpus -= resources.cpus * tasks.len() as f64;
+            for index in &tasks {
+                let any_machine = TaskLocation::Assigned(owner.clone(), String::new());
+                self.assign_task(id, *index, attempt, any_machine, now);
+            }
+            let message = ToOwner::AssignBacklog {
+                job: id.into(),
+                attempt,
+                requirements: requirements.clone(),
+                tasks: runs(tasks),
+                wait_ms,
+            };
+            self.actions.push(Action::Send(owner.clone(), message));
+        }
+    }
+}
+
+/// How many tasks of this size a backlog of so many CPUs takes.
+fn tasks_within(cpus: f64, task: Resources) -> u32 {
+    (cpus / task.cpus.max(MIN_BACKLOG_CPUS)).floor().max(0.0) as u32
+}
+
+/// The requirements without the machine types that are cordoned, in whichever zone, as an owner is
+/// free to choose the machine; none if no type is left.
+fn outside_cordon(
+    mut requirements: TaskRequirements,
+    cordon: Option<&TaskRequirements>,
+) -> Option<TaskRequirements> {
+    if let Some(cordon) = cordon {
+        requirements
+            .kinds
+            .retain(|offer| !contains_offer(&cordon.kinds, offer));
+    }
+    (!requirements.kinds.is_empty()).then_some(requirements)
+}
--- a/crates/sched/src/queue/mod.rs
+++ b/crates/sched/src/queue/mod.rs
@@ -1,166 +1,141 @@
-//! The queue and the one pass that places its entries.
+//! The queue and the pass that places its entries.
+//!
+//! An entry is a job with tasks that are ready to start; a gang is one entry, and so is an array.
+//! One pass goes through all entries in queue order and takes each through the same steps:
+//!
+//! - a gang: order, admit by quota, fit, reserve; the binding follows once its capacity is reserved;
+//! - an array: order, admit by quota, fit, assign, and leave the rest to the owners' backlogs.
 //!
 //! Order: entries within their team's guarantee first, then by priority, creation (the store's
-//! revision), id. A gang is one entry. An entry that backs off or does not fit is passed over
-//! and does not block those behind it.
+//! revision), id. An entry that backs off or does not fit is passed over and does not block those
+//! behind it.
 
 mod arrays;
+mod backlog;
+mod cordon;
 mod gangs;
+mod pass;
+mod reservations;
 
-use crate::leader::{Job, Leader, Phase};
-use crate::placement::Resources;
+use crate::leader::{Job, Leader};
 use crate::Secs;
-use std::collections::{BTreeMap, BTreeSet};
+use pass::Pass;
 use wire::peers::{AllowedMachineType, TaskRequirements};
+use wire::users::Priority;
+
+/// The tier of scarce machine types for arrays: after the spot (0) and on-demand (1) offers of all
+/// other types, so that arrays take them last of all.
+const SCARCE_TYPE_TIER: u8 = 2;
+
+/// Milliseconds in a second.
+const MS_PER_S: f64 = 1000.0;
 
-/// What one pass keeps for itself.
-struct Pass {
-    /// What each team may still use beside what is and may be in use.
-    limits: BTreeMap<String, Resources>,
-    /// A gang that has waited long, and the machines cordoned for it.
-    cordon: Option<(String, TaskRequirements)>,
-    /// CPUs that tasks may wait for at each owner, once that was asked.
-    backlog: Option<BTreeMap<String, f64>>,
-    /// CPUs of array tasks that found no capacity so far.
-    queued: f64,
-    /// CPUs that array tasks free in a second; none once more were given.
-    turnover: Option<f64>,
+/// An entry's place in the queue; the fields are compared in this order.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct QueueKey {
+    beyond_guarantee: bool,
+    priority: Priority,
+    revision: u64,
+    job: String,
 }
 
 impl Leader {
+    /// One pass over the queue: places what has quota and capacity, and notes what found none.
     pub(crate) fn schedule(&mut self, now: Secs) {
         self.cluster.refresh_index();
         self.cluster.mark_within();
+        let mut pass = self.begin_pass(now);
+        let order = self.queue_order(now);
+        self.cluster.unmet.clear();
+        for entry in order {
+            self.place_entry(&entry.job, &mut pass);
+        }
+        self.request_start_record();
+    }
+
+    /// What a pass knows before its first entry. The cordon and the wait for scarce types follow
+    /// from what the previous pass could not place.
+    fn begin_pass(&self, now: Secs) -> Pass {
         let scarce = self.cluster.scarce();
-        let mut pass = Pass {
+        Pass {
+            now,
             limits: self.cluster.limits(),
             cordon: self.cordon_for_gang(&scarce, now),
+            scarce_awaited: self.cluster.waits_for_scarce(&scarce),
+            scarce,
             backlog: None,
-            queued: 0.0,
+            queued_cpus: 0.0,
             turnover: None,
+        }
+    }
+
+    /// The entries that may be placed now, in queue order.
+    fn queue_order(&self, now: Secs) -> Vec<QueueKey> {
+        let may_be_placed = |job: &Job| {
+            !job.ready.is_empty() && !job.uncertain && !job.terminal && now >= job.backoff_until
         };
-        let mut order: Vec<_> = self
+        let mut order: Vec<QueueKey> = self
             .cluster
             .jobs
             .iter()
-            .filter(|(_, j)| {
-                !j.ready.is_empty() && !j.uncertain && !j.terminal && now >= j.backoff_until
+            .filter(|(_, job)| may_be_placed(job))
+            .map(|(id, job)| QueueKey {
+                beyond_guarantee: !job.within_guarantee,
+                priority: job.priority,
+                revision: job.revision,
+                job: id.clone(),
             })
-            .map(|(id, j)| (!j.within_guarantee, j.priority, j.revision, id.clone()))
             .collect();
         order.sort_unstable();
-        // Machines kept for gangs take array tasks, last of all, while no such gang waits for capacity.
-        let gang_waits = self.cluster.waits_for_scarce(&scarce);
-        self.cluster.unmet.clear();
-        for (_, _, _, id) in order {
-            let Some(job) = self.cluster.jobs.get(&id) else {
-                continue;
-            };
-            let quota = pass.quota(job);
-            if quota == 0 {
-                continue;
-            }
-            let mut requirements = self.cluster.requirements_sparing(job, &scarce);
-            if !job.is_gang() && !gang_waits {
-                let all = self.cluster.requirements(job, None);
-                let last = all.kinds.into_iter().filter(|a| {
-                    !requirements
-                        .kinds
-                        .iter()
-                        .any(|n| n.kind == a.kind && n.spot == a.spot)
-                });
-                requirements.kinds.extend(
-                    last.map(|a| AllowedMachineType { tier: 2, ..a })
-                        .collect::<Vec<_>>(),
-                );
-            }
-            if job.is_gang() {
-                self.place_gang(&id, &requirements, quota, &mut pass, now);
-            } else {
-                self.place_array(&id, &requirements, quota, &mut pass, now);
-            }
-        }
-        self.request_start_record();
+        order
     }
 
-    /// The gang of several tasks that has waited longest, if too long, and where machines are left
-    /// to it: all that it may use of one zone. Without this, smaller gangs and arrays take each
-    /// machine that becomes free, for ever.
-    pub(crate) fn cordon_for_gang(
-        &self,
-        scarce: &BTreeSet<(String, bool)>,
-        now: Secs,
-    ) -> Option<(String, TaskRequirements)> {
-        let waits = |job: &Job| {
-            let whole = job.is_multi_task_gang()
-                && job.phase == Phase::Idle
-                && !job.terminal
-                && !job.ready.is_empty();
-            whole && (now < job.reclaims_until || self.cluster.waits_long(&job.spec.id, now))
+    /// Admits one entry by its team's quota and places as much of it as fits.
+    fn place_entry(&mut self, id: &str, pass: &mut Pass) {
+        let Some(job) = self.cluster.jobs.get(id) else {
+            return;
         };
-        let unmet = self
-            .cluster
-            .unmet
-            .iter()
-            .filter_map(|(id, _)| Some((self.cluster.jobs.get(id)?, id)));
-        let (_, id) = unmet
-            .filter(|(job, _)| waits(job))
-            .min_by_key(|(job, _)| job.revision)?;
-        let requirements = self
-            .cluster
-            .requirements_sparing(self.cluster.jobs.get(id)?, scarce);
-        let zone = requirements
-            .zone
-            .clone()
-            .or_else(|| self.autoscaler.gang_zone(id).cloned());
-        Some((
-            id.clone(),
-            TaskRequirements {
-                zone,
-                ..requirements
-            },
-        ))
-    }
-}
-
-impl Pass {
-    /// How many more tasks of a job its team's limit allows (all or nothing for a gang).
-    fn quota(&self, job: &Job) -> u32 {
-        let Some(free) = self.limits.get(&job.spec.team) else {
-            return 0;
-        };
-        let mut n = free
-            .count_fitting(Resources {
-                memory_gb: 0.0,
-                ..job.resources()
-            })
-            .min(job.ready.len());
-        if job.is_broken() && !job.is_gang() {
-            // One at a time shows whether it still fails.
-            n = n.min(1).saturating_sub(job.active.len() as u32);
+        let admitted = pass.admit(job);
+        if admitted == 0 {
+            return;
         }
-        if job.is_gang() && n < job.spec.tasks {
-            0
+        let requirements = self.entry_requirements(job, pass);
+        if job.is_gang() {
+            self.place_gang(id, &requirements, admitted, pass);
         } else {
-            n
+            self.place_array(id, requirements, admitted, pass);
         }
     }
 
-    /// What is cordoned for another job than this.
-    fn cordon_against(&self, id: &str) -> Option<&TaskRequirements> {
-        self.cordon
-            .as_ref()
-            .filter(|(job, _)| job != id)
-            .map(|(_, requirements)| requirements)
-    }
-
-    fn charge(&mut self, team: &str, resources: Resources, n: u32) {
-        if let Some(free) = self.limits.get_mut(team) {
-            free.sub(Resources {
-                memory_gb: 0.0,
-                ..resources.scaled(n)
-            });
+    /// Where an entry's tasks may run. Machine types that are the only ones for some gangs are
+    /// spared; arrays take them too, last of all, while no such gang waits for capacity.
+    fn entry_requirements(&self, job: &Job, pass: &Pass) -> TaskRequirements {
+        let mut requirements = self.cluster.requirements_sparing(job, &pass.scarce);
+        if job.is_gang() || pass.scarce_awaited {
+            return requirements;
         }
-        self.turnover = None;
+        let mut spared = self.cluster.requirements(job, None).kinds;
+        spared.retain(|offer| !contains_offer(&requirements.kinds, offer));
+        requirements
+            .kinds
+            .extend(spared.into_iter().map(|offer| AllowedMachineType {
+                tier: SCARCE_TYPE_TIER,
+                ..offer
+            }));
+        requirements
     }
 }
+
+/// Whether a machine type is among these with the same purchase option (spot or on-demand),
+/// whatever its tier.
+fn contains_offer(offers: &[AllowedMachineType], wanted: &AllowedMachineType) -> bool {
+    offers
+        .iter()
+        .any(|offer| offer.kind == wanted.kind && offer.spot == wanted.spot)
+}
+
+/// A random factor from 0.75 to 1.25 for a wait, so that those who begin to wait at the same time
+/// don't end in step.
+fn jitter(rng: &mut fastrand::Rng) -> f64 {
+    0.75 + 0.5 * rng.f64()
+}
--- /dev/null
+++ b/crates/sched/src/queue/reservations.rs
@@ -0,0 +1,213 @@
+//! Reservations of gangs: once all owners have reserved their part, the binding is written, and when
+//! it is durable all tasks start. Where one part fails, the whole reservation ends.
+
+use super::gangs::GangPlacement;
+use super::jitter;
+use crate::leader::{Action, Leader, Phase, TaskLocation};
+use crate::Secs;
+use std::collections::BTreeSet;
+use wire::peers::ToOwner;
+
+/// A gang's back-off before it is doubled, as one of so many parts of the time for which capacity is
+/// reserved.
+const BACKOFF_PARTS: f64 = 20.0;
+
+/// A gang's back-off doubles with each failure in a row, this many times at most.
+const MAX_BACKOFF_DOUBLINGS: u32 = 6;
+
+impl Leader {
+    /// An owner has reserved its part of a gang's capacity, or refused to.
+    pub(crate) fn on_reserve_result(
+        &mut self,
+        from: &str,
+        attempt: u64,
+        reserved: bool,
+        now: Secs,
+    ) {
+        let Some(id) = self.gang_of_attempt(attempt) else {
+            return;
+        };
+        if reserved {
+            self.reservation_confirmed(&id, attempt, from);
+        } else {
+            self.reservation_refused(&id, from, now);
+        }
+    }
+
+    /// The gang that an attempt belongs to.
+    fn gang_of_attempt(&self, attempt: u64) -> Option<String> {
+        let (id, _) = self.cluster.jobs.iter().find(|(_, job)| match &job.phase {
+            Phase::Reserving { attempt: of, .. }
+            | Phase::Binding { attempt: of, .. }
+            | Phase::Running { attempt: of } => *of == attempt,
+            // Another owner has refused its part before.
+            Phase::Ending => job.active.values().any(|task| task.attempt == attempt),
+            Phase::Idle => false,
+        })?;
+        Some(id.clone())
+    }
+
+    /// Has the binding written once every owner has reserved its part.
+    fn reservation_confirmed(&mut self, id: &str, attempt: u64, from: &str) {
+        let Some(job) = self.cluster.jobs.get_mut(id) else {
+            return;
+        };
+        let Phase::Reserving {
+            waiting,
+            until,
+            places,
+            ..
+        } = &mut job.phase
+        else {
+            return;
+        };
+        waiting.remove(from);
+        if !waiting.is_empty() {
+            return;
+        }
+        let (until, places) = (*until, std::mem::take(places));
+        job.phase = Phase::Binding {
+            attempt,
+            until,
+            places: places.clone(),
+        };
+        self.actions.push(Action::Bind {
+            job: id.into(),
+            attempt,
+            places,
+        });
+    }
+
+    /// Ends a reservation that an owner has refused, or, where the gang has started meanwhile, takes
+    /// back the tasks that were assigned to that owner.
+    fn reservation_refused(&mut self, id: &str, from: &str, now: Secs) {
+        let Some(job) = self.cluster.jobs.get(id) else {
+            return;
+        };
+        match &job.phase {
+            Phase::Reserving { .. } | Phase::Binding { .. } => {
+                log::info!("event=reservation_refused job={id} owner={from}");
+                self.end_reservation(id, now, true);
+            }
+            Phase::Running { .. } | Phase::Ending => {
+                // The capacity was given up before the binding came: the gang has to begin anew.
+                let lost: Vec<u32> = job
+                    .active
+                    .iter()
+                    .filter(|(_, task)| {
+                        matches!(&task.location, TaskLocation::Assigned(owner, _) if owner == from)
+                    })
+                    .map(|(index, _)| *index)
+                    .collect();
+                for index in lost {
+                    self.requeue_task(id, index);
+                }
+            }
+            Phase::Idle => {}
+        }
+    }
+
+    /// The binding is durable, or could not be written.
+    pub fn bind_result(&mut self, id: &str, attempt: u64, written: bool, now: Secs) {
+        let Some(job) = self.cluster.jobs.get(id) else {
+            return;
+        };
+        let Phase::Binding {
+            attempt: bound,
+            until,
+            places,
+        } = &job.phase
+        else {
+            return;
+        };
+        if *bound != attempt {
+            return;
+        }
+        // A machine that was returned meanwhile took its reserved capacity with it.
+        let all_present = places
+            .iter()
+            .all(|(machine, _, _)| self.cluster.machines.contains_key(machine));
+        if !written || !all_present || now >= *until {
+            self.end_reservation(id, now, true);
+            return;
+        }
+        let placements: Vec<GangPlacement> = places.iter().map(GangPlacement::from).collect();
+        self.start_gang(id, attempt, placements, now);
+    }
+
+    /// Starts all tasks of a gang whose binding is durable.
+    fn start_gang(&mut self, id: &str, attempt: u64, placements: Vec<GangPlacement>, now: Secs) {
+        if let Some(job) = self.cluster.jobs.get_mut(id) {
+            job.phase = Phase::Running { attempt };
+            job.failures = 0;
+        }
+        let mut owners = BTreeSet::new();
+        for placement in placements {
+            let Some(owner) = self.end_machine_reservation(&placement.machine, attempt) else {
+                continue;
+            };
+            for index in placement.first_task..placement.first_task + placement.tasks {
+                let location = TaskLocation::Assigned(owner.clone(), placement.machine.clone());
+                self.assign_task(id, index, attempt, location, now);
+            }
+            owners.insert(owner);
+        }
+        log::info!("event=bound job={id} attempt={attempt}");
+        for owner in owners {
+            self.actions
+                .push(Action::Send(owner, ToOwner::Bind { attempt }));
+        }
+    }
+
+    /// Releases the capacity of a waiting gang everywhere; with a failure it backs off longer
+    /// each time, and keeps its place in the order.
+    pub(crate) fn end_reservation(&mut self, id: &str, now: Secs, failed: bool) {
+        let Some(job) = self.cluster.jobs.get_mut(id) else {
+            return;
+        };
+        let phase = std::mem::replace(&mut job.phase, Phase::Idle);
+        if failed {
+            job.failures += 1;
+            let doublings = job.failures.min(MAX_BACKOFF_DOUBLINGS);
+            let wait_s = self.cluster.config.reservation_s / BACKOFF_PARTS
+                * f64::from(1u32 << doublings)
+                * jitter(&mut self.rng);
+            job.backoff_until = now + wait_s;
+        }
+        self.release_reservation(&phase);
+    }
+
+    /// Releases what a gang in this phase has reserved, if anything, on its machines and with their
+    /// owners.
+    pub(crate) fn release_reservation(&mut self, phase: &Phase) {
+        let (Phase::Reserving {
+            attempt, places, ..
+        }
+        | Phase::Binding {
+            attempt, places, ..
+        }) = phase
+        else {
+            return;
+        };
+        let owners: BTreeSet<String> = places
+            .iter()
+            .filter_map(|(machine, _, _)| self.end_machine_reservation(machine, *attempt))
+            .collect();
+        for owner in owners {
+            self.actions.push(Action::Send(
+                owner,
+                ToOwner::ReleaseReservation { attempt: *attempt },
+            ));
+        }
+        self.wake();
+    }
+
+    /// Ends what an attempt has reserved on a machine, and returns the machine's owner; none if the
+    /// machine is gone.
+    fn end_machine_reservation(&mut self, machine: &str, attempt: u64) -> Option<String> {
+        let state = self.cluster.machines.get_mut(machine)?;
+        state.reserved.remove(&attempt);
+        self.cluster.dirty_machines.insert(machine.into());
+        Some(state.owner.clone())
+    }
+}
