--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -11,7 +11,7 @@
 mod machine_status;
 pub mod owner;
 pub mod placement;
-mod preempt;
+mod preemption;
 mod queue;
 pub mod ranges;
 pub mod shard;
--- /dev/null
+++ b/crates/sched/src/preemption/candidates.rs
@@ -0,0 +1,74 @@
+//! The machines on which capacity can be had, and what may be stopped on each.
+
+use super::victims::Victim;
+use crate::cluster::{Cluster, Machine};
+use crate::placement::{tier, Resources};
+use crate::Secs;
+use std::collections::BTreeMap;
+use wire::peers::TaskRequirements;
+
+/// Machines on which capacity can be had, by name.
+pub(super) type Candidates<'a> = BTreeMap<&'a str, CandidateMachine<'a>>;
+
+/// A machine with what may be stopped there.
+#[derive(Clone)]
+pub(super) struct CandidateMachine<'a> {
+    kind: &'a str,
+    zone: &'a str,
+    spot: bool,
+    /// Its free capacity once the tasks that were told to stop are gone.
+    pub(super) free: Resources,
+    /// What may be stopped there, what loses least first.
+    pub(super) victims: Vec<Victim<'a>>,
+}
+
+/// All machines that take tasks.
+pub(super) fn candidates(cluster: &Cluster, now: Secs) -> Candidates<'_> {
+    cluster
+        .machines
+        .iter()
+        .filter(|(_, machine)| machine.open())
+        .filter_map(|(name, machine)| {
+            Some((name.as_str(), CandidateMachine::of(cluster, machine, now)?))
+        })
+        .collect()
+}
+
+impl<'a> CandidateMachine<'a> {
+    /// A machine as a candidate; none if the catalog does not know its type.
+    fn of(cluster: &'a Cluster, machine: &'a Machine, now: Secs) -> Option<CandidateMachine<'a>> {
+        let mut free = machine.free(cluster.capacity(&machine.kind)?);
+        let mut victims = Vec::new();
+        for (id, index) in machine.tasks.keys() {
+            let Some(job) = cluster.jobs.get(id) else {
+                continue;
+            };
+            let Some(task) = job.active.get(index) else {
+                continue;
+            };
+            if task.stop_sent {
+                free.add(job.resources());
+            } else {
+                victims.extend(Victim::of(cluster, job, *index, task, now));
+            }
+        }
+        victims.sort_by(|one, other| one.lost_s.total_cmp(&other.lost_s));
+        Some(CandidateMachine {
+            kind: &machine.kind,
+            zone: &machine.zone,
+            spot: machine.spot,
+            free,
+            victims,
+        })
+    }
+
+    /// The machine's zone.
+    pub(super) fn zone(&self) -> &'a str {
+        self.zone
+    }
+
+    /// Whether tasks with these requirements may run there, capacity apart.
+    pub(super) fn allows(&self, requirements: &TaskRequirements) -> bool {
+        tier(requirements, self.kind, self.zone, self.spot).is_some()
+    }
+}
--- /dev/null
+++ b/crates/sched/src/preemption/eligibility.rs
@@ -0,0 +1,81 @@
+//! For whom tasks of others may be stopped.
+
+use super::team_usage::TeamUsage;
+use super::GRACE_SHARE;
+use crate::cluster::Cluster;
+use crate::leader::Job;
+use crate::Secs;
+use std::ops::RangeInclusive;
+use wire::users::Priority;
+
+/// A job that missed its time waits for capacity to become free, which is soon as a rule and loses
+/// no work; after this many times the time allowed it may take capacity back again.
+const STARVED: f64 = 12.0;
+
+/// An entry of the queue that found no capacity, and may have others stopped for it.
+pub(super) struct Entry<'a> {
+    /// The job that waits.
+    pub(super) job: &'a Job,
+    /// How many of its tasks found no capacity.
+    pub(super) tasks: u32,
+}
+
+/// The entries that the last pass could not place and that may have others stopped now.
+pub(super) fn eligible_entries(cluster: &Cluster, now: Secs) -> Vec<Entry<'_>> {
+    cluster
+        .unmet
+        .iter()
+        .filter_map(|(id, tasks)| {
+            Some(Entry {
+                job: cluster.jobs.get(id)?,
+                tasks: *tasks,
+            })
+        })
+        .filter(|entry| may_preempt(cluster, entry.job, now))
+        .collect()
+}
+
+/// Whether anything runs that may be stopped for one of these entries, as far as can be told without
+/// a look at all tasks: borrowed capacity is in use, or work of lower priority runs.
+pub(super) fn any_preemptible(cluster: &Cluster, entries: &[Entry], usage: &TeamUsage) -> bool {
+    let any_outranks = || {
+        entries
+            .iter()
+            .any(|entry| runs_lower_priority(cluster, entry.job.spec.priority))
+    };
+    !entries.is_empty() && (usage.any_borrowed() || any_outranks())
+}
+
+/// Whether others may be stopped for a job that found no capacity.
+fn may_preempt(cluster: &Cluster, job: &Job, now: Secs) -> bool {
+    let waited_s = now - job.seen;
+    let in_time = preemption_window(cluster, job).contains(&waited_s);
+    let starved = waited_s > cluster.config.guarantee_s * STARVED;
+    (in_time || starved)
+        && (job.within_guarantee || runs_lower_priority(cluster, job.spec.priority))
+}
+
+/// How long a job must have waited, in seconds, and may have waited for others to be stopped.
+fn preemption_window(cluster: &Cluster, job: &Job) -> RangeInclusive<Secs> {
+    let guarantee_s = cluster.config.guarantee_s;
+    if !job.is_multi_task_gang() {
+        return guarantee_s * GRACE_SHARE..=guarantee_s;
+    }
+    // Many machines at once seldom become free by themselves, and would be provisioned meanwhile.
+    // It is worth trying for as long as the objective of the gang's class can still be met.
+    let objective_s = cluster
+        .config
+        .wait_s
+        .get(&job.spec.class)
+        .copied()
+        .unwrap_or_default();
+    0.0..=objective_s.max(guarantee_s)
+}
+
+/// Whether work of a lower priority than this runs.
+fn runs_lower_priority(cluster: &Cluster, priority: Priority) -> bool {
+    cluster
+        .jobs
+        .values()
+        .any(|job| job.priority > priority && !job.active.is_empty())
+}
--- /dev/null
+++ b/crates/sched/src/preemption/planner.rs
@@ -0,0 +1,127 @@
+//! Planning for all entries of a round, one after the other.
+
+use super::candidates::candidates;
+use super::eligibility::Entry;
+use super::stops::{grace_s, Preemption, Stop};
+use super::task_plan::{Supply, TaskPlan};
+use super::team_usage::TeamUsage;
+use crate::cluster::Cluster;
+use crate::leader::Job;
+use crate::queue::Cordon;
+use crate::Secs;
+use std::collections::BTreeSet;
+
+/// Heartbeat intervals within which a stop has reached its machine and the machine has shown the
+/// end.
+const HEARTBEATS_TO_STOP: f64 = 3.0;
+
+/// Plans one round of preemption; the cluster stays as it is.
+pub(super) struct Planner<'a> {
+    cluster: &'a Cluster,
+    /// What is left by the plans made so far.
+    supply: Supply<'a>,
+    /// Machine types (with spot or not) that are the only ones for some class of jobs.
+    scarce: &'a BTreeSet<(String, bool)>,
+    /// The gang that machines are cordoned for while nothing is stopped for it: until it is placed
+    /// no other gang can be, whatever is stopped for that.
+    blocking_gang: Option<&'a str>,
+    now: Secs,
+    preemptions: Vec<Preemption>,
+}
+
+impl<'a> Planner<'a> {
+    /// A planner that has nothing planned yet.
+    pub(super) fn new(
+        cluster: &'a Cluster,
+        usage: TeamUsage<'a>,
+        scarce: &'a BTreeSet<(String, bool)>,
+        cordon: Option<&'a Cordon>,
+        now: Secs,
+    ) -> Planner<'a> {
+        let makes_room = |job: &Job| now < job.reclaims_until;
+        Planner {
+            cluster,
+            supply: Supply {
+                candidates: candidates(cluster, now),
+                usage,
+            },
+            scarce,
+            blocking_gang: cordon
+                .map(|cordon| cordon.job.as_str())
+                .filter(|id| !cluster.jobs.get(*id).is_some_and(makes_room)),
+            now,
+            preemptions: Vec::new(),
+        }
+    }
+
+    /// What is to be stopped for these entries, in the order of the queue.
+    pub(super) fn plan(mut self, entries: &[Entry]) -> Vec<Preemption> {
+        for entry in entries {
+            if entry.job.is_multi_task_gang() {
+                self.plan_for_gang(entry.job);
+            } else {
+                self.plan_for_tasks(entry);
+            }
+        }
+        self.preemptions
+    }
+
+    /// Plans for all of a gang, on the machines on which the pass would place it.
+    fn plan_for_gang(&mut self, job: &Job) {
+        let id = job.spec.id.as_str();
+        if self.blocking_gang.is_some_and(|blocking| blocking != id) {
+            return;
+        }
+        let requirements = self.cluster.requirements_sparing(job, self.scarce);
+        let Some(tasks) = self.supply.plan_gang(job, &requirements) else {
+            return;
+        };
+        let reclaims_until = self.stopped_by(&tasks);
+        if self.now < reclaims_until && self.blocking_gang == Some(id) {
+            self.blocking_gang = None;
+        }
+        self.preemptions.push(Preemption {
+            job: id.into(),
+            stops: self.stops(tasks),
+            reclaims_until: Some(reclaims_until),
+        });
+    }
+
+    /// Plans for as many tasks of an entry as capacity can be had for, each for itself.
+    fn plan_for_tasks(&mut self, entry: &Entry) {
+        let requirements = self.cluster.requirements(entry.job, None);
+        let tasks: Vec<TaskPlan> = (0..entry.tasks)
+            .map_while(|_| self.supply.plan_task(entry.job, &requirements))
+            .collect();
+        self.preemptions.push(Preemption {
+            job: entry.job.spec.id.clone(),
+            stops: self.stops(tasks),
+            reclaims_until: None,
+        });
+    }
+
+    /// When the victims of these plans are gone, with the time that they may take to save.
+    fn stopped_by(&self, tasks: &[TaskPlan]) -> Secs {
+        let longest_grace_s = tasks
+            .iter()
+            .flat_map(|task| &task.victims)
+            .map(|victim| grace_s(self.cluster, victim.job))
+            .fold(0.0, f64::max);
+        self.now + longest_grace_s + self.cluster.config.heartbeat_s * HEARTBEATS_TO_STOP
+    }
+
+    /// The stops of these plans.
+    fn stops(&self, tasks: Vec<TaskPlan>) -> Vec<Stop> {
+        tasks
+            .into_iter()
+            .flat_map(|TaskPlan { machine, victims }| {
+                victims.into_iter().map(move |victim| Stop {
+                    machine: machine.to_string(),
+                    job: victim.job.to_string(),
+                    index: victim.index,
+                    grace_s: grace_s(self.cluster, victim.job),
+                })
+            })
+            .collect()
+    }
+}
--- /dev/null
+++ b/crates/sched/src/preemption/task_plan.rs
@@ -0,0 +1,128 @@
+//! Planning capacity for one task.
+
+use super::candidates::{CandidateMachine, Candidates};
+use super::team_usage::TeamUsage;
+use super::victims::Victim;
+use crate::leader::Job;
+use wire::peers::TaskRequirements;
+
+/// What is left to plan with: the capacity of machines, and what teams use.
+#[derive(Clone)]
+pub(super) struct Supply<'a> {
+    /// The machines, with what earlier plans have taken or freed there.
+    pub(super) candidates: Candidates<'a>,
+    /// What teams use, without the victims of earlier plans.
+    pub(super) usage: TeamUsage<'a>,
+}
+
+/// How one task gets its capacity.
+pub(super) struct TaskPlan<'a> {
+    /// The machine on which it will have it.
+    pub(super) machine: &'a str,
+    /// What is to be stopped there; nothing if earlier stops free enough.
+    pub(super) victims: Vec<Victim<'a>>,
+}
+
+/// Victims on one machine that make room for a task.
+struct Choice<'a> {
+    machine: &'a str,
+    /// CPU seconds of work that are lost with them.
+    lost_cpu_s: f64,
+    /// Positions among the machine's victims, ascending.
+    positions: Vec<usize>,
+}
+
+impl<'a> Supply<'a> {
+    /// Finds capacity for one task where that costs least, and takes it out of the supply; none if
+    /// it can't be had.
+    pub(super) fn plan_task(
+        &mut self,
+        job: &Job,
+        requirements: &TaskRequirements,
+    ) -> Option<TaskPlan<'a>> {
+        if let Some(plan) = self.take_free(job, requirements) {
+            return Some(plan);
+        }
+        let choice = self.cheapest_choice(job, requirements)?;
+        self.take_choice(job, choice)
+    }
+
+    /// Takes capacity that is free, or will be by earlier stops.
+    fn take_free(&mut self, job: &Job, requirements: &TaskRequirements) -> Option<TaskPlan<'a>> {
+        let resources = job.resources();
+        let (name, machine) = self
+            .candidates
+            .iter_mut()
+            .find(|(_, machine)| machine.free.can_fit(resources) && machine.allows(requirements))?;
+        machine.free.sub(resources);
+        Some(TaskPlan {
+            machine: name,
+            victims: Vec::new(),
+        })
+    }
+
+    /// The victims with which least work is lost, among the machines that a task may use; the first
+    /// machine by name of several that are equal.
+    fn cheapest_choice(&self, job: &Job, requirements: &TaskRequirements) -> Option<Choice<'a>> {
+        let mut best: Option<Choice> = None;
+        for (name, machine) in &self.candidates {
+            if machine.victims.is_empty() || !machine.allows(requirements) {
+                continue;
+            }
+            let Some(choice) = choose_victims(name, machine, job) else {
+                continue;
+            };
+            let is_better = best
+                .as_ref()
+                .is_none_or(|best| choice.lost_cpu_s < best.lost_cpu_s);
+            let chosen = choice.positions.iter().map(|at| &machine.victims[*at]);
+            if is_better && self.usage.only_borrowed(job, chosen) {
+                best = Some(choice);
+            }
+        }
+        best
+    }
+
+    /// Takes the capacity that the chosen victims free.
+    fn take_choice(&mut self, job: &Job, choice: Choice<'a>) -> Option<TaskPlan<'a>> {
+        let machine = self.candidates.get_mut(choice.machine)?;
+        let mut victims = Vec::new();
+        // From the last, so that the positions of the others stay what they are.
+        for at in choice.positions.into_iter().rev() {
+            let victim = machine.victims.remove(at);
+            machine.free.add(victim.resources);
+            self.usage.release(victim.team, victim.resources);
+            victims.push(victim);
+        }
+        machine.free.sub(job.resources());
+        Some(TaskPlan {
+            machine: choice.machine,
+            victims,
+        })
+    }
+}
+
+/// The fewest victims on one machine that make room for a task of a job, taken in the order of what
+/// they lose; none if all of them together don't.
+fn choose_victims<'a>(name: &'a str, machine: &CandidateMachine, job: &Job) -> Option<Choice<'a>> {
+    let resources = job.resources();
+    let mut free = machine.free;
+    let mut lost_cpu_s = 0.0;
+    let mut positions = Vec::new();
+    for (at, victim) in machine.victims.iter().enumerate() {
+        if !victim.may_be_stopped_for(job) {
+            continue;
+        }
+        free.add(victim.resources);
+        lost_cpu_s += victim.lost_cpu_s();
+        positions.push(at);
+        if free.can_fit(resources) {
+            return Some(Choice {
+                machine: name,
+                lost_cpu_s,
+                positions,
+            });
+        }
+    }
+    None
+}
--- /dev/null
+++ b/crates/sched/src/preemption/team_usage.rs
@@ -0,0 +1,77 @@
+//! What teams use, and which of it is borrowed: used beyond their guarantee.
+
+use super::victims::Victim;
+use crate::cluster::Cluster;
+use crate::config::Team;
+use crate::leader::Job;
+use crate::placement::{Resources, ROUNDING_SLACK};
+use std::collections::BTreeMap;
+
+/// What each team uses once all tasks that were told to stop, and all that are planned to, are gone.
+#[derive(Clone)]
+pub(super) struct TeamUsage<'a> {
+    teams: &'a BTreeMap<String, Team>,
+    used: BTreeMap<&'a str, Resources>,
+}
+
+impl<'a> TeamUsage<'a> {
+    /// What each team uses once the tasks that were told to stop are gone.
+    pub(super) fn after_stops(cluster: &'a Cluster) -> TeamUsage<'a> {
+        let mut usage = TeamUsage {
+            teams: &cluster.config.teams,
+            used: cluster
+                .team_used
+                .iter()
+                .map(|(team, used)| (team.as_str(), *used))
+                .collect(),
+        };
+        for job in cluster.jobs.values() {
+            let stopped = job.active.values().filter(|task| task.stop_sent).count() as u32;
+            usage.release(&job.spec.team, job.resources().scaled(stopped));
+        }
+        usage
+    }
+
+    /// Whether any team uses more CPUs than its guarantee.
+    pub(super) fn any_borrowed(&self) -> bool {
+        self.used.iter().any(|(team, used)| {
+            self.teams
+                .get(*team)
+                .is_some_and(|team| used.cpus > team.cpus + ROUNDING_SLACK)
+        })
+    }
+
+    /// Takes a task that is planned to stop off its team's account.
+    pub(super) fn release(&mut self, team: &str, resources: Resources) {
+        if let Some(used) = self.used.get_mut(team) {
+            used.sub(resources);
+        }
+    }
+
+    /// Whether stopping these for a job takes only borrowed capacity, so that every team keeps what
+    /// its guarantee gives it. Work of a lower priority may be stopped whatever its team uses.
+    pub(super) fn only_borrowed<'v>(
+        &self,
+        job: &Job,
+        victims: impl Iterator<Item = &'v Victim<'v>>,
+    ) -> bool {
+        let mut taken: BTreeMap<&str, Resources> = BTreeMap::new();
+        for victim in victims.filter(|victim| !victim.is_outranked_by(job)) {
+            taken.entry(victim.team).or_default().add(victim.resources);
+        }
+        taken
+            .into_iter()
+            .all(|(team, resources)| self.keeps_guarantee(team, resources))
+    }
+
+    /// Whether a team keeps what its guarantee gives it if this is taken from it.
+    fn keeps_guarantee(&self, name: &str, taken: Resources) -> bool {
+        let Some(team) = self.teams.get(name) else {
+            return false;
+        };
+        let mut left = self.used.get(name).copied().unwrap_or_default();
+        left.sub(taken);
+        left.cpus >= team.cpus - ROUNDING_SLACK
+            && left.gpus >= team.gpus.min(left.gpus) - ROUNDING_SLACK
+    }
+}
--- a/crates/sched/src/queue/mod.rs
+++ b/crates/sched/src/queue/mod.rs
@@ -17,6 +17,8 @@
 mod pass;
 mod reservations;
 
+pub(crate) use cordon::Cordon;
+
 use crate::leader::{Job, Leader};
 use crate::Secs;
 use pass::Pass;
