--- a/crates/sched/src/preemption/eligibility.rs
+++ b/crates/sched/src/preemption/eligibility.rs
@@ -1,4 +1,4 @@
-//! For whom tasks of others may be stopped.
+//! Eligibility: for which entries of the queue tasks of others may be stopped.
 
 use super::team_usage::TeamUsage;
 use super::GRACE_SHARE;
@@ -8,9 +8,10 @@
 use std::ops::RangeInclusive;
 use wire::users::Priority;
 
-/// A job that missed its time waits for capacity to become free, which is soon as a rule and loses
-/// no work; after this many times the time allowed it may take capacity back again.
-const STARVED: f64 = 12.0;
+/// A job that missed its guaranteed start waits for capacity to become free, which is soon as a rule
+/// and loses no work. After this many times the time allowed for the start, capacity may be taken
+/// back for it again.
+const STARVED_FACTOR: f64 = 12.0;
 
 /// An entry of the queue that found no capacity, and may have others stopped for it.
 pub(super) struct Entry<'a> {
@@ -50,12 +51,12 @@
 fn may_preempt(cluster: &Cluster, job: &Job, now: Secs) -> bool {
     let waited_s = now - job.seen;
     let in_time = preemption_window(cluster, job).contains(&waited_s);
-    let starved = waited_s > cluster.config.guarantee_s * STARVED;
+    let starved = waited_s > cluster.config.guarantee_s * STARVED_FACTOR;
     (in_time || starved)
         && (job.within_guarantee || runs_lower_priority(cluster, job.spec.priority))
 }
 
-/// How long a job must have waited, in seconds, and may have waited for others to be stopped.
+/// The range of waiting times, in seconds, in which others may be stopped for a job.
 fn preemption_window(cluster: &Cluster, job: &Job) -> RangeInclusive<Secs> {
     let guarantee_s = cluster.config.guarantee_s;
     if !job.is_multi_task_gang() {
--- a/crates/sched/src/preemption/gang_plan.rs
+++ b/crates/sched/src/preemption/gang_plan.rs
@@ -17,8 +17,8 @@
 }
 
 impl<'a> Supply<'a> {
-    /// Finds capacity for all tasks of a gang, in the zone where that costs least if it wants one,
-    /// and takes it out of the supply; none if it can't be had.
+    /// Finds capacity for all tasks of a gang, in the zone where that costs least if they have to be
+    /// in one, and takes it out of the supply; `None` if there is not enough.
     pub(super) fn plan_gang(
         &mut self,
         job: &Job,
@@ -43,8 +43,8 @@
         Some(plan.tasks)
     }
 
-    /// The zones that a gang may get its capacity in, each tried for itself; no zone stands for all
-    /// at once.
+    /// The zones that a gang may get its capacity in, each tried on its own; `None` stands for all
+    /// zones at once.
     fn zones_to_try(&self, job: &Job, requirements: &TaskRequirements) -> BTreeSet<Option<String>> {
         if requirements.zone.is_some() || !job.spec.one_zone {
             return BTreeSet::from([requirements.zone.clone()]);
@@ -55,7 +55,7 @@
             .collect()
     }
 
-    /// What would have to be stopped in one zone for a whole gang; none if it can't be had there.
+    /// What would have to be stopped in one zone for a whole gang; `None` if it can't have enough there.
     fn plan_in_zone(&self, job: &Job, requirements: &TaskRequirements) -> Option<ZonePlan<'a>> {
         let mut left = self.allowed_by(requirements);
         let tasks: Vec<TaskPlan> = (0..job.spec.tasks)
--- a/crates/sched/src/preemption/mod.rs
+++ b/crates/sched/src/preemption/mod.rs
@@ -35,8 +35,8 @@
 const ROUNDS_PER_GRACE: f64 = 2.0;
 
 impl Leader {
-    /// Stops what the protocol allows for entries that the pass could not place. The look at
-    /// all tasks is made only when there is somebody who may have others stopped.
+    /// Stops what the protocol allows for entries that the pass could not place. All tasks are
+    /// examined only when there is an entry for which others may be stopped.
     pub(crate) fn preempt(&mut self, now: Secs) {
         let interval_s = self.cluster.config.guarantee_s * GRACE_SHARE / ROUNDS_PER_GRACE;
         if now - self.preemption_at < interval_s {
@@ -47,11 +47,11 @@
         if !eligibility::any_preemptible(&self.cluster, &entries, &usage) {
             return;
         }
+        self.preemption_at = now;
         let scarce = self.cluster.scarce();
         let cordon = self.cordon_for_gang(&scarce, now);
         let planner = Planner::new(&self.cluster, usage, &scarce, cordon.as_ref(), now);
         let preemptions = planner.plan(&entries);
-        self.preemption_at = now;
         for preemption in preemptions {
             self.carry_out(preemption);
         }
--- a/crates/sched/src/preemption/planner.rs
+++ b/crates/sched/src/preemption/planner.rs
@@ -22,10 +22,12 @@
     supply: Supply<'a>,
     /// Machine types (with spot or not) that are the only ones for some class of jobs.
     scarce: &'a BTreeSet<(String, bool)>,
-    /// The gang that machines are cordoned for while nothing is stopped for it: until it is placed
-    /// no other gang can be, whatever is stopped for that.
+    /// The gang for which machines are cordoned, as long as nothing is stopped for it. Until it is
+    /// placed no other gang can be, whatever is stopped for that one.
     blocking_gang: Option<&'a str>,
+    /// When the round takes place.
     now: Secs,
+    /// The plans made so far, in the order of the queue.
     preemptions: Vec<Preemption>,
 }
 
@@ -87,7 +89,7 @@
         });
     }
 
-    /// Plans for as many tasks of an entry as capacity can be had for, each for itself.
+    /// Plans for the tasks of an entry one by one, until there is no capacity for the next.
     fn plan_for_tasks(&mut self, entry: &Entry) {
         let requirements = self.cluster.requirements(entry.job, None);
         let tasks: Vec<TaskPlan> = (0..entry.tasks)
@@ -100,7 +102,7 @@
         });
     }
 
-    /// When the victims of these plans are gone, with the time that they may take to save.
+    /// When the victims of these plans will be gone at the latest, the time to save included.
     fn stopped_by(&self, tasks: &[TaskPlan]) -> Secs {
         let longest_grace_s = tasks
             .iter()
--- a/crates/sched/src/preemption/stops.rs
+++ b/crates/sched/src/preemption/stops.rs
@@ -1,4 +1,4 @@
-//! Carrying out: planned victims are stopped, with time to save where their jobs can.
+//! Carrying a plan out: its victims are stopped, with time to save where their jobs can.
 
 use crate::cluster::Cluster;
 use crate::leader::Leader;
@@ -16,7 +16,7 @@
     pub(super) job: String,
     /// The tasks that give it up.
     pub(super) stops: Vec<Stop>,
-    /// Until when the capacity is kept for a whole gang, by the leader's clock.
+    /// For a whole gang, until when the capacity is cordoned for it.
     pub(super) reclaims_until: Option<Secs>,
 }
 
@@ -33,7 +33,8 @@
 }
 
 impl Leader {
-    /// Has the victims of a plan stopped, and their capacity kept meanwhile for a whole gang.
+    /// Stops the victims of a plan. For a whole gang the capacity that becomes free is cordoned
+    /// meanwhile.
     pub(super) fn carry_out(&mut self, preemption: Preemption) {
         let job = self.cluster.jobs.get_mut(&preemption.job);
         if let (Some(job), Some(until)) = (job, preemption.reclaims_until) {
--- a/crates/sched/src/preemption/task_plan.rs
+++ b/crates/sched/src/preemption/task_plan.rs
@@ -33,8 +33,8 @@
 }
 
 impl<'a> Supply<'a> {
-    /// Finds capacity for one task where that costs least, and takes it out of the supply; none if
-    /// it can't be had.
+    /// Finds capacity for one task where that costs least, and takes it out of the supply; `None` if
+    /// there is none.
     pub(super) fn plan_task(
         &mut self,
         job: &Job,
@@ -61,8 +61,8 @@
         })
     }
 
-    /// The victims with which least work is lost, among the machines that a task may use; the first
-    /// machine by name of several that are equal.
+    /// The victims with which the least work is lost, on one of the machines that the task may use;
+    /// among equals the first machine by name.
     fn cheapest_choice(&self, job: &Job, requirements: &TaskRequirements) -> Option<Choice<'a>> {
         let mut best: Option<Choice> = None;
         for (name, machine) in &self.candidates {
@@ -103,7 +103,7 @@
 }
 
 /// The fewest victims on one machine that make room for a task of a job, taken in the order of what
-/// they lose; none if all of them together don't.
+/// they lose; `None` if all of them together don't.
 fn choose_victims<'a>(name: &'a str, machine: &CandidateMachine, job: &Job) -> Option<Choice<'a>> {
     let resources = job.resources();
     let mut free = machine.free;
--- a/crates/sched/src/preemption/victims.rs
+++ b/crates/sched/src/preemption/victims.rs
@@ -6,9 +6,9 @@
 use crate::Secs;
 use wire::users::Priority;
 
-/// Borrowed work that can't save is stopped only in this first part of its expected run: later
-/// it costs more to repeat than its end is away.
-const MOST_LOST: f64 = 0.25;
+/// Borrowed work that can't save is stopped only in this first part of its expected run: later,
+/// repeating it costs more than waiting for its end.
+const MAX_LOST_SHARE: f64 = 0.25;
 
 /// A task that may be stopped.
 #[derive(Clone)]
@@ -30,8 +30,8 @@
 }
 
 impl<'a> Victim<'a> {
-    /// A task as a victim; none if it can't be stopped alone, is not on its machine yet, or goes
-    /// anyway.
+    /// A task as a victim; `None` if it can't be stopped alone, is not known to be on its machine, or
+    /// is stopped anyway as its job is over.
     pub(super) fn of(
         cluster: &Cluster,
         job: &'a Job,
@@ -59,7 +59,7 @@
             team: &job.spec.team,
             priority: job.priority,
             within_guarantee: job.within_guarantee,
-            costly: !can_save && lost_s > cluster.run_s(job) * MOST_LOST,
+            costly: !can_save && lost_s > cluster.run_s(job) * MAX_LOST_SHARE,
         })
     }
 
--- a/crates/sched/src/queue/arrays.rs
+++ b/crates/sched/src/queue/arrays.rs
@@ -3,23 +3,18 @@
 
 use super::pass::Pass;
 use crate::capacity_index::Fit;
-use crate::leader::{Action, Active, Leader, StartRecord, TaskLocation};
-use crate::machine_status::LONGEST_BACKOFF_S;
-use crate::placement::Resources;
+use crate::leader::{Action, Leader, StartRecord, TaskLocation};
 use crate::ranges::runs;
 use crate::Secs;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use wire::peers::{TaskRequirements, ToOwner};
 
-/// Most images remembered for a machine, the newest first.
-const IMAGES_REMEMBERED: usize = 8;
-
 /// How many more tasks of an array each zone may take.
 enum ZoneLimits {
-    /// The job doesn't mind its zones.
+    /// Any number: the job places no condition on zones.
     Unlimited,
-    /// Tasks that each zone may take; none in a zone that is not named.
+    /// So many tasks in each zone, and none in a zone that is not named.
     PerZone(BTreeMap<Rc<str>, u32>),
 }
 
@@ -57,12 +52,13 @@
     zone: Option<Rc<str>>,
 }
 
-/// The array tasks assigned in one pass: a message for each destination.
+/// The tasks of one array that are assigned in one pass.
 struct Assignment<'a> {
     job: &'a str,
     /// Shared by all tasks that are assigned together.
     attempt: u64,
     requirements: &'a TaskRequirements,
+    /// Task indexes; each destination gets one message.
     by_destination: BTreeMap<Destination, Vec<u32>>,
 }
 
@@ -104,8 +100,8 @@
         }
     }
 
-    /// Asks for the record that an array has begun if its turn comes now or soon, so that the record
-    /// is there in time. Until it is written, none of its tasks may start.
+    /// Requests the record that an array has begun, if its turn comes now or soon: the record is then
+    /// written in time. Until it is, none of the array's tasks may start.
     fn await_start_record(&mut self, id: &str, fits: &[Fit], admitted: u32, pass: &mut Pass) {
         let fitting = fits
             .iter()
@@ -116,7 +112,7 @@
         if unmet > 0 {
             self.note_unmet(id, unmet, pass.now);
         }
-        let soon = self.frees_soon(pass.queued_cpus, pass);
+        let soon = self.turn_comes_soon(pass);
         let Some(job) = self.cluster.jobs.get_mut(id) else {
             return;
         };
@@ -126,8 +122,8 @@
         }
     }
 
-    /// How many tasks of an array each zone may take; none while the place of one of its tasks is
-    /// not known and zones matter to it.
+    /// How many tasks of an array each zone may take. `None` if zones matter to the job and it is not
+    /// known where one of its tasks is: until that is settled, nothing more of it is placed.
     fn zone_limits_of(&self, id: &str, fits: &[Fit]) -> Option<ZoneLimits> {
         let job = self.cluster.jobs.get(id)?;
         if !job.spec.one_zone && !job.spec.spread {
@@ -223,64 +219,4 @@
             ));
         }
     }
-
-    /// What found no capacity counts as demand. For what fails wherever it is tried nothing is
-    /// provisioned at once; but should it be the machines' fault after all, it must not wait for
-    /// ever.
-    pub(super) fn note_unmet(&mut self, id: &str, tasks: u32, now: Secs) {
-        let counts = self
-            .cluster
-            .jobs
-            .get(id)
-            .is_some_and(|job| !job.is_broken() || now - job.backoff_until > LONGEST_BACKOFF_S);
-        if counts {
-            self.cluster.unmet.push((id.into(), tasks));
-        }
-    }
-
-    /// Takes capacity of a machine out of the index for `tasks` tasks, and expects their image there.
-    pub(super) fn take_capacity(
-        &mut self,
-        machine: &str,
-        requirements: &TaskRequirements,
-        tasks: u32,
-    ) {
-        let resources = Resources::of(requirements);
-        self.cluster
-            .index
-            .take(machine, resources, tasks, &requirements.image);
-        self.note_image(machine, &requirements.image);
-    }
-
-    /// Remembers an image as the newest on a machine.
-    fn note_image(&mut self, machine: &str, image: &str) {
-        if let Some(state) = self.cluster.machines.get_mut(machine) {
-            state.images.retain(|known| known != image);
-            state.images.insert(0, image.to_string());
-            state.images.truncate(IMAGES_REMEMBERED);
-        }
-        self.cluster.dirty_machines.insert(machine.into());
-    }
-
-    /// Records that a task is in an owner's hands from now on, to be started.
-    pub(super) fn assign_task(
-        &mut self,
-        id: &str,
-        index: u32,
-        attempt: u64,
-        location: TaskLocation,
-        now: Secs,
-    ) {
-        self.cluster.set_active(
-            id,
-            index,
-            Active {
-                attempt,
-                location,
-                running: false,
-                stop_sent: false,
-                since: now,
-            },
-        );
-    }
 }
--- a/crates/sched/src/queue/backlog.rs
+++ b/crates/sched/src/queue/backlog.rs
@@ -22,23 +22,23 @@
 /// The fewest CPUs that a task counts for in a backlog: one may ask for none at all.
 const MIN_BACKLOG_CPUS: f64 = 0.01;
 
-/// A pass takes place twice in a heartbeat interval, and twice in this many seconds if that is
-/// shorter (see `Leader::tick`).
-const LONGEST_TWO_PASSES_S: Secs = 1.0;
+/// Two passes take place in each heartbeat interval, or in each period of this many seconds if the
+/// interval is longer (see `Leader::tick`).
+const MAX_TWO_PASSES_S: Secs = 1.0;
 
 impl Leader {
-    /// The time after which capacity that a heartbeat showed has a task from here: until the next
-    /// pass, and until the owner has passed on what the heartbeat brought.
+    /// The time from the heartbeat that shows free capacity to the leader's assignment of a task to
+    /// it: the owner collects changes for a part of a heartbeat interval, then the next pass is due.
     fn reaction_s(&self) -> Secs {
         let heartbeat_s = self.cluster.config.heartbeat_s;
-        heartbeat_s.min(LONGEST_TWO_PASSES_S) / 2.0 + heartbeat_s / STATUS_ROUNDS_PER_HEARTBEAT
+        heartbeat_s.min(MAX_TWO_PASSES_S) / 2.0 + heartbeat_s / STATUS_ROUNDS_PER_HEARTBEAT
     }
 
-    /// Whether running array tasks are expected to free this many CPUs within the time that a task
-    /// may wait in a backlog.
-    pub(super) fn frees_soon(&self, cpus: f64, pass: &mut Pass) -> bool {
+    /// Whether running array tasks are expected to free what the arrays so far in this pass lack
+    /// within the time that a task may wait in a backlog, so that the next array's turn comes soon.
+    pub(super) fn turn_comes_soon(&self, pass: &mut Pass) -> bool {
         let turnover = *pass.turnover.get_or_insert_with(|| self.cluster.turnover());
-        cpus <= turnover * self.reaction_s() * BACKLOG_WAIT_FACTOR
+        pass.queued_cpus <= turnover * self.reaction_s() * BACKLOG_WAIT_FACTOR
     }
 
     /// CPUs of tasks that may join each owner's backlog: what array tasks free there in a short
@@ -129,8 +129,8 @@
     (cpus / task.cpus.max(MIN_BACKLOG_CPUS)).floor().max(0.0) as u32
 }
 
-/// The requirements without the machine types that are cordoned, in whichever zone, as an owner is
-/// free to choose the machine; none if no type is left.
+/// The requirements without the machine types that are cordoned; `None` if no type is left. The zone
+/// of the cordon does not matter, as an owner is free to choose among the machines of its part.
 fn outside_cordon(
     mut requirements: TaskRequirements,
     cordon: Option<&TaskRequirements>,
--- a/crates/sched/src/queue/gangs.rs
+++ b/crates/sched/src/queue/gangs.rs
@@ -22,7 +22,7 @@
     pub(super) tasks: u32,
 }
 
-/// Messages, records and `Phase` have placements as tuples.
+// Messages, records and `Phase` have placements as tuples.
 impl From<GangPlacement> for (String, u32, u32) {
     fn from(placement: GangPlacement) -> (String, u32, u32) {
         (placement.machine, placement.first_task, placement.tasks)
@@ -77,8 +77,8 @@
         self.reserve(id, attempt, requirements, placements, pass.now);
     }
 
-    /// Chooses machines for all tasks of a gang, all in the first zone that has capacity for it if
-    /// it wants one; none if it does not fit as a whole.
+    /// Chooses machines for all tasks of a gang; if they have to be in one zone, in the first by name
+    /// that has capacity for them all. `None` if the gang does not fit as a whole.
     fn fit_gang(
         &self,
         job: &Job,
@@ -93,11 +93,11 @@
                     ..requirements.clone()
                 };
                 let fits = self.cluster.index.fits_outside(&requirements, cordon);
-                share_out(fits, job.spec.tasks, most_in_zone(job))
+                distribute(fits, job.spec.tasks, most_in_zone(job))
             })
     }
 
-    /// The zones in which a gang is tried, one after the other; no zone stands for all at once.
+    /// The zones in which a gang is tried, one after the other; `None` stands for all zones at once.
     fn zones_to_try(&self, job: &Job, requirements: &TaskRequirements) -> Vec<Option<String>> {
         if requirements.zone.is_some() || !job.spec.one_zone {
             return vec![requirements.zone.clone()];
@@ -106,7 +106,7 @@
         zones.iter().map(|zone| Some(zone.to_string())).collect()
     }
 
-    /// Takes a gang's capacity in the leader's view, and numbers its tasks machine by machine.
+    /// Takes a gang's capacity out of the leader's view, and numbers its tasks machine by machine.
     fn take_shares(
         &mut self,
         attempt: u64,
@@ -180,11 +180,11 @@
 
 /// Whether capacity may be sought for a gang now.
 fn may_reserve(job: &Job, admitted: u32) -> bool {
-    // The count check: a group with fewer tasks than its minimum is turned away.
+    // The count check: a gang with fewer tasks than its minimum is turned away.
     let is_whole = job.ready.len() + job.active.len() as u32 >= job.minimum();
     let is_idle = job.phase == Phase::Idle && job.active.is_empty();
-    // In one zone and yet spread: no zone may hold all of it. Such a gang stays known until it is
-    // cancelled, and nothing is provisioned for it.
+    // In one zone and yet spread over several: no zone may hold all of it. Such a gang waits until
+    // it is cancelled, and does not count as unmet, so that nothing is provisioned for it.
     let contradicts_itself = job.spec.one_zone && most_in_zone(job) < job.spec.tasks;
     is_whole && is_idle && admitted >= job.spec.tasks && !contradicts_itself
 }
@@ -198,9 +198,9 @@
     }
 }
 
-/// Shares `tasks` tasks out among machines, the best first and at most `most_in_zone` in one zone;
-/// none if they don't all fit.
-fn share_out(fits: Vec<Fit>, tasks: u32, most_in_zone: u32) -> Option<Vec<MachineShare>> {
+/// Distributes a gang's tasks over machines, the best first and at most `most_in_zone` in one zone;
+/// `None` if they don't all fit.
+fn distribute(fits: Vec<Fit>, tasks: u32, most_in_zone: u32) -> Option<Vec<MachineShare>> {
     let mut used_by_zone: BTreeMap<Rc<str>, u32> = BTreeMap::new();
     let mut left = tasks;
     let mut shares = Vec::new();
--- a/crates/sched/src/queue/mod.rs
+++ b/crates/sched/src/queue/mod.rs
@@ -12,6 +12,7 @@
 
 mod arrays;
 mod backlog;
+mod bookkeeping;
 mod cordon;
 mod gangs;
 mod pass;
--- a/crates/sched/src/queue/reservations.rs
+++ b/crates/sched/src/queue/reservations.rs
@@ -34,7 +34,7 @@
         }
     }
 
-    /// The gang that an attempt belongs to.
+    /// The gang that an attempt belongs to, if that is still its present one.
     fn gang_of_attempt(&self, attempt: u64) -> Option<String> {
         let (id, _) = self.cluster.jobs.iter().find(|(_, job)| match &job.phase {
             Phase::Reserving { attempt: of, .. }
@@ -47,7 +47,7 @@
         Some(id.clone())
     }
 
-    /// Has the binding written once every owner has reserved its part.
+    /// Requests that the binding be written, once every owner has reserved its part.
     fn reservation_confirmed(&mut self, id: &str, attempt: u64, from: &str) {
         let Some(job) = self.cluster.jobs.get_mut(id) else {
             return;
