--- a/crates/sched/src/leader/scaling.rs
+++ b/crates/sched/src/leader/scaling.rs
@@ -19,10 +19,10 @@
         let decision = self
             .autoscaler
             .decide(&mut self.cluster, &epoch, &mut self.rng, now);
-        self.carry_out(decision);
+        self.carry_out_scaling(decision);
     }
 
-    fn carry_out(&mut self, decision: ScalingDecision) {
+    fn carry_out_scaling(&mut self, decision: ScalingDecision) {
         let requests = decision.provision.into_iter();
         self.actions.extend(requests.map(Action::Provision));
         for machine in &decision.close {
--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -9,7 +9,7 @@
 pub mod leader;
 pub mod owner;
 pub mod placement;
-mod preempt;
+mod preemption;
 mod queue;
 pub mod ranges;
 pub mod shard;
