--- a/crates/sched/src/autoscaler/retention.rs
+++ b/crates/sched/src/autoscaler/retention.rs
@@ -172,7 +172,7 @@
 fn gang_retention_s(cluster: &Cluster, machine_type: &MachineType) -> f64 {
     let slow_boot_s = machine_type.boot_s * SLOW_BOOT_FACTOR;
     cluster
-        .class_profiles
+        .class_profiles()
         .iter()
         .filter(|(_, profile)| profile.gang && profile.fits(machine_type))
         .filter_map(|(class, _)| cluster.config.wait_s.get(class).copied())
--- a/crates/sched/src/cluster/mod.rs
+++ b/crates/sched/src/cluster/mod.rs
@@ -7,12 +7,14 @@
 mod machine;
 mod quota;
 mod requirements;
+mod unknown;
 mod usage;
 mod wait_estimates;
 
 pub(crate) use job::{Active, Job, Phase, StartRecord, TaskLocation};
 pub use job::{OpenJob, PriorRuns};
 pub(crate) use machine::{Machine, Rostered};
+pub(crate) use unknown::UnknownMachines;
 pub(crate) use usage::{Backlogs, QuotaUsage};
 pub(crate) use wait_estimates::{BusyMachines, SLOW_BOOT_FACTOR};
 
@@ -73,17 +75,14 @@
     by_creation: BTreeSet<(u64, String)>,
     pub(crate) machines: BTreeMap<String, Machine>,
     /// Machines with capacity, as the pass looks at them.
-    pub(crate) index: Index,
+    index: Index,
     /// Machines that changed since the index was last brought up to date.
-    pub(crate) dirty_machines: BTreeSet<String>,
-    /// Machines of unknown content.
-    pub(crate) unknown: BTreeSet<String>,
-    /// When a machine of unknown content was last reconciled.
-    pub(crate) known_at: Secs,
+    dirty_machines: BTreeSet<String>,
+    unknown: UnknownMachines,
     pub(crate) usage: QuotaUsage,
     pub(crate) backlogs: Backlogs,
     run_times: BTreeMap<String, RunTime>,
-    pub(crate) class_profiles: BTreeMap<String, ClassProfile>,
+    class_profiles: BTreeMap<String, ClassProfile>,
     /// Entries that the last pass could not place: the job, and how many of its tasks.
     pub(crate) unmet: Vec<(String, u32)>,
 }
@@ -98,8 +97,7 @@
             machines: BTreeMap::new(),
             index: Index::default(),
             dirty_machines: BTreeSet::new(),
-            unknown: BTreeSet::new(),
-            known_at: now,
+            unknown: UnknownMachines::new(now),
             usage: QuotaUsage::default(),
             backlogs: Backlogs::default(),
             run_times: BTreeMap::new(),
@@ -125,7 +123,7 @@
 
     /// Takes in a machine of the roster, of which nothing else is known yet.
     pub(crate) fn insert_unknown_machine(&mut self, name: &str, machine: Machine) {
-        self.unknown.insert(name.to_string());
+        self.unknown.insert(name);
         self.machines.insert(name.to_string(), machine);
     }
 
@@ -138,8 +136,33 @@
 
     /// The content of a machine is known from now on.
     pub(crate) fn note_known(&mut self, name: &str, now: Secs) {
-        self.unknown.remove(name);
-        self.known_at = now;
+        self.unknown.note_known(name, now);
+    }
+
+    /// Machines with free capacity, as of the last time the index was brought up to date.
+    pub(crate) fn index(&self) -> &Index {
+        &self.index
+    }
+
+    /// Takes capacity of a machine for so many tasks, for the rest of the pass.
+    pub(crate) fn take_capacity(
+        &mut self,
+        name: &str,
+        resources: Resources,
+        tasks: u32,
+        image: &str,
+    ) {
+        self.index.take(name, resources, tasks, image);
+    }
+
+    /// Machines of unknown content.
+    pub(crate) fn unknown(&self) -> &UnknownMachines {
+        &self.unknown
+    }
+
+    /// What is known of each class of jobs.
+    pub(crate) fn class_profiles(&self) -> &BTreeMap<String, ClassProfile> {
+        &self.class_profiles
     }
 
     /// What the index holds of a machine may not hold any more.
--- a/crates/sched/src/queue/arrays.rs
+++ b/crates/sched/src/queue/arrays.rs
@@ -77,7 +77,7 @@
         };
         let fits = self
             .cluster
-            .index
+            .index()
             .fits_outside(&requirements, pass.cordon_against(id));
         // Recorded before its first start, so that a later leader knows which jobs an earlier
         // one has never touched and need not wait for every machine with them.
@@ -183,7 +183,7 @@
         tasks: Vec<u32>,
         now: Secs,
     ) -> u32 {
-        let Some(owner) = self.cluster.index.get(machine).map(|m| m.owner.clone()) else {
+        let Some(owner) = self.cluster.index().get(machine).map(|m| m.owner.clone()) else {
             return 0;
         };
         let count = tasks.len() as u32;
--- a/crates/sched/src/queue/bookkeeping.rs
+++ b/crates/sched/src/queue/bookkeeping.rs
@@ -33,8 +33,7 @@
     ) {
         let resources = Resources::of(requirements);
         self.cluster
-            .index
-            .take(machine, resources, tasks, &requirements.image);
+            .take_capacity(machine, resources, tasks, &requirements.image);
         self.note_image(machine, &requirements.image);
     }
 
