--- a/crates/store/tests/leadership.rs
+++ b/crates/store/tests/leadership.rs
@@ -96,6 +96,11 @@
         Ok(Decided::Applied(revision))
     }
 
+    fn lease_of(&self, key: &str) -> Option<u64> {
+        let stored = self.keys.borrow();
+        stored.get(key).and_then(|stored| stored.lease)
+    }
+
     fn held_by(&self) -> Option<LeaderRecord> {
         self.keys
             .borrow()
@@ -146,76 +151,137 @@
     }
 }
 
+/// Controllers that acquire, renew and lose leadership, as they see it themselves.
+struct Contenders {
+    store: FaultyStore,
+    rng: fastrand::Rng,
+    seed: u64,
+    leaders: BTreeMap<String, LeadershipLease>,
+    tokens: BTreeSet<u64>,
+}
+
+/// How often a thing happened.
+#[derive(Default)]
+struct Counts {
+    acquired: u32,
+    advanced: u32,
+    unknown: u32,
+}
+
+impl Contenders {
+    fn new(seed: u64) -> Contenders {
+        Contenders {
+            store: FaultyStore::new(seed, FAULT_PERCENT),
+            rng: fastrand::Rng::with_seed(seed),
+            seed,
+            leaders: BTreeMap::new(),
+            tokens: BTreeSet::new(),
+        }
+    }
+
+    /// A controller takes its next token if it leads, and else tries to acquire the leadership.
+    fn act(&mut self, counts: &mut Counts) {
+        let member = format!("rung-{}", self.rng.u32(0..4));
+        match self.leaders.get(&member).cloned() {
+            Some(lease) => self.advance(member, lease, counts),
+            None => self.acquire(member, counts),
+        }
+    }
+
+    fn advance(&mut self, member: String, mut lease: LeadershipLease, counts: &mut Counts) {
+        let seed = self.seed;
+        match smol::block_on(next_token(&self.store, &member, &lease)) {
+            Ok(Some(NextToken { token, version })) => {
+                assert!(
+                    self.tokens.insert(token),
+                    "seed {seed}: token {token} twice"
+                );
+                assert!(token > lease.token);
+                (lease.token, lease.version) = (token, version);
+                self.leaders.insert(member, lease);
+                counts.advanced += 1;
+            }
+            Ok(None) => {
+                self.leaders.remove(&member);
+            }
+            Err(_) => counts.unknown += 1,
+        }
+    }
+
+    fn acquire(&mut self, member: String, counts: &mut Counts) {
+        let seed = self.seed;
+        match smol::block_on(acquire(&self.store, &member, Duration::from_secs(2))) {
+            Ok(Some(lease)) => {
+                let token = lease.token;
+                assert!(
+                    self.tokens.insert(token),
+                    "seed {seed}: token {token} twice"
+                );
+                assert!(
+                    self.tokens.last() == Some(&token),
+                    "seed {seed}: an older token"
+                );
+                self.leaders.insert(member, lease);
+                counts.acquired += 1;
+            }
+            Ok(None) => {}
+            Err(_) => counts.unknown += 1,
+        }
+    }
+
+    /// At most one controller with a running lease takes itself for the leader, and it holds the key.
+    fn check(&self) {
+        let seed = self.seed;
+        let believing: Vec<_> = self
+            .leaders
+            .iter()
+            .filter(|(_, lease)| self.store.leases.borrow().contains(&lease.lease_id))
+            .collect();
+        assert!(
+            believing.len() <= 1,
+            "seed {seed}: two leaders with running leases: {believing:?}"
+        );
+        if let Some((name, _)) = believing.first() {
+            let holder = self.store.held_by().map(|leader| leader.member);
+            assert_eq!(holder, Some(name.to_string()), "seed {seed}");
+        }
+    }
+
+    /// Now and then a late write arrives, and a lease expires.
+    fn pass_time(&mut self) {
+        if self.rng.u32(0..4) == 0 {
+            let late = self.store.late.borrow_mut().pop();
+            late.into_iter()
+                .for_each(|txn| drop(self.store.apply(&txn)));
+        }
+        if self.rng.u32(0..6) == 0 {
+            let lease = self.store.lease_of(keys::LEADER);
+            lease.into_iter().for_each(|lease| self.store.end(lease));
+            let running = self.store.leases.borrow().clone();
+            self.leaders
+                .retain(|_, lease| running.contains(&lease.lease_id));
+        }
+    }
+}
+
 /// Many controllers acquire, renew and lose leadership while answers get lost and writes arrive late: no token
 /// is issued twice, and a controller that considers itself the leader holds the key while its lease runs.
 #[test]
 fn no_token_is_issued_twice_whatever_the_store_loses() {
-    let (mut acquired, mut advanced, mut unknown) = (0, 0, 0);
+    let mut counts = Counts::default();
     for seed in 0..300 {
-        let store = FaultyStore::new(seed, FAULT_PERCENT);
-        let mut rng = fastrand::Rng::with_seed(seed);
-        let mut leaders: BTreeMap<String, LeadershipLease> = BTreeMap::new();
-        let mut tokens: BTreeSet<u64> = BTreeSet::new();
+        let mut contenders = Contenders::new(seed);
         for _ in 0..60 {
-            let member = format!("rung-{}", rng.u32(0..4));
-            match leaders.get(&member).cloned() {
-                Some(mut lease) => match smol::block_on(next_token(&store, &member, &lease)) {
-                    Ok(Some(NextToken { token, version })) => {
-                        assert!(tokens.insert(token), "seed {seed}: token {token} twice");
-                        assert!(token > lease.token);
-                        (lease.token, lease.version) = (token, version);
-                        leaders.insert(member, lease);
-                        advanced += 1;
-                    }
-                    Ok(None) => {
-                        leaders.remove(&member);
-                    }
-                    Err(_) => unknown += 1,
-                },
-                None => match smol::block_on(acquire(&store, &member, Duration::from_secs(2))) {
-                    Ok(Some(lease)) => {
-                        let token = lease.token;
-                        assert!(tokens.insert(token), "seed {seed}: token {token} twice");
-                        assert!(tokens.last() == Some(&token), "seed {seed}: an older token");
-                        leaders.insert(member, lease);
-                        acquired += 1;
-                    }
-                    Ok(None) => {}
-                    Err(_) => unknown += 1,
-                },
-            }
-            let believing: Vec<_> = leaders
-                .iter()
-                .filter(|(_, lease)| store.leases.borrow().contains(&lease.lease_id))
-                .collect();
-            assert!(
-                believing.len() <= 1,
-                "seed {seed}: two leaders with running leases: {believing:?}"
-            );
-            if let Some((name, _)) = believing.first() {
-                assert_eq!(
-                    store.held_by().map(|l| l.member),
-                    Some(name.to_string()),
-                    "seed {seed}"
-                );
-            }
-            // Now and then a late write arrives, and a lease expires.
-            if rng.u32(0..4) == 0 {
-                let late = store.late.borrow_mut().pop();
-                late.into_iter().for_each(|t| drop(store.apply(&t)));
-            }
-            if rng.u32(0..6) == 0 {
-                let lease = store
-                    .keys
-                    .borrow()
-                    .get(keys::LEADER)
-                    .and_then(|stored| stored.lease);
-                lease.into_iter().for_each(|l| store.end(l));
-                let running = store.leases.borrow().clone();
-                leaders.retain(|_, lease| running.contains(&lease.lease_id));
-            }
+            contenders.act(&mut counts);
+            contenders.check();
+            contenders.pass_time();
         }
     }
+    let Counts {
+        acquired,
+        advanced,
+        unknown,
+    } = counts;
     assert!(
         acquired > 500 && advanced > 500 && unknown > 500,
         "too little happened: {acquired} {advanced} {unknown}"
--- a/crates/wire/tests/production/samples.rs
+++ b/crates/wire/tests/production/samples.rs
@@ -146,7 +146,15 @@
 }
 
 fn to_owner() -> Vec<(&'static str, ToOwner)> {
-    let places = || vec![("host-000001".to_string(), 0, 12)];
+    let mut samples = to_owner_on_epochs();
+    samples.extend(to_owner_on_tasks());
+    samples.extend(to_owner_on_gangs());
+    samples.extend(to_owner_on_running_tasks());
+    samples
+}
+
+/// Epochs, grants, and what owners know of the cluster.
+fn to_owner_on_epochs() -> Vec<(&'static str, ToOwner)> {
     vec![
         (
             "epoch",
@@ -203,6 +211,12 @@
                 usable: false,
             },
         ),
+    ]
+}
+
+/// Tasks of arrays.
+fn to_owner_on_tasks() -> Vec<(&'static str, ToOwner)> {
+    vec![
         (
             "give",
             ToOwner::Assign {
@@ -222,6 +236,13 @@
                 wait_ms: 900,
             },
         ),
+    ]
+}
+
+/// Tasks of gangs.
+fn to_owner_on_gangs() -> Vec<(&'static str, ToOwner)> {
+    let places = || vec![("host-000001".to_string(), 0, 12)];
+    vec![
         (
             "hold",
             ToOwner::Reserve {
@@ -234,6 +255,12 @@
         ),
         ("bind", ToOwner::Bind { attempt: 9 }),
         ("release", ToOwner::ReleaseReservation { attempt: 9 }),
+    ]
+}
+
+/// Tasks on machines.
+fn to_owner_on_running_tasks() -> Vec<(&'static str, ToOwner)> {
+    vec![
         (
             "stop",
             ToOwner::Stop {
