--- a/crates/sched/src/autoscaler/gang.rs
+++ b/crates/sched/src/autoscaler/gang.rs
@@ -75,7 +75,7 @@
 
     /// How many tasks find free capacity or capacity on its way.
     fn slots(&self, requirements: &TaskRequirements) -> u32 {
-        let fits = self.cluster.index().fits(requirements);
+        let fits = self.cluster.machines.index().fits(requirements);
         let free: u32 = fits.iter().map(|fit| fit.slots).sum();
         free.saturating_add(self.incoming.count_fitting(requirements))
     }
--- a/crates/sched/src/autoscaler/scale_in.rs
+++ b/crates/sched/src/autoscaler/scale_in.rs
@@ -190,8 +190,14 @@
 /// ago, long enough for a worker whose heartbeat was lost to try again: the few that are left are dead, and all
 /// work would wait for them.
 fn should_give_up_unknown(cluster: &Cluster, epoch: &EpochView, now: Secs) -> bool {
-    let few = cluster.unknown().len() as f64 <= cluster.machines.len() as f64 * FEW_UNKNOWN_SHARE;
-    let heard_lately = now - cluster.unknown().last_known_at().max(epoch.began_at)
+    let few = cluster.machines.unknown().len() as f64
+        <= cluster.machines.len() as f64 * FEW_UNKNOWN_SHARE;
+    let heard_lately = now
+        - cluster
+            .machines
+            .unknown()
+            .last_known_at()
+            .max(epoch.began_at)
         <= wire::ANSWER_DROPPED_S * ANSWERS_TO_TRY_AGAIN;
     let long_s = ANSWERS_TO_GIVE_UP * wire::ANSWER_DROPPED_S
         + HEARTBEATS_TO_GIVE_UP * cluster.config.heartbeat_s;
--- a/crates/sched/src/autoscaler/scale_out.rs
+++ b/crates/sched/src/autoscaler/scale_out.rs
@@ -185,7 +185,7 @@
     pub fn provision_in_zone(&mut self, requirements: &TaskRequirements, tasks: u32) {
         let resources = Resources::of(requirements);
         let mut left = tasks;
-        for fit in self.cluster.index().fits(requirements) {
+        for fit in self.cluster.machines.index().fits(requirements) {
             if left == 0 {
                 break;
             }
--- a/crates/sched/src/cluster/active_tasks.rs
+++ b/crates/sched/src/cluster/active_tasks.rs
@@ -19,7 +19,7 @@
         if let Some(name) = machine_of(&active.location) {
             if let Some(machine) = self.machines.get_mut(name) {
                 machine.charge((id.into(), index), active.attempt, resources);
-                self.dirty_machines.insert(name.into());
+                self.machines.mark_dirty(name);
             }
         }
         self.usage.charge(&job.spec.team, resources);
@@ -37,7 +37,7 @@
         if let Some(name) = machine_of(&active.location) {
             if let Some(machine) = self.machines.get_mut(name) {
                 machine.discharge(&(id.to_string(), index), resources);
-                self.dirty_machines.insert(name.into());
+                self.machines.mark_dirty(name);
             }
         }
         self.usage.discharge(&job.spec.team, resources);
--- a/crates/sched/src/cluster/mod.rs
+++ b/crates/sched/src/cluster/mod.rs
@@ -2,27 +2,30 @@
 //! learned of classes of jobs. Placement, preemption and the autoscaler decide on it.
 
 mod active_tasks;
-mod capacity;
 mod job;
+mod job_table;
 mod machine;
+mod machine_inventory;
 mod quota;
 mod requirements;
 mod unknown;
 mod usage;
 mod wait_estimates;
+mod zones;
 
 pub(crate) use job::{Active, Job, Phase, StartRecord, TaskLocation};
 pub use job::{OpenJob, PriorRuns};
+pub(crate) use job_table::JobTable;
 pub(crate) use machine::{Machine, Rostered};
+pub(crate) use machine_inventory::{MachineInventory, MachineTypes};
 pub(crate) use unknown::UnknownMachines;
 pub(crate) use usage::{Backlogs, QuotaUsage};
 pub(crate) use wait_estimates::{BusyMachines, SLOW_BOOT_FACTOR};
 
-use crate::capacity_index::Index;
 use crate::config::SchedulerConfig;
 use crate::placement::Resources;
 use crate::Secs;
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 use wire::cloud::MachineType;
 use wire::users::{Job as Spec, Shape};
 
@@ -68,17 +71,9 @@
 /// The state that decisions are made on.
 pub(crate) struct Cluster {
     pub(crate) config: SchedulerConfig,
-    /// The cloud's machine types by name.
-    pub(crate) types: BTreeMap<String, MachineType>,
-    pub(crate) jobs: BTreeMap<String, Job>,
-    /// Revision of the creation and id of each known job: the order of creation.
-    by_creation: BTreeSet<(u64, String)>,
-    pub(crate) machines: BTreeMap<String, Machine>,
-    /// Machines with capacity, as the pass looks at them.
-    index: Index,
-    /// Machines that changed since the index was last brought up to date.
-    dirty_machines: BTreeSet<String>,
-    unknown: UnknownMachines,
+    pub(crate) types: MachineTypes,
+    pub(crate) jobs: JobTable,
+    pub(crate) machines: MachineInventory,
     pub(crate) usage: QuotaUsage,
     pub(crate) backlogs: Backlogs,
     run_times: BTreeMap<String, RunTime>,
@@ -92,12 +87,8 @@
         Cluster {
             config,
             types: BTreeMap::new(),
-            jobs: BTreeMap::new(),
-            by_creation: BTreeSet::new(),
-            machines: BTreeMap::new(),
-            index: Index::default(),
-            dirty_machines: BTreeSet::new(),
-            unknown: UnknownMachines::new(now),
+            jobs: JobTable::default(),
+            machines: MachineInventory::new(now),
             usage: QuotaUsage::default(),
             backlogs: Backlogs::default(),
             run_times: BTreeMap::new(),
@@ -109,55 +100,7 @@
     /// Takes in a job that is not known yet.
     pub(crate) fn insert_job(&mut self, job: Job) {
         self.learn_class(&job.spec);
-        let id = job.spec.id.clone();
-        self.by_creation.insert((job.revision, id.clone()));
-        self.jobs.insert(id, job);
-    }
-
-    /// Forgets a job of which no task may be running.
-    pub(crate) fn remove_job(&mut self, id: &str) {
-        if let Some(job) = self.jobs.remove(id) {
-            self.by_creation.remove(&(job.revision, id.to_string()));
-        }
-    }
-
-    /// Takes in a machine of the roster, of which nothing else is known yet.
-    pub(crate) fn insert_unknown_machine(&mut self, name: &str, machine: Machine) {
-        self.unknown.insert(name);
-        self.machines.insert(name.to_string(), machine);
-    }
-
-    /// Forgets a machine on which nothing may be running.
-    pub(crate) fn remove_machine(&mut self, name: &str) {
-        self.machines.remove(name);
-        self.unknown.remove(name);
-        self.mark_dirty(name);
-    }
-
-    /// The content of a machine is known from now on.
-    pub(crate) fn note_known(&mut self, name: &str, now: Secs) {
-        self.unknown.note_known(name, now);
-    }
-
-    /// Machines with free capacity, as of the last time the index was brought up to date.
-    pub(crate) fn index(&self) -> &Index {
-        &self.index
-    }
-
-    /// Takes capacity of a machine for so many tasks, for the rest of the pass.
-    pub(crate) fn take_capacity(
-        &mut self,
-        name: &str,
-        resources: Resources,
-        tasks: u32,
-        image: &str,
-    ) {
-        self.index.take(name, resources, tasks, image);
-    }
-
-    /// Machines of unknown content.
-    pub(crate) fn unknown(&self) -> &UnknownMachines {
-        &self.unknown
+        self.jobs.insert(job);
     }
 
     /// What is known of each class of jobs.
@@ -165,14 +108,16 @@
         &self.class_profiles
     }
 
-    /// What the index holds of a machine may not hold any more.
-    pub(crate) fn mark_dirty(&mut self, name: &str) {
-        self.dirty_machines.insert(name.to_string());
+    /// Brings the index of free capacity up to what has changed since the last pass.
+    pub(crate) fn refresh_index(&mut self) {
+        self.machines
+            .refresh_index(&self.types, self.config.guarantee_s);
     }
 
-    /// What the index holds may not hold any more.
-    pub(crate) fn mark_all_dirty(&mut self) {
-        self.dirty_machines.extend(self.machines.keys().cloned());
+    /// Whether the index of free capacity is what a plain rebuild gives; for tests.
+    pub(crate) fn index_agrees(&mut self) -> bool {
+        self.refresh_index();
+        self.machines.index_agrees(&self.types)
     }
 
     /// Takes the cloud's machine types; says whether there are others than before.
@@ -181,8 +126,7 @@
         let by_name = types.into_iter().map(|kind| (kind.name.clone(), kind));
         self.types = by_name.collect();
         if !is_same {
-            self.index.clear();
-            self.mark_all_dirty();
+            self.machines.clear_index();
         }
         !is_same
     }
--- a/crates/sched/src/cluster/quota.rs
+++ b/crates/sched/src/cluster/quota.rs
@@ -45,19 +45,19 @@
 impl Cluster {
     /// Marks the jobs that fit into their team's guarantee together with its earlier ones.
     pub(crate) fn mark_within(&mut self) {
+        let teams = &self.config.teams;
         let mut wanted_by: BTreeMap<&str, Wanted> = BTreeMap::new();
-        for (_, id) in &self.by_creation {
-            let job = self.jobs.get_mut(id);
-            let Some(job) = job.filter(|job| !job.terminal) else {
-                continue;
-            };
-            let Some((name, team)) = self.config.teams.get_key_value(&job.spec.team) else {
-                continue;
+        self.jobs.for_each_by_creation(|job| {
+            let Some((name, team)) = teams.get_key_value(&job.spec.team) else {
+                return;
             };
+            if job.terminal {
+                return;
+            }
             let wanted = wanted_by.entry(name).or_default();
             wanted.add(job, team);
             job.within_guarantee = wanted.is_guaranteed(team);
-        }
+        });
     }
 
     fn unseen_capacity(&self) -> Unseen {
--- a/crates/sched/src/cluster/capacity.rs
+++ b/crates/sched/src/cluster/zones.rs
@@ -1,46 +1,11 @@
-//! The index of free resources that a pass looks at, and the zones that a job may use.
+//! The zones that an array may use.
 
-use super::{Cluster, Job, Machine, TaskLocation};
-use crate::capacity_index::{Fit, IndexedMachine};
-use crate::placement::Resources;
+use super::{Cluster, Job, TaskLocation};
+use crate::capacity_index::Fit;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
-use wire::cloud::MachineType;
 
 impl Cluster {
-    /// Brings the index up to what has changed since the last pass.
-    pub(crate) fn refresh_index(&mut self) {
-        for name in std::mem::take(&mut self.dirty_machines) {
-            let machine = self.machines.get(&name).filter(|machine| machine.open());
-            let found = machine.and_then(|machine| Some((machine, self.types.get(&machine.kind)?)));
-            match found {
-                Some((machine, machine_type)) => self.index.put(
-                    &name,
-                    machine_type,
-                    &machine.zone,
-                    machine.spot,
-                    self.config.guarantee_s,
-                    indexed_machine(machine, machine_type),
-                ),
-                None => self.index.remove(&name),
-            }
-        }
-    }
-
-    /// Whether the index is what a plain rebuild from the machines gives; for tests.
-    pub(crate) fn index_agrees(&mut self) -> bool {
-        self.refresh_index();
-        let entry = |(name, machine): (&String, &Machine)| {
-            let machine_type = self.types.get(&machine.kind)?;
-            let indexed = indexed_machine(machine, machine_type);
-            let pool = (machine.kind.clone(), machine.zone.clone(), machine.spot);
-            Some((name.clone(), (pool.0, pool.1, pool.2, indexed)))
-        };
-        let open = self.machines.iter().filter(|(_, machine)| machine.open());
-        let rebuilt: BTreeMap<_, _> = open.filter_map(entry).collect();
-        rebuilt == self.index.contents()
-    }
-
     /// Active tasks of a job by zone, those of earlier attempts included; none while it is not known where
     /// one of them is.
     fn zones_in_use(&self, job: &Job) -> Option<BTreeMap<String, u32>> {
@@ -92,12 +57,3 @@
     let best = slots_by_zone.into_iter().max_by_key(|(_, slots)| *slots);
     best.map(|(zone, _)| zone.clone())
 }
-
-fn indexed_machine(machine: &Machine, machine_type: &MachineType) -> IndexedMachine {
-    IndexedMachine {
-        owner: machine.owner.clone(),
-        free: machine.free(Resources::of_type(machine_type)),
-        images: machine.images.clone(),
-        empty: machine.tasks.is_empty(),
-    }
-}
--- a/crates/sched/src/leader/epoch.rs
+++ b/crates/sched/src/leader/epoch.rs
@@ -103,7 +103,7 @@
     }
 
     fn reassign_machines(&mut self, change: &EpochChange) {
-        self.cluster.mark_all_dirty();
+        self.cluster.machines.mark_all_dirty();
         for (name, machine) in self.cluster.machines.iter_mut() {
             let owner = self.epochs.owner_of(name).to_string();
             if owner != machine.owner || change.restarted.contains(&owner) {
--- a/crates/sched/src/leader/jobs.rs
+++ b/crates/sched/src/leader/jobs.rs
@@ -80,7 +80,7 @@
         let job = self.cluster.jobs.get(id);
         if job.is_some_and(|job| job.terminal && job.active.is_empty()) {
             self.autoscaler.forget_job(id);
-            self.cluster.remove_job(id);
+            self.cluster.jobs.remove(id);
         }
     }
 
--- a/crates/sched/src/leader/machine_status.rs
+++ b/crates/sched/src/leader/machine_status.rs
@@ -75,10 +75,10 @@
         if is_current {
             machine.reconciled = true;
             if std::mem::take(&mut machine.unknown) {
-                self.cluster.note_known(&status.name, now);
+                self.cluster.machines.note_known(&status.name, now);
             }
         }
-        self.cluster.mark_dirty(&status.name);
+        self.cluster.machines.mark_dirty(&status.name);
         self.roster(&status.name);
         if is_current {
             self.repeat_usable(from, &status);
@@ -97,7 +97,7 @@
         );
         let mut machine = self.new_machine(&status.kind, &status.zone, status.spot, now);
         machine.owner = owner.to_string();
-        self.cluster.machines.insert(status.name.clone(), machine);
+        self.cluster.machines.insert(&status.name, machine);
         self.autoscaler.booted(&status.name, now);
     }
 
--- a/crates/sched/src/leader/machines.rs
+++ b/crates/sched/src/leader/machines.rs
@@ -18,7 +18,7 @@
             return;
         }
         known.rostered = if written { Rostered::Yes } else { Rostered::No };
-        self.cluster.mark_dirty(machine);
+        self.cluster.machines.mark_dirty(machine);
         if written {
             self.send_usable(machine);
             self.wake = true;
@@ -36,7 +36,7 @@
         }
         machine.usable_sent = usable;
         let owner = machine.owner.clone();
-        self.cluster.mark_dirty(name);
+        self.cluster.machines.mark_dirty(name);
         let machine = name.to_string();
         self.send(&owner, ToOwner::SetUsable { machine, usable });
     }
@@ -50,7 +50,7 @@
         for (id, index) in tasks {
             self.requeue_task(&id, index);
         }
-        self.cluster.remove_machine(name);
+        self.cluster.machines.remove(name);
         self.actions.push(Action::Roster(name.into(), None));
         self.reconcile();
         self.wake = true;
--- a/crates/sched/src/leader/mod.rs
+++ b/crates/sched/src/leader/mod.rs
@@ -159,7 +159,7 @@
             let mut machine = leader.new_machine(&record.kind, &record.zone, record.spot, now);
             machine.rostered = Rostered::Yes;
             machine.unknown = true;
-            leader.cluster.insert_unknown_machine(name, machine);
+            leader.cluster.machines.insert_unknown(name, machine);
         }
         leader
     }
--- a/crates/sched/src/leader/notices.rs
+++ b/crates/sched/src/leader/notices.rs
@@ -44,7 +44,7 @@
     /// Running tasks that can save, on machines that the cloud takes soon.
     fn due_to_save(&self, now: Secs) -> Vec<DueTask> {
         let mut due = Vec::new();
-        for (name, machine) in &self.cluster.machines {
+        for (name, machine) in self.cluster.machines.iter() {
             let Some(until) = machine.notice_until else {
                 continue;
             };
--- a/crates/sched/src/leader/reconciliation.rs
+++ b/crates/sched/src/leader/reconciliation.rs
@@ -33,7 +33,7 @@
 
     /// Jobs whose suspected machines are all known may be started.
     fn resolve_known_jobs(&mut self) {
-        let unknown = self.cluster.unknown();
+        let unknown = self.cluster.machines.unknown();
         let all_known = unknown.is_empty();
         let is_known = |job: &Job| match &job.suspects {
             Some(machines) => machines.iter().all(|name| !unknown.contains(name)),
--- a/crates/sched/src/preemption/planner.rs
+++ b/crates/sched/src/preemption/planner.rs
@@ -50,7 +50,7 @@
             scarce,
             blocking_gang: cordon
                 .map(|cordon| cordon.job.as_str())
-                .filter(|id| !cluster.jobs.get(*id).is_some_and(makes_room)),
+                .filter(|id| !cluster.jobs.get(id).is_some_and(makes_room)),
             now,
             preemptions: Vec::new(),
         }
--- a/crates/sched/src/queue/arrays.rs
+++ b/crates/sched/src/queue/arrays.rs
@@ -77,6 +77,7 @@
         };
         let fits = self
             .cluster
+            .machines
             .index()
             .fits_outside(&requirements, pass.cordon_against(id));
         // Recorded before its first start, so that a later leader knows which jobs an earlier
@@ -183,7 +184,13 @@
         tasks: Vec<u32>,
         now: Secs,
     ) -> u32 {
-        let Some(owner) = self.cluster.index().get(machine).map(|m| m.owner.clone()) else {
+        let Some(owner) = self
+            .cluster
+            .machines
+            .index()
+            .get(machine)
+            .map(|m| m.owner.clone())
+        else {
             return 0;
         };
         let count = tasks.len() as u32;
--- a/crates/sched/src/queue/bookkeeping.rs
+++ b/crates/sched/src/queue/bookkeeping.rs
@@ -33,6 +33,7 @@
     ) {
         let resources = Resources::of(requirements);
         self.cluster
+            .machines
             .take_capacity(machine, resources, tasks, &requirements.image);
         self.note_image(machine, &requirements.image);
     }
@@ -44,7 +45,7 @@
             state.images.insert(0, image.to_string());
             state.images.truncate(IMAGES_REMEMBERED);
         }
-        self.cluster.mark_dirty(machine);
+        self.cluster.machines.mark_dirty(machine);
     }
 
     /// Records that a task is in an owner's hands from now on, to be started.
--- a/crates/sched/src/queue/gangs.rs
+++ b/crates/sched/src/queue/gangs.rs
@@ -92,7 +92,11 @@
                     zone,
                     ..requirements.clone()
                 };
-                let fits = self.cluster.index().fits_outside(&requirements, cordon);
+                let fits = self
+                    .cluster
+                    .machines
+                    .index()
+                    .fits_outside(&requirements, cordon);
                 distribute(fits, job.spec.tasks, most_in_zone(job))
             })
     }
@@ -102,7 +106,7 @@
         if requirements.zone.is_some() || !job.spec.one_zone {
             return vec![requirements.zone.clone()];
         }
-        let zones = self.cluster.index().zones();
+        let zones = self.cluster.machines.index().zones();
         zones.iter().map(|zone| Some(zone.to_string())).collect()
     }
 
@@ -117,7 +121,13 @@
         let mut placements = Vec::new();
         let mut first_task = 0;
         for MachineShare { machine, tasks } in shares {
-            let Some(owner) = self.cluster.index().get(&machine).map(|m| m.owner.clone()) else {
+            let Some(owner) = self
+                .cluster
+                .machines
+                .index()
+                .get(&machine)
+                .map(|m| m.owner.clone())
+            else {
                 continue;
             };
             self.take_capacity(&machine, requirements, tasks);
--- a/crates/sched/src/queue/reservations.rs
+++ b/crates/sched/src/queue/reservations.rs
@@ -208,7 +208,7 @@
         let state = self.cluster.machines.get_mut(machine)?;
         state.reserved.remove(&attempt);
         let owner = state.owner.clone();
-        self.cluster.mark_dirty(machine);
+        self.cluster.machines.mark_dirty(machine);
         Some(owner)
     }
 }
