--- a/crates/model/src/world/chains.rs
+++ b/crates/model/src/world/chains.rs
@@ -1,5 +1,5 @@
-//! Jobs that need others: what each controller derives from the records it has read, the truth, and the
-//! rules.
+//! Jobs with dependencies: what each controller derives from the records it has read, the truth, and
+//! the rules.
 
 use super::*;
 use sched::dependencies::{Dependencies, Effect, Record};
@@ -15,8 +15,8 @@
     /// A job's record as this controller has it at a moment of its last read.
     fn record(&self, jobs: &BTreeMap<String, JobState>, id: &str, read_at: f64) -> Option<Record> {
         let job = jobs.get(id).filter(|job| job.accepted <= read_at)?;
-        let is_over = job.own_end.is_some_and(|at| at <= read_at);
-        Some(match (is_over, job.cancelled) {
+        let is_terminal = job.has_own_end_by(read_at);
+        Some(match (is_terminal, job.cancelled) {
             (true, true) => Record::Cancelled,
             (true, false) => Record::Done,
             _ if self.cancelled.contains(id) => Record::Cancelled,
@@ -65,23 +65,11 @@
     /// A controller has read what happened to the jobs since its last read, in the order in which the
     /// store holds it. If it leads, its leader is told what follows.
     pub(super) fn read_jobs(&mut self, i: usize, before: f64, read_at: f64) {
-        let is_new = |at: f64| at > before && at <= read_at;
-        let accepted = self.jobs.values().map(|job| (job.accepted, &job.spec.id));
-        let ended = self
-            .jobs
-            .values()
-            .filter_map(|job| Some((job.own_end?, &job.spec.id)));
-        let mut news: Vec<(f64, String)> = accepted
-            .chain(ended)
-            .filter(|(at, _)| is_new(*at))
-            .map(|(at, id)| (at, id.clone()))
-            .collect();
-        news.sort_by(|a, b| a.0.total_cmp(&b.0));
         let mut view = std::mem::take(&mut self.controllers[i].chains);
-        let mut leading = self.leader.take_if(|(leading, _, _)| *leading == i);
-        for (_, id) in news {
+        let mut leading = self.leading.take_if(|leading| leading.controller == i);
+        for id in self.changed_jobs(before, read_at) {
             let effects = view.update(&self.jobs, &id, read_at);
-            if let Some((_, leader, _)) = &mut leading {
+            if let Some(LeadingController { leader, .. }) = &mut leading {
                 self.notify_leader(leader, &view, &id, read_at);
                 for effect in effects {
                     self.notify_of_effect(leader, &view, effect, read_at);
@@ -89,12 +77,27 @@
             }
         }
         if leading.is_some() {
-            self.leader = leading;
+            self.leading = leading;
         }
         self.check_orphaned(&view, read_at);
         self.controllers[i].chains = view;
     }
 
+    /// The jobs that were accepted or recorded as terminal between two reads, by time.
+    fn changed_jobs(&self, before: f64, read_at: f64) -> Vec<String> {
+        let accepted = self.jobs.values().map(|job| (job.accepted, &job.spec.id));
+        let ended = self
+            .jobs
+            .values()
+            .filter_map(|job| Some((job.own_end?, &job.spec.id)));
+        let mut changes: Vec<(f64, &String)> = accepted
+            .chain(ended)
+            .filter(|(at, _)| *at > before && *at <= read_at)
+            .collect();
+        changes.sort_by(|a, b| a.0.total_cmp(&b.0));
+        changes.into_iter().map(|(_, id)| id.clone()).collect()
+    }
+
     /// A controller has read all records anew, as they were at an instant. The ends that it wrote itself
     /// since then it knows all the same.
     pub(super) fn finish_reload(&mut self, i: usize, read_at: f64) {
@@ -102,32 +105,27 @@
         let mut view = std::mem::take(&mut self.controllers[i].chains);
         view.reload(&self.jobs, read_at);
         let replaces = self.defect == Defect::ReloadReplaces;
-        let wrote = |job: &JobState| job.ended_by == Some(i) && !replaces;
-        let own = self.jobs.values().filter(|job| wrote(job));
-        let own: Vec<String> = own.map(|job| job.spec.id.clone()).collect();
-        for id in &own {
-            view.update(&self.jobs, id, now);
+        let is_own_end = |job: &JobState| job.ended_by == Some(i) && !replaces;
+        for job in self.jobs.values().filter(|job| is_own_end(job)) {
+            view.update(&self.jobs, &job.spec.id, now);
         }
-        if let Some((leading, mut leader, id)) = self.leader.take() {
-            if leading == i {
-                let read = self.jobs.values().filter(|job| job.accepted <= read_at);
-                for job in read {
-                    let known_at = if wrote(job) { now } else { read_at };
-                    self.notify_leader(&mut leader, &view, &job.spec.id, known_at);
-                }
+        if let Some(mut leading) = self.leading.take_if(|leading| leading.controller == i) {
+            for job in self.jobs.values().filter(|job| job.accepted <= read_at) {
+                let known_at = if is_own_end(job) { now } else { read_at };
+                self.notify_leader(&mut leading.leader, &view, &job.spec.id, known_at);
             }
-            self.leader = Some((leading, leader, id));
+            self.leading = Some(leading);
         }
         self.check_orphaned(&view, read_at);
         let controller = &mut self.controllers[i];
         controller.chains = view;
-        controller.seen = read_at;
+        controller.read_at = read_at;
         controller.owner.authority.prove(read_at);
     }
 
     fn notify_leader(&self, leader: &mut Leader, view: &ChainView, id: &str, read_at: f64) {
         let job = &self.jobs[id];
-        if job.own_end.is_some_and(|at| at <= read_at) {
+        if job.has_own_end_by(read_at) {
             if !matches!(self.defect, Defect::IgnoreCancel | Defect::HalfDoneUnseen) {
                 leader.on_job_terminal(id);
             }
@@ -155,13 +153,14 @@
         }
     }
 
-    /// Whether the leader gets to know an open job.
+    /// Whether the leader learns of an open job.
     pub(super) fn is_known_to_leader(&self, view: &ChainView, job: &JobState) -> bool {
         let starts_blocked = self.defect == Defect::StartBlocked;
-        (starts_blocked || view.is_runnable(&job.spec.id)) && !self.kept_from_leader(&job.spec)
+        (starts_blocked || view.is_runnable(&job.spec.id)) && !self.is_kept_from_leader(&job.spec)
     }
 
-    /// Ends all open jobs that need a cancelled one, directly or through others: the truth, from scratch.
+    /// Ends all open jobs that depend on a cancelled one, directly or through others: the truth, derived
+    /// from scratch.
     pub(super) fn cancel_descendants(&mut self) {
         let now = self.now;
         loop {
@@ -184,7 +183,7 @@
         }
     }
 
-    /// Notes which jobs may begin because the last job that they need is done.
+    /// Notes which jobs may start because the last of their dependencies is done.
     pub(super) fn note_ready(&mut self) {
         let now = self.now;
         let is_done = |id: &String| {
@@ -203,14 +202,14 @@
         }
     }
 
-    /// A task starts before the store holds that all that its job needs is done.
+    /// No task starts before the store holds that all dependencies of its job are done.
     pub(super) fn check_too_early(&mut self, job: &str) {
         if self.jobs.get(job).is_some_and(|job| job.ready_at.is_none()) {
             self.break_rule("too_early");
         }
     }
 
-    /// A controller that has read a cancellation calls no job open that needs the cancelled one.
+    /// A controller that has read a cancellation takes no job for open that depends on the cancelled one.
     fn check_orphaned(&mut self, view: &ChainView, read_at: f64) {
         let derives_nothing = self.defect == Defect::IgnoreChains;
         let is_orphan = |job: &JobState| {
--- /dev/null
+++ b/crates/model/src/world/cloud.rs
@@ -0,0 +1,54 @@
+//! The cloud: machines that are provisioned, as far as there are any, and returned.
+
+use super::*;
+
+impl World {
+    /// Gives as many of the machines asked for as the cloud has.
+    pub(super) fn provision(&mut self, request: &ProvisionRequest) -> Vec<String> {
+        let offer = self.rich_offer(request);
+        let most = offer.map_or(3, |(most, _)| most);
+        let granted =
+            (request.count as usize).min(most.saturating_sub(self.provisioned_like(request)));
+        self.count_cloud_event(
+            CloudEvent::ProvisionRefused,
+            request.count as usize - granted,
+        );
+        let mut machines = Vec::new();
+        for _ in 0..granted {
+            self.machines_provisioned += 1;
+            let machine = format!("host-{:06}", self.machines_provisioned);
+            let boots_s = offer.map_or(0.0, |(_, boot_s)| (boot_s - 2.5).max(0.0));
+            let up_at = self.now + 1.0 + self.rng.f64() * 3.0 + boots_s;
+            let target = self.rng.usize(0..CONTROLLERS);
+            let worker = Worker::booting(request, up_at, target);
+            self.workers.insert(machine.clone(), worker);
+            machines.push(machine);
+        }
+        self.trace.provisioned(self.now, &machines);
+        machines
+    }
+
+    /// Machines of the kind, zone and price asked for that are there already.
+    fn provisioned_like(&self, request: &ProvisionRequest) -> usize {
+        let is_like = |worker: &&Worker| {
+            !worker.gone
+                && worker.kind == request.kind
+                && worker.zone == request.zone
+                && worker.spot == request.spot
+        };
+        self.workers.values().filter(is_like).count()
+    }
+
+    /// Takes machines back.
+    pub(super) fn deprovision(&mut self, machines: &[String]) {
+        self.count_cloud_event(CloudEvent::Deprovision, machines.len());
+        for machine in machines {
+            self.workers.remove(machine);
+        }
+    }
+
+    /// Machines that were ever provisioned.
+    pub fn provisioned(&self) -> u64 {
+        self.machines_provisioned
+    }
+}
--- /dev/null
+++ b/crates/model/src/world/election.rs
@@ -0,0 +1,142 @@
+//! The election of a leader, and what a new leader reads before it begins.
+
+use super::*;
+
+impl World {
+    /// A controller that reaches the store is elected, unless the last leader's lease still runs.
+    pub(super) fn elect(&mut self) {
+        let now = self.now;
+        if now < self.free_at || now < self.store_down_until {
+            return;
+        }
+        let Some(elected) = self.draw_reachable_controller() else {
+            return;
+        };
+        self.term += 1;
+        self.revision += 1;
+        self.leaders += 1;
+        self.trace.elected(now, elected, self.term, self.revision);
+        let mut chains = std::mem::take(&mut self.controllers[elected].chains);
+        chains.reload(&self.jobs, now);
+        let leader = self.new_leader(elected, &chains);
+        self.lease_end = now + LEADER_LEASE_S;
+        self.known_versions = self.versions.clone();
+        self.start_as_leader(elected, chains);
+        for controller in &mut self.controllers {
+            controller.disconnect(now + 0.1);
+        }
+        self.leading = Some(LeadingController {
+            controller: elected,
+            leader,
+            leadership: self.revision,
+        });
+    }
+
+    /// A leader with all that the store holds now.
+    fn new_leader(&mut self, elected: usize, chains: &ChainView) -> Leader {
+        let seed = self.rng.u64(..);
+        let jobs = self.jobs_for_new_leader(chains);
+        let priority = |job: &OpenJob| (job.spec.id.clone(), chains.priority(&job.spec));
+        let priorities: Vec<(String, Priority)> = jobs.iter().map(priority).collect();
+        let no_machines = BTreeMap::new();
+        let roster = match self.defect {
+            Defect::ForgetRoster => &no_machines,
+            _ => &self.roster,
+        };
+        let mut leader = Leader::new(
+            &name(elected),
+            self.config.clone(),
+            seed,
+            self.term,
+            self.controllers[elected].value_kb,
+            jobs,
+            roster,
+            self.started_upto,
+            self.now,
+        );
+        for (id, priority) in priorities {
+            leader.set_priority(&id, priority);
+        }
+        if self.defect != Defect::ForgetCancelled {
+            leader.set_recently_cancelled(self.recently_cancelled());
+        }
+        leader.catalog(self.types.clone());
+        leader
+    }
+
+    /// The open jobs, as a new leader learns of them.
+    fn jobs_for_new_leader(&self, chains: &ChainView) -> Vec<OpenJob> {
+        let ignores_cancel = self.defect == Defect::IgnoreCancel;
+        let is_lost = |job: &JobState| self.defect == Defect::LoseJobs && job.revision & 1 == 0;
+        let is_known = |job: &&JobState| {
+            (job.own_end.is_none() || ignores_cancel && job.cancelled)
+                && !is_lost(job)
+                && self.is_known_to_leader(chains, job)
+        };
+        let known = self.jobs.values().filter(is_known);
+        known.map(|job| self.open_job(job)).collect()
+    }
+
+    /// Jobs of which tasks may still run though they were cancelled: id, team, and the resources of
+    /// all tasks.
+    fn recently_cancelled(&self) -> Vec<(String, String, Resources)> {
+        let forgotten_s = self.config.lease_s + self.config.cancel_s;
+        let is_recent = |job: &&JobState| {
+            job.cancelled
+                && job.own_end.is_some()
+                && job
+                    .terminal_at
+                    .is_some_and(|at| self.now - at < forgotten_s)
+        };
+        let recent = self.jobs.values().filter(is_recent);
+        let described = recent.map(|job| {
+            let task = Resources {
+                cpus: job.spec.cpus,
+                gpus: job.spec.gpus,
+                memory_gb: 0.0,
+            };
+            let total = task.scaled(job.spec.tasks);
+            (job.spec.id.clone(), job.spec.team.clone(), total)
+        });
+        described.collect()
+    }
+
+    /// The elected controller begins as an owner without machines, and with a fresh view.
+    fn start_as_leader(&mut self, elected: usize, chains: ChainView) {
+        let now = self.now;
+        let controller = &mut self.controllers[elected];
+        controller.owner = Owner::new(&name(elected), self.config.clone());
+        let authority = &mut controller.owner.authority;
+        authority.set(now + LEADER_LEASE_S * RENEWED_SHARE);
+        authority.prove(now);
+        // What changes at this very instant comes with the next read.
+        controller.read_at = now - STEP / 10.0;
+        controller.read = None;
+        controller.chains = chains;
+        controller.reload = None;
+    }
+
+    /// A job as the leader learns of it.
+    pub(super) fn open_job(&self, job: &JobState) -> OpenJob {
+        let mut spec = (*job.spec).clone();
+        if self.defect == Defect::IgnoreTypes {
+            spec.types = None;
+            spec.zone = None;
+        }
+        OpenJob {
+            spec: Rc::new(spec),
+            revision: job.revision,
+            done: job.done.clone(),
+            prior_runs: job.prior_runs.clone(),
+        }
+    }
+
+    /// Whether a defect keeps a job from the leader.
+    pub(super) fn is_kept_from_leader(&self, spec: &Job) -> bool {
+        match self.defect {
+            Defect::NeverLarge => spec.shape == Shape::Gang && spec.tasks == LARGEST_GANG,
+            Defect::NeverRed => spec.shape == Shape::Array && spec.team == "red",
+            _ => false,
+        }
+    }
+}
--- a/crates/model/src/world/faults.rs
+++ b/crates/model/src/world/faults.rs
@@ -1,142 +1,214 @@
-//! Troubles at random: what fails, for how long, and what ends.
+//! Faults at random: what fails, and for how long.
 
 use super::*;
 
+/// A kind of fault.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum Fault {
+    /// A controller crashes.
+    Crash,
+    /// The leading controller crashes.
+    LeaderCrash,
+    /// A controller crashes while none leads.
+    CrashDuringElection,
+    /// All controllers crash.
+    AllControllersCrash,
+    /// A controller loses its connections to the others for a moment.
+    LinkCut,
+    /// A controller is cut off from the store and the others, but not from workers.
+    NetworkPartition,
+    /// A controller stands still.
+    ControllerFrozen,
+    /// The leader stands still between deciding a response and sending it.
+    LeaderFrozenWithResponse,
+    /// The store serves nobody.
+    StoreDown,
+    /// The store refuses the leader.
+    StoreRefusesOne,
+    /// The store refuses the leader, and then serves nobody.
+    StoreRefusesThenDown,
+    /// A machine hangs and goes on.
+    MachineHang,
+    /// A machine is gone for good.
+    MachineGone,
+    /// A machine's heartbeats are lost.
+    HeartbeatsLost,
+    /// The responses to a machine's heartbeats are lost.
+    ResponsesLost,
+    /// A worker restarts at once, under a new incarnation.
+    WorkerRestart,
+    /// A user cancels a job whose tasks are all done, while no record says so.
+    CancelAtEnd,
+    /// A write gets no response and is carried out later.
+    LateWrite,
+}
+
+impl Fault {
+    /// The fault for a number drawn from 0 to 2999; most numbers stand for none.
+    fn drawn(number: u32, has_leader: bool) -> Option<Fault> {
+        Some(match number {
+            0..=9 => Fault::Crash,
+            10..=14 => Fault::LeaderCrash,
+            15..=24 => Fault::LinkCut,
+            25..=39 => Fault::MachineHang,
+            40..=44 => Fault::StoreDown,
+            45..=49 => Fault::MachineGone,
+            50..=61 => Fault::ResponsesLost,
+            62..=66 => Fault::NetworkPartition,
+            67..=74 => Fault::WorkerRestart,
+            75..=79 => Fault::StoreRefusesOne,
+            80..=84 => Fault::StoreRefusesThenDown,
+            85..=92 => Fault::HeartbeatsLost,
+            93..=97 => Fault::AllControllersCrash,
+            98..=117 => Fault::CancelAtEnd,
+            // No leader is there about one step in ten.
+            118..=168 if !has_leader => Fault::CrashDuringElection,
+            169..=174 => Fault::ControllerFrozen,
+            175..=178 => Fault::LeaderFrozenWithResponse,
+            _ => return None,
+        })
+    }
+}
+
+/// Where a fault strikes and how long it lasts, as a share of the longest.
+#[derive(Clone, Copy)]
+struct Strike {
+    machine: usize,
+    controller: usize,
+    share: f64,
+}
+
+/// A controller without the store and the other controllers, but with its workers.
+pub(super) struct Isolation {
+    pub(super) controller: usize,
+    pub(super) until: f64,
+}
+
+/// An outage of the store that begins later.
+pub(super) struct PlannedOutage {
+    pub(super) begins_at: f64,
+    pub(super) for_s: f64,
+}
+
 impl World {
+    /// Draws whether a fault happens now, and if so, which and where.
     pub(super) fn inject_fault(&mut self) {
-        let now = self.now;
-        let kind = match self.rng.u32(0..3000) {
-            0..=9 => "crash",
-            10..=14 => "crash of the leader",
-            15..=24 => "cut between controllers",
-            25..=39 => "hang",
-            40..=44 => "store down",
-            45..=49 => "machine gone",
-            50..=61 => "answers lost",
-            62..=66 => "alone with its workers",
-            67..=74 => "worker back at once",
-            75..=79 => "store refuses one",
-            80..=84 => "refused, then store down",
-            85..=92 => "machine mute",
-            93..=97 => "all end",
-            98..=117 => "cancel at the end",
-            // No leader is there about one step in ten.
-            118..=168 if self.leader.is_none() => "crash amid an election",
-            169..=174 => "controller stands still",
-            175..=178 => "leader stands still with an answer",
-            _ => return,
+        let number = self.rng.u32(0..3000);
+        let Some(fault) = Fault::drawn(number, self.leading.is_some()) else {
+            return;
         };
-        *self.faults.entry(kind).or_default() += 1;
-        let at = self.rng.usize(0..self.workers.len().max(1));
-        let long = self.rng.f64();
-        let i = self.rng.usize(0..self.controllers.len());
-        let leads = self.leader.as_ref().map(|(l, _, _)| *l);
-        let worker = self.workers.values_mut().nth(at);
-        match (kind, worker) {
-            ("crash" | "crash amid an election", _) => self.crash(i),
-            ("crash of the leader", _) => leads.into_iter().for_each(|l| self.crash(l)),
-            ("cut between controllers", _) => self.cut_link(i, 0.3),
-            ("store down", _) => self.store_down_until = now + long * 6.0,
-            ("store refuses one", _) => self.refuse(leads.unwrap_or(i), long * 10.0),
-            ("refused, then store down", _) => {
-                self.refuse(leads.unwrap_or(i), 8.0);
-                self.outage_at = Some((
-                    now + 0.2 + long * 2.0,
-                    [5.0, 9.0, 30.0][self.rng.usize(0..3)],
-                ));
-            }
-            ("controller stands still", _) => self.freeze(i, long * 12.0),
-            ("leader stands still with an answer", _) => {
-                self.freeze_with_an_answer(leads.unwrap_or(i), long * 12.0);
+        self.count_fault(fault);
+        let machine = self.rng.usize(0..self.workers.len().max(1));
+        let share = self.rng.f64();
+        let controller = self.rng.usize(0..self.controllers.len());
+        let strike = Strike {
+            machine,
+            controller,
+            share,
+        };
+        self.strike_controllers(fault, strike);
+        self.strike_store(fault, strike);
+        self.strike_machine(fault, strike);
+    }
+
+    pub(super) fn count_fault(&mut self, fault: Fault) {
+        *self.faults.entry(fault).or_default() += 1;
+    }
+
+    fn strike_controllers(&mut self, fault: Fault, strike: Strike) {
+        let (now, i, share) = (self.now, strike.controller, strike.share);
+        let leading = self.leader_at();
+        match fault {
+            Fault::Crash | Fault::CrashDuringElection => self.crash(i),
+            Fault::LeaderCrash => leading.into_iter().for_each(|leading| self.crash(leading)),
+            Fault::AllControllersCrash => (0..CONTROLLERS).for_each(|i| self.crash(i)),
+            Fault::LinkCut => self.cut_link(i, 0.3),
+            Fault::NetworkPartition => {
+                self.isolated = Some(Isolation {
+                    controller: i,
+                    until: now + 1.0 + share * 12.0,
+                });
+                self.cut_link(i, 1.0 + share * 12.0);
             }
-            ("all end", _) => (0..3).for_each(|c| self.crash(c)),
-            ("cancel at the end", _) => {
-                if let Some(id) = self.at_its_end() {
-                    self.cancel(&id);
-                }
+            Fault::ControllerFrozen => self.freeze(i, share * 12.0),
+            Fault::LeaderFrozenWithResponse => {
+                self.freeze_with_an_answer(leading.unwrap_or(i), share * 12.0);
             }
-            ("machine mute", Some(w)) => w.outbound_cut_until = now + long * 20.0,
-            ("alone with its workers", _) => {
-                self.isolated = Some((i, now + 1.0 + long * 12.0));
-                self.cut_link(i, 1.0 + long * 12.0);
+            _ => {}
+        }
+    }
+
+    fn strike_store(&mut self, fault: Fault, strike: Strike) {
+        let (now, share) = (self.now, strike.share);
+        let refused = self.leader_at().unwrap_or(strike.controller);
+        match fault {
+            Fault::StoreDown => self.store_down_until = now + share * 6.0,
+            Fault::StoreRefusesOne => self.refuse(refused, share * 10.0),
+            Fault::StoreRefusesThenDown => {
+                self.refuse(refused, 8.0);
+                self.outage_at = Some(PlannedOutage {
+                    begins_at: now + 0.2 + share * 2.0,
+                    for_s: [5.0, 9.0, 30.0][self.rng.usize(0..3)],
+                });
             }
-            ("hang", Some(w)) => w.hung_until = now + long * 14.0,
-            ("answers lost", Some(w)) => w.inbound_cut_until = now + long * 20.0,
-            ("machine gone", Some(w)) => {
-                w.gone = true;
-                w.tasks.clear();
+            Fault::CancelAtEnd => {
+                self.cancel_at_end();
             }
-            ("worker back at once", Some(w)) => {
-                // The same name, a new incarnation, nothing left of the old one.
-                w.tasks.clear();
-                w.incarnation += 1;
-                w.flight = None;
-                w.lease_from = now;
-                w.next = now + long * 0.5;
+            _ => {}
+        }
+    }
+
+    fn strike_machine(&mut self, fault: Fault, strike: Strike) {
+        let (now, share) = (self.now, strike.share);
+        let Some(worker) = self.workers.values_mut().nth(strike.machine) else {
+            return;
+        };
+        match fault {
+            Fault::MachineHang => worker.hung_until = now + share * 14.0,
+            Fault::MachineGone => worker.die(),
+            Fault::HeartbeatsLost => worker.outbound_cut_until = now + share * 20.0,
+            Fault::ResponsesLost => worker.inbound_cut_until = now + share * 20.0,
+            Fault::WorkerRestart => {
+                worker.restart(now);
+                worker.next_heartbeat_at = now + share * 0.5;
             }
             _ => {}
         }
     }
 
     /// A job of which every task is done, while no record says so yet.
-    pub(super) fn at_its_end(&self) -> Option<String> {
-        let all = |j: &JobState| {
-            (0..j.spec.tasks).all(|i| self.completed.contains(&(j.spec.id.clone(), i)))
-        };
-        self.jobs
-            .values()
-            .find(|j| j.terminal_at.is_none() && all(j))
-            .map(|j| j.spec.id.clone())
+    pub(super) fn job_at_its_end(&self) -> Option<String> {
+        let mut open = self.jobs.iter().filter(|(_, job)| job.is_open());
+        let found = open.find(|(id, job)| self.completed_tasks(id) == job.spec.tasks as usize);
+        found.map(|(id, _)| id.clone())
     }
 
-    pub(super) fn crash(&mut self, i: usize) {
+    fn crash(&mut self, i: usize) {
         let for_s = [0.1, 0.4, 4.0][self.rng.usize(0..3)];
         self.end(i, for_s);
     }
 
     /// A controller ends and is back, with nothing, after a while.
     pub fn end(&mut self, i: usize, for_s: f64) {
-        let back = self.now + for_s;
-        let leading = self.leader.as_ref().is_some_and(|(l, _, _)| *l == i);
-        let value_kb = self.controllers[i].value_kb;
-        self.controllers[i] = new_controller(i, &self.config);
-        self.controllers[i].value_kb = value_kb;
-        self.controllers[i].down_until = back;
-        if leading {
+        let was_leading = self.leader_at() == Some(i);
+        let controller = Controller {
+            value_kb: self.controllers[i].value_kb,
+            down_until: self.now + for_s,
+            ..Controller::new(i, &self.config)
+        };
+        self.controllers[i] = controller;
+        if was_leading {
             self.end_leader();
-        } else if let Some((_, leader, _)) = &mut self.leader {
-            leader.owner_lost(&name(i));
-        }
-    }
-
-    /// Whether a controller reaches neither the store nor the others.
-    pub(super) fn is_isolated(&self, i: usize) -> bool {
-        self.isolated
-            .is_some_and(|(a, until)| a == i && self.now < until)
-    }
-
-    pub(super) fn end_leader(&mut self) {
-        self.leader = None;
-        // The store keeps the key until the lease has run out.
-        self.free_at = self.free_at.max(self.lease_end + 0.1);
-        for c in &mut self.controllers {
-            disconnect(c, self.now + 0.2);
+        } else if let Some(leading) = &mut self.leading {
+            leading.leader.owner_lost(&name(i));
         }
     }
 
+    /// The connections between a controller and the others break.
     pub(super) fn cut_link(&mut self, i: usize, for_s: f64) {
-        disconnect(&mut self.controllers[i], self.now + for_s);
-        if let Some((_, leader, _)) = &mut self.leader {
-            leader.owner_lost(&name(i));
-        }
-    }
-
-    pub(super) fn delay(&mut self) -> Option<f64> {
-        match self.rng.u32(0..100) {
-            n if n < self.lost => None,
-            // Held up in the network, also past the sender's patience.
-            n if n < self.lost + self.held_up => Some(2.0 + self.rng.f64() * 25.0),
-            _ => Some(0.01 + self.rng.f64() * 0.2),
+        self.controllers[i].disconnect(self.now + for_s);
+        if let Some(leading) = &mut self.leading {
+            leading.leader.owner_lost(&name(i));
         }
     }
 }
--- a/crates/model/src/world/fixtures.rs
+++ b/crates/model/src/world/fixtures.rs
@@ -18,6 +18,14 @@
     }
 }
 
+/// The usual machine types: `small` with four CPUs and `large` with sixteen.
+pub fn machine_types() -> Vec<MachineType> {
+    vec![
+        machine_type("small", 4.0, 16.0, 0.3),
+        machine_type("large", 16.0, 64.0, 1.1),
+    ]
+}
+
 /// The usual settings: two teams, short times.
 pub fn config() -> SchedulerConfig {
     let team = |cpus: f64, cpus_max: f64| Team {
@@ -36,7 +44,7 @@
         cancel_s: 25.0,
         list_lag_s: 4.0,
         reservation_s: 5.0,
-        leader_lease_s: TTL,
+        leader_lease_s: LEADER_LEASE_S,
         guarantee_s: 5.0,
         wait_s: BTreeMap::new(),
         max_wait_share: 0.4,
@@ -111,27 +119,28 @@
     }
 }
 
+/// A random job of either team.
 pub(super) fn random_job(rng: &mut fastrand::Rng, id: u32) -> Job {
     let gang = rng.u32(0..4) == 0;
     let shape = if gang { Shape::Gang } else { Shape::Array };
     let tasks = if gang { rng.u32(1..4) } else { rng.u32(1..12) };
-    let mut j = job(
+    let mut spec = job(
         id,
         if rng.bool() { "red" } else { "blue" },
         shape,
         tasks,
         f64::from(rng.u32(1..4)),
     );
-    j.image = format!("img-{}", rng.u32(0..3));
-    j.estimate_s = 1.0 + rng.f64() * 6.0;
-    j.spot = rng.bool();
-    j.one_zone = rng.u32(0..4) == 0;
-    j.spread = !j.one_zone && rng.u32(0..4) == 0 && tasks > 1;
+    spec.image = format!("img-{}", rng.u32(0..3));
+    spec.estimate_s = 1.0 + rng.f64() * 6.0;
+    spec.spot = rng.bool();
+    spec.one_zone = rng.u32(0..4) == 0;
+    spec.spread = !spec.one_zone && rng.u32(0..4) == 0 && tasks > 1;
     if rng.u32(0..4) == 0 {
-        j.types = Some(vec!["large".into()]);
+        spec.types = Some(vec!["large".into()]);
     }
-    if rng.u32(0..6) == 0 && !j.spread {
-        j.zone = Some("a".into());
+    if rng.u32(0..6) == 0 && !spec.spread {
+        spec.zone = Some("a".into());
     }
-    j
+    spec
 }
--- /dev/null
+++ b/crates/model/src/world/jobs.rs
@@ -0,0 +1,193 @@
+//! Jobs: what the store holds of them, how users submit and cancel them, and how they end.
+
+use super::*;
+
+/// A job and the truth about it.
+pub(super) struct JobState {
+    pub(super) spec: Rc<Job>,
+    pub(super) accepted: f64,
+    /// When its first task began to run.
+    pub(super) started_at: Option<f64>,
+    pub(super) revision: u64,
+    pub(super) done: Ranges,
+    /// When it ended, by its own record or because one of its dependencies was cancelled.
+    pub(super) terminal_at: Option<f64>,
+    /// When its own record was written as terminal.
+    pub(super) own_end: Option<f64>,
+    /// The controller that wrote that record.
+    pub(super) ended_by: Option<usize>,
+    /// When the last of its dependencies was done.
+    pub(super) ready_at: Option<f64>,
+    pub(super) cancelled: bool,
+    pub(super) prior_runs: PriorRuns,
+}
+
+impl JobState {
+    fn new(spec: Job, accepted: f64, revision: u64) -> JobState {
+        JobState {
+            spec: Rc::new(spec),
+            accepted,
+            started_at: None,
+            revision,
+            done: Ranges::default(),
+            terminal_at: None,
+            own_end: None,
+            ended_by: None,
+            ready_at: None,
+            cancelled: false,
+            prior_runs: PriorRuns::None,
+        }
+    }
+
+    pub(super) fn is_open(&self) -> bool {
+        self.terminal_at.is_none()
+    }
+
+    /// Whether its end was recorded at `time` or earlier.
+    pub(super) fn has_own_end_by(&self, time: f64) -> bool {
+        self.own_end.is_some_and(|at| at <= time)
+    }
+}
+
+/// The jobs as a controller's replica has them, which is as old as its last read of the store.
+pub(super) struct JobsAsRead<'a> {
+    jobs: &'a BTreeMap<String, JobState>,
+    read_at: f64,
+}
+
+impl JobsAsRead<'_> {
+    pub(super) fn new(jobs: &BTreeMap<String, JobState>, read_at: f64) -> JobsAsRead<'_> {
+        JobsAsRead { jobs, read_at }
+    }
+
+    fn open_spec(&self, job: &str) -> Option<&Job> {
+        let state = self.jobs.get(job).filter(|_| !self.is_terminal(job))?;
+        Some(&state.spec)
+    }
+}
+
+impl Jobs for JobsAsRead<'_> {
+    fn resources(&self, job: &str) -> Option<Resources> {
+        let spec = self.open_spec(job)?;
+        Some(Resources {
+            cpus: spec.cpus,
+            gpus: spec.gpus,
+            memory_gb: spec.memory_gb,
+        })
+    }
+    fn image(&self, job: &str) -> Option<String> {
+        Some(self.open_spec(job)?.image.clone())
+    }
+    fn is_terminal(&self, job: &str) -> bool {
+        let state = self.jobs.get(job);
+        state.is_some_and(|state| state.terminal_at.is_some_and(|at| at <= self.read_at))
+    }
+}
+
+impl World {
+    /// A job is accepted; the leader learns of it with its next read of the store.
+    pub fn submit(&mut self, spec: Job) {
+        self.revision += 1;
+        self.trace.submitted(self.now, &spec);
+        let id = spec.id.clone();
+        self.jobs
+            .insert(id, JobState::new(spec, self.now, self.revision));
+        self.cancel_descendants();
+        self.note_ready();
+    }
+
+    /// A user cancels a job; any controller that reaches the store confirms it, at once. False if
+    /// none does, or the job is terminal.
+    pub fn cancel(&mut self, id: &str) -> bool {
+        let confirmed = self.confirm_cancel(id);
+        self.trace.cancelled(self.now, id, confirmed);
+        confirmed
+    }
+
+    fn confirm_cancel(&mut self, id: &str) -> bool {
+        let now = self.now;
+        let Some(by) = self.draw_reachable_controller() else {
+            return false;
+        };
+        let Some(job) = self.jobs.get_mut(id).filter(|job| job.is_open()) else {
+            return false;
+        };
+        job.terminal_at = Some(now);
+        job.own_end = Some(now);
+        job.ended_by = Some(by);
+        job.cancelled = true;
+        self.trace.ended(now, id, true);
+        self.cancelled += 1;
+        self.cancel_descendants();
+        if self.defect != Defect::IgnoreCancel {
+            self.tell_leader_of_cancellation(by, id);
+        }
+        true
+    }
+
+    /// The controller that confirmed a cancellation tells the leader without waiting for its read.
+    fn tell_leader_of_cancellation(&mut self, by: usize, id: &str) {
+        let now = self.now;
+        match &mut self.leading {
+            Some(leading) if leading.controller == by => leading.leader.on_job_terminal(id),
+            _ if self.hints && self.controllers[by].joined => {
+                let to_leader = &mut self.controllers[by].to_leader;
+                let arrives_at = to_leader.arrival(now + 0.05);
+                let message = ToLeader::Cancelled { job: id.into() };
+                self.trace.sent_to_leader(now, by, arrives_at, &message);
+                to_leader.send(arrives_at, message);
+            }
+            _ => {}
+        }
+    }
+
+    /// Records a job as done; the truth is what the workers have completed.
+    pub(super) fn finish(&mut self, id: &str) {
+        let now = self.now;
+        let completed = self.completed_tasks(id) as u32;
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        let tasks = job.spec.tasks;
+        let is_done = completed == tasks || job.spec.shape == Shape::Gang && completed > 0;
+        job.terminal_at = Some(now);
+        job.own_end = Some(now);
+        self.done += 1;
+        self.trace.ended(now, id, false);
+        if !is_done {
+            self.break_rule("not_done");
+        }
+        self.note_ready();
+    }
+
+    /// How many of a job's tasks workers have completed.
+    pub(super) fn completed_tasks(&self, id: &str) -> usize {
+        let Some(job) = self.jobs.get(id) else {
+            return 0;
+        };
+        (0..job.spec.tasks)
+            .filter(|index| self.completed.contains(&(id.to_string(), *index)))
+            .count()
+    }
+
+    pub(super) fn note_started(&mut self, started: BTreeSet<String>) {
+        for id in started {
+            if let Some(job) = self.jobs.get_mut(&id) {
+                job.started_at.get_or_insert(self.now);
+            }
+        }
+    }
+
+    /// Jobs that are neither done nor cancelled.
+    pub fn open_jobs(&self) -> Vec<String> {
+        let open = self.jobs.iter().filter(|(_, job)| job.is_open());
+        open.map(|(id, _)| id.clone()).collect()
+    }
+
+    /// What the store says of a job: done, cancelled, or neither yet.
+    pub fn outcome(&self, id: &str) -> Option<&'static str> {
+        let job = self.jobs.get(id)?;
+        job.terminal_at
+            .map(|_| if job.cancelled { "cancelled" } else { "done" })
+    }
+}
--- /dev/null
+++ b/crates/model/src/world/leadership.rs
@@ -0,0 +1,180 @@
+//! The controller that leads: its lease, what it hears from owners, and what it asks for.
+
+use super::*;
+
+/// The controller that leads now.
+pub(super) struct LeadingController {
+    pub(super) controller: usize,
+    pub(super) leader: Leader,
+    /// The revision of the store at which it was elected; its writes depend on it.
+    pub(super) leadership: u64,
+}
+
+impl World {
+    /// The leader renews its lease, hears the owners, and acts. Without one, a controller is elected.
+    pub(super) fn run_leader(&mut self) {
+        if self.leading.is_none() {
+            self.elect();
+        }
+        let Some(mut leading) = self.leading.take() else {
+            return;
+        };
+        self.lose_owners_if_isolated(&mut leading);
+        if !self.keeps_lease(leading.controller) {
+            self.end_leader();
+            return;
+        }
+        if !self.is_frozen(leading.controller) {
+            self.hear_owners(&mut leading);
+            self.tick_leader(&mut leading.leader, leading.controller);
+            self.act(&mut leading);
+        }
+        self.leading = Some(leading);
+    }
+
+    /// An isolated leader loses its owners at once; its own authority runs out later, and only then
+    /// another controller can be elected.
+    fn lose_owners_if_isolated(&mut self, leading: &mut LeadingController) {
+        if !self.is_isolated(leading.controller) {
+            return;
+        }
+        for i in (0..self.controllers.len()).filter(|i| *i != leading.controller) {
+            leading.leader.owner_lost(&name(i));
+            self.controllers[i].disconnect(self.now + 0.2);
+        }
+    }
+
+    /// Renews the lease in the store if it can; says whether it still runs.
+    fn keeps_lease(&mut self, controller: usize) -> bool {
+        let now = self.now;
+        if self.reaches_store(controller) {
+            self.lease_end = now + LEADER_LEASE_S;
+            let authority = &mut self.controllers[controller].owner.authority;
+            authority.renew(now + LEADER_LEASE_S * RENEWED_SHARE, now);
+        } else if now < self.store_down_until {
+            // An outage preserves the leases; afterwards they get their full time again.
+            self.lease_end = self.store_down_until + LEADER_LEASE_S;
+        } else if now > self.lease_end {
+            return false;
+        }
+        true
+    }
+
+    fn tick_leader(&mut self, leader: &mut Leader, controller: usize) {
+        let authority = &self.controllers[controller].owner.authority;
+        if self.now < authority.answers_until() {
+            leader.tick(self.now, 2);
+        }
+        if !leader.index_agrees() {
+            self.break_rule("index");
+        }
+    }
+
+    /// The leader answers the pings of owners that joined and hears their messages.
+    fn hear_owners(&mut self, leading: &mut LeadingController) {
+        let now = self.now;
+        for i in 0..self.controllers.len() {
+            let controller = &self.controllers[i];
+            if i == leading.controller || now < controller.down_until || !controller.joined {
+                continue;
+            }
+            while let Some(sent) = self.controllers[i].pings.receive(now) {
+                self.answer_ping(leading, i, sent);
+            }
+            while let Some(message) = self.controllers[i].to_leader.receive(now) {
+                leading.leader.on_owner_message(&name(i), message, now);
+            }
+        }
+    }
+
+    /// The leader answers an owner's ping with authority, if it may grant any.
+    fn answer_ping(&mut self, leading: &mut LeadingController, from: usize, sent: f64) {
+        let now = self.now;
+        let authority = &self.controllers[leading.controller].owner.authority;
+        let (answers_until, read_at) = (authority.answers_until(), authority.read_at());
+        leading.leader.owner_heard(&name(from), now);
+        let until = answers_until.min(now + self.config.owner_silence_s() * 1.25);
+        let granted = leading.leader.grant(&name(from), now, until);
+        self.trace.granted(now, from, sent, granted);
+        let Some(valid_s) = granted else {
+            return;
+        };
+        let controller = &mut self.controllers[from];
+        if controller.epoch && controller.owner.token() == leading.leader.token() {
+            controller.owner.authority.set(sent + valid_s);
+            // Behind all that was sent before it.
+            let arrives_at = controller.to_owner.arrival(now + 0.02);
+            let known_until = sent - (now - read_at);
+            controller.leader_read_at.send(arrives_at, known_until);
+        }
+    }
+
+    /// The leader and its own controller's owner exchange messages until neither has more to say,
+    /// and the leader's requests set out.
+    fn act(&mut self, leading: &mut LeadingController) {
+        loop {
+            let messages = self.controllers[leading.controller].owner.drain();
+            let mut is_idle = messages.is_empty();
+            for message in messages {
+                self.trace
+                    .sent_to_leader(self.now, leading.controller, self.now, &message);
+                let from = name(leading.controller);
+                leading.leader.on_owner_message(&from, message, self.now);
+            }
+            for action in leading.leader.drain() {
+                is_idle = false;
+                self.request(leading, action);
+            }
+            if is_idle {
+                return;
+            }
+        }
+    }
+
+    /// A message to an owner, or a request to the store or the cloud, sets out.
+    fn request(&mut self, leading: &LeadingController, action: Action) {
+        self.trace.requested(self.now, leading.leadership, &action);
+        match action {
+            Action::Send(to, message) => {
+                self.send_to_owner(leading.controller, index_of(&to), message);
+            }
+            action => {
+                let arrives_at = self.now + 0.02 + self.rng.f64() * 0.3;
+                let expected_version = self.expected_version(&action);
+                self.writes.push(PendingWrite {
+                    arrives_at,
+                    leadership: leading.leadership,
+                    action,
+                    expected_version,
+                    is_late: false,
+                });
+            }
+        }
+    }
+
+    fn send_to_owner(&mut self, leading: usize, to: usize, message: ToOwner) {
+        if to == leading {
+            let jobs = JobsAsRead::new(&self.jobs, self.terminal_jobs_read_at(leading));
+            let owner = &mut self.controllers[leading].owner;
+            owner.on_leader_message(message, self.now, &jobs);
+        } else if self.controllers[to].joined {
+            let delay = self.connection_delay();
+            let to_owner = &mut self.controllers[to].to_owner;
+            to_owner.send(to_owner.arrival(self.now + delay), message);
+        }
+    }
+
+    /// No controller leads any more. The store keeps the key until the lease has run out.
+    pub(super) fn end_leader(&mut self) {
+        self.leading = None;
+        self.free_at = self.free_at.max(self.lease_end + 0.1);
+        for controller in &mut self.controllers {
+            controller.disconnect(self.now + 0.2);
+        }
+    }
+
+    /// The controller that leads.
+    pub fn leader_at(&self) -> Option<usize> {
+        self.leading.as_ref().map(|leading| leading.controller)
+    }
+}
--- /dev/null
+++ b/crates/model/src/world/outcomes.rs
@@ -0,0 +1,157 @@
+//! What a leader's requests change in the store and the cloud, and what the leader hears of it.
+
+use super::*;
+
+/// What became of a request, as the store and the leader see it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Outcome {
+    /// It was carried out, and the leader hears so.
+    Answered,
+    /// It was carried out, but the response is lost.
+    AnswerLost,
+    /// It was not carried out, or is not yet.
+    Refused,
+}
+
+impl Outcome {
+    pub(super) fn took_effect(self) -> bool {
+        self != Outcome::Refused
+    }
+
+    pub(super) fn is_confirmed(self) -> bool {
+        self == Outcome::Answered
+    }
+}
+
+/// The tasks of a page of progress, which starts at a task and has a bit for each.
+fn tasks_of_page(first_task: u32, bits: &str) -> Ranges {
+    let byte = |i: usize| u8::from_str_radix(&bits[i * 2..i * 2 + 2], 16).ok();
+    let bytes: Vec<u8> = (0..bits.len() / 2).filter_map(byte).collect();
+    let mut tasks = Ranges::default();
+    tasks.add_bits(first_task, &bytes, u32::MAX);
+    tasks
+}
+
+impl World {
+    /// Carries an action out if it took effect, and tells the leader its outcome, or that it is not
+    /// known.
+    pub(super) fn carry_out(&mut self, leader: &mut Leader, action: Action, outcome: Outcome) {
+        let now = self.now;
+        self.trace.carried_out(now, &action, outcome);
+        match action {
+            Action::NewToken => {
+                self.term += u64::from(outcome.took_effect());
+                leader.token_result(outcome.is_confirmed().then_some(self.term), now);
+            }
+            Action::Roster(machine, record) => {
+                let is_put = record.is_some();
+                self.write_roster(&machine, record, outcome);
+                leader.roster_result(&machine, is_put, outcome.is_confirmed());
+            }
+            Action::Progress {
+                job,
+                first_task,
+                bits,
+            } => {
+                let written = tasks_of_page(first_task, &bits);
+                self.write_progress(&job, &written, outcome);
+                let written = outcome.is_confirmed().then_some(&written);
+                leader.progress_result(&job, first_task, written);
+            }
+            Action::Finish { job } => {
+                let is_written = self.write_end(&job, outcome);
+                leader.finish_result(&job, is_written);
+            }
+            Action::RecordStartedArrays(record) => {
+                self.write_started_arrays(&record, outcome);
+                leader.start_record_result(&record, outcome.is_confirmed());
+            }
+            Action::Bind {
+                job,
+                attempt,
+                places,
+            } => {
+                self.write_binding(&job, places, outcome);
+                leader.bind_result(&job, attempt, outcome.is_confirmed(), now);
+            }
+            Action::Provision(request) => {
+                let machines = outcome.took_effect().then(|| self.provision(&request));
+                let machines = machines.filter(|_| outcome.is_confirmed());
+                leader.provision_result(&request.name, machines, now);
+            }
+            Action::Deprovision(machines) => {
+                if outcome.took_effect() {
+                    self.deprovision(&machines);
+                }
+                leader.deprovision_result(&machines, outcome.is_confirmed());
+            }
+            Action::Send(..) => {}
+        }
+        self.finish_half_done();
+    }
+
+    fn write_roster(&mut self, machine: &str, record: Option<RosterRecord>, outcome: Outcome) {
+        if !outcome.took_effect() {
+            return;
+        }
+        match record {
+            Some(record) => self.roster.insert(machine.to_string(), record),
+            None => self.roster.remove(machine),
+        };
+    }
+
+    fn write_progress(&mut self, job: &str, written: &Ranges, outcome: Outcome) {
+        let job = self.jobs.get_mut(job);
+        if let Some(job) = job.filter(|_| outcome.took_effect()) {
+            for index in written.iter() {
+                job.done.insert(index);
+            }
+        }
+    }
+
+    /// Records a job as done, unless it is terminal already; says whether it did.
+    fn write_end(&mut self, job: &str, outcome: Outcome) -> bool {
+        let is_open = self.jobs.get(job).is_some_and(JobState::is_open);
+        let is_written = outcome.took_effect() && is_open;
+        if is_written {
+            self.finish(job);
+        }
+        is_written
+    }
+
+    fn write_started_arrays(&mut self, record: &StartedArraysRecord, outcome: Outcome) {
+        if !outcome.took_effect() {
+            return;
+        }
+        let is_array = |job: &&mut JobState| job.spec.shape != Shape::Gang;
+        for job in self.jobs.values_mut().filter(is_array) {
+            job.prior_runs = if record.covers(job.revision) {
+                PriorRuns::Anywhere
+            } else {
+                PriorRuns::None
+            };
+        }
+        self.started_upto = self.started_upto.max(record.upto);
+    }
+
+    fn write_binding(&mut self, job: &str, places: Vec<(String, u32, u32)>, outcome: Outcome) {
+        let job = self.jobs.get_mut(job);
+        if let Some(job) = job.filter(|_| outcome.took_effect()) {
+            let machines = places.into_iter().map(|(machine, _, _)| machine);
+            job.prior_runs = PriorRuns::Bound(machines.collect());
+        }
+    }
+
+    /// By a defect, jobs are done when half of their tasks are.
+    fn finish_half_done(&mut self) {
+        if !matches!(self.defect, Defect::HalfDone | Defect::HalfDoneUnseen) {
+            return;
+        }
+        let is_half_done = |job: &JobState| job.is_open() && job.done.len() * 2 >= job.spec.tasks;
+        let half_done = self.jobs.iter().filter(|(_, job)| is_half_done(job));
+        let half_done: Vec<String> = half_done.map(|(id, _)| id.clone()).collect();
+        for id in half_done {
+            self.finish(&id);
+        }
+    }
+}
--- a/crates/model/src/world/rich.rs
+++ b/crates/model/src/world/rich.rs
@@ -6,9 +6,26 @@
 /// Hundreds of large tasks at once: more machines than may be asked for in one go.
 const BULK_TASKS: u32 = 130;
 
-/// Draws in a thousand steps after which some spot machine gets its notice.
+/// How many in a thousand steps give some spot machine its notice.
 const NOTICES: u32 = 12;
 
+/// What happens in rich worlds only.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum CloudEvent {
+    /// The cloud announces that it takes a spot machine back.
+    PreemptionNotice,
+    /// A task is told to stop.
+    Stop,
+    /// A task saves before it stops.
+    Save,
+    /// The cloud is asked for machines.
+    Provision,
+    /// The cloud refuses a machine.
+    ProvisionRefused,
+    /// A machine is returned.
+    Deprovision,
+}
+
 /// What only a rich world knows.
 #[derive(Default)]
 pub(super) struct Rich {
@@ -28,27 +45,27 @@
 
     /// Random jobs and notices for `seconds`, as many jobs in a thousand steps as given, with faults if
     /// asked for.
-    pub fn live_richly(&mut self, seconds: f64, jobs: u32, with_troubles: bool) {
+    pub fn live_richly(&mut self, seconds: f64, jobs: u32, with_faults: bool) {
         let end = self.now + seconds;
         while self.now < end {
             if self.rng.u32(0..1000) < jobs {
-                let n = self.next_rich_id();
-                let spec = rich_job(&mut self.rng, n);
+                let number = self.next_rich_id();
+                let spec = rich_job(&mut self.rng, number);
                 self.submit(spec);
             }
             if self.rng.u32(0..1000) < NOTICES {
                 self.give_notice();
             }
-            if with_troubles {
+            if with_faults {
                 self.inject_fault();
             }
             self.step();
         }
     }
 
-    /// A job of many small tasks that take whole machines of types at these prices, cheap ones first.
+    /// A job of many tasks that each take a whole machine of one of these types.
     pub fn submit_bulk(&mut self, types: &[&str]) {
-        let n = self.next_rich_id();
+        let number = self.next_rich_id();
         self.submit(Job {
             class: "bulk".into(),
             priority: Priority::BestEffort,
@@ -56,7 +73,7 @@
             zone: Some("a".into()),
             spot: false,
             estimate_s: 1.0,
-            ..job(n, "green", Shape::Array, BULK_TASKS, 4.0)
+            ..job(number, "green", Shape::Array, BULK_TASKS, 4.0)
         });
     }
 
@@ -69,18 +86,17 @@
     /// The cloud announces that it takes a spot machine back.
     fn give_notice(&mut self) {
         let now = self.now;
-        let is_due = |w: &&mut Worker| w.spot && !w.gone && w.up_at < now && w.taken_at.is_none();
-        let mut due: Vec<&mut Worker> = self.workers.values_mut().filter(is_due).collect();
-        if due.is_empty() {
+        let may_be_taken = |worker: &&mut Worker| {
+            worker.spot && !worker.gone && worker.up_at < now && worker.taken_at.is_none()
+        };
+        let mut candidates: Vec<&mut Worker> =
+            self.workers.values_mut().filter(may_be_taken).collect();
+        if candidates.is_empty() {
             return;
         }
-        let at = self.rng.usize(0..due.len());
-        due[at].taken_at = Some(now + 4.0 + self.rng.f64() * 12.0);
-        self.count("notice");
-    }
-
-    fn count(&mut self, what: &'static str) {
-        *self.faults.entry(what).or_default() += 1;
+        let at = self.rng.usize(0..candidates.len());
+        candidates[at].taken_at = Some(now + 4.0 + self.rng.f64() * 12.0);
+        self.count_cloud_event(CloudEvent::PreemptionNotice, 1);
     }
 
     /// Machines are taken back at the end of their notice, and tasks save.
@@ -89,21 +105,20 @@
             return;
         }
         let now = self.now;
-        for w in self.workers.values_mut() {
-            if w.taken_at.is_some_and(|at| now >= at) && !w.gone {
-                w.gone = true;
-                w.tasks.clear();
+        for worker in self.workers.values_mut() {
+            if worker.taken_at.is_some_and(|at| now >= at) && !worker.gone {
+                worker.die();
             }
         }
-        let working = |w: &&mut Worker| !w.gone && now >= w.hung_until;
+        let is_running = |worker: &&mut Worker| !worker.gone && now >= worker.hung_until;
         let mut saved = Vec::new();
-        for w in self.workers.values_mut().filter(working) {
-            for ((id, index, _), task) in &mut w.tasks {
-                let Some(job) = self.jobs.get(id) else {
+        for worker in self.workers.values_mut().filter(is_running) {
+            for (key, task) in &mut worker.tasks {
+                let Some(job) = self.jobs.get(&key.job) else {
                     continue;
                 };
                 if let Some(ran_s) = task.save(&job.spec, now) {
-                    saved.push(((id.clone(), *index), ran_s));
+                    saved.push(((key.job.clone(), key.index), ran_s));
                 }
             }
         }
@@ -127,11 +142,11 @@
     /// Whether a task that is told to stop saves first, and then until when.
     pub(super) fn saves_until(&mut self, id: &str, grace_s: f64) -> Option<f64> {
         self.rich.as_ref()?;
-        self.count("stop");
+        self.count_cloud_event(CloudEvent::Stop, 1);
         let spec = &self.jobs.get(id)?.spec;
         let can_save = spec.checkpoint_s > 0.0 && spec.save_s <= grace_s;
         let until = can_save.then_some(self.now + spec.save_s)?;
-        self.count("save");
+        self.count_cloud_event(CloudEvent::Save, 1);
         Some(until)
     }
 
@@ -145,24 +160,18 @@
             (_, true) => 1,
             _ => 2,
         };
-        self.count("hire");
+        self.count_cloud_event(CloudEvent::Provision, 1);
         Some((most, boot_s * (0.8 + 0.45 * self.rng.f64())))
     }
 
-    /// Counts what the cloud refused and what was returned to it.
-    pub(super) fn note_cloud(&mut self, what: &'static str, machines: usize) {
-        if self.rich.is_some() && machines > 0 {
-            *self.faults.entry(what).or_default() += machines as u32;
+    pub(super) fn count_cloud_event(&mut self, event: CloudEvent, times: usize) {
+        if self.rich.is_some() && times > 0 {
+            *self.cloud_events.entry(event).or_default() += times as u32;
         }
     }
 }
 
 impl SimTask {
-    /// How long a task has run, with what it went on from.
-    pub(super) fn ran_s(&self, now: f64) -> f64 {
-        self.saved_s + (now - self.began)
-    }
-
     /// Goes on with saving; says how long the task had run by what is now saved, if anything is.
     fn save(&mut self, spec: &Job, now: f64) -> Option<f64> {
         match self.state {
@@ -237,12 +246,7 @@
     };
     let mut spec = job(id, team, shape, tasks, cpus);
     spec.class = class.into();
-    spec.priority = match rng.u32(0..8) {
-        0 => Priority::Prod,
-        1 => Priority::High,
-        2 => Priority::BestEffort,
-        _ => Priority::Standard,
-    };
+    spec.priority = random_priority(rng);
     spec.gpus = match class {
         "train" => f64::from(rng.u32(1..3)),
         "render" => 1.0,
@@ -251,13 +255,7 @@
     spec.memory_gb = if class == "heavy" { 70.0 } else { 1.0 };
     spec.image = format!("img-{}", rng.u32(0..4));
     spec.spot = rng.u32(0..3) > 0;
-    let longest_s = if class == "any" { 5.0 } else { 18.0 };
-    spec.estimate_s = 1.0 + rng.f64() * longest_s;
-    if rng.u32(0..2) == 0 {
-        spec.checkpoint_s = 2.0 + rng.f64() * 4.0;
-        spec.save_s = 0.5 + rng.f64() * 2.0;
-    }
-    spec.deadline_s = (rng.u32(0..3) == 0).then(|| 20.0 + rng.f64() * 60.0);
+    set_random_times(&mut spec, rng);
     spec.one_zone = rng.u32(0..4) == 0;
     spec.spread = !spec.one_zone && tasks > 1 && rng.u32(0..4) == 0;
     if rng.u32(0..8) == 0 && !spec.spread {
@@ -265,3 +263,23 @@
     }
     spec
 }
+
+fn random_priority(rng: &mut fastrand::Rng) -> Priority {
+    match rng.u32(0..8) {
+        0 => Priority::Prod,
+        1 => Priority::High,
+        2 => Priority::BestEffort,
+        _ => Priority::Standard,
+    }
+}
+
+/// How long the tasks run, how they save, and by when they should be done.
+fn set_random_times(spec: &mut Job, rng: &mut fastrand::Rng) {
+    let longest_s = if spec.class == "any" { 5.0 } else { 18.0 };
+    spec.estimate_s = 1.0 + rng.f64() * longest_s;
+    if rng.u32(0..2) == 0 {
+        spec.checkpoint_s = 2.0 + rng.f64() * 4.0;
+        spec.save_s = 0.5 + rng.f64() * 2.0;
+    }
+    spec.deadline_s = (rng.u32(0..3) == 0).then(|| 20.0 + rng.f64() * 60.0);
+}
--- /dev/null
+++ b/crates/model/src/world/rules/placement.rs
@@ -0,0 +1,61 @@
+//! What must hold when a task starts: of its job, and of the machine.
+
+use super::*;
+
+impl World {
+    /// A task starts on a machine.
+    pub(in crate::world) fn check_start(&mut self, machine: &str, job: &str, index: u32) {
+        self.check_too_early(job);
+        let mut broken = Vec::new();
+        if let Some(state) = self.jobs.get(job) {
+            if self.is_started_after_cancellation(state) {
+                broken.push("started_cancelled");
+            }
+            if state.own_end.is_some() && !state.cancelled {
+                broken.push("started_done");
+            }
+        }
+        let is_same_task = |task: &TaskKey| task.job == job && task.index == index;
+        let live = || self.workers.values().flat_map(Worker::live_tasks);
+        if live().any(is_same_task) {
+            broken.push("ran_twice");
+        }
+        if let (Some(state), Some(worker)) = (self.jobs.get(job), self.workers.get(machine)) {
+            if !self.may_run_on(&state.spec, worker) {
+                broken.push("wrong_place");
+            }
+        }
+        self.break_rules(broken);
+    }
+
+    /// Whether the job was cancelled so long ago that neither a response under way nor a leader that
+    /// could not know yet explains the start of a task.
+    fn is_started_after_cancellation(&self, job: &JobState) -> bool {
+        let allowed_s = self.config.start_staleness_s() + wire::ANSWER_DROPPED_S;
+        let ended_long_ago = |at: f64| self.now > at + allowed_s;
+        job.cancelled && job.terminal_at.is_some_and(ended_long_ago)
+    }
+
+    /// Whether a machine is one of those that a job asks for, given where its other tasks run.
+    fn may_run_on(&self, spec: &Job, worker: &Worker) -> bool {
+        let mut by_zone: BTreeMap<&str, u32> = BTreeMap::new();
+        for other in self.workers.values() {
+            for _ in other.live_tasks().filter(|task| task.job == spec.id) {
+                *by_zone.entry(other.zone.as_str()).or_default() += 1;
+            }
+        }
+        let in_zone = by_zone.get(worker.zone.as_str()).copied().unwrap_or(0);
+        let is_elsewhere = spec.one_zone && by_zone.keys().any(|zone| *zone != worker.zone);
+        let is_crowded = spec.spread && in_zone + 1 > spec.tasks.div_ceil(2);
+        allows_machine(spec, worker) && !is_elsewhere && !is_crowded
+    }
+}
+
+/// Whether a job allows a machine's type, zone and price.
+pub(super) fn allows_machine(spec: &Job, worker: &Worker) -> bool {
+    let types = spec.types.as_ref();
+    let zone = spec.zone.as_ref();
+    types.is_none_or(|types| types.contains(&worker.kind))
+        && zone.is_none_or(|zone| *zone == worker.zone)
+        && (spec.spot || !worker.spot)
+}
--- /dev/null
+++ b/crates/model/src/world/rules/waiting.rs
@@ -0,0 +1,136 @@
+//! Whether jobs wait though there is capacity for them.
+
+use super::placement::allows_machine;
+use super::*;
+
+/// What machines have free, and what teams use on them.
+struct Capacity<'a> {
+    free: Vec<(&'a String, &'a Worker, Resources)>,
+    used: BTreeMap<&'a str, Usage>,
+}
+
+/// A job that waits, and where there is capacity: a machine for an array, none for a gang, which
+/// needs several.
+pub(in crate::world) type Opening = (String, Option<String>);
+
+/// Tasks of a job that fit into what a machine has free.
+fn fitting_tasks(spec: &Job, free: &Resources) -> usize {
+    let gpus = (free.gpus + 1e-6) / spec.gpus;
+    ((free.cpus + 1e-6) / spec.cpus)
+        .min((free.memory_gb + 1e-6) / spec.memory_gb)
+        .min(if spec.gpus > 0.0 { gpus } else { f64::MAX })
+        .max(0.0) as usize
+}
+
+/// Tasks of a gang that fit together, by how many fit in each zone.
+fn fitting_together(spec: &Job, by_zone: &BTreeMap<&str, usize>) -> usize {
+    let most_in_zone = match spec.spread {
+        true => spec.tasks.div_ceil(2) as usize,
+        false => usize::MAX,
+    };
+    let fitting = by_zone.values().map(|tasks| (*tasks).min(most_in_zone));
+    match spec.one_zone {
+        true => fitting.max().unwrap_or(0),
+        false => fitting.sum(),
+    }
+}
+
+impl World {
+    /// Once faults are over, no job waits long while the same machine has capacity for a task of it
+    /// (for a gang: while machines have capacity for all of it) and its team is under its limit.
+    pub(in crate::world) fn check_waiting(&mut self) {
+        let openings = self.openings();
+        self.fits_since
+            .retain(|opening, _| openings.contains(opening));
+        for opening in openings {
+            self.fits_since.entry(opening).or_insert(self.now);
+        }
+        let mut since = self.fits_since.values();
+        if since.any(|since| self.now - since > WAITS_S) {
+            self.break_rule("waits");
+        }
+    }
+
+    /// The jobs without a task on any machine for which there is capacity now.
+    fn openings(&self) -> BTreeSet<Opening> {
+        let capacity = self.capacity();
+        let mut openings = BTreeSet::new();
+        let is_waiting = |job: &JobState| job.is_open() && job.ready_at.is_some();
+        for (id, job) in self.jobs.iter().filter(|(_, job)| is_waiting(job)) {
+            if self.live_tasks(id) > 0 {
+                continue;
+            }
+            let lacking = job.spec.tasks as usize - self.completed_tasks(id);
+            let needed = match job.spec.shape {
+                Shape::Gang => lacking,
+                _ => lacking.min(1),
+            };
+            if needed > 0 && self.is_within_limit(&job.spec, needed, &capacity) {
+                add_openings(&mut openings, &job.spec, needed, &capacity);
+            }
+        }
+        openings
+    }
+
+    /// What the machines have free that work and stay.
+    fn capacity(&self) -> Capacity<'_> {
+        let mut capacity = Capacity {
+            free: Vec::new(),
+            used: BTreeMap::new(),
+        };
+        let is_usable = |worker: &Worker| {
+            let is_running = self.now >= worker.up_at && self.now >= worker.hung_until;
+            !worker.gone && is_running && worker.taken_at.is_none()
+        };
+        for (name, worker) in self.workers.iter().filter(|(_, it)| is_usable(it)) {
+            let kind = self.types.iter().find(|kind| kind.name == worker.kind);
+            let Some(kind) = kind else {
+                continue;
+            };
+            let mut free = Resources::of_type(kind);
+            let tasks = worker.live_tasks();
+            for job in tasks.filter_map(|task| self.jobs.get(&task.job)) {
+                let used = capacity.used.entry(&job.spec.team).or_default();
+                used.add_task(&job.spec);
+                free.cpus -= job.spec.cpus;
+                free.gpus -= job.spec.gpus;
+                free.memory_gb -= job.spec.memory_gb;
+            }
+            capacity.free.push((name, worker, free));
+        }
+        capacity
+    }
+
+    /// Whether a job's team may use as much more as some of its tasks need.
+    fn is_within_limit(&self, spec: &Job, tasks: usize, capacity: &Capacity) -> bool {
+        let limit = self.limits.get(&spec.team);
+        let (cpus_max, gpus_max) =
+            limit.map_or((0.0, 0.0), |limit| (limit.cpus_max, limit.gpus_max));
+        let used = capacity.used.get(spec.team.as_str());
+        let used = used.copied().unwrap_or_default();
+        let exceeds_cpus = used.cpus + spec.cpus * tasks as f64 > cpus_max + 1e-6;
+        let exceeds_gpus =
+            spec.gpus > 0.0 && used.gpus + spec.gpus * tasks as f64 > gpus_max + 1e-6;
+        !exceeds_cpus && !exceeds_gpus
+    }
+}
+
+/// Adds where there is capacity for a job that waits.
+fn add_openings(openings: &mut BTreeSet<Opening>, spec: &Job, needed: usize, capacity: &Capacity) {
+    let is_gang = spec.shape == Shape::Gang;
+    let mut by_zone: BTreeMap<&str, usize> = BTreeMap::new();
+    let allowed = capacity
+        .free
+        .iter()
+        .filter(|(_, worker, _)| allows_machine(spec, worker));
+    for (name, worker, free) in allowed {
+        let fitting = fitting_tasks(spec, free);
+        *by_zone.entry(worker.zone.as_str()).or_default() += fitting;
+        if !is_gang && fitting > 0 {
+            openings.insert((spec.id.clone(), Some(name.to_string())));
+        }
+    }
+    if is_gang && fitting_together(spec, &by_zone) >= needed {
+        openings.insert((spec.id.clone(), None));
+    }
+}
--- a/crates/model/src/world/script.rs
+++ b/crates/model/src/world/script.rs
@@ -1,13 +1,8 @@
-//! What tests bring about on purpose, one fault at a time.
+//! What tests bring about on purpose, one fault at a time, and what they look at.
 
 use super::*;
 
 impl World {
-    /// The controller that leads.
-    pub fn leader_at(&self) -> Option<usize> {
-        self.leader.as_ref().map(|(i, _, _)| *i)
-    }
-
     /// Lets time pass.
     pub fn pass(&mut self, seconds: f64) {
         let end = self.now + seconds;
@@ -28,7 +23,10 @@
 
     /// A controller loses the store and the others, not its workers.
     pub fn isolate(&mut self, i: usize, for_s: f64) {
-        self.isolated = Some((i, self.now + for_s));
+        self.isolated = Some(Isolation {
+            controller: i,
+            until: self.now + for_s,
+        });
         self.cut_link(i, for_s);
     }
 
@@ -37,7 +35,10 @@
         let now = self.now;
         let controller = &mut self.controllers[i];
         controller.read = None;
-        controller.reload.get_or_insert((now, now + for_s));
+        controller.reload.get_or_insert(StoreRead {
+            sent: now,
+            answered_at: now + for_s,
+        });
     }
 
     /// A controller's connections to the others break.
@@ -47,53 +48,47 @@
 
     /// Machines on which something is, as many as asked for at most.
     pub fn busy_machines(&self, most: usize) -> Vec<String> {
-        let busy = self
-            .workers
-            .iter()
-            .filter(|(_, w)| !w.gone && Self::live_on(w).next().is_some());
-        busy.map(|(n, _)| n.clone()).take(most).collect()
+        let is_busy = |worker: &Worker| !worker.gone && worker.live_tasks().next().is_some();
+        let busy = self.workers.iter().filter(|(_, worker)| is_busy(worker));
+        busy.map(|(name, _)| name.clone()).take(most).collect()
     }
 
     fn on_machines(&mut self, names: &[String], change: impl Fn(&mut Worker)) {
-        names
-            .iter()
-            .for_each(|n| self.workers.get_mut(n).into_iter().for_each(&change));
+        for name in names {
+            self.workers.get_mut(name).into_iter().for_each(&change);
+        }
     }
 
     /// Machines hang for a while, and then go on.
     pub fn hang(&mut self, names: &[String], for_s: f64) {
         let until = self.now + for_s;
-        self.on_machines(names, |w| w.hung_until = until);
+        self.on_machines(names, |worker| worker.hung_until = until);
     }
 
     /// Heartbeats arrive, answers are lost.
     pub fn cut_inbound(&mut self, names: &[String], for_s: f64) {
         let until = self.now + for_s;
-        self.on_machines(names, |w| w.inbound_cut_until = until);
+        self.on_machines(names, |worker| worker.inbound_cut_until = until);
     }
 
     /// No heartbeat arrives.
     pub fn cut_outbound(&mut self, names: &[String], for_s: f64) {
         let until = self.now + for_s;
-        self.on_machines(names, |w| w.outbound_cut_until = until);
+        self.on_machines(names, |worker| worker.outbound_cut_until = until);
     }
 
     /// Machines die without a word.
     pub fn kill(&mut self, names: &[String]) {
-        self.on_machines(names, |w| {
-            w.gone = true;
-            w.tasks.clear();
-        });
+        self.on_machines(names, Worker::die);
     }
 
     /// A zone is cut off with its machines; a controller in it keeps them.
     pub fn cut_zone(&mut self, zone: &str, controller: Option<usize>, for_s: f64) {
-        let names: Vec<String> = self
+        let in_zone = self
             .workers
             .iter()
-            .filter(|(_, w)| w.zone == zone)
-            .map(|(n, _)| n.clone())
-            .collect();
+            .filter(|(_, worker)| worker.zone == zone);
+        let names: Vec<String> = in_zone.map(|(name, _)| name.clone()).collect();
         match controller {
             Some(i) => self.isolate(i, for_s),
             None => self.cut_outbound(&names, for_s),
@@ -102,23 +97,15 @@
 
     /// Cancels jobs that run, as many as asked for; says which were confirmed.
     pub fn cancel_running(&mut self, most: usize) -> Vec<String> {
-        let runs = |id: &String| {
-            self.workers
-                .values()
-                .any(|w| Self::live_on(w).any(|(j, _, _)| j == id))
-        };
-        let ids: Vec<String> = self
-            .open_jobs()
-            .into_iter()
-            .filter(runs)
-            .take(most)
-            .collect();
-        ids.into_iter().filter(|id| self.cancel(id)).collect()
+        let open = self.open_jobs().into_iter();
+        let running = open.filter(|id| self.live_tasks(id) > 0);
+        let running: Vec<String> = running.take(most).collect();
+        running.into_iter().filter(|id| self.cancel(id)).collect()
     }
 
     /// Cancels a job of which every task is done, while no record says so yet.
     pub fn cancel_at_end(&mut self) -> Option<String> {
-        let id = self.at_its_end()?;
+        let id = self.job_at_its_end()?;
         self.cancel(&id).then_some(id)
     }
 
@@ -126,34 +113,8 @@
     pub fn live_tasks(&self, id: &str) -> usize {
         self.workers
             .values()
-            .flat_map(Self::live_on)
-            .filter(|(j, _, _)| j == id)
+            .flat_map(Worker::live_tasks)
+            .filter(|task| task.job == id)
             .count()
     }
-
-    /// Machines that were ever provisioned.
-    pub fn provisioned(&self) -> u64 {
-        self.hosts
-    }
-
-    /// What the store says of a job: done, cancelled, or neither yet.
-    pub fn outcome(&self, id: &str) -> Option<&'static str> {
-        let j = self.jobs.get(id)?;
-        j.terminal_at
-            .map(|_| if j.cancelled { "cancelled" } else { "done" })
-    }
-
-    /// Runs on without faults until all is done, for `seconds` at most.
-    pub fn calm(&mut self, seconds: f64) {
-        let quiet_since = self.now;
-        (self.lost, self.held_up, self.late_copies, self.late_writes) = (0, 0, 0, 0);
-        self.slow_reads = 0.0;
-        while self.now < quiet_since + seconds && !self.open_jobs().is_empty() {
-            self.step();
-            if self.now - quiet_since > FORGOTTEN_S {
-                self.check_known();
-            }
-            self.check_waiting();
-        }
-    }
 }
--- a/crates/model/src/world/store.rs
+++ b/crates/model/src/world/store.rs
@@ -1,19 +1,22 @@
-//! The state service and the cloud, as the world's controllers see them.
+//! The state service, as the world's controllers see it: their reads, and the leader's writes on
+//! their way to it.
 
 use super::*;
 
-/// A write of a leader on its way to the store.
-pub(super) struct Pending {
-    pub(super) at: f64,
-    pub(super) by: u64,
+/// A request of a leader on its way to the store or the cloud.
+pub(super) struct PendingWrite {
+    pub(super) arrives_at: f64,
+    /// The leadership under which it was asked for.
+    pub(super) leadership: u64,
     pub(super) action: Action,
     /// The version that its key must have.
-    pub(super) expected: u64,
-    pub(super) late: bool,
+    pub(super) expected_version: u64,
+    /// Its leader was told already that its outcome is unknown.
+    pub(super) is_late: bool,
 }
 
 /// The key that an action replaces; none for what has a condition of its own or is no write.
-pub(super) fn key(action: &Action) -> Option<String> {
+fn key(action: &Action) -> Option<String> {
     match action {
         Action::Roster(machine, _) => Some(format!("roster/{machine}")),
         Action::Bind { job, .. } => Some(format!("binding/{job}")),
@@ -26,152 +29,169 @@
 }
 
 impl World {
-    /// Controllers read the changes of the store every few steps; answers take their time. What a read shows
-    /// is known before anything else is done on the strength of it.
+    /// Controllers read the changes of the store every few steps; responses take their time. What a
+    /// read shows is known before anything else is done on the strength of it.
     pub(super) fn run_reads(&mut self) {
-        let now = self.now;
         for i in 0..self.controllers.len() {
-            if let Some((sent, until)) = self.controllers[i].reload {
-                if now >= until && self.reaches_store(i) {
-                    self.controllers[i].reload = None;
-                    self.finish_reload(i, sent);
-                }
-                continue;
-            }
-            if let Some((sent, _)) = self.controllers[i].read.filter(|(_, at)| now >= *at) {
-                self.controllers[i].read = None;
-                if self.reaches_store(i) {
-                    self.learn(i, sent);
-                }
-            }
-            if self.controllers[i].read.is_none()
-                && now - self.controllers[i].seen >= TTL / 5.0
-                && self.reaches_store(i)
-            {
-                let usual = if self.rng.u32(0..100) < 2 { 1.2 } else { 0.1 };
-                self.controllers[i].read =
-                    Some((now, now + self.slow_reads + self.rng.f64() * usual));
+            match self.controllers[i].reload {
+                Some(reload) => self.run_reload(i, reload),
+                None => self.run_read(i),
             }
         }
     }
 
-    /// Up to when a controller's replica shows what is over.
-    pub(super) fn known_to(&self, i: usize) -> f64 {
-        if self.sees_no_ends() {
-            return f64::MIN;
+    fn run_reload(&mut self, i: usize, reload: StoreRead) {
+        if self.now >= reload.answered_at && self.reaches_store(i) {
+            self.controllers[i].reload = None;
+            self.finish_reload(i, reload.sent);
         }
-        self.controllers[i].seen
     }
 
-    /// Whether, by a defect, controllers do not see by their own reads what is over.
-    pub(super) fn sees_no_ends(&self) -> bool {
-        matches!(
-            self.defect,
-            Defect::IgnoreCancel | Defect::ForgetCancelled | Defect::HalfDoneUnseen
-        )
+    fn run_read(&mut self, i: usize) {
+        let now = self.now;
+        let answered = self.controllers[i]
+            .read
+            .take_if(|read| now >= read.answered_at);
+        if let Some(read) = answered.filter(|_| self.reaches_store(i)) {
+            self.finish_read(i, read.sent);
+        }
+        let controller = &self.controllers[i];
+        let is_due = now - controller.read_at >= LEADER_LEASE_S / 5.0;
+        if controller.read.is_none() && is_due && self.reaches_store(i) {
+            let usual = if self.rng.u32(0..100) < 2 { 1.2 } else { 0.1 };
+            self.controllers[i].read = Some(StoreRead {
+                sent: now,
+                answered_at: now + self.slow_reads + self.rng.f64() * usual,
+            });
+        }
     }
 
-    pub(super) fn learn(&mut self, i: usize, sent: f64) {
-        let before = std::mem::replace(&mut self.controllers[i].seen, sent);
+    fn finish_read(&mut self, i: usize, sent: f64) {
+        let before = std::mem::replace(&mut self.controllers[i].read_at, sent);
         self.read_jobs(i, before, sent);
         self.controllers[i].owner.authority.prove(sent);
     }
 
+    /// Up to when a controller's replica shows which jobs are terminal.
+    pub(super) fn terminal_jobs_read_at(&self, i: usize) -> f64 {
+        let reads_no_ends = matches!(
+            self.defect,
+            Defect::IgnoreCancel | Defect::ForgetCancelled | Defect::HalfDoneUnseen
+        );
+        if reads_no_ends {
+            return f64::MIN;
+        }
+        self.controllers[i].read_at
+    }
+
     /// The version that the leader believes the key of a write to have.
-    pub(super) fn expected(&self, action: &Action) -> u64 {
+    pub(super) fn expected_version(&self, action: &Action) -> u64 {
         key(action)
-            .and_then(|k| self.known_versions.get(&k).copied())
+            .and_then(|key| self.known_versions.get(&key).copied())
             .unwrap_or(0)
     }
 
+    /// Carries out what has arrived at the store or the cloud by now.
     pub(super) fn run_writes(&mut self) {
-        let now = self.now;
         let mut i = 0;
         while i < self.writes.len() {
-            if self.writes[i].at > now {
+            if self.writes[i].arrives_at > self.now {
                 i += 1;
                 continue;
             }
             let write = self.writes.remove(i);
-            let Some((leading, mut leader, id)) = self.leader.take() else {
-                self.trace.refused(now, write.by, &write.action);
+            let Some(mut leading) = self.leading.take() else {
+                self.refuse_write(&write);
                 continue;
             };
-            if self.is_frozen(leading) {
-                // Its answer is read when the leader moves again.
-                let at = self.controllers[leading].frozen_until;
-                self.writes.push(Pending { at, ..write });
-                self.leader = Some((leading, leader, id));
-                continue;
-            }
-            // A write of an earlier leader fails on its condition.
-            if id == write.by {
-                if write.late {
-                    self.carry_out_late(&mut leader, write);
-                } else {
-                    self.carry_out_now(leading, &mut leader, write);
-                }
-            } else {
-                self.trace.refused(now, write.by, &write.action);
-            }
-            self.leader = Some((leading, leader, id));
+            self.receive_write(&mut leading, write);
+            self.leading = Some(leading);
         }
     }
 
-    pub(super) fn carry_out_now(&mut self, leading: usize, leader: &mut Leader, write: Pending) {
-        let reached = self.reaches_store(leading);
-        // No answer, and it is carried out later: after newer ones.
-        if reached && key(&write.action).is_some() && self.rng.u32(0..100) < self.late_writes {
-            let at = self.now + 2.0 + self.rng.f64() * 10.0;
-            self.trace.postponed(self.now, at, &write.action);
-            *self.faults.entry("late write").or_default() += 1;
-            self.writes.push(Pending {
-                at,
-                late: true,
-                action: write.action.clone(),
+    fn receive_write(&mut self, leading: &mut LeadingController, write: PendingWrite) {
+        if self.is_frozen(leading.controller) {
+            // Its response is read when the leader runs again.
+            let arrives_at = self.controllers[leading.controller].frozen_until;
+            self.writes.push(PendingWrite {
+                arrives_at,
                 ..write
             });
-            self.carry_out(leader, write.action, false, false);
-            return;
+        } else if leading.leadership != write.leadership {
+            // A write of an earlier leader fails on its condition.
+            self.refuse_write(&write);
+        } else if write.is_late {
+            self.carry_out_late(&leading.leader, write);
+        } else {
+            self.carry_out_now(leading, write);
         }
-        let ok = reached && self.rng.u32(0..100) >= 3 && self.admits(&write);
-        // Now and then it is carried out, but the answer is lost.
-        let open_job = ok && self.rng.u32(0..100) >= 2;
-        if ok {
-            self.moved(&write.action);
-            self.note_writer(leading, &write.action);
+    }
+
+    fn refuse_write(&mut self, write: &PendingWrite) {
+        self.trace
+            .refused(self.now, write.leadership, &write.action);
+    }
+
+    fn carry_out_now(&mut self, leading: &mut LeadingController, write: PendingWrite) {
+        let is_reached = self.reaches_store(leading.controller);
+        let may_be_late = is_reached && key(&write.action).is_some();
+        if may_be_late && self.rng.u32(0..100) < self.late_writes {
+            return self.postpone(&mut leading.leader, write);
         }
-        if open_job || reached && !ok {
-            // It was carried out, or refused and then looked at.
-            if let Some(k) = key(&write.action) {
-                let version = self.versions.get(&k).copied().unwrap_or(0);
-                self.known_versions.insert(k, version);
-            }
+        let outcome = self.draw_outcome(is_reached, &write);
+        if outcome.took_effect() {
+            self.bump_version(&write.action);
+            self.note_writer(leading.controller, &write.action);
+        }
+        // It was carried out, or refused and then looked at.
+        if outcome == Outcome::Answered || is_reached && outcome == Outcome::Refused {
+            self.learn_version(&write.action);
+        }
+        self.carry_out(&mut leading.leader, write.action, outcome);
+    }
+
+    /// A write gets no response, and is carried out later: after newer ones.
+    fn postpone(&mut self, leader: &mut Leader, write: PendingWrite) {
+        let arrives_at = self.now + 2.0 + self.rng.f64() * 10.0;
+        self.trace.postponed(self.now, arrives_at, &write.action);
+        self.count_fault(Fault::LateWrite);
+        let action = write.action.clone();
+        self.writes.push(PendingWrite {
+            arrives_at,
+            is_late: true,
+            ..write
+        });
+        self.carry_out(leader, action, Outcome::Refused);
+    }
+
+    /// What becomes of a write. Now and then it is carried out, but the response is lost.
+    fn draw_outcome(&mut self, is_reached: bool, write: &PendingWrite) -> Outcome {
+        let took_effect = is_reached && self.rng.u32(0..100) >= 3 && self.admits(write);
+        if !took_effect {
+            Outcome::Refused
+        } else if self.rng.u32(0..100) >= 2 {
+            Outcome::Answered
+        } else {
+            Outcome::AnswerLost
         }
-        self.carry_out(leader, write.action, ok, open_job);
     }
 
-    /// An end that a leader writes is known at its controller from then on.
+    /// A job's end that a leader writes is known at its controller from then on.
     fn note_writer(&mut self, leading: usize, action: &Action) {
         let Action::Finish { job } = action else {
             return;
         };
-        if let Some(job) = self
-            .jobs
-            .get_mut(job)
-            .filter(|job| job.terminal_at.is_none())
-        {
+        if let Some(job) = self.jobs.get_mut(job).filter(|job| job.is_open()) {
             job.ended_by = Some(leading);
         }
     }
 
-    /// The leader has taken it for not done long ago; only the store changes.
-    pub(super) fn carry_out_late(&mut self, leader: &mut Leader, write: Pending) {
+    /// A postponed write arrives. Its leader took it to have failed long ago; only the store changes.
+    fn carry_out_late(&mut self, leader: &Leader, write: PendingWrite) {
         if self.now < self.store_down_until || !self.admits(&write) {
-            self.trace.refused(self.now, write.by, &write.action);
-            return;
+            return self.refuse_write(&write);
         }
-        self.moved(&write.action);
+        self.bump_version(&write.action);
         let mut nobody = Leader::new(
             "nobody",
             self.config.clone(),
@@ -183,194 +203,29 @@
             0,
             self.now,
         );
-        self.carry_out(&mut nobody, write.action, true, false);
+        self.carry_out(&mut nobody, write.action, Outcome::AnswerLost);
     }
 
-    /// Whether a write's key is still as its writer knew it.
-    pub(super) fn admits(&self, write: &Pending) -> bool {
-        let Some(k) = key(&write.action) else {
+    /// Whether a write's key still has the version that its writer expected.
+    fn admits(&self, write: &PendingWrite) -> bool {
+        let Some(key) = key(&write.action) else {
             return true;
         };
-        self.defect == Defect::NoVersions
-            || self.versions.get(&k).copied().unwrap_or(0) == write.expected
-    }
-
-    pub(super) fn moved(&mut self, action: &Action) {
-        if let Some(k) = key(action) {
-            *self.versions.entry(k).or_default() += 1;
-        }
-    }
-
-    /// Carries an action out if `ok`, and tells the leader its outcome, or that it is not known.
-    pub(super) fn carry_out(
-        &mut self,
-        leader: &mut Leader,
-        action: Action,
-        ok: bool,
-        open_job: bool,
-    ) {
-        let now = self.now;
-        self.trace.carried_out(now, &action, ok, open_job);
-        match action {
-            Action::NewToken => {
-                if ok {
-                    self.term += 1;
-                }
-                leader.token_result(open_job.then_some(self.term), now);
-            }
-            Action::Roster(machine, record) => {
-                let put = record.is_some();
-                if let (true, Some(r)) = (ok, record) {
-                    self.roster.insert(machine.clone(), r);
-                } else if ok {
-                    self.roster.remove(&machine);
-                }
-                leader.roster_result(&machine, put, open_job);
-            }
-            Action::Progress {
-                job,
-                first_task,
-                bits,
-            } => {
-                let mut written = Ranges::default();
-                let bytes: Vec<u8> = (0..bits.len() / 2)
-                    .filter_map(|i| u8::from_str_radix(&bits[i * 2..i * 2 + 2], 16).ok())
-                    .collect();
-                written.add_bits(first_task, &bytes, u32::MAX);
-                if ok {
-                    if let Some(j) = self.jobs.get_mut(&job) {
-                        written.iter().for_each(|i| {
-                            j.done.insert(i);
-                        });
-                    }
-                }
-                leader.progress_result(&job, first_task, open_job.then_some(&written));
-            }
-            Action::Finish { job } => {
-                let open = self.jobs.get(&job).is_some_and(|j| j.terminal_at.is_none());
-                if ok && open {
-                    self.finish(&job);
-                }
-                leader.finish_result(&job, ok && open);
-            }
-            Action::RecordStartedArrays(record) => {
-                for j in self
-                    .jobs
-                    .values_mut()
-                    .filter(|j| ok && j.spec.shape != Shape::Gang)
-                {
-                    j.prior_runs = if record.covers(j.revision) {
-                        PriorRuns::Anywhere
-                    } else {
-                        PriorRuns::None
-                    };
-                }
-                if ok {
-                    self.started_upto = self.started_upto.max(record.upto);
-                }
-                leader.start_record_result(&record, open_job);
-            }
-            Action::Bind {
-                job,
-                attempt,
-                places,
-            } => {
-                if let Some(j) = self.jobs.get_mut(&job).filter(|_| ok) {
-                    j.prior_runs =
-                        PriorRuns::Bound(places.into_iter().map(|(m, _, _)| m).collect());
-                }
-                leader.bind_result(&job, attempt, open_job, now);
-            }
-            Action::Provision(request) => {
-                let names = ok.then(|| self.provision(&request));
-                leader.provision_result(&request.name, names.filter(|_| open_job), now);
-            }
-            Action::Deprovision(names) => {
-                if ok {
-                    self.note_cloud("returned", names.len());
-                    for n in &names {
-                        self.workers.remove(n);
-                    }
-                }
-                leader.deprovision_result(&names, open_job);
-            }
-            Action::Send(..) => {}
-        }
-        if matches!(self.defect, Defect::HalfDone | Defect::HalfDoneUnseen) {
-            let half: Vec<String> = self
-                .jobs
-                .iter()
-                .filter(|(_, j)| j.terminal_at.is_none() && j.done.len() * 2 >= j.spec.tasks)
-                .map(|(id, _)| id.clone())
-                .collect();
-            half.iter().for_each(|id| self.finish(id));
-        }
+        let version = self.versions.get(&key).copied().unwrap_or(0);
+        self.defect == Defect::NoVersions || version == write.expected_version
     }
 
-    /// Records a job as done; the truth is what the workers have completed.
-    pub(super) fn finish(&mut self, id: &str) {
-        let now = self.now;
-        let Some(j) = self.jobs.get_mut(id) else {
-            return;
-        };
-        let completed = (0..j.spec.tasks)
-            .filter(|i| self.completed.contains(&(id.to_string(), *i)))
-            .count() as u32;
-        let all = completed == j.spec.tasks || j.spec.shape == Shape::Gang && completed > 0;
-        j.terminal_at = Some(now);
-        j.own_end = Some(now);
-        self.done += 1;
-        self.trace.ended(now, id, false);
-        if !all {
-            self.break_rule("not_done");
+    fn bump_version(&mut self, action: &Action) {
+        if let Some(key) = key(action) {
+            *self.versions.entry(key).or_default() += 1;
         }
-        self.note_ready();
     }
 
-    pub(super) fn provision(&mut self, request: &ProvisionRequest) -> Vec<String> {
-        let here = self
-            .workers
-            .values()
-            .filter(|w| {
-                !w.gone
-                    && w.kind == request.kind
-                    && w.zone == request.zone
-                    && w.spot == request.spot
-            })
-            .count();
-        let offer = self.rich_offer(request);
-        let most = offer.map_or(3, |(most, _)| most);
-        let n = (request.count as usize).min(most.saturating_sub(here));
-        self.note_cloud("refused by the cloud", request.count as usize - n);
-        let mut names = Vec::new();
-        for _ in 0..n {
-            self.hosts += 1;
-            let machine = format!("host-{:06}", self.hosts);
-            let boots_s = offer.map_or(0.0, |(_, boot_s)| (boot_s - 2.5).max(0.0));
-            let up_at = self.now + 1.0 + self.rng.f64() * 3.0 + boots_s;
-            let w = Worker {
-                kind: request.kind.clone(),
-                zone: request.zone.clone(),
-                spot: request.spot,
-                up_at,
-                gone: false,
-                hung_until: 0.0,
-                inbound_cut_until: 0.0,
-                outbound_cut_until: 0.0,
-                taken_at: None,
-                incarnation: 1,
-                seq: 0,
-                token: 0,
-                lease_from: up_at,
-                tasks: BTreeMap::new(),
-                target: self.rng.usize(0..3),
-                next: up_at,
-                flight: None,
-            };
-            self.workers.insert(machine.clone(), w);
-            names.push(machine);
+    /// The leader learns the present version of the key of its write.
+    fn learn_version(&mut self, action: &Action) {
+        if let Some(key) = key(action) {
+            let version = self.versions.get(&key).copied().unwrap_or(0);
+            self.known_versions.insert(key, version);
         }
-        self.trace.provisioned(self.now, &names);
-        names
     }
 }
--- a/crates/model/src/world/tests.rs
+++ b/crates/model/src/world/tests.rs
@@ -218,13 +218,13 @@
 
 #[test]
 fn every_kind_of_trouble_happens() {
-    let mut seen: BTreeMap<&str, u32> = BTreeMap::new();
+    let mut seen: BTreeMap<Fault, u32> = BTreeMap::new();
     for seed in 0..10 {
         let mut w = World::new(seed, Defect::None);
         w.live(150.0, 0.0);
         w.faults
             .into_iter()
-            .for_each(|(k, n)| *seen.entry(k).or_default() += n);
+            .for_each(|(fault, times)| *seen.entry(fault).or_default() += times);
     }
     assert_eq!(seen.len(), 17, "{seen:?}");
 }
--- a/crates/model/src/world/trace.rs
+++ b/crates/model/src/world/trace.rs
@@ -6,6 +6,7 @@
 //! types and fields and debugging text never are, so that renaming them leaves the digest as it is.
 //! Recording draws no random numbers and changes nothing but the digest.
 
+use super::outcomes::Outcome;
 use sched::leader::Action;
 use sched::owner::HeartbeatResponse;
 use wire::cbor::encode;
@@ -32,7 +33,7 @@
     CarriedOut = 12,
     Postponed = 13,
     Refused = 14,
-    Rented = 15,
+    Provisioned = 15,
     Elected = 16,
     RuleBroken = 17,
 }
@@ -107,7 +108,7 @@
         self.event(now, Event::Cancelled).text(job).flag(confirmed);
     }
 
-    /// A job is over.
+    /// A job is terminal.
     pub(super) fn ended(&mut self, now: f64, job: &str, cancelled: bool) {
         self.event(now, Event::Ended).text(job).flag(cancelled);
     }
@@ -119,20 +120,20 @@
             .bytes(&encode(heartbeat));
     }
 
-    /// A controller has decided its answer to a heartbeat.
+    /// A controller has decided its response to a heartbeat.
     pub(super) fn answered(
         &mut self,
         now: f64,
         by: usize,
         heartbeat: &Heartbeat,
-        answer: &HeartbeatResponse,
+        response: &HeartbeatResponse,
     ) {
         self.event(now, Event::Answered)
             .number(by as u64)
             .text(&heartbeat.machine)
             .number(heartbeat.incarnation)
             .number(heartbeat.seq);
-        match answer {
+        match response {
             HeartbeatResponse::Orders(orders) => self.raw(&[1]).bytes(&encode(orders)),
             HeartbeatResponse::Redirect(member) => self.raw(&[2]).bytes(&encode(&Redirect {
                 member: Some(member.clone()),
@@ -150,7 +151,7 @@
             .bytes(&encode(order));
     }
 
-    /// A controller sends a message to the leader, where it arrives at a time.
+    /// A controller sends a message to the leader, where it arrives at `at`.
     pub(super) fn sent_to_leader(&mut self, now: f64, from: usize, at: f64, message: &ToLeader) {
         self.event(now, Event::ToLeader)
             .number(from as u64)
@@ -158,14 +159,14 @@
             .bytes(&frame(message));
     }
 
-    /// A controller pings the leader, which hears it at a time.
+    /// A controller pings the leader, where the ping arrives at `at`.
     pub(super) fn pinged(&mut self, now: f64, from: usize, at: f64) {
         self.event(now, Event::Pinged)
             .number(from as u64)
             .amount(at);
     }
 
-    /// The leader answers a ping that was sent at a time, with authority for some seconds or without.
+    /// The leader answers a ping that was sent at `sent`, granting authority for some seconds or none.
     pub(super) fn granted(&mut self, now: f64, to: usize, sent: f64, valid_s: Option<f64>) {
         self.event(now, Event::Granted)
             .number(to as u64)
@@ -189,15 +190,15 @@
             .bytes(&frame(message));
     }
 
-    /// A request was carried out if `ok`, and the leader is told so if `open_job`.
-    pub(super) fn carried_out(&mut self, now: f64, action: &Action, ok: bool, open_job: bool) {
+    /// What became of a request: whether it was carried out, and whether the leader hears so.
+    pub(super) fn carried_out(&mut self, now: f64, action: &Action, outcome: Outcome) {
         self.event(now, Event::CarriedOut)
-            .flag(ok)
-            .flag(open_job)
+            .flag(outcome.took_effect())
+            .flag(outcome.is_confirmed())
             .action(action);
     }
 
-    /// A write got no answer and is carried out at a later time.
+    /// A write got no response and is carried out at `at`.
     pub(super) fn postponed(&mut self, now: f64, at: f64, action: &Action) {
         self.event(now, Event::Postponed).amount(at).action(action);
     }
@@ -207,9 +208,9 @@
         self.event(now, Event::Refused).number(by).action(action);
     }
 
-    /// The cloud gives machines.
+    /// The cloud provisions machines.
     pub(super) fn provisioned(&mut self, now: f64, machines: &[String]) {
-        self.event(now, Event::Rented).bytes(&encode(&Names {
+        self.event(now, Event::Provisioned).bytes(&encode(&Names {
             machines: machines.to_vec(),
         }));
     }
--- /dev/null
+++ b/crates/model/src/world/transit.rs
@@ -0,0 +1,146 @@
+//! Messages on their way: between workers and controllers, where each takes its own time, and
+//! between controllers, where connections keep the order.
+
+use super::*;
+
+/// Something that was sent and has not arrived yet.
+pub(super) struct InTransit<T> {
+    pub(super) arrives_at: f64,
+    pub(super) message: T,
+}
+
+/// One direction of a connection: messages arrive in the order in which they were sent.
+pub(super) struct Connection<T>(VecDeque<InTransit<T>>);
+
+impl<T> Default for Connection<T> {
+    fn default() -> Connection<T> {
+        Connection(VecDeque::new())
+    }
+}
+
+impl<T> Connection<T> {
+    pub(super) fn send(&mut self, arrives_at: f64, message: T) {
+        self.0.push_back(InTransit {
+            arrives_at,
+            message,
+        });
+    }
+
+    /// The earliest arrival, at `at` or later, that overtakes no earlier message.
+    pub(super) fn arrival(&self, at: f64) -> f64 {
+        self.last().map_or(0.0, |last| last.arrives_at).max(at)
+    }
+
+    pub(super) fn last(&self) -> Option<&InTransit<T>> {
+        self.0.back()
+    }
+
+    /// The next message, if it has arrived.
+    pub(super) fn receive(&mut self, now: f64) -> Option<T> {
+        if self.0.front()?.arrives_at > now {
+            return None;
+        }
+        self.0.pop_front().map(|next| next.message)
+    }
+
+    pub(super) fn clear(&mut self) {
+        self.0.clear();
+    }
+}
+
+/// A message between a worker and a controller.
+pub(super) enum Message {
+    Heartbeat {
+        to: usize,
+        heartbeat: Box<Heartbeat>,
+    },
+    Response {
+        worker: String,
+        heartbeat: HeartbeatId,
+        response: HeartbeatResponse,
+    },
+}
+
+/// Which heartbeat of a worker a response belongs to.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) struct HeartbeatId {
+    pub(super) incarnation: u64,
+    pub(super) seq: u64,
+}
+
+impl World {
+    pub(super) fn send(&mut self, arrives_at: f64, message: Message) {
+        self.messages.push(InTransit {
+            arrives_at,
+            message,
+        });
+    }
+
+    /// Delivers what workers and controllers sent to each other and has arrived by now.
+    pub(super) fn deliver(&mut self) {
+        let mut due: Vec<InTransit<Message>> = Vec::new();
+        let mut i = 0;
+        while i < self.messages.len() {
+            if self.messages[i].arrives_at <= self.now {
+                due.push(self.messages.swap_remove(i));
+            } else {
+                i += 1;
+            }
+        }
+        due.sort_by(|a, b| a.arrives_at.total_cmp(&b.arrives_at));
+        for arrived in due {
+            match arrived.message {
+                Message::Heartbeat { to, heartbeat } => self.receive_heartbeat(to, heartbeat),
+                Message::Response {
+                    worker,
+                    heartbeat,
+                    response,
+                } => self.receive_response(&worker, heartbeat, response),
+            }
+        }
+    }
+
+    /// How long a message between a worker and a controller takes; none if it is lost.
+    pub(super) fn delay(&mut self) -> Option<f64> {
+        match self.rng.u32(0..100) {
+            n if n < self.lost => None,
+            // Held up in the network, possibly for longer than the sender waits.
+            n if n < self.lost + self.held_up => Some(2.0 + self.rng.f64() * 25.0),
+            _ => Some(0.01 + self.rng.f64() * 0.2),
+        }
+    }
+
+    /// A heartbeat has reached a controller: the response goes out after some time, or is lost.
+    fn receive_heartbeat(&mut self, to: usize, mut heartbeat: Box<Heartbeat>) {
+        let now = self.now;
+        if now < self.controllers[to].down_until {
+            return;
+        }
+        if self.is_frozen(to) {
+            let again = self.controllers[to].frozen_until;
+            self.send(again, Message::Heartbeat { to, heartbeat });
+            return;
+        }
+        if self.defect == Defect::TrustAnyReport {
+            heartbeat.token = u64::MAX;
+        }
+        let jobs = JobsAsRead::new(&self.jobs, self.terminal_jobs_read_at(to));
+        let controller = &mut self.controllers[to];
+        let response = controller.owner.on_heartbeat(&heartbeat, now, &jobs);
+        self.trace.answered(now, to, &heartbeat, &response);
+        let held_s = controller.freezes_for.take().unwrap_or(0.0);
+        controller.frozen_until = controller.frozen_until.max(now + held_s);
+        if let Some(delay) = self.delay() {
+            let id = HeartbeatId {
+                incarnation: heartbeat.incarnation,
+                seq: heartbeat.seq,
+            };
+            let response = Message::Response {
+                worker: heartbeat.machine,
+                heartbeat: id,
+                response,
+            };
+            self.send(now + held_s + delay, response);
+        }
+    }
+}
--- a/crates/model/src/world/workers.rs
+++ b/crates/model/src/world/workers.rs
@@ -1,225 +1,408 @@
-//! The workers: they run tasks, heartbeat, and carry out what answers to their heartbeats say.
+//! The workers: they run tasks, send heartbeats, and carry out the orders in the responses.
 
 use super::*;
 
-impl World {
-    pub(super) fn run_workers(&mut self) {
-        let (now, lease_s, heartbeat_s) = (self.now, self.config.lease_s, self.config.heartbeat_s);
-        let whole = self.whole_gangs();
-        let mut began: BTreeSet<String> = BTreeSet::new();
-        let names: Vec<String> = self.workers.keys().cloned().collect();
-        for machine in names {
-            let Some(w) = self.workers.get_mut(&machine) else {
-                continue;
-            };
-            if w.gone || now < w.up_at {
-                continue;
+/// Which run of which task: a job, the index in it, and the attempt.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct TaskKey {
+    pub(super) job: String,
+    pub(super) index: u32,
+    pub(super) attempt: u64,
+}
+
+impl TaskKey {
+    /// The key of a task as orders name it.
+    fn parse(task: &str, attempt: u64) -> Option<TaskKey> {
+        let (job, index) = wire::split_task(task)?;
+        Some(TaskKey {
+            job: job.to_string(),
+            index,
+            attempt,
+        })
+    }
+}
+
+/// A task on a machine.
+#[derive(Clone, Debug)]
+pub(super) struct SimTask {
+    pub(super) state: TaskState,
+    pub(super) why: Option<Why>,
+    pub(super) began: f64,
+    /// How long it had run when it was started here, by its checkpoints.
+    pub(super) saved_s: f64,
+    /// It has saved, and exited because it was told to stop.
+    pub(super) saved: bool,
+    /// Until when it saves, once it was told to stop.
+    pub(super) saves_until: f64,
+}
+
+impl SimTask {
+    fn starting(now: f64, saved_s: f64) -> SimTask {
+        SimTask {
+            state: TaskState::Fetching,
+            why: None,
+            began: now,
+            saved_s,
+            saved: false,
+            saves_until: 0.0,
+        }
+    }
+
+    /// How long a task has run, with what it went on from.
+    pub(super) fn ran_s(&self, now: f64) -> f64 {
+        self.saved_s + (now - self.began)
+    }
+
+    fn exit(&mut self, why: Why) {
+        self.state = TaskState::Exited;
+        self.why = Some(why);
+    }
+
+    /// Whether a gang counts this task as present.
+    fn is_with_its_gang(&self) -> bool {
+        let is_here = matches!(
+            self.state,
+            TaskState::Waiting | TaskState::Running | TaskState::Saving
+        );
+        is_here || self.why == Some(Why::Done)
+    }
+
+    /// Goes on; says what became of the task, if anything did. `can_run` is false for a task of a
+    /// gang that is not complete.
+    fn advance(&mut self, now: f64, estimate_s: f64, can_run: bool) -> Option<TaskEvent> {
+        match self.state {
+            TaskState::Fetching if now - self.began > 0.5 => self.state = TaskState::Waiting,
+            TaskState::Waiting if can_run => {
+                self.state = TaskState::Running;
+                self.began = now;
+                return Some(TaskEvent::Started);
             }
-            if now - w.lease_from > lease_s {
-                // Kills and forgets all tasks, also while it hangs: nothing of it runs on.
-                self.lapses += 1;
-                w.tasks.clear();
-                w.incarnation += 1;
-                w.lease_from = now;
-                w.flight = None;
+            TaskState::Running if !can_run => self.exit(Why::Peers),
+            TaskState::Running if self.ran_s(now) > estimate_s => {
+                self.exit(Why::Done);
+                return Some(TaskEvent::Completed);
             }
-            if now < w.hung_until {
+            _ => {}
+        }
+        None
+    }
+}
+
+/// What becomes of a task as time passes.
+enum TaskEvent {
+    Started,
+    Completed,
+}
+
+/// A heartbeat whose response a worker waits for.
+pub(super) struct InFlight {
+    pub(super) sent: f64,
+    pub(super) id: HeartbeatId,
+}
+
+/// A machine and the worker on it.
+pub(super) struct Worker {
+    pub(super) kind: String,
+    pub(super) zone: String,
+    pub(super) spot: bool,
+    pub(super) up_at: f64,
+    pub(super) gone: bool,
+    pub(super) hung_until: f64,
+    /// Until then its heartbeats arrive, but no response reaches it.
+    pub(super) inbound_cut_until: f64,
+    /// Until then none of its heartbeats arrives anywhere.
+    pub(super) outbound_cut_until: f64,
+    /// When the cloud takes the machine back, once it has given notice.
+    pub(super) taken_at: Option<f64>,
+    pub(super) incarnation: u64,
+    pub(super) seq: u64,
+    pub(super) token: u64,
+    pub(super) lease_from: f64,
+    pub(super) tasks: BTreeMap<TaskKey, SimTask>,
+    /// The controller to which it sends its heartbeats.
+    pub(super) target: usize,
+    pub(super) next_heartbeat_at: f64,
+    pub(super) in_flight: Option<InFlight>,
+}
+
+impl Worker {
+    /// A worker of a machine that boots until `up_at`.
+    pub(super) fn booting(request: &ProvisionRequest, up_at: f64, target: usize) -> Worker {
+        Worker {
+            kind: request.kind.clone(),
+            zone: request.zone.clone(),
+            spot: request.spot,
+            up_at,
+            gone: false,
+            hung_until: 0.0,
+            inbound_cut_until: 0.0,
+            outbound_cut_until: 0.0,
+            taken_at: None,
+            incarnation: 1,
+            seq: 0,
+            token: 0,
+            lease_from: up_at,
+            tasks: BTreeMap::new(),
+            target,
+            next_heartbeat_at: up_at,
+            in_flight: None,
+        }
+    }
+
+    /// The tasks that have not exited.
+    pub(super) fn live_tasks(&self) -> impl Iterator<Item = &TaskKey> {
+        let live = self
+            .tasks
+            .iter()
+            .filter(|(_, task)| task.state != TaskState::Exited);
+        live.map(|(key, _)| key)
+    }
+
+    /// Goes on under a new incarnation, with nothing of the previous one.
+    pub(super) fn restart(&mut self, now: f64) {
+        self.tasks.clear();
+        self.incarnation += 1;
+        self.lease_from = now;
+        self.in_flight = None;
+    }
+
+    /// The machine ends without a word.
+    pub(super) fn die(&mut self) {
+        self.gone = true;
+        self.tasks.clear();
+    }
+
+    /// Goes on with its tasks; says which of them started or were completed.
+    fn advance_tasks(
+        &mut self,
+        now: f64,
+        jobs: &BTreeMap<String, JobState>,
+        complete_gangs: &BTreeSet<GangRun>,
+    ) -> Vec<(TaskKey, TaskEvent)> {
+        let mut events = Vec::new();
+        for (key, task) in &mut self.tasks {
+            let Some(job) = jobs.get(&key.job) else {
                 continue;
+            };
+            let run = (key.job.clone(), key.attempt);
+            let can_run = job.spec.shape != Shape::Gang || complete_gangs.contains(&run);
+            if let Some(event) = task.advance(now, job.spec.estimate_s, can_run) {
+                events.push((key.clone(), event));
             }
-            for ((job, index, attempt), t) in w.tasks.iter_mut() {
-                let Some(spec) = self.jobs.get(job).map(|j| &j.spec) else {
-                    continue;
-                };
-                let together =
-                    spec.shape != Shape::Gang || whole.contains(&(job.clone(), *attempt));
-                match t.state {
-                    TaskState::Fetching if now - t.began > 0.5 => t.state = TaskState::Waiting,
-                    TaskState::Waiting if together => {
-                        t.state = TaskState::Running;
-                        t.began = now;
-                        began.insert(job.clone());
-                    }
-                    TaskState::Running if !together => {
-                        t.state = TaskState::Exited;
-                        t.why = Some(Why::Peers);
-                    }
-                    TaskState::Running if t.ran_s(now) > spec.estimate_s => {
-                        t.state = TaskState::Exited;
-                        t.why = Some(Why::Done);
-                        self.completed.insert((job.clone(), *index));
-                    }
-                    _ => {}
-                }
-            }
-            if w.flight.as_ref().is_some_and(|f| now - f.sent > 4.0) {
-                w.flight = None;
-                w.target = (w.target + 1) % 3;
-                w.next = now + 1.0;
-            }
-            if w.flight.is_none() && now >= w.next {
-                w.seq += 1;
-                w.flight = Some(InFlight {
-                    sent: now,
-                    incarnation: w.incarnation,
-                    seq: w.seq,
-                });
-                w.next = now + heartbeat_s;
-                let heartbeat = heartbeat_of(&machine, w, now);
-                let to = w.target;
-                if now < w.outbound_cut_until {
-                    continue;
-                }
-                self.trace.reported(now, to, &heartbeat);
-                let again = self.rng.u32(0..100) < 2;
-                for _ in 0..=u32::from(again) {
-                    if let Some(d) = self.delay() {
-                        self.messages.push((
-                            now + d,
-                            Message::Heartbeat {
-                                to,
-                                heartbeat: Box::new(heartbeat.clone()),
-                            },
-                        ));
-                    }
-                }
-                // Late copies, from seconds to well over a lease.
-                if self.rng.u32(0..100) < self.late_copies {
-                    let d = 1.0 + self.rng.f64() * lease_s * 3.0;
-                    self.messages.push((
-                        now + d,
-                        Message::Heartbeat {
-                            to,
-                            heartbeat: Box::new(heartbeat),
-                        },
-                    ));
-                }
-            }
         }
-        self.note_started(began);
+        events
+    }
+
+    fn try_another_controller(&mut self, now: f64) {
+        self.target = (self.target + 1) % CONTROLLERS;
+        self.next_heartbeat_at = now + 1.0;
+    }
+
+    /// Gives up waiting for a response that does not come.
+    fn time_out_heartbeat(&mut self, now: f64) {
+        let in_flight = self.in_flight.as_ref();
+        if in_flight.is_some_and(|heartbeat| now - heartbeat.sent > 4.0) {
+            self.in_flight = None;
+            self.try_another_controller(now);
+        }
+    }
+
+    /// The next heartbeat, if it is time for it.
+    fn next_heartbeat(&mut self, machine: &str, now: f64, every_s: f64) -> Option<Heartbeat> {
+        if self.in_flight.is_some() || now < self.next_heartbeat_at {
+            return None;
+        }
+        self.seq += 1;
+        let id = HeartbeatId {
+            incarnation: self.incarnation,
+            seq: self.seq,
+        };
+        self.in_flight = Some(InFlight { sent: now, id });
+        self.next_heartbeat_at = now + every_s;
+        Some(self.heartbeat(machine, now))
+    }
+
+    fn heartbeat(&self, machine: &str, now: f64) -> Heartbeat {
+        let reported = |(key, task): (&TaskKey, &SimTask)| ReportedTask {
+            task: wire::task_name(&key.job, key.index),
+            attempt: key.attempt,
+            state: task.state,
+            why: task.why,
+            saved: task.saved.then_some(true),
+        };
+        Heartbeat {
+            machine: machine.into(),
+            addr: String::new(),
+            kind: self.kind.clone(),
+            zone: self.zone.clone(),
+            spot: self.spot,
+            incarnation: self.incarnation,
+            seq: self.seq,
+            token: self.token,
+            notice_s: self.taken_at.map(|at| (at - now).max(0.0)),
+            tasks: self.tasks.iter().map(reported).collect(),
+        }
+    }
+
+    /// Whether a response to one of its heartbeats still counts.
+    fn expects_response(&self, to: HeartbeatId, now: f64) -> bool {
+        let is_awaited = self.in_flight.as_ref().is_some_and(|sent| sent.id == to);
+        let is_reached = !self.gone && now >= self.inbound_cut_until;
+        is_reached && is_awaited && self.incarnation == to.incarnation
+    }
+}
+
+/// A gang under one attempt.
+type GangRun = (String, u64);
+
+impl World {
+    /// Workers go on with their tasks and send their heartbeats.
+    pub(super) fn run_workers(&mut self) {
+        let complete_gangs = self.complete_gangs();
+        let mut started: BTreeSet<String> = BTreeSet::new();
+        let machines: Vec<String> = self.workers.keys().cloned().collect();
+        for machine in machines {
+            self.run_worker(&machine, &complete_gangs, &mut started);
+        }
+        self.note_started(started);
     }
 
-    pub(super) fn note_started(&mut self, began: BTreeSet<String>) {
-        for id in began {
-            if let Some(j) = self.jobs.get_mut(&id) {
-                j.started_at.get_or_insert(self.now);
+    fn run_worker(
+        &mut self,
+        machine: &str,
+        complete_gangs: &BTreeSet<GangRun>,
+        started: &mut BTreeSet<String>,
+    ) {
+        let now = self.now;
+        let Some(worker) = self.workers.get_mut(machine) else {
+            return;
+        };
+        if worker.gone || now < worker.up_at {
+            return;
+        }
+        if now - worker.lease_from > self.config.lease_s {
+            // Kills and forgets all tasks, also while it hangs: nothing of it runs on.
+            self.lapses += 1;
+            worker.restart(now);
+        }
+        if now < worker.hung_until {
+            return;
+        }
+        for (key, event) in worker.advance_tasks(now, &self.jobs, complete_gangs) {
+            match event {
+                TaskEvent::Started => started.insert(key.job),
+                TaskEvent::Completed => self.completed.insert((key.job, key.index)),
+            };
+        }
+        worker.time_out_heartbeat(now);
+        let heartbeat = worker.next_heartbeat(machine, now, self.config.heartbeat_s);
+        let (to, is_cut) = (worker.target, now < worker.outbound_cut_until);
+        if let Some(heartbeat) = heartbeat.filter(|_| !is_cut) {
+            self.send_heartbeat(to, heartbeat);
+        }
+    }
+
+    /// Sends a heartbeat, now and then twice, and sometimes with a copy that arrives much later.
+    fn send_heartbeat(&mut self, to: usize, heartbeat: Heartbeat) {
+        let now = self.now;
+        self.trace.reported(now, to, &heartbeat);
+        let message = |heartbeat| Message::Heartbeat {
+            to,
+            heartbeat: Box::new(heartbeat),
+        };
+        let is_duplicated = self.rng.u32(0..100) < 2;
+        for _ in 0..=u32::from(is_duplicated) {
+            if let Some(delay) = self.delay() {
+                self.send(now + delay, message(heartbeat.clone()));
             }
         }
+        // Late copies, from seconds to well over a lease.
+        if self.rng.u32(0..100) < self.late_copies {
+            let delay = 1.0 + self.rng.f64() * self.config.lease_s * 3.0;
+            self.send(now + delay, message(heartbeat));
+        }
     }
 
     /// Gangs of which every task is on some machine under one attempt.
-    pub(super) fn whole_gangs(&self) -> BTreeSet<(String, u64)> {
-        let mut counts: BTreeMap<(String, u64), u32> = BTreeMap::new();
-        for w in self.workers.values() {
-            for ((job, _, attempt), t) in &w.tasks {
-                let here = matches!(
-                    t.state,
-                    TaskState::Waiting | TaskState::Running | TaskState::Saving
-                ) || t.why == Some(Why::Done);
-                if here {
-                    *counts.entry((job.clone(), *attempt)).or_default() += 1;
-                }
-            }
+    fn complete_gangs(&self) -> BTreeSet<GangRun> {
+        let mut present: BTreeMap<GangRun, u32> = BTreeMap::new();
+        let tasks = self.workers.values().flat_map(|worker| &worker.tasks);
+        for (key, _) in tasks.filter(|(_, task)| task.is_with_its_gang()) {
+            *present.entry((key.job.clone(), key.attempt)).or_default() += 1;
         }
-        counts
+        let is_complete = |id: &String, tasks: u32| {
+            let job = self.jobs.get(id);
+            job.is_some_and(|job| job.spec.tasks == tasks)
+        };
+        present
             .into_iter()
-            .filter(|((j, _), n)| self.jobs.get(j).is_some_and(|s| s.spec.tasks == *n))
-            .map(|(k, _)| k)
+            .filter(|((id, _), tasks)| is_complete(id, *tasks))
+            .map(|(run, _)| run)
             .collect()
     }
 
-    pub(super) fn take_answer(
+    /// A response to a heartbeat has reached a worker.
+    pub(super) fn receive_response(
         &mut self,
         machine: &str,
-        incarnation: u64,
-        seq: u64,
-        answer: HeartbeatResponse,
+        heartbeat: HeartbeatId,
+        response: HeartbeatResponse,
     ) {
         let now = self.now;
-        let Some(w) = self.workers.get_mut(machine) else {
+        let Some(worker) = self.workers.get_mut(machine) else {
             return;
         };
-        if now < w.hung_until {
+        if now < worker.hung_until {
             // It waits there until the machine goes on; by then the worker may have given it up.
-            self.messages.push((
-                w.hung_until + STEP,
-                Message::Answer {
-                    worker: machine.into(),
-                    incarnation,
-                    seq,
-                    answer,
-                },
-            ));
-            return;
+            let arrives_at = worker.hung_until + STEP;
+            let worker = machine.into();
+            let response = Message::Response {
+                worker,
+                heartbeat,
+                response,
+            };
+            return self.send(arrives_at, response);
         }
-        if w.gone
-            || now < w.inbound_cut_until
-            || w.flight
-                .as_ref()
-                .is_none_or(|f| f.seq != seq || f.incarnation != incarnation)
-            || w.incarnation != incarnation
-        {
+        if !worker.expects_response(heartbeat, now) {
             return;
         }
-        let Some(sent) = w.flight.take().map(|f| f.sent) else {
+        let Some(sent) = worker.in_flight.take().map(|heartbeat| heartbeat.sent) else {
             return;
         };
-        match answer {
-            HeartbeatResponse::Orders(Orders { token, orders }) => {
-                if token < w.token {
-                    return;
-                }
-                if token > w.token {
-                    w.next = w.next.min(now + 0.5);
-                }
-                w.token = token;
-                w.lease_from = w.lease_from.max(sent);
-                for order in orders {
-                    self.execute(machine, order);
-                }
-            }
+        match response {
+            HeartbeatResponse::Orders(orders) => self.accept_orders(machine, sent, orders),
             HeartbeatResponse::Redirect(member) => {
-                w.target = (0..3).find(|i| name(*i) == member).unwrap_or(0);
-                w.next = now + 0.1;
-            }
-            HeartbeatResponse::Unavailable => {
-                w.target = (w.target + 1) % 3;
-                w.next = now + 1.0;
+                worker.target = index_of(&member);
+                worker.next_heartbeat_at = now + 0.1;
             }
+            HeartbeatResponse::Unavailable => worker.try_another_controller(now),
         }
     }
 
-    pub(super) fn execute(&mut self, machine: &str, order: Order) {
-        let now = self.now;
-        self.trace.executed(now, machine, &order);
-        let split = |task: &str| wire::split_task(task).map(|(j, i)| (j.to_string(), i));
+    /// A worker renews its lease and carries out its orders, unless an earlier token gave them.
+    fn accept_orders(&mut self, machine: &str, sent: f64, response: Orders) {
+        let Some(worker) = self.workers.get_mut(machine) else {
+            return;
+        };
+        if response.token < worker.token {
+            return;
+        }
+        if response.token > worker.token {
+            worker.next_heartbeat_at = worker.next_heartbeat_at.min(self.now + 0.5);
+        }
+        worker.token = response.token;
+        worker.lease_from = worker.lease_from.max(sent);
+        for order in response.orders {
+            self.execute(machine, order);
+        }
+    }
+
+    fn execute(&mut self, machine: &str, order: Order) {
+        self.trace.executed(self.now, machine, &order);
         match order {
             Order::Start { task, attempt } => {
-                let Some((job, index)) = split(&task) else {
-                    return;
-                };
-                let key = (job.clone(), index, attempt);
-                if self
-                    .workers
-                    .get(machine)
-                    .is_some_and(|w| w.tasks.contains_key(&key))
-                {
-                    return;
-                }
-                self.starts += 1;
-                self.check_start(machine, &job, index);
-                let saved_s = self.saved_s(&job, index);
-                if let Some(w) = self.workers.get_mut(machine) {
-                    w.tasks.insert(
-                        key,
-                        SimTask {
-                            state: TaskState::Fetching,
-                            why: None,
-                            began: now,
-                            saved_s,
-                            saved: false,
-                            saves_until: 0.0,
-                        },
-                    );
+                if let Some(key) = TaskKey::parse(&task, attempt) {
+                    self.start_task(machine, key);
                 }
             }
             Order::Stop {
@@ -227,57 +410,45 @@
                 attempt,
                 grace_s,
             } => {
-                let Some((job, index)) = split(&task) else {
-                    return;
-                };
-                let saves_until = self.saves_until(&job, grace_s);
-                if let Some(t) = self
-                    .workers
-                    .get_mut(machine)
-                    .and_then(|w| w.tasks.get_mut(&(job, index, attempt)))
-                {
-                    if let (TaskState::Running, Some(until)) = (t.state, saves_until) {
-                        t.state = TaskState::Saving;
-                        t.saves_until = until;
-                    } else if !matches!(t.state, TaskState::Exited | TaskState::Saving) {
-                        t.state = TaskState::Exited;
-                        t.why = Some(Why::Stopped);
-                    }
+                if let Some(key) = TaskKey::parse(&task, attempt) {
+                    self.stop_task(machine, &key, grace_s);
                 }
             }
             Order::Clear { task, attempt } => {
-                let Some((job, index)) = split(&task) else {
-                    return;
-                };
-                if let Some(w) = self.workers.get_mut(machine) {
-                    w.tasks.remove(&(job, index, attempt));
+                let worker = self.workers.get_mut(machine);
+                if let (Some(worker), Some(key)) = (worker, TaskKey::parse(&task, attempt)) {
+                    worker.tasks.remove(&key);
                 }
             }
         }
     }
-}
 
-fn heartbeat_of(machine: &str, w: &Worker, now: f64) -> Heartbeat {
-    Heartbeat {
-        machine: machine.into(),
-        addr: String::new(),
-        kind: w.kind.clone(),
-        zone: w.zone.clone(),
-        spot: w.spot,
-        incarnation: w.incarnation,
-        seq: w.seq,
-        token: w.token,
-        notice_s: w.taken_at.map(|at| (at - now).max(0.0)),
-        tasks: w
-            .tasks
-            .iter()
-            .map(|((j, i, a), t)| ReportedTask {
-                task: wire::task_name(j, *i),
-                attempt: *a,
-                state: t.state,
-                why: t.why,
-                saved: t.saved.then_some(true),
-            })
-            .collect(),
+    fn start_task(&mut self, machine: &str, key: TaskKey) {
+        let worker = self.workers.get(machine);
+        if worker.is_some_and(|worker| worker.tasks.contains_key(&key)) {
+            return;
+        }
+        self.starts += 1;
+        self.check_start(machine, &key.job, key.index);
+        let task = SimTask::starting(self.now, self.saved_s(&key.job, key.index));
+        if let Some(worker) = self.workers.get_mut(machine) {
+            worker.tasks.insert(key, task);
+        }
+    }
+
+    fn stop_task(&mut self, machine: &str, key: &TaskKey, grace_s: f64) {
+        let saves_until = self.saves_until(&key.job, grace_s);
+        let worker = self.workers.get_mut(machine);
+        let Some(task) = worker.and_then(|worker| worker.tasks.get_mut(key)) else {
+            return;
+        };
+        match (task.state, saves_until) {
+            (TaskState::Running, Some(until)) => {
+                task.state = TaskState::Saving;
+                task.saves_until = until;
+            }
+            (TaskState::Exited | TaskState::Saving, _) => {}
+            _ => task.exit(Why::Stopped),
+        }
     }
 }
--- a/crates/model/tests/overlapping_faults.rs
+++ b/crates/model/tests/overlapping_faults.rs
@@ -1,7 +1,7 @@
 //! Two faults at a time, each meeting brought about on purpose, over a few seeds: the rules of the
 //! protocol and of the users hold, and all that was accepted is done or cancelled in the end.
 
-use model::world::{config, job, Defect, World};
+use model::world::{config, job, Defect, Fault, World};
 use sched::config::SchedulerConfig;
 use wire::users::{Job, Shape};
 
@@ -172,12 +172,7 @@
 #[test]
 fn trusting_a_picture_from_before_an_outage_is_noticed() {
     assert!(
-        breaks(
-            "ran_cancelled",
-            Defect::TrustOldPicture,
-            config(),
-            slow_gaps
-        ),
+        breaks("ran_cancelled", Defect::TrustStaleView, config(), slow_gaps),
         "it went unnoticed"
     );
 }
@@ -544,7 +539,7 @@
         }
     }
     w.late_writes = 0;
-    assert!(w.faults["late write"] > 5, "{:?}", w.faults);
+    assert!(w.faults[&Fault::LateWrite] > 5, "{:?}", w.faults);
 }
 
 #[test]
--- a/crates/model/tests/trace.rs
+++ b/crates/model/tests/trace.rs
@@ -2,7 +2,7 @@
 //!
 //! `trace.digest` beside this file has a line for each group of days: its name, its seeds, and the digest.
 
-use model::world::{job, Defect, Trace, World};
+use model::world::{job, CloudEvent, Defect, Trace, World};
 use std::ops::Range;
 use wire::users::{Job, Priority, Shape};
 
@@ -101,9 +101,15 @@
     world.live_richly(60.0, 50, seed % 2 == 1);
     world.calm(300.0);
     world.pass(45.0);
-    let happened = |what: &str| world.faults.get(what).copied().unwrap_or(0);
-    for what in ["notice", "save", "stop", "refused by the cloud", "returned"] {
-        assert!(happened(what) > 0, "no {what} on day {seed}");
+    let happened = |event| world.cloud_events.get(&event).copied().unwrap_or(0);
+    for event in [
+        CloudEvent::PreemptionNotice,
+        CloudEvent::Save,
+        CloudEvent::Stop,
+        CloudEvent::ProvisionRefused,
+        CloudEvent::Deprovision,
+    ] {
+        assert!(happened(event) > 0, "no {event:?} on day {seed}");
     }
     assert_eq!(
         world.broken,
