--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -40,6 +40,7 @@
 use faults::{Isolation, PlannedOutage};
 use fixtures::random_job;
 pub use fixtures::{config, heartbeat, job, machine_status, machine_type, machine_types};
+pub use jobs::JobTimes;
 use jobs::{JobState, JobsAsRead};
 use leadership::LeadingController;
 use outcomes::Outcome;
@@ -256,7 +257,7 @@
     }
 
     /// One step of time, in which everything runs once.
-    fn step(&mut self) {
+    pub fn step(&mut self) {
         self.now += STEP;
         let outage = self
             .outage_at
@@ -329,6 +330,3 @@
         )
     }
 }
-
-#[cfg(test)]
-mod tests;
--- a/crates/model/src/world/jobs.rs
+++ b/crates/model/src/world/jobs.rs
@@ -49,6 +49,17 @@
     }
 }
 
+/// When a job came to its stages, as far as it has.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct JobTimes {
+    /// When it was accepted.
+    pub accepted: f64,
+    /// When the last of its dependencies was done; for a job without any, when it was accepted.
+    pub ready: Option<f64>,
+    /// When its first task began to run.
+    pub started: Option<f64>,
+}
+
 /// The jobs as a controller's replica has them, which is as old as its last read of the store.
 pub(super) struct JobsAsRead<'a> {
     jobs: &'a BTreeMap<String, JobState>,
@@ -184,6 +195,17 @@
         open.map(|(id, _)| id.clone()).collect()
     }
 
+    /// When each of the accepted jobs came to its stages, by id.
+    pub fn job_times(&self) -> BTreeMap<&str, JobTimes> {
+        let times = |job: &JobState| JobTimes {
+            accepted: job.accepted,
+            ready: job.ready_at,
+            started: job.started_at,
+        };
+        let jobs = self.jobs.iter();
+        jobs.map(|(id, job)| (id.as_str(), times(job))).collect()
+    }
+
     /// What the store says of a job: done, cancelled, or neither yet.
     pub fn outcome(&self, id: &str) -> Option<&'static str> {
         let job = self.jobs.get(id)?;
--- a/crates/model/src/world/script.rs
+++ b/crates/model/src/world/script.rs
@@ -46,6 +46,11 @@
         self.cut_link(i, for_s);
     }
 
+    /// The machines that were provisioned and not returned, in the order of their names.
+    pub fn machines(&self) -> Vec<String> {
+        self.workers.keys().cloned().collect()
+    }
+
     /// Machines on which something is, as many as asked for at most.
     pub fn busy_machines(&self, most: usize) -> Vec<String> {
         let is_busy = |worker: &Worker| !worker.gone && worker.live_tasks().next().is_some();
--- a/crates/model/src/world/tests.rs
+++ b/crates/model/tests/world.rs
@@ -1,6 +1,9 @@
 //! Rules and progress over many seeds, and broken variants that the checks must notice.
 
-use super::*;
+use model::world::{config, job, Defect, Fault, JobTimes, World};
+use sched::config::{SchedulerConfig, Team};
+use std::collections::{BTreeMap, BTreeSet};
+use wire::users::{Job, Shape};
 
 /// Days on which most jobs need earlier ones, with every fault, while the controllers are replaced one
 /// after the other by ones with smaller records.
@@ -33,8 +36,9 @@
         );
         starts += w.starts;
         cancelled_with_others += w.cancelled_with_others;
-        let waited = |j: &&JobState| j.ready_at.is_some_and(|at| at > j.accepted);
-        blocked += w.jobs.values().filter(waited).count();
+        let times = w.job_times();
+        let was_blocked = |times: &&JobTimes| times.ready.is_some_and(|at| at > times.accepted);
+        blocked += times.values().filter(was_blocked).count();
     }
     assert!(
         starts > 3000 && cancelled_with_others > 100 && blocked > 200,
@@ -130,10 +134,9 @@
         while w.starts < 3 {
             w.step();
         }
-        let unreachable: Vec<String> = w.workers.keys().take(2).cloned().collect();
-        unreachable
-            .iter()
-            .for_each(|n| w.workers.get_mut(n).unwrap().inbound_cut_until = 1e9);
+        let mut unreachable = w.machines();
+        unreachable.truncate(2);
+        w.cut_inbound(&unreachable, 1e9);
         (9..17).for_each(|i| {
             w.submit(job(
                 i,
@@ -204,13 +207,11 @@
         w.submit(gang(i, "red", 1));
         (0..4).for_each(|_| w.step());
     }
-    let large = &w.jobs["wk-009999"];
+    let large = w.job_times()["wk-009999"];
     assert!(
-        large
-            .started_at
-            .is_some_and(|at| at - large.accepted < 60.0),
+        large.started.is_some_and(|at| at - large.accepted < 60.0),
         "it began at {:?}",
-        large.started_at
+        large.started
     );
     assert!(w.open_jobs().len() > 20, "the machines were never short");
     assert!(w.broken.is_empty(), "{:?}", w.broken);
