--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 use wire::cloud::{MachineType, ProvisionRequest};
-use wire::peers::{MachineStatus, TaskStatus, ToLeader, ToOwner};
+use wire::peers::{MachineStatus, TaskRef, TaskStatus, ToLeader, ToOwner};
 use wire::store::{RosterRecord, StartedArraysRecord};
 use wire::users::{Job, Priority, Shape};
 use wire::workers::{Heartbeat, Order, Orders, ReportedTask, TaskState, Why};
@@ -39,7 +39,11 @@
 pub use faults::Fault;
 use faults::{Isolation, PlannedOutage};
 use fixtures::random_job;
-pub use fixtures::{config, heartbeat, job, machine_status, machine_type, machine_types};
+pub use fixtures::{
+    config, config_that_keeps_machines, heartbeat, job, lone_leader, machine_status, machine_type,
+    machine_types, owner_of_one_machine, roster, roster_record, task_status, unlimited_teams,
+    UnknownJobs,
+};
 pub use jobs::JobTimes;
 use jobs::{JobState, JobsAsRead};
 use leadership::LeadingController;
--- a/crates/model/src/world/fixtures.rs
+++ b/crates/model/src/world/fixtures.rs
@@ -1,6 +1,7 @@
 //! Settings, jobs and heartbeats as tests use them.
 
 use super::*;
+use wire::peers::MachineDescriptor;
 
 /// A machine type of both zones.
 pub fn machine_type(name: &str, cpus: f64, memory_gb: f64, price: f64) -> MachineType {
@@ -52,6 +53,98 @@
     }
 }
 
+/// The usual settings, with idle machines that are never returned.
+pub fn config_that_keeps_machines() -> SchedulerConfig {
+    SchedulerConfig {
+        idle_retention_boots: 1e6,
+        ..config()
+    }
+}
+
+/// Teams without a guarantee that may use as many CPUs as there are.
+pub fn unlimited_teams(names: &[&str]) -> BTreeMap<String, Team> {
+    let unlimited = Team {
+        cpus: 0.0,
+        cpus_max: 1e6,
+        gpus: 0.0,
+        gpus_max: 0.0,
+    };
+    let team = |name: &&str| (name.to_string(), unlimited.clone());
+    names.iter().map(team).collect()
+}
+
+/// The roster's record of a machine in zone `a`, at the full price.
+pub fn roster_record(kind: &str) -> RosterRecord {
+    RosterRecord {
+        kind: kind.into(),
+        zone: "a".into(),
+        spot: false,
+    }
+}
+
+/// A roster of machines that have the same record.
+pub fn roster<Name: Into<String>>(
+    machines: impl IntoIterator<Item = Name>,
+    record: &RosterRecord,
+) -> BTreeMap<String, RosterRecord> {
+    let machines = machines.into_iter();
+    machines
+        .map(|machine| (machine.into(), record.clone()))
+        .collect()
+}
+
+/// A leader in its first term that is its own only owner, with open jobs of which arrays up to a
+/// revision may have started, and with a roster.
+pub fn lone_leader(
+    config: SchedulerConfig,
+    types: Vec<MachineType>,
+    jobs: Vec<OpenJob>,
+    started_upto: u64,
+    roster: &BTreeMap<String, RosterRecord>,
+) -> Leader {
+    let mut leader = Leader::new("rung-0", config, 1, 1, 4.0, jobs, roster, started_upto, 0.0);
+    leader.catalog(types);
+    leader
+}
+
+/// A replica that knows no job at all.
+pub struct UnknownJobs;
+
+impl Jobs for UnknownJobs {
+    fn resources(&self, _: &str) -> Option<Resources> {
+        None
+    }
+    fn image(&self, _: &str) -> Option<String> {
+        None
+    }
+    fn is_terminal(&self, _: &str) -> bool {
+        false
+    }
+}
+
+/// An owner `rung-1` of one machine, `host-1` of type `small`, under token 5 since time 10. Its
+/// authority lasts; how old its view of the store is, it does not know.
+pub fn owner_of_one_machine(config: SchedulerConfig) -> Owner {
+    let mut owner = Owner::new("rung-1", config);
+    let descriptor = MachineDescriptor {
+        name: "host-1".into(),
+        kind: "small".into(),
+        zone: "a".into(),
+        spot: false,
+        usable: true,
+    };
+    let epoch = ToOwner::Epoch {
+        token: 5,
+        prev: 0,
+        members: vec!["rung-1".into()],
+        extra_ms: 0,
+        machines: vec![descriptor],
+    };
+    owner.on_leader_message(epoch, 10.0, &UnknownJobs);
+    owner.authority.set(1e9);
+    owner
+}
+
 /// A heartbeat of a machine of type `small` in zone `a`.
 pub fn heartbeat(
     machine: &str,
@@ -92,6 +185,16 @@
     }
 }
 
+/// A task as its owner shows it; nothing of it was saved.
+pub fn task_status(task: TaskRef, state: TaskState, why: Option<Why>) -> TaskStatus {
+    TaskStatus {
+        task,
+        state,
+        why,
+        saved: false,
+    }
+}
+
 /// A job as tests submit it.
 pub fn job(id: u32, team: &str, shape: Shape, tasks: u32, cpus: f64) -> Job {
     Job {
--- a/crates/model/tests/chains.rs
+++ b/crates/model/tests/chains.rs
@@ -21,35 +21,39 @@
 
 /// A chain of four, each of which needs the one before, with machines that run its first job.
 fn chain(seed: u64) -> World {
-    let mut w = World::new(seed, Defect::None);
-    w.submit(after(1, &[], 20.0));
-    w.submit(after(2, &[1], 2.0));
-    w.submit(after(3, &[2], 2.0));
-    w.submit(after(4, &[1, 3], 2.0));
-    pass_until(&mut w, |w| w.live_tasks(&id(1)) == 3);
-    w
+    let mut world = World::new(seed, Defect::None);
+    world.submit(after(1, &[], 20.0));
+    world.submit(after(2, &[1], 2.0));
+    world.submit(after(3, &[2], 2.0));
+    world.submit(after(4, &[1, 3], 2.0));
+    pass_until(&mut world, |world| world.live_tasks(&id(1)) == 3);
+    world
 }
 
-fn pass_until(w: &mut World, is_reached: impl Fn(&World) -> bool) {
-    let end = w.now + 200.0;
-    while !is_reached(w) {
-        assert!(w.now < end, "it never came to that\n{}", w.explain());
-        w.pass(0.1);
+fn pass_until(world: &mut World, is_reached: impl Fn(&World) -> bool) {
+    let end = world.now + 200.0;
+    while !is_reached(world) {
+        assert!(
+            world.now < end,
+            "it never came to that\n{}",
+            world.explain()
+        );
+        world.pass(0.1);
     }
 }
 
-fn outcomes(w: &World) -> Vec<Option<&'static str>> {
-    (1..=4).map(|number| w.outcome(&id(number))).collect()
+fn outcomes(world: &World) -> Vec<Option<&'static str>> {
+    (1..=4).map(|number| world.outcome(&id(number))).collect()
 }
 
-fn ends_well(mut w: World, seed: u64, expected: [&'static str; 4]) {
-    w.calm(300.0);
-    assert!(w.broken.is_empty(), "seed {seed}: {:?}", w.broken);
+fn ends_well(mut world: World, seed: u64, expected: [&'static str; 4]) {
+    world.calm(300.0);
+    assert!(world.broken.is_empty(), "seed {seed}: {:?}", world.broken);
     assert_eq!(
-        outcomes(&w),
+        outcomes(&world),
         expected.map(Some),
         "seed {seed}\n{}",
-        w.explain()
+        world.explain()
     );
 }
 
@@ -63,16 +67,16 @@
 #[test]
 fn a_follower_confirms_a_cancellation_while_the_store_refuses_the_leader_and_then_everybody() {
     for seed in 0..SEEDS {
-        let mut w = chain(seed);
-        w.hints = false;
-        pass_until(&mut w, |w| w.leader_at().is_some());
-        let leader = w.leader_at().unwrap_or(0);
-        w.refuse(leader, 8.0);
-        w.pass(0.3);
-        assert!(w.cancel(&id(2)));
-        w.outage(40.0);
-        w.pass(45.0);
-        ends_well(w, seed, ["done", "cancelled", "cancelled", "cancelled"]);
+        let mut world = chain(seed);
+        world.hints = false;
+        pass_until(&mut world, |world| world.leader_at().is_some());
+        let leader = world.leader_at().unwrap_or(0);
+        world.refuse(leader, 8.0);
+        world.pass(0.3);
+        assert!(world.cancel(&id(2)));
+        world.outage(40.0);
+        world.pass(45.0);
+        ends_well(world, seed, ["done", "cancelled", "cancelled", "cancelled"]);
     }
 }
 
@@ -81,22 +85,25 @@
 fn a_cancellation_meets_the_end_of_a_job_that_others_need() {
     let mut seen = [0; 2];
     for seed in 0..SEEDS * 2 {
-        let mut w = chain(seed);
+        let mut world = chain(seed);
         let cancelled = loop {
-            w.pass(0.1);
-            if let Some(cancelled) = w.cancel_at_end() {
+            world.pass(0.1);
+            if let Some(cancelled) = world.cancel_at_end() {
                 break cancelled == id(1);
             }
-            if w.outcome(&id(1)).is_some() {
+            if world.outcome(&id(1)).is_some() {
                 break false;
             }
         };
-        assert!(cancelled || !w.cancel(&id(1)), "it is answered with done");
+        assert!(
+            cancelled || !world.cancel(&id(1)),
+            "it is answered with done"
+        );
         seen[usize::from(cancelled)] += 1;
         if cancelled {
-            ends_well(w, seed, ["cancelled"; 4]);
+            ends_well(world, seed, ["cancelled"; 4]);
         } else {
-            ends_well(w, seed, ["done"; 4]);
+            ends_well(world, seed, ["done"; 4]);
         }
     }
     assert!(seen[1] > 0, "no cancellation came first: {seen:?}");
@@ -105,13 +112,13 @@
 #[test]
 fn the_leader_ends_between_the_end_of_a_job_and_the_start_of_what_needs_it() {
     for seed in 0..SEEDS {
-        let mut w = chain(seed);
+        let mut world = chain(seed);
         for number in 1..4 {
-            pass_until(&mut w, |w| w.outcome(&id(number)).is_some());
-            let leader = w.leader_at();
-            leader.into_iter().for_each(|i| w.end(i, 0.4));
+            pass_until(&mut world, |world| world.outcome(&id(number)).is_some());
+            let leader = world.leader_at();
+            leader.into_iter().for_each(|i| world.end(i, 0.4));
         }
-        ends_well(w, seed, ["done"; 4]);
+        ends_well(world, seed, ["done"; 4]);
     }
 }
 
@@ -120,11 +127,11 @@
 #[test]
 fn an_earlier_attempt_hangs_while_its_job_is_done_elsewhere() {
     for seed in 0..SEEDS {
-        let mut w = chain(seed);
-        let machines = w.busy_machines(9);
-        w.hang(&machines, 30.0);
-        w.pass(40.0);
-        ends_well(w, seed, ["done"; 4]);
+        let mut world = chain(seed);
+        let machines = world.busy_machines(9);
+        world.hang(&machines, 30.0);
+        world.pass(40.0);
+        ends_well(world, seed, ["done"; 4]);
     }
 }
 
@@ -133,16 +140,16 @@
 #[test]
 fn a_chain_is_cancelled_while_all_controllers_end_and_come_back() {
     for seed in 0..SEEDS {
-        let mut w = chain(seed);
-        pass_until(&mut w, |w| w.leader_at().is_some());
-        assert!(w.cancel(&id(1)));
-        (0..3).for_each(|i| w.end(i, 1.0 + i as f64));
-        w.pass(5.0);
+        let mut world = chain(seed);
+        pass_until(&mut world, |world| world.leader_at().is_some());
+        assert!(world.cancel(&id(1)));
+        (0..3).for_each(|i| world.end(i, 1.0 + i as f64));
+        world.pass(5.0);
         // Submitted on a job that was cancelled long ago.
-        w.submit(after(5, &[4], 2.0));
-        w.roll(4.0, 0.004);
-        assert_eq!(w.outcome(&id(5)), Some("cancelled"));
-        ends_well(w, seed, ["cancelled"; 4]);
+        world.submit(after(5, &[4], 2.0));
+        world.roll(4.0, 0.004);
+        assert_eq!(world.outcome(&id(5)), Some("cancelled"));
+        ends_well(world, seed, ["cancelled"; 4]);
     }
 }
 
@@ -150,10 +157,10 @@
 #[test]
 fn a_controller_is_alone_with_its_workers_while_the_chain_goes_on() {
     for seed in 0..SEEDS {
-        let mut w = chain(seed);
+        let mut world = chain(seed);
         let i = seed as usize % 3;
-        w.isolate(i, 15.0);
-        w.pass(20.0);
-        ends_well(w, seed, ["done"; 4]);
+        world.isolate(i, 15.0);
+        world.pass(20.0);
+        ends_well(world, seed, ["done"; 4]);
     }
 }
--- a/crates/model/tests/leader_and_owner.rs
+++ b/crates/model/tests/leader_and_owner.rs
@@ -1,6 +1,9 @@
 //! Cases of the leader and of owners, one by one.
 
-use model::world::{job, machine_type};
+use model::world::{
+    job, lone_leader, machine_type, owner_of_one_machine, roster, roster_record, task_status,
+    UnknownJobs,
+};
 use sched::config::{SchedulerConfig, Team};
 use sched::leader::{Action, Leader, OpenJob, PriorRuns};
 use sched::owner::{HeartbeatResponse, Jobs, Owner};
@@ -9,10 +12,9 @@
 use std::rc::Rc;
 use wire::cloud::MachineType;
 use wire::peers::{
-    AllowedMachineType, MachineDescriptor, MachineStatus, TaskRef, TaskRequirements, TaskStatus,
-    ToLeader, ToOwner,
+    AllowedMachineType, MachineStatus, TaskRef, TaskRequirements, TaskStatus, ToLeader, ToOwner,
 };
-use wire::store::{RosterRecord, StartedArraysRecord};
+use wire::store::StartedArraysRecord;
 use wire::users::{Job, Shape};
 use wire::workers::{Heartbeat, ReportedTask, TaskState, Why};
 
@@ -29,20 +31,6 @@
     }
 }
 
-struct NoJobs;
-
-impl Jobs for NoJobs {
-    fn resources(&self, _: &str) -> Option<Resources> {
-        None
-    }
-    fn image(&self, _: &str) -> Option<String> {
-        None
-    }
-    fn is_terminal(&self, _: &str) -> bool {
-        false
-    }
-}
-
 fn heartbeat(incarnation: u64, seq: u64, token: u64) -> Heartbeat {
     model::world::heartbeat(
         "host-1",
@@ -59,25 +47,9 @@
     )
 }
 
-/// An owner whose part is one machine, since token 5.
+/// An owner of one machine whose view of the store is always fresh.
 fn owner_of_host_1() -> Owner {
-    let mut owner = Owner::new("rung-1", config());
-    let descriptor = MachineDescriptor {
-        name: "host-1".into(),
-        kind: "small".into(),
-        zone: "a".into(),
-        spot: false,
-        usable: true,
-    };
-    let epoch = ToOwner::Epoch {
-        token: 5,
-        prev: 0,
-        members: vec!["rung-1".into()],
-        extra_ms: 0,
-        machines: vec![descriptor],
-    };
-    owner.on_leader_message(epoch, 10.0, &NoJobs);
-    owner.authority.set(1e9);
+    let mut owner = owner_of_one_machine(config());
     owner.authority.prove(1e9);
     owner
 }
@@ -89,25 +61,25 @@
 fn a_report_of_a_lease_that_is_over_does_not_count_though_none_counted_before() {
     let mut owner = owner_of_host_1();
     assert!(
-        matches!(owner.on_heartbeat(&heartbeat(2, 57, 4), 10.5, &NoJobs), HeartbeatResponse::Orders(o) if o.token == 5 && o.orders.is_empty())
+        matches!(owner.on_heartbeat(&heartbeat(2, 57, 4), 10.5, &UnknownJobs), HeartbeatResponse::Orders(o) if o.token == 5 && o.orders.is_empty())
     );
     owner.tick(10.5 + config().lease_expiry_s() + 0.1);
     owner.drain();
     assert_eq!(
-        owner.on_heartbeat(&heartbeat(2, 58, 5), 25.0, &NoJobs),
+        owner.on_heartbeat(&heartbeat(2, 58, 5), 25.0, &UnknownJobs),
         HeartbeatResponse::Unavailable
     );
     // The worker itself is back, in a new incarnation, and learns the token first.
     assert!(matches!(
-        owner.on_heartbeat(&heartbeat(3, 60, 4), 26.0, &NoJobs),
+        owner.on_heartbeat(&heartbeat(3, 60, 4), 26.0, &UnknownJobs),
         HeartbeatResponse::Orders(_)
     ));
     assert_eq!(
-        owner.on_heartbeat(&heartbeat(2, 59, 5), 26.5, &NoJobs),
+        owner.on_heartbeat(&heartbeat(2, 59, 5), 26.5, &UnknownJobs),
         HeartbeatResponse::Unavailable
     );
     assert!(matches!(
-        owner.on_heartbeat(&heartbeat(3, 61, 5), 27.0, &NoJobs),
+        owner.on_heartbeat(&heartbeat(3, 61, 5), 27.0, &UnknownJobs),
         HeartbeatResponse::Orders(_)
     ));
     owner.tick(28.0);
@@ -120,16 +92,12 @@
 }
 
 fn view_of(index: u32, attempt: u64, state: TaskState, why: Option<Why>) -> TaskStatus {
-    TaskStatus {
-        task: TaskRef {
-            job: "wk-1".into(),
-            index,
-            attempt,
-        },
-        state,
-        why,
-        saved: false,
-    }
+    let task = TaskRef {
+        job: "wk-1".into(),
+        index,
+        attempt,
+    };
+    task_status(task, state, why)
 }
 
 fn small() -> MachineType {
@@ -154,17 +122,8 @@
 fn an_attempt_stays_charged_when_another_one_is_done() {
     let spec = array("wk-1");
     let open = OpenJob::new(spec, 1, PriorRuns::Anywhere);
-    let record = RosterRecord {
-        kind: "small".into(),
-        zone: "a".into(),
-        spot: false,
-    };
-    let roster = BTreeMap::from([
-        ("host-1".to_string(), record.clone()),
-        ("host-2".to_string(), record),
-    ]);
-    let mut leader = Leader::new("rung-0", config(), 1, 1, 4.0, vec![open], &roster, 1, 0.0);
-    leader.catalog(vec![small()]);
+    let roster = roster(["host-1", "host-2"], &roster_record("small"));
+    let mut leader = lone_leader(config(), vec![small()], vec![open], 1, &roster);
     leader.tick(0.0, 0);
     let running = view_of(0, 9, TaskState::Running, None);
     leader.on_owner_message(
@@ -190,18 +149,10 @@
 /// its tasks may still be there, and count against the team's limit.
 #[test]
 fn a_job_cancelled_before_all_machines_are_known_still_counts() {
-    let record = RosterRecord {
-        kind: "small".into(),
-        zone: "a".into(),
-        spot: false,
-    };
-    let roster: BTreeMap<_, _> = ["host-1", "host-2", "host-3"]
-        .map(|n| (n.to_string(), record.clone()))
-        .into();
+    let roster = roster(["host-1", "host-2", "host-3"], &roster_record("small"));
     let open = |id: &str, revision, prior_runs| OpenJob::new(array(id), revision, prior_runs);
     let old = open("wk-1", 1, PriorRuns::Anywhere);
-    let mut leader = Leader::new("rung-0", config(), 1, 1, 4.0, vec![old], &roster, 1, 0.0);
-    leader.catalog(vec![small()]);
+    let mut leader = lone_leader(config(), vec![small()], vec![old], 1, &roster);
     leader.tick(0.0, 0);
     let known = ["host-2", "host-3"].map(|n| machine_status(n, Vec::new()));
     leader.on_owner_message("rung-0", ToLeader::MachineStatuses(known.into()), 1.0);
@@ -274,29 +225,14 @@
 #[test]
 fn a_few_machines_that_stay_silent_are_returned_soon() {
     let returned_at = |silent: usize| {
-        let record = RosterRecord {
-            kind: "small".into(),
-            zone: "a".into(),
-            spot: false,
-        };
         let names: Vec<String> = (0..100).map(|i| format!("host-{i}")).collect();
-        let roster: BTreeMap<_, _> = names.iter().map(|n| (n.clone(), record.clone())).collect();
+        let roster = roster(names.clone(), &roster_record("small"));
         let old = OpenJob::new(array("wk-1"), 1, PriorRuns::Anywhere);
-        let mut leader = Leader::new(
-            "rung-0",
-            SchedulerConfig {
-                heartbeat_s: 10.0,
-                ..config()
-            },
-            1,
-            1,
-            4.0,
-            vec![old],
-            &roster,
-            1,
-            0.0,
-        );
-        leader.catalog(vec![small()]);
+        let config = SchedulerConfig {
+            heartbeat_s: 10.0,
+            ..config()
+        };
+        let mut leader = lone_leader(config, vec![small()], vec![old], 1, &roster);
         leader.tick(0.0, 0);
         let known = names[silent..]
             .iter()
--- a/crates/model/tests/notices.rs
+++ b/crates/model/tests/notices.rs
@@ -1,10 +1,12 @@
 //! What is saved when the cloud announces that it takes a machine back.
 
-use model::world::{config, job, machine_status, machine_type};
-use sched::leader::{Action, Leader, OpenJob, PriorRuns};
-use std::collections::{BTreeMap, BTreeSet};
+use model::world::{
+    config, job, lone_leader, machine_status, machine_type, roster, roster_record, task_status,
+};
+use sched::leader::{Action, OpenJob, PriorRuns};
+use std::collections::BTreeSet;
 use std::rc::Rc;
-use wire::peers::{TaskRef, TaskStatus, ToLeader, ToOwner};
+use wire::peers::{TaskRef, ToLeader, ToOwner};
 use wire::store::RosterRecord;
 use wire::users::{Job, Shape};
 use wire::workers::TaskState;
@@ -24,25 +26,25 @@
         _ => PriorRuns::Anywhere,
     };
     let open = OpenJob::new(Rc::new(spec), 1, prior_runs);
-    let record = RosterRecord {
-        kind: "small".into(),
-        zone: "a".into(),
+    let spot = RosterRecord {
         spot: true,
+        ..roster_record("small")
     };
-    let roster: BTreeMap<_, _> = ["host-1", "host-2"]
-        .map(|host| (host.to_string(), record.clone()))
-        .into();
-    let mut leader = Leader::new("rung-0", config(), 1, 1, 4.0, vec![open], &roster, 1, 0.0);
-    leader.catalog(vec![machine_type("small", 4.0, 16.0, 0.3)]);
-    let running = |index| TaskStatus {
-        task: TaskRef {
+    let roster = roster(["host-1", "host-2"], &spot);
+    let mut leader = lone_leader(
+        config(),
+        vec![machine_type("small", 4.0, 16.0, 0.3)],
+        vec![open],
+        1,
+        &roster,
+    );
+    let running = |index| {
+        let task = TaskRef {
             job: "wk-000001".into(),
             index,
             attempt: ATTEMPT,
-        },
-        state: TaskState::Running,
-        why: None,
-        saved: false,
+        };
+        task_status(task, TaskState::Running, None)
     };
     let (mut now, mut stopped) = (0.0, BTreeSet::new());
     while now < 6.0 {
--- a/crates/model/tests/overlapping_faults.rs
+++ b/crates/model/tests/overlapping_faults.rs
@@ -8,23 +8,26 @@
 /// A day with short and long jobs of both teams on machines that run, arrays and gangs; long ones
 /// outlast `cancel_s` and every fault.
 fn busy(seed: u64, defect: Defect, config: SchedulerConfig) -> World {
-    let mut w = World::with(seed, defect, config);
-    w.late_copies = 5;
+    let mut world = World::with(seed, defect, config);
+    world.late_copies = 5;
     for i in 1..=4 {
         let team = if i % 2 == 0 { "red" } else { "blue" };
-        w.submit(Job {
+        world.submit(Job {
             estimate_s: 120.0,
             ..job(i, team, Shape::Array, 3, 1.0)
         });
-        w.submit(Job {
+        world.submit(Job {
             estimate_s: 120.0,
             ..job(10 + i, team, Shape::Gang, 2, 1.0)
         });
-        w.submit(job(20 + i, team, Shape::Array, 6, 1.0));
+        world.submit(job(20 + i, team, Shape::Array, 6, 1.0));
     }
-    w.pass(25.0);
-    assert!(!w.busy_machines(1).is_empty(), "seed {seed}: nothing runs");
-    w
+    world.pass(25.0);
+    assert!(
+        !world.busy_machines(1).is_empty(),
+        "seed {seed}: nothing runs"
+    );
+    world
 }
 
 /// Brings a meeting about on several seeds, and judges the days.
@@ -34,21 +37,21 @@
 
 fn meeting_with(seeds: u64, config: SchedulerConfig, script: impl Fn(&mut World)) {
     for seed in 0..seeds {
-        let mut w = busy(seed, Defect::None, config.clone());
-        script(&mut w);
-        assert!(w.cancelled > 0, "seed {seed}: nothing was cancelled");
-        w.calm(400.0);
+        let mut world = busy(seed, Defect::None, config.clone());
+        script(&mut world);
+        assert!(world.cancelled > 0, "seed {seed}: nothing was cancelled");
+        world.calm(400.0);
         assert!(
-            w.broken.is_empty(),
+            world.broken.is_empty(),
             "seed {seed}: {:?}\n{}",
-            w.broken,
-            w.explain()
+            world.broken,
+            world.explain()
         );
         assert_eq!(
-            w.open_jobs(),
+            world.open_jobs(),
             Vec::<String>::new(),
             "seed {seed}\n{}",
-            w.explain()
+            world.explain()
         );
     }
 }
@@ -64,37 +67,37 @@
     script: impl Fn(&mut World),
 ) -> bool {
     (0..DEFECT_SEEDS).any(|seed| {
-        let mut w = busy(seed, defect, config.clone());
-        script(&mut w);
-        w.pass(60.0);
-        w.broken.contains(rule)
+        let mut world = busy(seed, defect, config.clone());
+        script(&mut world);
+        world.pass(60.0);
+        world.broken.contains(rule)
     })
 }
 
 /// Users call jobs off until one is confirmed.
-fn cancel_one(w: &mut World) {
-    while w.cancel_running(1).is_empty() {
-        w.pass(0.5);
+fn cancel_one(world: &mut World) {
+    while world.cancel_running(1).is_empty() {
+        world.pass(0.5);
     }
 }
 
-fn leader(w: &mut World) -> usize {
-    while w.leader_at().is_none() {
-        w.pass(0.1);
+fn leader(world: &mut World) -> usize {
+    while world.leader_at().is_none() {
+        world.pass(0.1);
     }
-    w.leader_at().unwrap_or(0)
+    world.leader_at().unwrap_or(0)
 }
 
 /// The store refuses the leader, others confirm cancellations, then it is out for everybody.
-fn gap(w: &mut World, refused_s: f64, out_s: f64) {
-    let l = leader(w);
+fn gap(world: &mut World, refused_s: f64, out_s: f64) {
+    let leading = leader(world);
     // It is served again when the others are.
-    w.refuse(l, refused_s + out_s / 2.0);
-    w.pass(refused_s / 2.0);
-    w.cancel_running(2);
-    w.pass(refused_s / 2.0);
-    w.outage(out_s);
-    w.pass(out_s + 0.5);
+    world.refuse(leading, refused_s + out_s / 2.0);
+    world.pass(refused_s / 2.0);
+    world.cancel_running(2);
+    world.pass(refused_s / 2.0);
+    world.outage(out_s);
+    world.pass(out_s + 0.5);
 }
 
 #[test]
@@ -107,23 +110,23 @@
             (1.5, 1.3 * cancel),
             (3.0, 1.3 * cancel),
         ] {
-            meeting(4, |w| {
-                w.hints = hints;
-                gap(w, refused_s, out_s);
+            meeting(4, |world| {
+                world.hints = hints;
+                gap(world, refused_s, out_s);
             });
         }
     }
 }
 
 /// The store answers renewals between outages, but no read in time; nobody tells the leader.
-fn slow_gaps(w: &mut World) {
-    w.hints = false;
-    w.slow_reads = 2.5;
-    w.lost = 0;
-    w.pass(2.0);
+fn slow_gaps(world: &mut World) {
+    world.hints = false;
+    world.slow_reads = 2.5;
+    world.lost = 0;
+    world.pass(2.0);
     for _ in 0..10 {
-        gap(w, 0.8, 0.4 * config().lease_s);
-        w.pass(0.5);
+        gap(world, 0.8, 0.4 * config().lease_s);
+        world.pass(0.5);
     }
 }
 
@@ -131,41 +134,43 @@
 fn gaps_follow_each_other_within_seconds() {
     // Each outage is shorter than a lease, and together they last longer than `cancel_s`.
     meeting(6, slow_gaps);
-    meeting(4, |w| {
-        gap(w, 1.0, 1.2 * config().cancel_s);
-        w.pass(2.0);
-        gap(w, 1.0, 1.2 * config().cancel_s);
+    meeting(4, |world| {
+        gap(world, 1.0, 1.2 * config().cancel_s);
+        world.pass(2.0);
+        gap(world, 1.0, 1.2 * config().cancel_s);
     });
 }
 
 #[test]
 fn the_gap_with_one_more_trouble() {
     // The controller that confirmed ends right after.
-    meeting(4, |w| {
-        let l = leader(w);
-        w.refuse(l, 10.0);
-        w.pass(0.5);
-        w.cancel_running(4);
-        (0..3).filter(|i| *i != l).for_each(|i| w.end(i, 0.4));
-        w.pass(0.5);
-        w.outage(1.3 * config().cancel_s);
-        w.pass(1.4 * config().cancel_s);
+    meeting(4, |world| {
+        let leading = leader(world);
+        world.refuse(leading, 10.0);
+        world.pass(0.5);
+        world.cancel_running(4);
+        (0..3)
+            .filter(|i| *i != leading)
+            .for_each(|i| world.end(i, 0.4));
+        world.pass(0.5);
+        world.outage(1.3 * config().cancel_s);
+        world.pass(1.4 * config().cancel_s);
     });
     // The leader is cut from its peers as well.
-    meeting(4, |w| {
-        let l = leader(w);
-        w.isolate(l, 14.0);
-        w.pass(0.6);
-        w.cancel_running(4);
-        w.pass(0.6);
-        w.outage(1.3 * config().cancel_s);
-        w.pass(1.4 * config().cancel_s);
+    meeting(4, |world| {
+        let leading = leader(world);
+        world.isolate(leading, 14.0);
+        world.pass(0.6);
+        world.cancel_running(4);
+        world.pass(0.6);
+        world.outage(1.3 * config().cancel_s);
+        world.pass(1.4 * config().cancel_s);
     });
     // Machines hang through its start, and go on within their leases.
-    meeting(4, |w| {
-        let names = w.busy_machines(6);
-        w.hang(&names, 6.0);
-        gap(w, 1.0, 1.3 * config().cancel_s);
+    meeting(4, |world| {
+        let names = world.busy_machines(6);
+        world.hang(&names, 6.0);
+        gap(world, 1.0, 1.3 * config().cancel_s);
     });
 }
 
@@ -179,36 +184,36 @@
 
 #[test]
 fn a_leader_ends_while_machines_with_long_tasks_cannot_be_reached() {
-    meeting(6, |w| {
-        let names = w.busy_machines(5);
-        w.cut_outbound(&names, 7.0);
-        let l = leader(w);
-        w.end(l, 4.0);
-        w.pass(6.0);
+    meeting(6, |world| {
+        let names = world.busy_machines(5);
+        world.cut_outbound(&names, 7.0);
+        let leading = leader(world);
+        world.end(leading, 4.0);
+        world.pass(6.0);
         // Now they heartbeat, and don't hear the next leader's answer.
-        w.cut_inbound(&names, 12.0);
-        let l = leader(w);
-        w.end(l, 0.1);
-        w.pass(0.3);
-        cancel_one(w);
-        w.pass(25.0);
+        world.cut_inbound(&names, 12.0);
+        let leading = leader(world);
+        world.end(leading, 0.1);
+        world.pass(0.3);
+        cancel_one(world);
+        world.pass(25.0);
     });
 }
 
 #[test]
 fn old_reports_arrive_after_newer_ones_and_at_later_leaders() {
-    meeting(8, |w| {
-        (w.late_copies, w.held_up) = (60, 20);
+    meeting(8, |world| {
+        (world.late_copies, world.held_up) = (60, 20);
         for i in 0..5 {
-            let l = leader(w);
-            w.end(l, if i % 2 == 0 { 0.1 } else { 3.0 });
-            w.pass(5.0);
-            w.cancel_running(1);
+            let leading = leader(world);
+            world.end(leading, if i % 2 == 0 { 0.1 } else { 3.0 });
+            world.pass(5.0);
+            world.cancel_running(1);
         }
         // Machines begin a new incarnation meanwhile.
-        let names = w.busy_machines(4);
-        w.cut_outbound(&names, 10.0);
-        w.pass(25.0);
+        let names = world.busy_machines(4);
+        world.cut_outbound(&names, 10.0);
+        world.pass(25.0);
     });
 }
 
@@ -216,34 +221,34 @@
 fn a_cancellation_meets_the_end_of_the_last_task() {
     let (mut met, mut kept) = (0, 0);
     for seed in 0..12 {
-        let mut w = busy(seed, Defect::None, config());
+        let mut world = busy(seed, Defect::None, config());
         let mut called_off = Vec::new();
         for i in 0..60 {
-            w.submit(job(100 + i, "red", Shape::Array, 1 + i % 3, 1.0));
+            world.submit(job(100 + i, "red", Shape::Array, 1 + i % 3, 1.0));
             for _ in 0..8 {
-                w.pass(0.1);
-                called_off.extend(w.cancel_at_end());
+                world.pass(0.1);
+                called_off.extend(world.cancel_at_end());
             }
             if i == 30 {
-                let l = leader(&mut w);
-                w.end(l, 0.4);
+                let leading = leader(&mut world);
+                world.end(leading, 0.4);
             }
         }
-        w.calm(300.0);
-        assert!(w.broken.is_empty(), "seed {seed}: {:?}", w.broken);
+        world.calm(300.0);
+        assert!(world.broken.is_empty(), "seed {seed}: {:?}", world.broken);
         // One winner: whoever wrote first, and so it stays; nobody can cancel it again.
         met += called_off.len();
         assert!(called_off
             .iter()
-            .all(|id| w.outcome(id) == Some("cancelled") && w.live_tasks(id) == 0));
+            .all(|id| world.outcome(id) == Some("cancelled") && world.live_tasks(id) == 0));
         let done: Vec<String> = (100..160)
             .map(|i| format!("wk-{i:06}"))
-            .filter(|id| w.outcome(id) == Some("done"))
+            .filter(|id| world.outcome(id) == Some("done"))
             .collect();
         kept += done.len();
         assert!(done
             .iter()
-            .all(|id| !w.cancel(id) && w.outcome(id) == Some("done")));
+            .all(|id| !world.cancel(id) && world.outcome(id) == Some("done")));
     }
     assert!(
         met > 50 && kept > 50,
@@ -253,34 +258,34 @@
 
 #[test]
 fn controllers_hand_over_and_back_and_all_end() {
-    meeting(6, |w| {
+    meeting(6, |world| {
         for back in [0.1, 0.4, 0.9] {
-            let l = leader(w);
-            w.end(l, back);
-            w.pass(2.5);
-            (0..3).for_each(|i| w.end(i, if i == 1 { back } else { 5.0 }));
-            w.pass(3.0);
-            w.cancel_running(1);
+            let leading = leader(world);
+            world.end(leading, back);
+            world.pass(2.5);
+            (0..3).for_each(|i| world.end(i, if i == 1 { back } else { 5.0 }));
+            world.pass(3.0);
+            world.cancel_running(1);
         }
     });
 }
 
 #[test]
 fn all_controllers_are_away_for_longer_than_a_lease() {
-    meeting(6, |w| {
-        w.cancel_running(2);
-        (0..3).for_each(|i| w.end(i, if i == 0 { 1.3 * config().lease_s } else { 20.0 }));
-        w.pass(1.2 * config().lease_s);
-        assert!(w.lapses > 0);
-        w.pass(15.0);
-        w.cancel_running(1);
+    meeting(6, |world| {
+        world.cancel_running(2);
+        (0..3).for_each(|i| world.end(i, if i == 0 { 1.3 * config().lease_s } else { 20.0 }));
+        world.pass(1.2 * config().lease_s);
+        assert!(world.lapses > 0);
+        world.pass(15.0);
+        world.cancel_running(1);
     });
 }
 
 #[test]
 fn more_work_than_room_over_slow_links() {
-    meeting(3, |w| {
-        w.held_up = 12;
+    meeting(3, |world| {
+        world.held_up = 12;
         for i in 0..40 {
             let team = if i % 2 == 0 { "red" } else { "blue" };
             let shape = if i % 4 == 0 {
@@ -294,63 +299,63 @@
             } else {
                 wire::users::Priority::BestEffort
             };
-            w.submit(j);
-            w.pass(0.5);
+            world.submit(j);
+            world.pass(0.5);
         }
-        w.cancel_running(3);
-        w.held_up = 0;
-        let l = leader(w);
-        w.end(l, 4.0);
+        world.cancel_running(3);
+        world.held_up = 0;
+        let leading = leader(world);
+        world.end(leading, 4.0);
     });
 }
 
 #[test]
 fn a_team_is_at_its_limit_while_the_leader_changes_and_machines_cannot_be_asked() {
-    meeting(8, |w| {
+    meeting(8, |world| {
         // Far more than the limit of 24 CPUs.
         (0..6).for_each(|i| {
-            w.submit(Job {
+            world.submit(Job {
                 estimate_s: 30.0,
                 ..job(300 + i, "red", Shape::Array, 8, 2.0)
             })
         });
-        w.pass(15.0);
-        let names = w.busy_machines(4);
-        w.hang(&names, 7.5);
-        let l = leader(w);
-        w.end(l, 4.0);
-        w.pass(0.7);
-        w.cancel_running(4);
-        w.pass(1.5);
-        w.cancel_running(2);
-        w.pass(30.0);
+        world.pass(15.0);
+        let names = world.busy_machines(4);
+        world.hang(&names, 7.5);
+        let leading = leader(world);
+        world.end(leading, 4.0);
+        world.pass(0.7);
+        world.cancel_running(4);
+        world.pass(1.5);
+        world.cancel_running(2);
+        world.pass(30.0);
     });
 }
 
 #[test]
 fn a_zone_with_a_controller_is_cut_off_for_longer_than_a_lease() {
-    meeting(6, |w| {
-        let l = leader(w);
-        for inside in [Some(l), None, Some((l + 1) % 3)] {
-            w.cut_zone("a", inside, 1.5 * config().lease_s);
-            w.pass(3.0);
-            w.cancel_running(2);
-            w.pass(1.5 * config().lease_s);
+    meeting(6, |world| {
+        let leading = leader(world);
+        for inside in [Some(leading), None, Some((leading + 1) % 3)] {
+            world.cut_zone("a", inside, 1.5 * config().lease_s);
+            world.pass(3.0);
+            world.cancel_running(2);
+            world.pass(1.5 * config().lease_s);
         }
     });
 }
 
 #[test]
 fn a_leader_is_cut_from_store_and_peers_while_jobs_are_cancelled_through_the_next() {
-    meeting(8, |w| {
+    meeting(8, |world| {
         for _ in 0..3 {
-            let l = leader(w);
-            w.isolate(l, 25.0);
-            w.pass(1.0);
-            w.cancel_running(2);
-            w.pass(4.0);
-            w.cancel_running(2);
-            w.pass(23.0);
+            let leading = leader(world);
+            world.isolate(leading, 25.0);
+            world.pass(1.0);
+            world.cancel_running(2);
+            world.pass(4.0);
+            world.cancel_running(2);
+            world.pass(23.0);
         }
     });
 }
@@ -362,9 +367,9 @@
         estimate_s: 10.0,
         ..job(400 + i, "blue", shape, 3, 2.0)
     };
-    meeting(6, |w| {
+    meeting(6, |world| {
         (0..4).for_each(|i| {
-            w.submit(zoned(
+            world.submit(zoned(
                 i,
                 if i % 2 == 0 {
                     Shape::Gang
@@ -373,43 +378,43 @@
                 },
             ))
         });
-        w.submit(Job {
+        world.submit(Job {
             zone: Some("a".into()),
             ..zoned(9, Shape::Array)
         });
-        w.pass(6.0);
-        let names = w.busy_machines(4);
-        w.cut_outbound(&names, 9.0);
-        w.pass(1.0);
-        cancel_one(w);
-        w.kill(&names[..names.len().min(2)]);
-        let l = leader(w);
-        w.end(l, 0.4);
-        w.pass(25.0);
+        world.pass(6.0);
+        let names = world.busy_machines(4);
+        world.cut_outbound(&names, 9.0);
+        world.pass(1.0);
+        cancel_one(world);
+        world.kill(&names[..names.len().min(2)]);
+        let leading = leader(world);
+        world.end(leading, 0.4);
+        world.pass(25.0);
     });
 }
 
 #[test]
 fn jobs_of_two_or_three_tasks_end_far_apart_across_a_change_of_leader() {
-    meeting(8, |w| {
+    meeting(8, |world| {
         for i in 0..12 {
             // On machines that hang or not, the same tasks end at different times.
-            w.submit(Job {
+            world.submit(Job {
                 estimate_s: 6.0,
                 ..job(500 + i, "blue", Shape::Array, 2 + i % 2, 1.0)
             });
         }
-        w.pass(5.0);
-        let names = w.busy_machines(3);
-        w.hang(&names, 6.0);
-        cancel_one(w);
-        w.pass(3.0);
-        let l = leader(w);
-        w.end(l, 4.0);
-        w.pass(2.0);
-        let l = leader(w);
-        w.refuse(l, 4.0);
-        w.pass(10.0);
+        world.pass(5.0);
+        let names = world.busy_machines(3);
+        world.hang(&names, 6.0);
+        cancel_one(world);
+        world.pass(3.0);
+        let leading = leader(world);
+        world.end(leading, 4.0);
+        world.pass(2.0);
+        let leading = leader(world);
+        world.refuse(leading, 4.0);
+        world.pass(10.0);
     });
 }
 
@@ -422,16 +427,16 @@
         cancel_s: 30.0,
         ..config()
     };
-    let script = |w: &mut World| {
-        w.hints = false;
-        w.cancel_running(6);
+    let script = |world: &mut World| {
+        world.hints = false;
+        world.cancel_running(6);
         for i in 0..20 {
-            let l = leader(w);
-            w.end(l, 0.4);
+            let leading = leader(world);
+            world.end(leading, 0.4);
             if i == 12 {
-                w.outage(5.0);
+                world.outage(5.0);
             }
-            w.pass(2.5);
+            world.pass(2.5);
         }
     };
     meeting_with(6, slow.clone(), script);
@@ -443,20 +448,20 @@
 
 /// The leader stands still while its clock runs on, once with an answer that it has just decided, and
 /// jobs are cancelled through the others; then it goes on.
-fn standstills(w: &mut World) {
-    w.hints = false;
+fn standstills(world: &mut World) {
+    world.hints = false;
     let lease = config().lease_s;
     for for_s in [0.4, 1.5, 0.4 * lease, 0.8 * lease, 1.2 * lease] {
-        let l = leader(w);
-        w.freeze_with_an_answer(l, for_s);
-        w.pass(0.5);
-        w.cancel_running(1);
-        w.pass(for_s);
-        let other = (leader(w) + 1) % 3;
-        w.freeze(other, for_s);
-        w.pass(for_s / 2.0);
-        w.cancel_running(1);
-        w.pass(for_s);
+        let leading = leader(world);
+        world.freeze_with_an_answer(leading, for_s);
+        world.pass(0.5);
+        world.cancel_running(1);
+        world.pass(for_s);
+        let other = (leader(world) + 1) % 3;
+        world.freeze(other, for_s);
+        world.pass(for_s / 2.0);
+        world.cancel_running(1);
+        world.pass(for_s);
     }
 }
 
@@ -479,67 +484,67 @@
 fn all_controllers_stand_still_and_go_on() {
     let (lease, cancel) = (config().lease_s, config().cancel_s);
     for for_s in [0.5 * lease, 1.2 * lease, 1.2 * cancel] {
-        meeting(4, |w| {
-            w.cancel_running(2);
-            (0..3).for_each(|i| w.freeze(i, for_s));
-            w.pass(for_s + 0.2);
-            w.cancel_running(1);
-            w.pass(5.0);
+        meeting(4, |world| {
+            world.cancel_running(2);
+            (0..3).for_each(|i| world.freeze(i, for_s));
+            world.pass(for_s + 0.2);
+            world.cancel_running(1);
+            world.pass(5.0);
         });
     }
 }
 
 #[test]
 fn machines_reach_no_controller_or_hear_none_while_the_leader_changes() {
-    meeting(6, |w| {
-        let names = w.busy_machines(6);
-        w.cut_outbound(&names[..names.len() / 2], 20.0);
-        w.cut_inbound(&names[names.len() / 2..], 20.0);
-        w.pass(2.0);
-        w.cancel_running(3);
-        let l = leader(w);
-        w.end(l, 0.4);
-        w.pass(30.0);
+    meeting(6, |world| {
+        let names = world.busy_machines(6);
+        world.cut_outbound(&names[..names.len() / 2], 20.0);
+        world.cut_inbound(&names[names.len() / 2..], 20.0);
+        world.pass(2.0);
+        world.cancel_running(3);
+        let leading = leader(world);
+        world.end(leading, 0.4);
+        world.pass(30.0);
     });
 }
 
 #[test]
 fn answers_wait_on_hung_machines_which_then_go_on() {
-    meeting(8, |w| {
+    meeting(8, |world| {
         for i in 0..6 {
-            (0..2).for_each(|n| w.submit(job(600 + 2 * i + n, "red", Shape::Array, 2, 1.0)));
-            w.pass(1.2);
-            let names = w.busy_machines(8);
-            w.hang(&names, 2.0 + f64::from(i));
-            w.cancel_running(1);
-            w.pass(8.0);
+            (0..2).for_each(|n| world.submit(job(600 + 2 * i + n, "red", Shape::Array, 2, 1.0)));
+            world.pass(1.2);
+            let names = world.busy_machines(8);
+            world.hang(&names, 2.0 + f64::from(i));
+            world.cancel_running(1);
+            world.pass(8.0);
         }
     });
 }
 
-fn late_writes(w: &mut World) {
-    w.late_writes = 25;
+fn late_writes(world: &mut World) {
+    world.late_writes = 25;
     for i in 0..30 {
         let shape = if i % 3 == 0 {
             Shape::Gang
         } else {
             Shape::Array
         };
-        w.submit(Job {
+        world.submit(Job {
             estimate_s: 12.0,
             ..job(700 + i, "blue", shape, 2, 2.0)
         });
-        w.pass(2.0);
+        world.pass(2.0);
         if i % 10 == 9 {
-            let names = w.busy_machines(2);
-            w.kill(&names);
-            cancel_one(w);
-            let l = leader(w);
-            w.end(l, 0.4);
+            let names = world.busy_machines(2);
+            world.kill(&names);
+            cancel_one(world);
+            let leading = leader(world);
+            world.end(leading, 0.4);
         }
     }
-    w.late_writes = 0;
-    assert!(w.faults[&Fault::LateWrite] > 5, "{:?}", w.faults);
+    world.late_writes = 0;
+    assert!(world.faults[&Fault::LateWrite] > 5, "{:?}", world.faults);
 }
 
 #[test]
@@ -559,36 +564,36 @@
 /// Work of the other team keeps machines in use that have capacity to spare.
 #[test]
 fn letting_work_wait_beside_free_room_is_noticed() {
-    let mut w = busy(1, Defect::NeverRed, config());
+    let mut world = busy(1, Defect::NeverRed, config());
     (0..3).for_each(|i| {
-        w.submit(Job {
+        world.submit(Job {
             estimate_s: 200.0,
             ..job(800 + i, "blue", Shape::Array, 3, 1.0)
         })
     });
-    w.calm(150.0);
+    world.calm(150.0);
     assert!(
-        w.broken.contains("waits"),
+        world.broken.contains("waits"),
         "it went unnoticed: {:?}",
-        w.broken
+        world.broken
     );
 }
 
 /// A leader that never learns of cancellations goes on starting tasks of what is called off.
 #[test]
 fn starting_what_was_cancelled_is_noticed() {
-    let script = |w: &mut World| {
+    let script = |world: &mut World| {
         for i in 0..6 {
-            w.submit(job(900 + i, "red", Shape::Array, 12, 2.0));
+            world.submit(job(900 + i, "red", Shape::Array, 12, 2.0));
         }
-        w.pass(2.0);
+        world.pass(2.0);
         assert!(
             (900..906)
-                .filter(|i| w.cancel(&format!("wk-{i:06}")))
+                .filter(|i| world.cancel(&format!("wk-{i:06}")))
                 .count()
                 > 0
         );
-        w.pass(30.0);
+        world.pass(30.0);
     };
     assert!(
         breaks("started_cancelled", Defect::IgnoreCancel, config(), script),
--- a/crates/model/tests/plain.rs
+++ b/crates/model/tests/plain.rs
@@ -4,7 +4,9 @@
 #![allow(clippy::unwrap_used)]
 
 use model::plain::*;
-use model::world::{config, job, machine_status, machine_type};
+use model::world::{
+    config, job, lone_leader, machine_status, machine_type, machine_types, roster, roster_record,
+};
 use sched::leader::{Action, Leader, OpenJob, PriorRuns};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -26,23 +28,19 @@
 }
 
 fn leader_with(s: sched::config::SchedulerConfig, machines: &[(&str, &str)]) -> Leader {
-    let mut l = Leader::new("rung-0", s, 1, 1, 4.0, Vec::new(), &BTreeMap::new(), 0, 0.0);
-    l.catalog(vec![
-        machine_type("small", 4.0, 16.0, 0.3),
-        machine_type("large", 16.0, 64.0, 1.1),
-    ]);
-    l.tick(5.0, 0);
-    l.drain();
+    let mut leader = lone_leader(s, machine_types(), Vec::new(), 0, &BTreeMap::new());
+    leader.tick(5.0, 0);
+    leader.drain();
     for (name, kind) in machines {
         let v = MachineStatus {
             usable: false,
             ..machine_status(name, kind, Vec::new())
         };
-        l.on_owner_message("rung-0", ToLeader::MachineStatuses(vec![v]), 5.0);
-        l.roster_result(name, true, true);
+        leader.on_owner_message("rung-0", ToLeader::MachineStatuses(vec![v]), 5.0);
+        leader.roster_result(name, true, true);
     }
-    l.drain();
-    l
+    leader.drain();
+    leader
 }
 
 fn placed(actions: &[Action]) -> BTreeMap<String, u32> {
@@ -92,16 +90,16 @@
             .filter(|j| f64::from(j.tasks) * j.cpus <= limit)
             .collect();
         jobs.sort_by(|a, b| a.id.cmp(&b.id));
-        let mut l = leader(&machines, limit);
+        let mut leader = leader(&machines, limit);
         for (i, j) in jobs.iter().enumerate() {
-            l.add_job(OpenJob::new(
+            leader.add_job(OpenJob::new(
                 Rc::new(j.clone()),
                 i as u64 + 1,
                 PriorRuns::None,
             ));
         }
-        l.start_record_result(&all_started(jobs.len() as u64), true);
-        l.tick(5.1, 0);
+        leader.start_record_result(&all_started(jobs.len() as u64), true);
+        leader.tick(5.1, 0);
         let mut order: Vec<Job> = Vec::new();
         // Within the guarantee first, each in order of creation.
         let (mut sum, mut rest) = (0.0, Vec::new());
@@ -136,7 +134,7 @@
             continue;
         }
         let want = place(&mut plain, &order, limit);
-        let got = placed(&l.drain());
+        let got = placed(&leader.drain());
         gangs += jobs
             .iter()
             .filter(|j| j.shape == Shape::Gang && got.contains_key(&j.id))
@@ -162,15 +160,15 @@
         .collect();
     let names: Vec<String> = (0..10).map(|i| format!("host-{i}")).collect();
     let machines: Vec<(&str, &str)> = names.iter().map(|n| (n.as_str(), "large")).collect();
-    let mut l = leader_with(s, &machines);
+    let mut leader = leader_with(s, &machines);
     for i in 0..13 {
         let (team, tasks) = if i < 3 { (0, 800) } else { (i - 3, 4) };
         let spec = Rc::new(job(i, &format!("team-{team}"), Shape::Array, tasks, 1.0));
-        l.add_job(OpenJob::new(spec, u64::from(i) + 1, PriorRuns::None));
+        leader.add_job(OpenJob::new(spec, u64::from(i) + 1, PriorRuns::None));
     }
-    l.start_record_result(&all_started(13), true);
-    l.tick(5.1, 0);
-    let got = placed(&l.drain());
+    leader.start_record_result(&all_started(13), true);
+    leader.tick(5.1, 0);
+    let got = placed(&leader.drain());
     for i in 4..13 {
         assert_eq!(
             got.get(&format!("wk-{i:06}")),
@@ -186,16 +184,11 @@
 /// Machines that an earlier leader rostered stay in use (they once idled until returned).
 #[test]
 fn a_new_leader_uses_the_machines_of_the_roster() {
-    let record = wire::store::RosterRecord {
-        kind: "small".into(),
-        zone: "a".into(),
-        spot: false,
-    };
-    let roster = BTreeMap::from([("host-1".to_string(), record)]);
-    let mut l = Leader::new("rung-0", config(), 1, 7, 4.0, Vec::new(), &roster, 0, 0.0);
-    l.catalog(vec![machine_type("small", 4.0, 16.0, 0.3)]);
-    l.tick(5.0, 0);
-    let usable = l.drain().into_iter().any(
+    let roster = roster(["host-1"], &roster_record("small"));
+    let mut leader = Leader::new("rung-0", config(), 1, 7, 4.0, Vec::new(), &roster, 0, 0.0);
+    leader.catalog(vec![machine_type("small", 4.0, 16.0, 0.3)]);
+    leader.tick(5.0, 0);
+    let usable = leader.drain().into_iter().any(
         |d| matches!(d, Action::Send(_, ToOwner::Epoch { machines, .. }) if machines.iter().any(|c| c.name == "host-1" && c.usable)),
     );
     assert!(usable, "the owner was not told that it may use the machine");
@@ -215,25 +208,25 @@
 ) -> usize {
     let mut s = config();
     s.teams.get_mut("blue").unwrap().cpus = blue_guarantee;
-    let mut l = Leader::new("rung-0", s, 1, 1, 4.0, Vec::new(), &BTreeMap::new(), 0, 0.0);
-    l.catalog(vec![machine_type("small", 4.0, 16.0, 0.3)]);
-    l.tick(5.0, 0);
+    let small = vec![machine_type("small", 4.0, 16.0, 0.3)];
+    let mut leader = lone_leader(s, small, Vec::new(), 0, &BTreeMap::new());
+    leader.tick(5.0, 0);
     let view = |tasks: Vec<wire::peers::TaskStatus>| {
         ToLeader::MachineStatuses(vec![machine_status("host-1", "small", tasks)])
     };
-    l.on_owner_message("rung-0", view(Vec::new()), 5.0);
-    l.roster_result("host-1", true, true);
-    let add = |l: &mut Leader, spec: Job, revision: u64| {
+    leader.on_owner_message("rung-0", view(Vec::new()), 5.0);
+    leader.roster_result("host-1", true, true);
+    let add = |leader: &mut Leader, spec: Job, revision: u64| {
         let id = spec.id.clone();
-        l.add_job(OpenJob::new(Rc::new(spec), revision, PriorRuns::None));
+        leader.add_job(OpenJob::new(Rc::new(spec), revision, PriorRuns::None));
         if let Some(priority) = inherited.get(id.as_str()) {
-            l.set_priority(&id, *priority);
+            leader.set_priority(&id, *priority);
         }
-        l.start_record_result(&all_started(revision), true);
+        leader.start_record_result(&all_started(revision), true);
     };
-    add(&mut l, job(1, "blue", Shape::Array, 4, 1.0), 1);
-    l.tick(6.0, 0);
-    let assigned = l.drain().into_iter().find_map(|d| match d {
+    add(&mut leader, job(1, "blue", Shape::Array, 4, 1.0), 1);
+    leader.tick(6.0, 0);
+    let assigned = leader.drain().into_iter().find_map(|d| match d {
         Action::Send(_, ToOwner::Assign { attempt, .. }) => Some(attempt),
         _ => None,
     });
@@ -247,15 +240,16 @@
         why: None,
         saved: false,
     });
-    l.on_owner_message("rung-0", view(running.collect()), 6.5);
+    leader.on_owner_message("rung-0", view(running.collect()), 6.5);
     let urgent = Job {
         priority: red,
         ..job(2, "red", Shape::Array, 1, 2.0)
     };
-    add(&mut l, urgent, 2);
-    l.tick(7.0, 0);
-    l.tick(9.0, 0);
-    l.drain()
+    add(&mut leader, urgent, 2);
+    leader.tick(7.0, 0);
+    leader.tick(9.0, 0);
+    leader
+        .drain()
         .iter()
         .filter(
             |d| matches!(d, Action::Send(_, ToOwner::Stop { task, .. }) if task.job == "wk-000001"),
--- a/crates/model/tests/preemption.rs
+++ b/crates/model/tests/preemption.rs
@@ -1,12 +1,13 @@
 //! Resources taken back for gangs of several tasks: for the whole gang or not at all.
 
-use model::world::{config, job, machine_status, machine_type};
-use sched::config::SchedulerConfig;
+use model::world::{
+    config_that_keeps_machines, job, lone_leader, machine_status, machine_type, machine_types,
+    roster, roster_record,
+};
 use sched::leader::{Action, Leader, OpenJob, PriorRuns};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use wire::peers::{TaskRef, TaskStatus, ToLeader, ToOwner};
-use wire::store::RosterRecord;
 use wire::users::{Job, Priority, Shape};
 use wire::workers::{TaskState, Why};
 
@@ -40,33 +41,16 @@
 
 impl Scene {
     fn new(array: Job, gang: Job) -> Scene {
-        let config = SchedulerConfig {
-            idle_retention_boots: 1e6,
-            ..config()
-        };
-        let record = RosterRecord {
-            kind: "small".into(),
-            zone: "a".into(),
-            spot: false,
-        };
-        let roster = HOSTS
-            .iter()
-            .map(|host| (host.to_string(), record.clone()))
-            .collect();
+        let roster = roster(HOSTS, &roster_record("small"));
         let open =
             |job: Job, revision, prior_runs| OpenJob::new(Rc::new(job), revision, prior_runs);
-        let mut leader = Leader::new(
-            "rung-0",
-            config,
-            1,
-            1,
-            4.0,
+        let leader = lone_leader(
+            config_that_keeps_machines(),
+            vec![machine_type("small", 4.0, 16.0, 0.3)],
             vec![open(array, 1, PriorRuns::Anywhere)],
-            &roster,
             1,
-            0.0,
+            &roster,
         );
-        leader.catalog(vec![machine_type("small", 4.0, 16.0, 0.3)]);
         let running = |index| vec![array_task(index, TaskState::Running, None)];
         let tasks = HOSTS
             .iter()
@@ -155,7 +139,7 @@
     scene.exits("host-2", 1);
     assert!(
         scene.pass(1.0),
-        "the gang's room is held as soon as all of it is free"
+        "the gang's capacity is held as soon as all of it is free"
     );
     assert_eq!(scene.assigned, 0, "nothing else is placed there meanwhile");
     assert!(
@@ -171,7 +155,10 @@
     let mut scene = Scene::new(guest_array(), job(2, "red", Shape::Gang, 3, 2.5));
     scene.pass(4.0);
     assert!(scene.stopped.is_empty(), "{:?}", scene.stopped);
-    assert!(scene.provisioned > 0, "it is rented for instead");
+    assert!(
+        scene.provisioned > 0,
+        "machines are provisioned for it instead"
+    );
 }
 
 /// Work of the same priority that its team runs within its guarantee is left alone.
@@ -238,7 +225,10 @@
     scene.provisioned = 0;
     scene.pass(4.0);
     assert!(scene.stopped.is_empty(), "{:?}", scene.stopped);
-    assert!(scene.provisioned > 0, "it is rented for instead");
+    assert!(
+        scene.provisioned > 0,
+        "machines are provisioned for it instead"
+    );
 }
 
 /// The pass keeps machine types that alone fit some class for that class. What is free of them is no capacity
@@ -250,23 +240,15 @@
         priority: Priority::BestEffort,
         ..job(1, "blue", Shape::Array, 1, 10.0)
     };
-    let config = SchedulerConfig {
-        idle_retention_boots: 1e6,
-        ..config()
-    };
-    let record = RosterRecord {
-        kind: "large".into(),
-        zone: "a".into(),
-        spot: false,
-    };
-    let roster = BTreeMap::from([("host-9".to_string(), record)]);
+    let roster = roster(["host-9"], &roster_record("large"));
     let open = |job: Job, revision, prior_runs| OpenJob::new(Rc::new(job), revision, prior_runs);
-    let prior_runs = vec![open(large_only, 1, PriorRuns::Anywhere)];
-    let mut leader = Leader::new("rung-0", config, 1, 1, 4.0, prior_runs, &roster, 1, 0.0);
-    leader.catalog(vec![
-        machine_type("small", 4.0, 16.0, 0.3),
-        machine_type("large", 16.0, 64.0, 1.1),
-    ]);
+    let mut leader = lone_leader(
+        config_that_keeps_machines(),
+        machine_types(),
+        vec![open(large_only, 1, PriorRuns::Anywhere)],
+        1,
+        &roster,
+    );
     let task = array_task(0, TaskState::Running, None);
     let (mut now, mut provisioned) = (0.0, 0);
     while now < 8.0 {
--- a/crates/model/tests/scale_out.rs
+++ b/crates/model/tests/scale_out.rs
@@ -1,13 +1,15 @@
 //! Which machines are provisioned for a queue, when some types are kept for gangs and the cloud refuses.
 
-use model::world::{config, job, machine_status, machine_type};
-use sched::config::{SchedulerConfig, Team};
+use model::world::{
+    config_that_keeps_machines, job, lone_leader, machine_status, machine_types, roster,
+    roster_record, unlimited_teams,
+};
+use sched::config::SchedulerConfig;
 use sched::leader::{Action, Leader, OpenJob, PriorRuns};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use wire::cloud::ProvisionRequest;
 use wire::peers::ToLeader;
-use wire::store::RosterRecord;
 use wire::users::{Job, Shape};
 
 /// A leader alone, and the provision requests that it asked for.
@@ -20,32 +22,13 @@
 
 impl Scene {
     fn new(machines: usize) -> Scene {
-        let wide = Team {
-            cpus: 0.0,
-            cpus_max: 1e6,
-            gpus: 0.0,
-            gpus_max: 0.0,
-        };
-        let settings = SchedulerConfig {
-            teams: BTreeMap::from([("red".to_string(), wide)]),
-            idle_retention_boots: 1e6,
-            ..config()
-        };
-        let record = RosterRecord {
-            kind: "small".into(),
-            zone: "a".into(),
-            spot: false,
+        let config = SchedulerConfig {
+            teams: unlimited_teams(&["red"]),
+            ..config_that_keeps_machines()
         };
         let machines: Vec<String> = (0..machines).map(|n| format!("host-{n}")).collect();
-        let roster = machines
-            .iter()
-            .map(|m| (m.clone(), record.clone()))
-            .collect();
-        let mut leader = Leader::new("rung-0", settings, 1, 1, 4.0, vec![], &roster, 0, 0.0);
-        leader.catalog(vec![
-            machine_type("small", 4.0, 16.0, 0.3),
-            machine_type("large", 16.0, 64.0, 1.1),
-        ]);
+        let roster = roster(machines.clone(), &roster_record("small"));
+        let leader = lone_leader(config, machine_types(), vec![], 0, &roster);
         let mut scene = Scene {
             leader,
             now: 0.0,
--- a/crates/model/tests/staleness.rs
+++ b/crates/model/tests/staleness.rs
@@ -1,6 +1,6 @@
 //! How old knowledge may be where heartbeats are answered and tasks started, and what is stopped.
 
-use model::world::config;
+use model::world::{config, owner_of_one_machine, roster, roster_record, UnknownJobs};
 use sched::authority::Authority;
 use sched::config::SchedulerConfig;
 use sched::leader::{Action, Leader, OpenJob, PriorRuns};
@@ -8,68 +8,37 @@
 use sched::placement::Resources;
 use std::collections::BTreeMap;
 use std::rc::Rc;
-use wire::peers::{AllowedMachineType, MachineDescriptor, TaskRequirements, ToLeader, ToOwner};
-use wire::store::RosterRecord;
+use wire::peers::{AllowedMachineType, TaskRequirements, ToLeader, ToOwner};
 use wire::users::Shape;
 use wire::workers::{Heartbeat, Order, ReportedTask, TaskState, Why};
 
-/// A replica that knows wk-1 as open or as over.
+/// A replica that knows wk-1 as open or as terminal.
 struct Replica {
-    over: bool,
+    is_terminal: bool,
 }
 
 impl Jobs for Replica {
     fn resources(&self, job: &str) -> Option<Resources> {
-        (job == "wk-1" && !self.over).then_some(Resources {
+        (job == "wk-1" && !self.is_terminal).then_some(Resources {
             cpus: 1.0,
             gpus: 0.0,
             memory_gb: 1.0,
         })
     }
     fn image(&self, job: &str) -> Option<String> {
-        (job == "wk-1" && !self.over).then(|| "i".into())
+        (job == "wk-1" && !self.is_terminal).then(|| "i".into())
     }
     fn is_terminal(&self, job: &str) -> bool {
-        job == "wk-1" && self.over
+        job == "wk-1" && self.is_terminal
     }
 }
 
-/// A replica that has stayed behind: it knows no job at all.
-struct Behind;
+const OPEN: Replica = Replica { is_terminal: false };
+const TERMINAL: Replica = Replica { is_terminal: true };
 
-impl Jobs for Behind {
-    fn resources(&self, _: &str) -> Option<Resources> {
-        None
-    }
-    fn image(&self, _: &str) -> Option<String> {
-        None
-    }
-    fn is_terminal(&self, _: &str) -> bool {
-        false
-    }
-}
-
-const OPEN: Replica = Replica { over: false };
-const OVER: Replica = Replica { over: true };
-
-/// An owner whose part is one machine, since token 5.
-fn owner() -> Owner {
-    let mut owner = Owner::new("rung-1", config());
-    let descriptor = MachineDescriptor {
-        name: "host-1".into(),
-        kind: "small".into(),
-        zone: "a".into(),
-        spot: false,
-        usable: true,
-    };
-    let epoch = ToOwner::Epoch {
-        token: 5,
-        prev: 0,
-        members: vec!["rung-1".into()],
-        extra_ms: 0,
-        machines: vec![descriptor],
-    };
-    owner.on_leader_message(epoch, 10.0, &OPEN);
+/// An owner of one machine that knows the machine types and has just read the store.
+fn owner_with_fresh_view() -> Owner {
+    let mut owner = owner_of_one_machine(config());
     owner.on_leader_message(
         ToOwner::Catalog {
             types: vec![model::world::machine_type("small", 4.0, 16.0, 0.3)],
@@ -77,7 +46,6 @@
         10.0,
         &OPEN,
     );
-    owner.authority.set(1e9);
     owner.authority.prove(10.0);
     owner
 }
@@ -162,7 +130,7 @@
         wait_ms: 60_000,
     };
     owner.drain();
-    owner.on_leader_message(reserve, now, &Behind);
+    owner.on_leader_message(reserve, now, &UnknownJobs);
     let answered = owner.drain().into_iter().find_map(|message| match message {
         ToLeader::ReserveResult { reserved, .. } => Some(reserved),
         _ => None,
@@ -174,17 +142,17 @@
 /// prolonged its lease, so that a cancelled task ran on past `cancel_s`.
 #[test]
 fn an_answer_to_a_report_that_does_not_count_stops_what_is_over() {
-    let mut o = owner();
+    let mut owner = owner_with_fresh_view();
     assert_eq!(
-        orders(o.on_heartbeat(&heartbeat(1, 4, Some(TaskState::Running)), 11.0, &OPEN)),
+        orders(owner.on_heartbeat(&heartbeat(1, 4, Some(TaskState::Running)), 11.0, &OPEN)),
         vec![]
     );
     assert_eq!(
-        orders(o.on_heartbeat(&heartbeat(2, 4, Some(TaskState::Running)), 12.0, &OVER)),
+        orders(owner.on_heartbeat(&heartbeat(2, 4, Some(TaskState::Running)), 12.0, &TERMINAL)),
         vec![stop()]
     );
     // The leader said so, and this controller's own replica is blind.
-    o.on_leader_message(
+    owner.on_leader_message(
         ToOwner::Terminal {
             jobs: vec!["wk-1".into()],
         },
@@ -192,11 +160,11 @@
         &OPEN,
     );
     assert_eq!(
-        orders(o.on_heartbeat(&heartbeat(3, 4, Some(TaskState::Fetching)), 13.0, &OPEN)),
+        orders(owner.on_heartbeat(&heartbeat(3, 4, Some(TaskState::Fetching)), 13.0, &OPEN)),
         vec![stop()]
     );
     assert_eq!(
-        orders(o.on_heartbeat(&heartbeat(4, 4, Some(TaskState::Exited)), 14.0, &OPEN)),
+        orders(owner.on_heartbeat(&heartbeat(4, 4, Some(TaskState::Exited)), 14.0, &OPEN)),
         vec![]
     );
 }
@@ -205,20 +173,20 @@
 /// for it: it may have begun after the job's record was over.
 #[test]
 fn what_is_over_is_stopped_until_it_is_seen_to_be_gone() {
-    let mut o = owner();
+    let mut owner = owner_with_fresh_view();
     for seq in 1..4 {
         assert_eq!(
-            orders(o.on_heartbeat(
+            orders(owner.on_heartbeat(
                 &heartbeat(seq, 5, Some(TaskState::Running)),
                 10.0 + seq as f64,
-                &OVER
+                &TERMINAL
             )),
             vec![stop()]
         );
     }
     // A new epoch under which the records go on, and one under which they begin anew.
     for (token, prev) in [(6, 5), (7, 0)] {
-        o.on_leader_message(
+        owner.on_leader_message(
             ToOwner::Epoch {
                 token,
                 prev,
@@ -227,19 +195,19 @@
                 machines: vec![],
             },
             14.0,
-            &OVER,
+            &TERMINAL,
         );
         assert_eq!(
-            orders(o.on_heartbeat(
+            orders(owner.on_heartbeat(
                 &heartbeat(token, token, Some(TaskState::Running)),
                 14.0,
-                &OVER
+                &TERMINAL
             )),
             vec![stop()]
         );
     }
     assert_eq!(
-        orders(o.on_heartbeat(&heartbeat(8, 7, Some(TaskState::Exited)), 15.0, &OVER)),
+        orders(owner.on_heartbeat(&heartbeat(8, 7, Some(TaskState::Exited)), 15.0, &TERMINAL)),
         vec![]
     );
 }
@@ -247,12 +215,12 @@
 /// A start that the owner holds when its job is called off is not sent, nor shown as pending.
 #[test]
 fn nothing_of_what_is_over_starts() {
-    for told in [false, true] {
-        let mut o = owner();
-        o.on_heartbeat(&heartbeat(1, 5, None), 11.0, &OPEN);
-        o.on_leader_message(assign(), 11.0, &OPEN);
-        let replica = if told {
-            o.on_leader_message(
+    for is_notified in [false, true] {
+        let mut owner = owner_with_fresh_view();
+        owner.on_heartbeat(&heartbeat(1, 5, None), 11.0, &OPEN);
+        owner.on_leader_message(assign(), 11.0, &OPEN);
+        let replica = if is_notified {
+            owner.on_leader_message(
                 ToOwner::Terminal {
                     jobs: vec!["wk-1".into()],
                 },
@@ -261,28 +229,28 @@
             );
             OPEN
         } else {
-            OVER
+            TERMINAL
         };
         assert_eq!(
-            orders(o.on_heartbeat(&heartbeat(2, 5, None), 11.5, &replica)),
+            orders(owner.on_heartbeat(&heartbeat(2, 5, None), 11.5, &replica)),
             vec![]
         );
-        o.tick(12.0);
-        let last = o.drain().into_iter().rev().find_map(|m| match m {
+        owner.tick(12.0);
+        let last = owner.drain().into_iter().rev().find_map(|m| match m {
             ToLeader::MachineStatuses(v) => Some(v),
             _ => None,
         });
         assert!(
             last.is_some_and(|v| v.iter().all(|v| v.pending.is_empty())),
-            "told={told}"
+            "is_notified={is_notified}"
         );
     }
     // The same, when nothing is over: the check above can fail.
-    let mut o = owner();
-    o.on_heartbeat(&heartbeat(1, 5, None), 11.0, &OPEN);
-    o.on_leader_message(assign(), 11.0, &OPEN);
+    let mut owner = owner_with_fresh_view();
+    owner.on_heartbeat(&heartbeat(1, 5, None), 11.0, &OPEN);
+    owner.on_leader_message(assign(), 11.0, &OPEN);
     assert_eq!(
-        orders(o.on_heartbeat(&heartbeat(2, 5, None), 11.5, &OPEN)),
+        orders(owner.on_heartbeat(&heartbeat(2, 5, None), 11.5, &OPEN)),
         vec![Order::Start {
             task: "wk-1/0".into(),
             attempt: 3
@@ -294,40 +262,51 @@
 /// 1,256 reservations, since it did not know the jobs of the tasks that it had started itself.
 #[test]
 fn an_owner_whose_view_stayed_behind_knows_what_it_started() {
-    let mut o = owner();
-    o.on_heartbeat(&heartbeat(1, 5, None), 11.0, &Behind);
-    o.on_leader_message(assign(), 11.0, &Behind);
+    let mut owner = owner_with_fresh_view();
+    owner.on_heartbeat(&heartbeat(1, 5, None), 11.0, &UnknownJobs);
+    owner.on_leader_message(assign(), 11.0, &UnknownJobs);
     assert_eq!(
-        orders(o.on_heartbeat(&heartbeat(2, 5, None), 11.5, &Behind)).len(),
+        orders(owner.on_heartbeat(&heartbeat(2, 5, None), 11.5, &UnknownJobs)).len(),
         1
     );
-    o.on_heartbeat(&heartbeat(3, 5, Some(TaskState::Running)), 12.0, &Behind);
-    assert!(reserves(&mut o, 8, 3.0, 12.0));
-    assert!(!reserves(&mut o, 9, 1.0, 12.0), "the machine has four CPUs");
+    owner.on_heartbeat(
+        &heartbeat(3, 5, Some(TaskState::Running)),
+        12.0,
+        &UnknownJobs,
+    );
+    assert!(reserves(&mut owner, 8, 3.0, 12.0));
+    assert!(
+        !reserves(&mut owner, 9, 1.0, 12.0),
+        "the machine has four CPUs"
+    );
     // Of what was not given through this owner it can't know what it takes.
-    let mut o = owner();
-    o.on_heartbeat(&heartbeat(1, 5, Some(TaskState::Running)), 11.0, &Behind);
-    assert!(!reserves(&mut o, 8, 1.0, 11.0));
+    let mut owner = owner_with_fresh_view();
+    owner.on_heartbeat(
+        &heartbeat(1, 5, Some(TaskState::Running)),
+        11.0,
+        &UnknownJobs,
+    );
+    assert!(!reserves(&mut owner, 8, 1.0, 11.0));
 }
 
 /// The same for tasks that wait for what becomes free; what is over does not start.
 #[test]
 fn an_owner_whose_view_stayed_behind_starts_what_waits() {
     let starts = |over: bool, jobs: &dyn Jobs, job: &str| {
-        let mut o = owner();
-        o.on_heartbeat(&heartbeat(1, 5, Some(TaskState::Running)), 11.0, &OPEN);
-        o.on_leader_message(backlog(job), 11.0, &OPEN);
+        let mut owner = owner_with_fresh_view();
+        owner.on_heartbeat(&heartbeat(1, 5, Some(TaskState::Running)), 11.0, &OPEN);
+        owner.on_leader_message(backlog(job), 11.0, &OPEN);
         if over {
             let jobs = vec![job.into()];
-            o.on_leader_message(ToOwner::Terminal { jobs }, 11.2, &OPEN);
+            owner.on_leader_message(ToOwner::Terminal { jobs }, 11.2, &OPEN);
         }
-        let orders = orders(o.on_heartbeat(&heartbeat(2, 5, None), 11.5, jobs));
+        let orders = orders(owner.on_heartbeat(&heartbeat(2, 5, None), 11.5, jobs));
         let is_start = |order: &&Order| matches!(order, Order::Start { .. });
         orders.iter().filter(is_start).count()
     };
-    assert_eq!(starts(false, &Behind, "wk-3"), 1);
-    assert_eq!(starts(true, &Behind, "wk-3"), 0);
-    assert_eq!(starts(false, &OVER, "wk-1"), 0);
+    assert_eq!(starts(false, &UnknownJobs, "wk-3"), 1);
+    assert_eq!(starts(true, &UnknownJobs, "wk-3"), 0);
+    assert_eq!(starts(false, &TERMINAL, "wk-1"), 0);
     assert_eq!(starts(false, &OPEN, "wk-1"), 1);
 }
 
@@ -335,53 +314,65 @@
 /// that what was cancelled since is gone in time.
 #[test]
 fn old_knowledge_ends_starts_first_and_then_answers() {
-    let s = config();
-    let mut o = owner();
-    o.on_heartbeat(&heartbeat(1, 5, None), 10.5, &OPEN);
-    o.on_leader_message(assign(), 10.5, &OPEN);
-    let stale = 10.0 + s.start_staleness_s() + 0.01;
+    let config = config();
+    let mut owner = owner_with_fresh_view();
+    owner.on_heartbeat(&heartbeat(1, 5, None), 10.5, &OPEN);
+    owner.on_leader_message(assign(), 10.5, &OPEN);
+    let stale = 10.0 + config.start_staleness_s() + 0.01;
     assert_eq!(
-        orders(o.on_heartbeat(&heartbeat(2, 5, None), stale, &OPEN)),
+        orders(owner.on_heartbeat(&heartbeat(2, 5, None), stale, &OPEN)),
         vec![]
     );
     // It was only put off.
-    o.authority.prove(stale);
+    owner.authority.prove(stale);
     assert_eq!(
-        orders(o.on_heartbeat(&heartbeat(3, 5, None), stale + 0.1, &OPEN)).len(),
+        orders(owner.on_heartbeat(&heartbeat(3, 5, None), stale + 0.1, &OPEN)).len(),
         1
     );
-    let end = stale + s.answer_staleness_s();
+    let end = stale + config.answer_staleness_s();
     assert!(matches!(
-        o.on_heartbeat(&heartbeat(4, 5, None), end - 0.01, &OPEN),
+        owner.on_heartbeat(&heartbeat(4, 5, None), end - 0.01, &OPEN),
         HeartbeatResponse::Orders(_)
     ));
     assert_eq!(
-        o.on_heartbeat(&heartbeat(5, 5, None), end + 0.01, &OPEN),
+        owner.on_heartbeat(&heartbeat(5, 5, None), end + 0.01, &OPEN),
         HeartbeatResponse::Unavailable
     );
     // The last lease that such an answer can prolong ends within cancel_s of the read.
-    assert!(end + s.lease_s * 1.0005 <= stale + s.cancel_s);
+    assert!(end + config.lease_s * 1.0005 <= stale + config.cancel_s);
 }
 
 /// An outage preserves the lease in the store: what its renewal gives back is worth nothing until a
 /// read that was sent after it.
 #[test]
 fn authority_that_ran_out_comes_back_with_a_read_sent_after_the_renewal() {
-    let mut a = Authority::new(&config());
-    a.prove(0.5);
-    a.renew(3.0, 1.0);
-    assert_eq!(a.answers_until(), f64::MIN, "it had none before");
-    a.prove(1.0);
-    assert_eq!((a.answers_until(), a.starts_until()), (3.0, 3.0));
+    let mut authority = Authority::new(&config());
+    authority.prove(0.5);
+    authority.renew(3.0, 1.0);
+    assert_eq!(authority.answers_until(), f64::MIN, "it had none before");
+    authority.prove(1.0);
+    assert_eq!(
+        (authority.answers_until(), authority.starts_until()),
+        (3.0, 3.0)
+    );
     // Renewed in time, it goes on.
-    a.renew(4.0, 2.5);
-    assert_eq!((a.answers_until(), a.starts_until()), (4.0, 3.0));
+    authority.renew(4.0, 2.5);
+    assert_eq!(
+        (authority.answers_until(), authority.starts_until()),
+        (4.0, 3.0)
+    );
     // It ran out at 4 and is renewed at 9, with a read that was sent before.
-    a.prove(8.9);
-    a.renew(11.0, 9.0);
-    assert_eq!((a.answers_until(), a.starts_until()), (f64::MIN, f64::MIN));
-    a.prove(9.1);
-    assert_eq!((a.answers_until(), a.starts_until()), (11.0, 11.0));
+    authority.prove(8.9);
+    authority.renew(11.0, 9.0);
+    assert_eq!(
+        (authority.answers_until(), authority.starts_until()),
+        (f64::MIN, f64::MIN)
+    );
+    authority.prove(9.1);
+    assert_eq!(
+        (authority.answers_until(), authority.starts_until()),
+        (11.0, 11.0)
+    );
 }
 
 #[test]
@@ -405,14 +396,7 @@
     let spec = Rc::new(model::world::job(1, "red", Shape::Array, 4, 1.0));
     let open = OpenJob::new(spec, 1, PriorRuns::Anywhere);
     // What it may have begun on that machine is not known yet.
-    let roster = BTreeMap::from([(
-        "host-1".to_string(),
-        RosterRecord {
-            kind: "small".into(),
-            zone: "a".into(),
-            spot: false,
-        },
-    )]);
+    let roster = roster(["host-1"], &roster_record("small"));
     let mut leader = Leader::new("rung-0", config, 1, 1, 4.0, vec![open], &roster, 1, 0.0);
     leader.set_recently_cancelled([(
         "wk-000009".to_string(),
@@ -421,14 +405,14 @@
     )]);
     leader.owner_heard("rung-1", 0.0);
     leader.tick(1.0, 1);
-    let told = |leader: &mut Leader| -> Vec<Vec<String>> {
+    let notified = |leader: &mut Leader| -> Vec<Vec<String>> {
         let over = |d| match d {
             Action::Send(to, ToOwner::Terminal { jobs }) if to == "rung-1" => Some(jobs),
             _ => None,
         };
         leader.drain().into_iter().filter_map(over).collect()
     };
-    assert_eq!(told(&mut leader), vec![vec!["wk-000009".to_string()]]);
+    assert_eq!(notified(&mut leader), vec![vec!["wk-000009".to_string()]]);
     leader.on_owner_message(
         "rung-1",
         ToLeader::Cancelled {
@@ -436,15 +420,15 @@
         },
         1.5,
     );
-    assert_eq!(told(&mut leader), vec![vec!["wk-000001".to_string()]]);
+    assert_eq!(notified(&mut leader), vec![vec!["wk-000001".to_string()]]);
     leader.on_job_terminal("wk-000001");
-    assert_eq!(told(&mut leader), Vec::<Vec<String>>::new());
+    assert_eq!(notified(&mut leader), Vec::<Vec<String>>::new());
     leader.owner_lost("rung-1");
     leader.owner_heard("rung-1", 2.0);
     leader.tick(2.5, 1);
     leader.token_result(Some(2), 2.6);
     assert_eq!(
-        told(&mut leader),
+        notified(&mut leader),
         vec![vec!["wk-000001".to_string(), "wk-000009".to_string()]]
     );
 }
@@ -453,10 +437,10 @@
 /// hear of it, or the task stays with that owner for ever.
 #[test]
 fn a_start_that_is_given_up_before_it_was_shown_is_handed_back() {
-    let mut o = owner();
-    o.on_heartbeat(&heartbeat(1, 5, None), 10.5, &OPEN);
-    o.tick(11.0);
-    o.drain();
+    let mut owner = owner_with_fresh_view();
+    owner.on_heartbeat(&heartbeat(1, 5, None), 10.5, &OPEN);
+    owner.tick(11.0);
+    owner.drain();
     let ToOwner::Assign {
         job,
         attempt,
@@ -466,7 +450,7 @@
     else {
         unreachable!()
     };
-    o.on_leader_message(
+    owner.on_leader_message(
         ToOwner::AssignBacklog {
             job,
             attempt,
@@ -477,12 +461,12 @@
         11.0,
         &OPEN,
     );
-    o.drain();
+    owner.drain();
     assert_eq!(
-        orders(o.on_heartbeat(&heartbeat(2, 5, None), 11.01, &OPEN)).len(),
+        orders(owner.on_heartbeat(&heartbeat(2, 5, None), 11.01, &OPEN)).len(),
         1
     );
-    o.on_leader_message(
+    owner.on_leader_message(
         ToOwner::SetUsable {
             machine: "host-1".into(),
             usable: false,
@@ -491,9 +475,9 @@
         &OPEN,
     );
     assert_eq!(
-        orders(o.on_heartbeat(&heartbeat(3, 5, None), 11.03, &OPEN)),
+        orders(owner.on_heartbeat(&heartbeat(3, 5, None), 11.03, &OPEN)),
         vec![]
     );
     let back = |m: &ToLeader| matches!(m, ToLeader::HandBack { job, attempt: 3, tasks } if job == "wk-1" && *tasks == [(0, 1)]);
-    assert!(o.drain().iter().any(back));
+    assert!(owner.drain().iter().any(back));
 }
--- a/crates/model/tests/waits.rs
+++ b/crates/model/tests/waits.rs
@@ -1,37 +1,37 @@
 //! Work that waits: for how long at most, and what is never placed.
 
-use model::world::{config, job, machine_status, Defect, World};
+use model::world::{
+    config, config_that_keeps_machines, job, lone_leader, machine_status, machine_type, roster,
+    roster_record, task_status, Defect, World,
+};
+use sched::config::SchedulerConfig;
 use sched::leader::{Action, Leader, OpenJob, PriorRuns};
 use std::collections::BTreeMap;
 use std::rc::Rc;
+use wire::cloud::MachineType;
 use wire::peers::{TaskRef, TaskStatus, ToLeader, ToOwner};
-use wire::store::RosterRecord;
 use wire::users::{Job, Shape};
 use wire::workers::{TaskState, Why};
 
+/// The machine type of these tests.
+fn small_type() -> Vec<MachineType> {
+    vec![machine_type("small", 4.0, 16.0, 0.3)]
+}
+
 /// A job's tasks fail again and again; with heartbeats every 10 s the back-off grew to 800 s, so that
 /// it waited beside a free machine long after the faulty one was gone.
 #[test]
 fn a_job_that_failed_often_is_tried_again_within_the_users_time() {
-    let s = sched::config::SchedulerConfig {
+    let config = SchedulerConfig {
         heartbeat_s: 10.0,
         lease_s: 45.0,
         cancel_s: 75.0,
-        idle_retention_boots: 1e6,
-        ..config()
+        ..config_that_keeps_machines()
     };
     let spec = Rc::new(job(1, "red", Shape::Array, 1, 1.0));
     let open = OpenJob::new(spec, 1, PriorRuns::Anywhere);
-    let roster = BTreeMap::from([(
-        "host-1".to_string(),
-        RosterRecord {
-            kind: "small".into(),
-            zone: "a".into(),
-            spot: false,
-        },
-    )]);
-    let mut leader = Leader::new("rung-0", s, 1, 1, 4.0, vec![open], &roster, 1, 0.0);
-    leader.catalog(vec![model::world::machine_type("small", 4.0, 16.0, 0.3)]);
+    let roster = roster(["host-1"], &roster_record("small"));
+    let mut leader = lone_leader(config, small_type(), vec![open], 1, &roster);
     let (mut now, mut tries, mut seq) = (0.0, Vec::new(), 0);
     while now < 600.0 {
         now += 0.5;
@@ -45,12 +45,7 @@
                     index: 0,
                     attempt,
                 };
-                exits.push(TaskStatus {
-                    task,
-                    state: TaskState::Exited,
-                    why: Some(Why::Error),
-                    saved: false,
-                });
+                exits.push(task_status(task, TaskState::Exited, Some(Why::Error)));
             }
         }
         seq += 1;
@@ -58,10 +53,10 @@
         view.incarnation = seq;
         leader.on_owner_message("rung-0", ToLeader::MachineStatuses(vec![view]), now);
     }
-    let waits: Vec<f64> = tries.windows(2).map(|w| w[1] - w[0]).collect();
+    let waits: Vec<f64> = tries.windows(2).map(|pair| pair[1] - pair[0]).collect();
     assert!(waits.len() > 8, "{tries:?}");
     assert!(waits[4] > waits[0], "it does not grow: {waits:?}");
-    assert!(waits.iter().all(|w| *w < 60.0), "{waits:?}");
+    assert!(waits.iter().all(|wait| *wait < 60.0), "{waits:?}");
 }
 
 /// `one_zone` together with `spread`: a gang of several tasks can never be placed and an array only
@@ -74,21 +69,26 @@
         ..job(id, "red", shape, tasks, 1.0)
     };
     for seed in 0..4 {
-        let mut w = World::new(seed, Defect::None);
-        w.submit(both(1, Shape::Gang, 2));
-        w.pass(60.0);
-        assert_eq!(w.provisioned(), 0, "seed {seed}");
-        w.submit(both(2, Shape::Array, 4));
-        w.submit(both(3, Shape::Gang, 1));
-        w.submit(job(4, "red", Shape::Gang, 3, 1.0));
-        w.pass(120.0);
-        assert_eq!(w.open_jobs(), ["wk-000001"], "seed {seed}\n{}", w.explain());
-        assert!(w.cancel("wk-000001"));
-        w.calm(30.0);
+        let mut world = World::new(seed, Defect::None);
+        world.submit(both(1, Shape::Gang, 2));
+        world.pass(60.0);
+        assert_eq!(world.provisioned(), 0, "seed {seed}");
+        world.submit(both(2, Shape::Array, 4));
+        world.submit(both(3, Shape::Gang, 1));
+        world.submit(job(4, "red", Shape::Gang, 3, 1.0));
+        world.pass(120.0);
+        assert_eq!(
+            world.open_jobs(),
+            ["wk-000001"],
+            "seed {seed}\n{}",
+            world.explain()
+        );
+        assert!(world.cancel("wk-000001"));
+        world.calm(30.0);
         assert!(
-            w.broken.is_empty() && w.open_jobs().is_empty(),
+            world.broken.is_empty() && world.open_jobs().is_empty(),
             "seed {seed}: {:?}",
-            w.broken
+            world.broken
         );
     }
 }
@@ -106,15 +106,9 @@
             .unwrap()
     };
     let hosts = ["rung-1", "rung-2"].map(host);
-    let record = RosterRecord {
-        kind: "small".into(),
-        zone: "a".into(),
-        spot: false,
-    };
-    let roster: BTreeMap<_, _> = hosts.iter().map(|h| (h.clone(), record.clone())).collect();
+    let roster = roster(hosts.clone(), &roster_record("small"));
     let open = OpenJob::new(spec, 1, PriorRuns::None);
-    let mut leader = Leader::new("rung-0", config(), 1, 1, 4.0, vec![open], &roster, 1, 0.0);
-    leader.catalog(vec![model::world::machine_type("small", 4.0, 16.0, 0.3)]);
+    let mut leader = lone_leader(config(), small_type(), vec![open], 1, &roster);
     members.iter().for_each(|m| leader.owner_heard(m, 0.5));
     leader.tick(0.6, 2);
     for (m, h) in members.iter().zip(&hosts) {
@@ -170,33 +164,15 @@
 /// look faulty, which were drained, and others were provisioned for what failed there again.
 #[test]
 fn a_job_that_fails_on_every_machine_drains_and_rents_none() {
-    let s = sched::config::SchedulerConfig {
-        idle_retention_boots: 1e6,
-        ..config()
-    };
     let open = |id, revision| {
         let spec = Rc::new(job(id, "red", Shape::Array, 12, 1.0));
         OpenJob::new(spec, revision, PriorRuns::Anywhere)
     };
-    let record = RosterRecord {
-        kind: "small".into(),
-        zone: "a".into(),
-        spot: false,
-    };
     let hosts: Vec<String> = (1..=4).map(|i| format!("host-{i}")).collect();
-    let roster: BTreeMap<_, _> = hosts.iter().map(|h| (h.clone(), record.clone())).collect();
-    let mut leader = Leader::new(
-        "rung-0",
-        s,
-        1,
-        1,
-        4.0,
-        vec![open(1, 1), open(2, 2)],
-        &roster,
-        2,
-        0.0,
-    );
-    leader.catalog(vec![model::world::machine_type("small", 4.0, 16.0, 0.3)]);
+    let roster = roster(hosts.clone(), &roster_record("small"));
+    let jobs = vec![open(1, 1), open(2, 2)];
+    let config = config_that_keeps_machines();
+    let mut leader = lone_leader(config, small_type(), jobs, 2, &roster);
     let (mut now, mut assigned, mut bad) = (0.0, Vec::new(), Vec::new());
     let mut waiting: BTreeMap<String, Vec<TaskStatus>> = BTreeMap::new();
     while now < 200.0 {
@@ -222,12 +198,7 @@
                             index,
                             attempt,
                         };
-                        let view = TaskStatus {
-                            task,
-                            state: TaskState::Exited,
-                            why: Some(Why::Error),
-                            saved: false,
-                        };
+                        let view = task_status(task, TaskState::Exited, Some(Why::Error));
                         waiting
                             .entry(hosts[turn % hosts.len()].clone())
                             .or_default()
@@ -235,7 +206,7 @@
                         turn += 1;
                     }
                 }
-                Action::Provision(_) if now > 2.0 => bad.push(format!("{now}: rented")),
+                Action::Provision(_) if now > 2.0 => bad.push(format!("{now}: provisioned")),
                 Action::Send(
                     _,
                     ToOwner::SetUsable {
@@ -263,21 +234,14 @@
 /// Machines stood idle for as long after the last job of a day as between the jobs of a busy hour.
 #[test]
 fn idle_machines_are_returned_sooner_when_no_jobs_come() {
-    let s = sched::config::SchedulerConfig {
+    let config = SchedulerConfig {
         idle_retention_boots: 20.0,
         ..config()
     };
-    let record = RosterRecord {
-        kind: "small".into(),
-        zone: "a".into(),
-        spot: false,
-    };
-    let roster: BTreeMap<_, _> = (0..4)
-        .map(|i| (format!("host-{i}"), record.clone()))
-        .collect();
+    let hosts = (0..4).map(|i| format!("host-{i}"));
+    let roster = roster(hosts, &roster_record("small"));
     let first_drained = |every_s: f64| {
-        let mut leader = Leader::new("rung-0", s.clone(), 1, 1, 4.0, vec![], &roster, 1, 0.0);
-        leader.catalog(vec![model::world::machine_type("small", 4.0, 16.0, 0.3)]);
+        let mut leader = lone_leader(config.clone(), small_type(), vec![], 1, &roster);
         let (mut now, mut jobs) = (0.0, 0);
         loop {
             now += 0.5;
@@ -320,47 +284,17 @@
         let spec = Rc::new(job(id, "red", Shape::Array, 6, 1.0));
         OpenJob::new(spec, revision, PriorRuns::Anywhere)
     };
-    let record = RosterRecord {
-        kind: "small".into(),
-        zone: "a".into(),
-        spot: false,
-    };
-    let roster = ["host-1", "host-2"]
-        .map(|host| (host.to_string(), record.clone()))
-        .into();
-    let s = sched::config::SchedulerConfig {
-        idle_retention_boots: 1e6,
-        ..config()
-    };
-    let mut leader = Leader::new(
-        "rung-0",
-        s,
-        1,
-        1,
-        4.0,
-        vec![open(1, 1), open(2, 2), open(3, 3)],
-        &roster,
-        3,
-        0.0,
-    );
-    leader.catalog(vec![model::world::machine_type("small", 4.0, 16.0, 0.3)]);
+    let roster = roster(["host-1", "host-2"], &roster_record("small"));
+    let jobs = vec![open(1, 1), open(2, 2), open(3, 3)];
+    let config = config_that_keeps_machines();
+    let mut leader = lone_leader(config, small_type(), jobs, 3, &roster);
     let task = |job: u32, index| TaskRef {
         job: format!("wk-{job:06}"),
         index,
         attempt: 7,
     };
-    let running = |task| TaskStatus {
-        task,
-        state: TaskState::Running,
-        why: None,
-        saved: false,
-    };
-    let exited = |task, why| TaskStatus {
-        task,
-        state: TaskState::Exited,
-        why: Some(why),
-        saved: false,
-    };
+    let running = |task| task_status(task, TaskState::Running, None);
+    let exited = |task, why| task_status(task, TaskState::Exited, Some(why));
     let mut now = 0.0;
     let mut drained = |host_1: Vec<TaskStatus>, host_2: Vec<TaskStatus>| {
         now += 1.0;
--- a/crates/model/tests/world.rs
+++ b/crates/model/tests/world.rs
@@ -1,22 +1,22 @@
 //! Rules and progress over many seeds, and broken variants that the checks must notice.
 
-use model::world::{config, job, Defect, Fault, JobTimes, World};
-use sched::config::{SchedulerConfig, Team};
+use model::world::{config, job, unlimited_teams, Defect, Fault, JobTimes, World};
+use sched::config::SchedulerConfig;
 use std::collections::{BTreeMap, BTreeSet};
 use wire::users::{Job, Shape};
 
 /// Days on which most jobs need earlier ones, with every fault, while the controllers are replaced one
 /// after the other by ones with smaller records.
 fn chained_day(seed: u64, defect: Defect) -> World {
-    let mut w = World::new(seed, defect);
-    w.chained = 70;
-    w.held_up = 6;
-    w.late_copies = 6;
-    w.late_writes = 6;
-    w.live(50.0, 0.0);
-    w.roll(6.0, SMALL_VALUE_KB);
-    w.live(100.0, 300.0);
-    w
+    let mut world = World::new(seed, defect);
+    world.chained = 70;
+    world.held_up = 6;
+    world.late_copies = 6;
+    world.late_writes = 6;
+    world.live(50.0, 0.0);
+    world.roll(6.0, SMALL_VALUE_KB);
+    world.live(100.0, 300.0);
+    world
 }
 
 /// So small that a bitmap of progress holds eight tasks.
@@ -26,17 +26,17 @@
 fn rules_hold_with_chains_and_a_roll() {
     let (mut starts, mut cancelled_with_others, mut blocked) = (0, 0, 0);
     for seed in 0..40 {
-        let w = chained_day(seed, Defect::None);
-        assert!(w.broken.is_empty(), "seed {seed}: {:?}", w.broken);
+        let world = chained_day(seed, Defect::None);
+        assert!(world.broken.is_empty(), "seed {seed}: {:?}", world.broken);
         assert_eq!(
-            w.open_jobs(),
+            world.open_jobs(),
             Vec::<String>::new(),
             "seed {seed}\n{}",
-            w.explain()
+            world.explain()
         );
-        starts += w.starts;
-        cancelled_with_others += w.cancelled_with_others;
-        let times = w.job_times();
+        starts += world.starts;
+        cancelled_with_others += world.cancelled_with_others;
+        let times = world.job_times();
         let was_blocked = |times: &&JobTimes| times.ready.is_some_and(|at| at > times.accepted);
         blocked += times.values().filter(was_blocked).count();
     }
@@ -61,14 +61,14 @@
 fn days(defect: Defect, seeds: std::ops::Range<u64>, held_up: u32) -> (BTreeSet<String>, u64, u64) {
     let (mut broken, mut starts, mut leaders) = (BTreeSet::new(), 0, 0);
     for seed in seeds {
-        let mut w = World::new(seed, defect);
-        w.held_up = held_up;
-        w.late_copies = held_up;
-        w.late_writes = held_up;
-        w.live(150.0, 60.0);
-        broken.append(&mut w.broken);
-        starts += w.starts;
-        leaders += w.leaders;
+        let mut world = World::new(seed, defect);
+        world.held_up = held_up;
+        world.late_copies = held_up;
+        world.late_writes = held_up;
+        world.live(150.0, 60.0);
+        broken.append(&mut world.broken);
+        starts += world.starts;
+        leaders += world.leaders;
     }
     (broken, starts, leaders)
 }
@@ -91,16 +91,16 @@
 #[test]
 fn all_work_is_done_once_troubles_end() {
     for seed in 100..180 {
-        let mut w = World::new(seed, Defect::None);
-        w.live(100.0, 300.0);
+        let mut world = World::new(seed, Defect::None);
+        world.live(100.0, 300.0);
         assert_eq!(
-            w.open_jobs(),
+            world.open_jobs(),
             Vec::<String>::new(),
             "seed {seed}\n{}",
-            w.explain()
+            world.explain()
         );
-        assert!(w.broken.is_empty(), "seed {seed}: {:?}", w.broken);
-        assert!(w.done > 10);
+        assert!(world.broken.is_empty(), "seed {seed}: {:?}", world.broken);
+        assert!(world.done > 10);
     }
 }
 
@@ -110,7 +110,7 @@
 fn a_machine_that_gets_no_answers_traps_no_work() {
     for seed in 0..12 {
         // Long enough for such a worker to come round to its owner again within its lease.
-        let mut w = World::with(
+        let mut world = World::with(
             seed,
             Defect::None,
             SchedulerConfig {
@@ -119,7 +119,7 @@
             },
         );
         (1..9).for_each(|i| {
-            w.submit(job(
+            world.submit(job(
                 i,
                 "red",
                 if i % 2 == 0 {
@@ -131,14 +131,14 @@
                 2.0,
             ))
         });
-        while w.starts < 3 {
-            w.step();
+        while world.starts < 3 {
+            world.step();
         }
-        let mut unreachable = w.machines();
+        let mut unreachable = world.machines();
         unreachable.truncate(2);
-        w.cut_inbound(&unreachable, 1e9);
+        world.cut_inbound(&unreachable, 1e9);
         (9..17).for_each(|i| {
-            w.submit(job(
+            world.submit(job(
                 i,
                 "blue",
                 if i % 2 == 0 {
@@ -150,17 +150,17 @@
                 2.0,
             ))
         });
-        let end = w.now + 120.0;
-        while w.now < end {
-            w.step();
+        let end = world.now + 120.0;
+        while world.now < end {
+            world.step();
         }
         assert_eq!(
-            w.open_jobs(),
+            world.open_jobs(),
             Vec::<String>::new(),
             "seed {seed}\n{}",
-            w.explain()
+            world.explain()
         );
-        assert!(w.broken.is_empty(), "{:?}", w.broken);
+        assert!(world.broken.is_empty(), "{:?}", world.broken);
     }
 }
 
@@ -169,18 +169,9 @@
 /// machines of one zone are cordoned for it.
 #[test]
 fn a_large_gang_is_not_starved_by_small_ones() {
-    let wide = Team {
-        cpus: 0.0,
-        cpus_max: 1e6,
-        gpus: 0.0,
-        gpus_max: 0.0,
-    };
-    let teams = BTreeMap::from([
-        ("red".to_string(), wide.clone()),
-        ("blue".to_string(), wide),
-    ]);
+    let teams = unlimited_teams(&["red", "blue"]);
     let wait_s = BTreeMap::from([("any".to_string(), 20.0)]);
-    let mut w = World::with(
+    let mut world = World::with(
         3,
         Defect::None,
         SchedulerConfig {
@@ -189,7 +180,7 @@
             ..config()
         },
     );
-    w.held_up = 0;
+    world.held_up = 0;
     let gang = |id: u32, team: &str, tasks: u32| {
         let only = Some(vec!["large".to_string()]);
         Job {
@@ -202,28 +193,32 @@
     };
     for i in 1..300 {
         if i == 60 {
-            w.submit(gang(9999, "blue", 3));
+            world.submit(gang(9999, "blue", 3));
         }
-        w.submit(gang(i, "red", 1));
-        (0..4).for_each(|_| w.step());
+        world.submit(gang(i, "red", 1));
+        (0..4).for_each(|_| world.step());
     }
-    let large = w.job_times()["wk-009999"];
+    let large = world.job_times()["wk-009999"];
     assert!(
         large.started.is_some_and(|at| at - large.accepted < 60.0),
         "it began at {:?}",
         large.started
     );
-    assert!(w.open_jobs().len() > 20, "the machines were never short");
-    assert!(w.broken.is_empty(), "{:?}", w.broken);
+    assert!(
+        world.open_jobs().len() > 20,
+        "the machines were never short"
+    );
+    assert!(world.broken.is_empty(), "{:?}", world.broken);
 }
 
 #[test]
 fn every_kind_of_trouble_happens() {
     let mut seen: BTreeMap<Fault, u32> = BTreeMap::new();
     for seed in 0..10 {
-        let mut w = World::new(seed, Defect::None);
-        w.live(150.0, 0.0);
-        w.faults
+        let mut world = World::new(seed, Defect::None);
+        world.live(150.0, 0.0);
+        world
+            .faults
             .into_iter()
             .for_each(|(fault, times)| *seen.entry(fault).or_default() += times);
     }
@@ -246,12 +241,12 @@
 }
 
 fn trips_when_calm(defect: Defect, rule: &str) {
-    let mut w = World::new(4, defect);
-    w.live(150.0, 300.0);
+    let mut world = World::new(4, defect);
+    world.live(150.0, 300.0);
     assert!(
-        w.broken.contains(rule),
+        world.broken.contains(rule),
         "{defect:?} went unnoticed: {:?}",
-        w.broken
+        world.broken
     );
     let mut whole = World::new(4, Defect::None);
     whole.live(150.0, 300.0);
@@ -304,14 +299,14 @@
 #[test]
 fn a_task_that_goes_on_though_its_job_is_done_is_noticed() {
     let lives = |defect| {
-        let mut w = World::new(3, defect);
+        let mut world = World::new(3, defect);
         // More tasks than its team may run at a time: some begin when the others are done.
-        w.submit(Job {
+        world.submit(Job {
             estimate_s: 60.0,
             ..job(1, "red", Shape::Array, 8, 4.0)
         });
-        w.pass(300.0);
-        w.broken
+        world.pass(300.0);
+        world.broken
     };
     assert_eq!(lives(Defect::HalfDone), BTreeSet::from(["not_done".into()]));
     let broken = lives(Defect::HalfDoneUnseen);
@@ -320,39 +315,39 @@
 
 /// Days on which controllers, the leader mostly, read all records anew again and again.
 fn reloaded_day(seed: u64, defect: Defect) -> World {
-    let mut w = World::new(seed, defect);
-    w.chained = 50;
+    let mut world = World::new(seed, defect);
+    world.chained = 50;
     for round in 0..12 {
-        w.live(6.0, 0.0);
+        world.live(6.0, 0.0);
         (0..3).for_each(|n| {
-            w.submit(Job {
+            world.submit(Job {
                 estimate_s: 1.0,
                 ..job(700 + 3 * round + n, "red", Shape::Array, 2, 1.0)
             })
         });
-        w.pass(2.0);
-        let leader = w.leader_at().unwrap_or(0);
-        w.reload((leader + 1) % 3, 3.0);
-        w.reload(leader, 0.6);
-        w.pass(0.7);
+        world.pass(2.0);
+        let leader = world.leader_at().unwrap_or(0);
+        world.reload((leader + 1) % 3, 3.0);
+        world.reload(leader, 0.6);
+        world.pass(0.7);
         // What the reload has left is not mended by a read at once.
-        w.outage(1.2);
-        w.pass(1.5);
+        world.outage(1.2);
+        world.pass(1.5);
     }
-    w.calm(300.0);
-    w
+    world.calm(300.0);
+    world
 }
 
 #[test]
 fn rules_hold_while_controllers_read_all_records_anew() {
     for seed in 0..30 {
-        let w = reloaded_day(seed, Defect::None);
-        assert!(w.broken.is_empty(), "seed {seed}: {:?}", w.broken);
+        let world = reloaded_day(seed, Defect::None);
+        assert!(world.broken.is_empty(), "seed {seed}: {:?}", world.broken);
         assert_eq!(
-            w.open_jobs(),
+            world.open_jobs(),
             Vec::<String>::new(),
             "seed {seed}\n{}",
-            w.explain()
+            world.explain()
         );
     }
 }
