--- a/crates/model/tests/chains.rs
+++ b/crates/model/tests/chains.rs
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_follower_confirms_a_cancellation_while_the_store_refuses_the_leader_and_then_everybody() {
+fn a_follower_confirms_a_cancellation_while_the_store_refuses_the_leader_and_then_is_down() {
     for seed in 0..SEEDS {
         let mut world = chain(seed);
         world.hints = false;
@@ -82,7 +82,7 @@
 
 /// One of the two is written first: what follows goes on, or is cancelled with it.
 #[test]
-fn a_cancellation_meets_the_end_of_a_job_that_others_need() {
+fn a_cancellation_meets_the_end_of_a_dependency() {
     let mut seen = [0; 2];
     for seed in 0..SEEDS * 2 {
         let mut world = chain(seed);
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn the_leader_ends_between_the_end_of_a_job_and_the_start_of_what_needs_it() {
+fn the_leader_ends_between_the_end_of_a_job_and_the_start_of_its_dependents() {
     for seed in 0..SEEDS {
         let mut world = chain(seed);
         for number in 1..4 {
@@ -155,7 +155,7 @@
 
 /// A zone with workers and a controller is cut off while the jobs before the last are done.
 #[test]
-fn a_controller_is_alone_with_its_workers_while_the_chain_goes_on() {
+fn a_controller_is_partitioned_with_its_workers_while_the_chain_goes_on() {
     for seed in 0..SEEDS {
         let mut world = chain(seed);
         let i = seed as usize % 3;
--- a/crates/model/tests/leader_and_owner.rs
+++ b/crates/model/tests/leader_and_owner.rs
@@ -58,7 +58,7 @@
 /// up until after the lease has ended. The worker has then forgotten what that heartbeat shows, and
 /// the leader has given it to another machine.
 #[test]
-fn a_report_of_a_lease_that_is_over_does_not_count_though_none_counted_before() {
+fn a_heartbeat_of_an_expired_lease_does_not_count_though_none_counted_before() {
     let mut owner = owner_of_host_1();
     assert!(
         matches!(owner.on_heartbeat(&heartbeat(2, 57, 4), 10.5, &UnknownJobs), HeartbeatResponse::Orders(o) if o.token == 5 && o.orders.is_empty())
@@ -263,7 +263,7 @@
 /// An array that waits for its turn is named as untouched, so that a later leader starts it at
 /// once, while it still has to learn what runs on some machine that does not heartbeat.
 #[test]
-fn arrays_that_wait_their_turn_are_not_recorded_as_begun() {
+fn arrays_that_wait_their_turn_are_not_recorded_as_started() {
     let mut leader = Leader::new(
         "rung-0",
         config(),
@@ -325,7 +325,7 @@
 /// the very heartbeat that shows it; one that finds none in time goes back; a job that is over gets
 /// nothing.
 #[test]
-fn tasks_that_wait_at_an_owner_fill_what_a_report_shows_to_be_free() {
+fn an_owners_backlog_fills_what_a_heartbeat_shows_to_be_free() {
     let mut owner = owner_of_host_1();
     owner.on_leader_message(
         ToOwner::Catalog {
--- a/crates/model/tests/overlapping_faults.rs
+++ b/crates/model/tests/overlapping_faults.rs
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn the_store_refuses_the_leader_then_everybody() {
+fn the_store_refuses_the_leader_and_then_is_down() {
     let (lease, cancel) = (config().lease_s, config().cancel_s);
     for hints in [true, false] {
         for (refused_s, out_s) in [
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn the_gap_with_one_more_trouble() {
+fn the_gap_with_one_more_fault() {
     // The controller that confirmed ends right after.
     meeting(4, |world| {
         let leading = leader(world);
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn trusting_a_picture_from_before_an_outage_is_noticed() {
+fn trusting_a_view_from_before_an_outage_is_noticed() {
     assert!(
         breaks("ran_cancelled", Defect::TrustStaleView, config(), slow_gaps),
         "it went unnoticed"
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn old_reports_arrive_after_newer_ones_and_at_later_leaders() {
+fn old_heartbeats_arrive_after_newer_ones_and_at_later_leaders() {
     meeting(8, |world| {
         (world.late_copies, world.held_up) = (60, 20);
         for i in 0..5 {
@@ -283,7 +283,7 @@
 }
 
 #[test]
-fn more_work_than_room_over_slow_links() {
+fn more_work_than_capacity_over_slow_links() {
     meeting(3, |world| {
         world.held_up = 12;
         for i in 0..40 {
@@ -420,7 +420,7 @@
 
 /// Heartbeats every 6 s, leaders every 3: no heartbeat shows the token of the day.
 #[test]
-fn leaders_change_faster_than_machines_report() {
+fn leaders_change_faster_than_machines_send_heartbeats() {
     let slow = SchedulerConfig {
         heartbeat_s: 6.0,
         lease_s: 14.0,
@@ -509,7 +509,7 @@
 }
 
 #[test]
-fn answers_wait_on_hung_machines_which_then_go_on() {
+fn responses_wait_on_hung_machines_which_then_go_on() {
     meeting(8, |world| {
         for i in 0..6 {
             (0..2).for_each(|n| world.submit(job(600 + 2 * i + n, "red", Shape::Array, 2, 1.0)));
@@ -548,12 +548,12 @@
 }
 
 #[test]
-fn transactions_without_an_answer_are_carried_out_after_newer_ones() {
+fn transactions_without_a_response_are_carried_out_after_newer_ones() {
     meeting(6, late_writes);
 }
 
 #[test]
-fn writes_without_the_versions_of_their_keys_are_noticed() {
+fn writes_without_expected_versions_are_noticed() {
     // An old page of the roster or an old binding makes the next leader start tasks again.
     assert!(
         breaks("ran_twice", Defect::NoVersions, config(), late_writes),
@@ -563,7 +563,7 @@
 
 /// Work of the other team keeps machines in use that have capacity to spare.
 #[test]
-fn letting_work_wait_beside_free_room_is_noticed() {
+fn letting_work_wait_beside_free_capacity_is_noticed() {
     let mut world = busy(1, Defect::NeverRed, config());
     (0..3).for_each(|i| {
         world.submit(Job {
--- a/crates/model/tests/plain.rs
+++ b/crates/model/tests/plain.rs
@@ -258,7 +258,7 @@
 }
 
 #[test]
-fn only_borrowed_room_is_taken_back_and_no_more_than_needed() {
+fn only_borrowed_capacity_is_reclaimed_and_no_more_than_needed() {
     assert_eq!(stopped_for_red(0.0), 2);
     assert_eq!(
         stopped_for_red(12.0),
--- a/crates/model/tests/preemption.rs
+++ b/crates/model/tests/preemption.rs
@@ -122,7 +122,7 @@
 /// Long tasks of low priority held all machines that a gang fits on; capacity was taken back for single
 /// tasks only, so the gang waited for their ends.
 #[test]
-fn a_whole_gang_has_room_taken_back_and_kept_until_it_is_complete() {
+fn a_whole_gang_has_capacity_reclaimed_and_reserved_until_it_is_complete() {
     let mut scene = Scene::new(guest_array(), job(2, "red", Shape::Gang, 2, 3.0));
     assert!(!scene.pass(2.0));
     assert_eq!(
@@ -151,7 +151,7 @@
 
 /// Half a gang's capacity serves nobody.
 #[test]
-fn nothing_is_stopped_for_a_gang_that_would_still_lack_room() {
+fn nothing_is_stopped_for_a_gang_that_would_still_lack_capacity() {
     let mut scene = Scene::new(guest_array(), job(2, "red", Shape::Gang, 3, 2.5));
     scene.pass(4.0);
     assert!(scene.stopped.is_empty(), "{:?}", scene.stopped);
@@ -214,7 +214,7 @@
 /// Machines are cordoned for a gang that waits long and for which nothing can be stopped: a younger
 /// one could not use what is stopped for it, and would not have been provisioned for.
 #[test]
-fn nothing_is_stopped_for_a_gang_behind_one_that_cannot_be_helped() {
+fn nothing_is_stopped_for_a_gang_behind_one_that_cannot_be_placed() {
     let mut scene = Scene::new(guest_array(), job(2, "red", Shape::Gang, 3, 2.5));
     scene.pass(12.0);
     scene.leader.add_job(OpenJob::new(
@@ -234,7 +234,7 @@
 /// The pass keeps machine types that alone fit some class for that class. What is free of them is no capacity
 /// for another gang: it was taken for such, and nothing was provisioned.
 #[test]
-fn a_gang_is_not_taken_to_have_room_where_the_pass_would_not_place_it() {
+fn a_gang_is_not_taken_to_have_capacity_where_the_pass_would_not_place_it() {
     let large_only = Job {
         class: "needs-large".into(),
         priority: Priority::BestEffort,
--- a/crates/model/tests/scale_out.rs
+++ b/crates/model/tests/scale_out.rs
@@ -40,7 +40,7 @@
     }
 
     /// A gang that fits only on `large` has come and is over: that type is kept for its class.
-    fn large_gang_was_seen(&mut self) {
+    fn see_large_gang(&mut self) {
         let gang = Job {
             class: "large-gang".into(),
             spot: false,
@@ -96,9 +96,9 @@
 /// Of several offers one was always out of its back-off and was asked for in full again, so that arrays
 /// waited for a minute beside 53 machines of the type kept for gangs that the cloud had left.
 #[test]
-fn what_was_refused_is_asked_for_one_machine_at_a_time() {
+fn refused_machines_are_requested_one_at_a_time() {
     let mut scene = Scene::new(0);
-    scene.large_gang_was_seen();
+    scene.see_large_gang();
     scene.accept(job(2, "red", Shape::Array, 400, 1.0));
     scene.pass(20.0);
     let mut first_asked: BTreeMap<&str, f64> = BTreeMap::new();
@@ -129,7 +129,7 @@
 fn a_small_gang_does_not_keep_arrays_off_the_type_kept_for_large_ones() {
     for (tasks, cpus, expected) in [(2, 1.0, true), (2, 14.0, false)] {
         let mut scene = Scene::new(0);
-        scene.large_gang_was_seen();
+        scene.see_large_gang();
         scene.accept(Job {
             class: "gang".into(),
             ..job(3, "red", Shape::Gang, tasks, cpus)
@@ -145,7 +145,7 @@
 /// What running tasks free while a machine boots was counted as the queue's, though new jobs took it: the
 /// queue only grew. One array alone is still left to what becomes free.
 #[test]
-fn machines_are_rented_for_a_queue_that_grows_faster_than_room_becomes_free() {
+fn machines_are_provisioned_for_a_queue_that_grows_faster_than_capacity_becomes_free() {
     for (arrays, expected) in [(1, false), (60, true)] {
         let mut scene = Scene::new(10);
         scene.accept(job(1, "red", Shape::Array, 40, 1.0));
--- a/crates/model/tests/staleness.rs
+++ b/crates/model/tests/staleness.rs
@@ -141,7 +141,7 @@
 /// Leaders changed faster than a machine reported: each answer only told it the next token and
 /// prolonged its lease, so that a cancelled task ran on past `cancel_s`.
 #[test]
-fn an_answer_to_a_report_that_does_not_count_stops_what_is_over() {
+fn a_response_to_a_heartbeat_that_does_not_count_stops_terminal_jobs() {
     let mut owner = owner_with_fresh_view();
     assert_eq!(
         orders(owner.on_heartbeat(&heartbeat(1, 4, Some(TaskState::Running)), 11.0, &OPEN)),
@@ -172,7 +172,7 @@
 /// A stop goes with every answer until a heartbeat shows the task gone, though the leader never asks
 /// for it: it may have begun after the job's record was over.
 #[test]
-fn what_is_over_is_stopped_until_it_is_seen_to_be_gone() {
+fn tasks_of_terminal_jobs_are_stopped_until_they_are_seen_to_be_gone() {
     let mut owner = owner_with_fresh_view();
     for seq in 1..4 {
         assert_eq!(
@@ -214,7 +214,7 @@
 
 /// A start that the owner holds when its job is called off is not sent, nor shown as pending.
 #[test]
-fn nothing_of_what_is_over_starts() {
+fn no_task_of_a_terminal_job_starts() {
     for is_notified in [false, true] {
         let mut owner = owner_with_fresh_view();
         owner.on_heartbeat(&heartbeat(1, 5, None), 11.0, &OPEN);
@@ -261,7 +261,7 @@
 /// Seen on a day at production size: a controller without the state service for minutes refused 1,209 of
 /// 1,256 reservations, since it did not know the jobs of the tasks that it had started itself.
 #[test]
-fn an_owner_whose_view_stayed_behind_knows_what_it_started() {
+fn an_owner_with_a_stale_view_knows_what_it_started() {
     let mut owner = owner_with_fresh_view();
     owner.on_heartbeat(&heartbeat(1, 5, None), 11.0, &UnknownJobs);
     owner.on_leader_message(assign(), 11.0, &UnknownJobs);
@@ -291,7 +291,7 @@
 
 /// The same for tasks that wait for what becomes free; what is over does not start.
 #[test]
-fn an_owner_whose_view_stayed_behind_starts_what_waits() {
+fn an_owner_with_a_stale_view_starts_its_backlog() {
     let starts = |over: bool, jobs: &dyn Jobs, job: &str| {
         let mut owner = owner_with_fresh_view();
         owner.on_heartbeat(&heartbeat(1, 5, Some(TaskState::Running)), 11.0, &OPEN);
@@ -313,7 +313,7 @@
 /// Starts need knowledge as fresh as the leadership; answers, which prolong leases, only so fresh
 /// that what was cancelled since is gone in time.
 #[test]
-fn old_knowledge_ends_starts_first_and_then_answers() {
+fn a_stale_view_ends_starts_first_and_then_responses() {
     let config = config();
     let mut owner = owner_with_fresh_view();
     owner.on_heartbeat(&heartbeat(1, 5, None), 10.5, &OPEN);
--- a/crates/model/tests/waits.rs
+++ b/crates/model/tests/waits.rs
@@ -62,7 +62,7 @@
 /// `one_zone` together with `spread`: a gang of several tasks can never be placed and an array only
 /// half at a time. The gang stays known, provisions nothing and holds nobody up, until it is cancelled.
 #[test]
-fn what_no_zone_may_hold_stays_known_and_costs_nothing() {
+fn a_gang_that_no_zone_may_hold_stays_known_and_costs_nothing() {
     let both = |id: u32, shape, tasks| Job {
         one_zone: true,
         spread: true,
@@ -96,7 +96,7 @@
 /// Both machines of a gang were lost between hold and bind, at two owners: the second refusal came when
 /// the gang was ending already and was not heard, so that its task stayed with that owner for ever.
 #[test]
-fn a_gang_whose_owners_all_refuse_the_bind_begins_anew() {
+fn a_gang_whose_owners_all_refuse_the_binding_begins_anew() {
     let spec = Rc::new(job(1, "red", Shape::Gang, 2, 3.0));
     let members = ["rung-1", "rung-2"].map(String::from);
     let host = |owner: &str| {
@@ -163,7 +163,7 @@
 /// A job that was submitted with a mistake fails on every machine. Two such jobs made healthy machines
 /// look faulty, which were drained, and others were provisioned for what failed there again.
 #[test]
-fn a_job_that_fails_on_every_machine_drains_and_rents_none() {
+fn a_job_that_fails_on_every_machine_drains_and_provisions_none() {
     let open = |id, revision| {
         let spec = Rc::new(job(id, "red", Shape::Array, 12, 1.0));
         OpenJob::new(spec, revision, PriorRuns::Anywhere)
--- a/crates/model/tests/world.rs
+++ b/crates/model/tests/world.rs
@@ -47,13 +47,13 @@
 }
 
 #[test]
-fn starting_before_what_a_job_needs_is_done_is_noticed() {
+fn starting_before_dependencies_are_done_is_noticed() {
     let broken = chained_day(1, Defect::StartBlocked).broken;
     assert!(broken.contains("too_early"), "{broken:?}");
 }
 
 #[test]
-fn calling_a_job_open_that_is_cancelled_with_another_is_noticed() {
+fn taking_a_job_for_open_though_its_dependency_is_cancelled_is_noticed() {
     let broken = chained_day(1, Defect::IgnoreChains).broken;
     assert!(broken.contains("orphaned"), "{broken:?}");
 }
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn all_work_is_done_once_troubles_end() {
+fn all_work_is_done_once_faults_end() {
     for seed in 100..180 {
         let mut world = World::new(seed, Defect::None);
         world.live(100.0, 300.0);
@@ -107,7 +107,7 @@
 /// Answers to one machine are lost for good: it gets nothing more, what it was to start runs
 /// elsewhere, and it is used again once answers reach it.
 #[test]
-fn a_machine_that_gets_no_answers_traps_no_work() {
+fn a_machine_that_gets_no_responses_traps_no_work() {
     for seed in 0..12 {
         // Long enough for such a worker to come round to its owner again within its lease.
         let mut world = World::with(
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn every_kind_of_trouble_happens() {
+fn every_kind_of_fault_happens() {
     let mut seen: BTreeMap<Fault, u32> = BTreeMap::new();
     for seed in 0..10 {
         let mut world = World::new(seed, Defect::None);
@@ -262,7 +262,7 @@
 }
 
 #[test]
-fn trusting_held_up_reports_is_noticed() {
+fn trusting_delayed_heartbeats_is_noticed() {
     // What it leads to first depends on luck: a second start, or a limit exceeded by it.
     let (broken, _, _) = days(Defect::TrustAnyReport, 0..60, 15);
     assert!(
@@ -297,7 +297,7 @@
 }
 
 #[test]
-fn a_task_that_goes_on_though_its_job_is_done_is_noticed() {
+fn a_task_that_runs_on_after_its_job_is_done_is_noticed() {
     let lives = |defect| {
         let mut world = World::new(3, defect);
         // More tasks than its team may run at a time: some begin when the others are done.
@@ -339,7 +339,7 @@
 }
 
 #[test]
-fn rules_hold_while_controllers_read_all_records_anew() {
+fn rules_hold_while_controllers_reload_all_records() {
     for seed in 0..30 {
         let world = reloaded_day(seed, Defect::None);
         assert!(world.broken.is_empty(), "seed {seed}: {:?}", world.broken);
