--- a/crates/ladderroute/tests/answers.rs
+++ b/crates/ladderroute/tests/answers.rs
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn while_the_store_refuses_only_what_is_final_is_told() {
+fn while_the_store_refuses_only_terminal_states_are_answered() {
     with(|store, [a, _]| async move {
         for id in ["wk-1", "wk-2"] {
             assert_eq!(submit(&a, &body(id, |_| ())).await.status, 201);
--- a/crates/ladderroute/tests/chains.rs
+++ b/crates/ladderroute/tests/chains.rs
@@ -94,7 +94,7 @@
 /// The controller that confirmed a cancellation, and every other that has learned of it, goes on saying
 /// so of the whole chain while the store is down.
 #[test]
-fn a_cancelled_chain_is_told_from_memory() {
+fn a_cancelled_chain_is_answered_from_memory() {
     with(|store, [a, b]| async move {
         accept(&a, "wk-1", &[]).await;
         accept(&a, "wk-2", &["wk-1"]).await;
--- a/crates/ladderroute/tests/command.rs
+++ b/crates/ladderroute/tests/command.rs
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn what_is_wrong_in_the_settings_is_told_word_for_word() {
+fn errors_in_the_settings_are_reported_word_for_word() {
     let mut wrong = Vec::new();
     for [from, to, message] in cases(include_str!("command/wrong_settings.txt")) {
         assert!(FULL.contains(from), "{from}");
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn what_is_wrong_in_the_operators_file_is_told_word_for_word() {
+fn errors_in_the_operators_file_are_reported_word_for_word() {
     let mut wrong = Vec::new();
     for [from, to, message] in cases(include_str!("command/wrong_operator.txt")) {
         assert!(OPERATOR.contains(from), "{from}");
--- a/crates/ladderroute/tests/operator.rs
+++ b/crates/ladderroute/tests/operator.rs
@@ -3,7 +3,7 @@
 use ladderroute::settings::Tuning;
 
 #[test]
-fn what_is_given_replaces_the_defaults_and_is_checked() {
+fn settings_replace_the_defaults_and_are_checked() {
     assert_eq!(Tuning::parse("", "f").unwrap(), Tuning::default());
     let t = Tuning::parse("# comment\nhold_s: 4.5\nkeep_boots: 3", "f").unwrap();
     assert_eq!((t.reservation_s, t.idle_retention_boots), (4.5, 3.0));
--- a/crates/ladderroute/tests/refusals.rs
+++ b/crates/ladderroute/tests/refusals.rs
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn refusals_are_told_word_for_word() {
+fn refusals_are_answered_word_for_word() {
     with(|store, [a, _]| async move {
         let mut answered = Vec::new();
         for (name, sent) in submissions() {
@@ -109,7 +109,7 @@
         let sent = body("wk-2", |_| ());
         let later = submit(&a, &sent).await;
         assert_eq!((later.status, later.retry_after_s.is_some()), (503, true));
-        let expected: Vec<&str> = include_str!("refusals/told.txt").lines().collect();
+        let expected: Vec<&str> = include_str!("refusals/expected.txt").lines().collect();
         let answered: Vec<&str> = answered.iter().map(String::as_str).collect();
         let wrong = answered.iter().zip(&expected).filter(|(is, was)| is != was);
         let wrong: Vec<String> = wrong.map(|(is, was)| format!("{is}\n{was}")).collect();
--- a/crates/ladderroute/tests/stale_view.rs
+++ b/crates/ladderroute/tests/stale_view.rs
@@ -10,8 +10,7 @@
 use ladderroute::api::users::{query, submit};
 use ladderroute::controller::Controller;
 use stand_in::requests::{
-    accept, accepted, answered, body_after, cancel_confirmed, finish, is_told_to_come_back,
-    with_fronts,
+    accept, accepted, answered, body_after, cancel_confirmed, finish, is_retry_later, with_fronts,
 };
 use stand_in::{Fate, Front, Store};
 use std::rc::Rc;
@@ -42,7 +41,7 @@
 
 /// Seen on a day at production size: `went_back`, cancelled and then queued.
 #[test]
-fn a_repeated_submission_is_told_no_older_state_of_its_chain() {
+fn a_repeated_submission_gets_no_older_state_of_its_chain() {
     with_fronts(|_, [a, b], [_, front_b]| async move {
         accept(&a, "wk-1", &[]).await;
         fall_behind(&b, &front_b).await;
@@ -54,7 +53,7 @@
         );
         // The record of wk-2 is open, and so is wk-1 as far as this controller knows.
         let again = body_after("wk-2", &["wk-1"]);
-        assert!(is_told_to_come_back(&submit(&b, &again).await));
+        assert!(is_retry_later(&submit(&b, &again).await));
         front_b.refuses_changes.set(false);
         let answer = submit(&b, &again).await;
         assert_eq!(accepted(&answer), (200, JobState::Cancelled));
@@ -63,14 +62,14 @@
 
 /// The same by the way of a transaction whose answer was lost.
 #[test]
-fn a_submission_that_is_read_back_is_told_no_older_state_of_its_chain() {
+fn a_submission_that_is_read_back_gets_no_older_state_of_its_chain() {
     with_fronts(|store, [a, b], [_, front_b]| async move {
         accept(&a, "wk-1", &[]).await;
         fall_behind(&b, &front_b).await;
         cancel_confirmed(&a, "wk-1").await;
         store.fate.set(Fate::AnswerLost);
         let late = body_after("wk-2", &["wk-1"]);
-        assert!(is_told_to_come_back(&submit(&b, &late).await));
+        assert!(is_retry_later(&submit(&b, &late).await));
         assert_eq!(
             answered(&query(&a, "wk-2").await),
             (200, JobState::Cancelled)
@@ -86,14 +85,14 @@
 /// `orphaned`: a controller whose writes are carried out, while the changes do not reach it, would go on
 /// calling new dependents of a cancelled job queued.
 #[test]
-fn a_new_dependent_is_not_called_queued_from_a_view_that_stayed_behind() {
+fn a_new_dependent_is_not_called_queued_from_a_stale_view() {
     with_fronts(|store, [a, b], [_, front_b]| async move {
         accept(&a, "wk-1", &[]).await;
         fall_behind(&b, &front_b).await;
         read_long_ago(&b, &store);
         cancel_confirmed(&a, "wk-1").await;
         let late = body_after("wk-2", &["wk-1"]);
-        assert!(is_told_to_come_back(&submit(&b, &late).await));
+        assert!(is_retry_later(&submit(&b, &late).await));
         // One that needs no other is accepted all the same: its own record says all.
         accept(&b, "wk-3", &[]).await;
         front_b.refuses_changes.set(false);
@@ -107,7 +106,7 @@
 /// What is terminal is told from memory, also by the ways above; what a repetition names counts for
 /// nothing.
 #[test]
-fn a_terminal_record_is_told_from_a_view_that_stayed_behind() {
+fn a_terminal_record_is_answered_from_a_stale_view() {
     with_fronts(|store, [a, b], [_, front_b]| async move {
         accept(&a, "wk-1", &[]).await;
         fall_behind(&b, &front_b).await;
--- a/crates/ladderroute/tests/stand_in/requests.rs
+++ b/crates/ladderroute/tests/stand_in/requests.rs
@@ -90,7 +90,7 @@
 }
 
 /// Whether a response says "not now", with when to come back.
-pub fn is_told_to_come_back(answer: &Response) -> bool {
+pub fn is_retry_later(answer: &Response) -> bool {
     answer.status == 503 && answer.retry_after_s.is_some()
 }
 
--- a/crates/sched/src/autoscaler/scale_in.rs
+++ b/crates/sched/src/autoscaler/scale_in.rs
@@ -192,7 +192,7 @@
 fn should_give_up_unknown(cluster: &Cluster, epoch: &EpochView, now: Secs) -> bool {
     let few = cluster.machines.unknown().len() as f64
         <= cluster.machines.len() as f64 * FEW_UNKNOWN_SHARE;
-    let heard_lately = now
+    let heard_recently = now
         - cluster
             .machines
             .unknown()
@@ -201,7 +201,7 @@
         <= wire::ANSWER_DROPPED_S * ANSWERS_TO_TRY_AGAIN;
     let long_s = ANSWERS_TO_GIVE_UP * wire::ANSWER_DROPPED_S
         + HEARTBEATS_TO_GIVE_UP * cluster.config.heartbeat_s;
-    now - epoch.began_at > long_s || few && !heard_lately
+    now - epoch.began_at > long_s || few && !heard_recently
 }
 
 /// Releases the machines that were not heard under this leader: work waits for what they show, and once
--- a/crates/sched/src/owner/terminal_jobs.rs
+++ b/crates/sched/src/owner/terminal_jobs.rs
@@ -10,21 +10,21 @@
 /// and never started, whether or not this controller's own replica knows that it is over.
 #[derive(Default)]
 pub(super) struct TerminalJobs {
-    told_at: BTreeMap<String, Secs>,
+    notified_at: BTreeMap<String, Secs>,
 }
 
 impl TerminalJobs {
     pub(super) fn insert(&mut self, job: String, now: Secs) {
-        self.told_at.insert(job, now);
+        self.notified_at.insert(job, now);
     }
 
     /// Whether a job is over by the leader's word or by this controller's own replica.
     pub(super) fn is_terminal(&self, job: &str, jobs: &dyn Jobs) -> bool {
-        self.told_at.contains_key(job) || jobs.is_terminal(job)
+        self.notified_at.contains_key(job) || jobs.is_terminal(job)
     }
 
     /// Forgets what was told `retention_s` ago or before.
     pub(super) fn forget_old(&mut self, retention_s: Secs, now: Secs) {
-        self.told_at.retain(|_, at| now - *at < retention_s);
+        self.notified_at.retain(|_, at| now - *at < retention_s);
     }
 }
--- a/crates/sched/src/preemption/planner.rs
+++ b/crates/sched/src/preemption/planner.rs
@@ -40,7 +40,7 @@
         cordon: Option<&'a Cordon>,
         now: Secs,
     ) -> Planner<'a> {
-        let makes_room = |job: &Job| now < job.reclaims_until;
+        let frees_capacity = |job: &Job| now < job.reclaims_until;
         Planner {
             cluster,
             supply: Supply {
@@ -50,7 +50,7 @@
             scarce,
             blocking_gang: cordon
                 .map(|cordon| cordon.job.as_str())
-                .filter(|id| !cluster.jobs.get(id).is_some_and(makes_room)),
+                .filter(|id| !cluster.jobs.get(id).is_some_and(frees_capacity)),
             now,
             preemptions: Vec::new(),
         }
