--- a/crates/model/src/plain.rs
+++ b/crates/model/src/plain.rs
@@ -27,22 +27,23 @@
             if job.cpus > limit - f64::from(placed) * job.cpus + 1e-6 {
                 break;
             }
-            let fits =
-                |m: &&mut Plain| m.cpus + 1e-6 >= job.cpus && m.memory_gb + 1e-6 >= job.memory_gb;
+            let fits = |machine: &&mut Plain| {
+                machine.cpus + 1e-6 >= job.cpus && machine.memory_gb + 1e-6 >= job.memory_gb
+            };
             let best = machines.iter_mut().filter(fits).min_by(|a, b| {
-                let key = |m: &Plain| {
+                let key = |machine: &Plain| {
                     (
-                        m.image.is_none(),
-                        m.image.as_deref() != Some(job.image.as_str()),
-                        ((m.cpus - job.cpus).max(0.0) * 1000.0) as u64,
+                        machine.image.is_none(),
+                        machine.image.as_deref() != Some(job.image.as_str()),
+                        ((machine.cpus - job.cpus).max(0.0) * 1000.0) as u64,
                     )
                 };
                 key(a).cmp(&key(b)).then(a.name.cmp(&b.name))
             });
-            let Some(m) = best else { break };
-            m.cpus -= job.cpus;
-            m.memory_gb -= job.memory_gb;
-            m.image = Some(job.image.clone());
+            let Some(machine) = best else { break };
+            machine.cpus -= job.cpus;
+            machine.memory_gb -= job.memory_gb;
+            machine.image = Some(job.image.clone());
             placed += 1;
         }
         if job.shape == Shape::Gang && placed < job.tasks {
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -41,8 +41,8 @@
 use fixtures::random_job;
 pub use fixtures::{
     config, config_that_keeps_machines, heartbeat, job, lone_leader, machine_status, machine_type,
-    machine_types, owner_of_one_machine, roster, roster_record, task_status, unlimited_teams,
-    UnknownJobs,
+    machine_types, owner_of_one_machine, roster, roster_record, task_requirements, task_status,
+    unlimited_teams, UnknownJobs,
 };
 pub use jobs::JobTimes;
 use jobs::{JobState, JobsAsRead};
--- a/crates/model/src/world/fixtures.rs
+++ b/crates/model/src/world/fixtures.rs
@@ -1,7 +1,7 @@
 //! Settings, jobs and heartbeats as tests use them.
 
 use super::*;
-use wire::peers::MachineDescriptor;
+use wire::peers::{AllowedMachineType, MachineDescriptor, TaskRequirements};
 
 /// A machine type of both zones.
 pub fn machine_type(name: &str, cpus: f64, memory_gb: f64, price: f64) -> MachineType {
@@ -195,6 +195,24 @@
     }
 }
 
+/// What a task requires that may run on machines of type `small` at the full price.
+pub fn task_requirements(cpus: f64) -> TaskRequirements {
+    let kinds = vec![AllowedMachineType {
+        kind: "small".into(),
+        spot: false,
+        tier: 0,
+    }];
+    TaskRequirements {
+        cpus,
+        gpus: 0.0,
+        memory_gb: 1.0,
+        image: "i".into(),
+        image_gb: 1.0,
+        kinds,
+        zone: None,
+    }
+}
+
 /// A job as tests submit it.
 pub fn job(id: u32, team: &str, shape: Shape, tasks: u32, cpus: f64) -> Job {
     Job {
--- a/crates/model/tests/leader_and_owner.rs
+++ b/crates/model/tests/leader_and_owner.rs
@@ -1,8 +1,8 @@
 //! Cases of the leader and of owners, one by one.
 
 use model::world::{
-    job, lone_leader, machine_type, owner_of_one_machine, roster, roster_record, task_status,
-    UnknownJobs,
+    job, lone_leader, machine_type, owner_of_one_machine, roster, roster_record, task_requirements,
+    task_status, UnknownJobs,
 };
 use sched::config::{SchedulerConfig, Team};
 use sched::leader::{Action, Leader, OpenJob, PriorRuns};
@@ -11,9 +11,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use wire::cloud::MachineType;
-use wire::peers::{
-    AllowedMachineType, MachineStatus, TaskRef, TaskRequirements, TaskStatus, ToLeader, ToOwner,
-};
+use wire::peers::{MachineStatus, TaskRef, TaskStatus, ToLeader, ToOwner};
 use wire::store::StartedArraysRecord;
 use wire::users::{Job, Shape};
 use wire::workers::{Heartbeat, ReportedTask, TaskState, Why};
@@ -354,23 +352,10 @@
         })
         .collect();
     assert_eq!(starts(owner.on_heartbeat(&busy, 11.0, &OneJob)), 0);
-    let requirements = TaskRequirements {
-        cpus: 4.0,
-        gpus: 0.0,
-        memory_gb: 1.0,
-        image: "i".into(),
-        image_gb: 1.0,
-        kinds: vec![AllowedMachineType {
-            kind: "small".into(),
-            spot: false,
-            tier: 0,
-        }],
-        zone: None,
-    };
     let backlog = |job: &str| ToOwner::AssignBacklog {
         job: job.into(),
         attempt: 7,
-        requirements: requirements.clone(),
+        requirements: task_requirements(4.0),
         tasks: vec![(0, 3)],
         wait_ms: 4000,
     };
--- a/crates/model/tests/overlapping_faults.rs
+++ b/crates/model/tests/overlapping_faults.rs
@@ -74,7 +74,7 @@
     })
 }
 
-/// Users call jobs off until one is confirmed.
+/// Users cancel jobs until one is confirmed.
 fn cancel_one(world: &mut World) {
     while world.cancel_running(1).is_empty() {
         world.pass(0.5);
@@ -222,12 +222,12 @@
     let (mut met, mut kept) = (0, 0);
     for seed in 0..12 {
         let mut world = busy(seed, Defect::None, config());
-        let mut called_off = Vec::new();
+        let mut cancelled = Vec::new();
         for i in 0..60 {
             world.submit(job(100 + i, "red", Shape::Array, 1 + i % 3, 1.0));
             for _ in 0..8 {
                 world.pass(0.1);
-                called_off.extend(world.cancel_at_end());
+                cancelled.extend(world.cancel_at_end());
             }
             if i == 30 {
                 let leading = leader(&mut world);
@@ -237,8 +237,8 @@
         world.calm(300.0);
         assert!(world.broken.is_empty(), "seed {seed}: {:?}", world.broken);
         // One winner: whoever wrote first, and so it stays; nobody can cancel it again.
-        met += called_off.len();
-        assert!(called_off
+        met += cancelled.len();
+        assert!(cancelled
             .iter()
             .all(|id| world.outcome(id) == Some("cancelled") && world.live_tasks(id) == 0));
         let done: Vec<String> = (100..160)
@@ -293,13 +293,13 @@
             } else {
                 Shape::Array
             };
-            let mut j = job(200 + i, team, shape, 3, 3.0);
-            j.priority = if i % 3 == 0 {
+            let mut spec = job(200 + i, team, shape, 3, 3.0);
+            spec.priority = if i % 3 == 0 {
                 wire::users::Priority::Prod
             } else {
                 wire::users::Priority::BestEffort
             };
-            world.submit(j);
+            world.submit(spec);
             world.pass(0.5);
         }
         world.cancel_running(3);
--- a/crates/model/tests/plain.rs
+++ b/crates/model/tests/plain.rs
@@ -7,6 +7,7 @@
 use model::world::{
     config, job, lone_leader, machine_status, machine_type, machine_types, roster, roster_record,
 };
+use sched::config::SchedulerConfig;
 use sched::leader::{Action, Leader, OpenJob, PriorRuns};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -15,9 +16,9 @@
 
 /// A leader that is its only owner, with empty machines that are known and rostered.
 fn leader(machines: &[(&str, &str)], limit: f64) -> Leader {
-    let mut s = config();
-    s.teams.get_mut("red").unwrap().cpus_max = limit;
-    leader_with(s, machines)
+    let mut config = config();
+    config.teams.get_mut("red").unwrap().cpus_max = limit;
+    leader_with(config, machines)
 }
 
 fn all_started(upto: u64) -> wire::store::StartedArraysRecord {
@@ -27,16 +28,16 @@
     }
 }
 
-fn leader_with(s: sched::config::SchedulerConfig, machines: &[(&str, &str)]) -> Leader {
-    let mut leader = lone_leader(s, machine_types(), Vec::new(), 0, &BTreeMap::new());
+fn leader_with(config: SchedulerConfig, machines: &[(&str, &str)]) -> Leader {
+    let mut leader = lone_leader(config, machine_types(), Vec::new(), 0, &BTreeMap::new());
     leader.tick(5.0, 0);
     leader.drain();
     for (name, kind) in machines {
-        let v = MachineStatus {
+        let status = MachineStatus {
             usable: false,
             ..machine_status(name, kind, Vec::new())
         };
-        leader.on_owner_message("rung-0", ToLeader::MachineStatuses(vec![v]), 5.0);
+        leader.on_owner_message("rung-0", ToLeader::MachineStatuses(vec![status]), 5.0);
         leader.roster_result(name, true, true);
     }
     leader.drain();
@@ -60,85 +61,95 @@
     out
 }
 
+const CPUS_AND_MEMORY_OF_SMALL: (f64, f64) = (4.0, 16.0);
+const CPUS_AND_MEMORY_OF_LARGE: (f64, f64) = (16.0, 64.0);
+
+/// An empty machine of the plain model.
+fn plain_machine(name: &str, kind: &str) -> Plain {
+    let (cpus, memory_gb) = match kind {
+        "small" => CPUS_AND_MEMORY_OF_SMALL,
+        _ => CPUS_AND_MEMORY_OF_LARGE,
+    };
+    Plain {
+        name: name.into(),
+        cpus,
+        memory_gb,
+        image: None,
+    }
+}
+
+/// Up to five machines of either type.
+fn random_machines(rng: &mut fastrand::Rng) -> Vec<(&'static str, &'static str)> {
+    let names = ["host-1", "host-2", "host-3", "host-4", "host-5"];
+    let count = rng.usize(1..=names.len());
+    let machines = names[..count].iter();
+    machines
+        .map(|name| (*name, if rng.bool() { "small" } else { "large" }))
+        .collect()
+}
+
+/// Up to six jobs that each fit into a limit, in the order of their ids.
+fn random_jobs(rng: &mut fastrand::Rng, limit: f64) -> Vec<Job> {
+    let count = rng.u32(1..7);
+    let random_job = |number| {
+        // Single-task gangs: for larger ones the pass may choose machines in bulk.
+        let is_gang = rng.bool();
+        let shape = if is_gang { Shape::Gang } else { Shape::Array };
+        let tasks = if is_gang { 1 } else { rng.u32(1..6) };
+        let mut spec = job(number, "red", shape, tasks, f64::from(rng.u32(1..7)));
+        spec.memory_gb = f64::from(rng.u32(1..10));
+        spec.image = format!("img-{number}");
+        spec
+    };
+    let mut jobs: Vec<Job> = (0..count).map(random_job).collect();
+    jobs.retain(|job| f64::from(job.tasks) * job.cpus <= limit);
+    jobs.sort_by(|a, b| a.id.cmp(&b.id));
+    jobs
+}
+
+/// The jobs within the guarantee first, then the others, each in order of creation.
+fn by_guarantee(jobs: &[Job]) -> Vec<Job> {
+    let (mut within, mut beyond, mut cpus) = (Vec::new(), Vec::new(), 0.0);
+    for job in jobs {
+        cpus += f64::from(job.tasks) * job.cpus;
+        let part = if cpus <= 8.0 {
+            &mut within
+        } else {
+            &mut beyond
+        };
+        part.push(job.clone());
+    }
+    within.extend(beyond);
+    within
+}
+
 #[test]
 fn the_one_pass_agrees_with_the_plain_model() {
     let mut rng = fastrand::Rng::with_seed(3);
-    let names = ["host-1", "host-2", "host-3", "host-4", "host-5"];
     let mut gangs = 0;
     for round in 0..400 {
-        let n = rng.usize(1..=names.len());
-        let machines: Vec<(&str, &str)> = names[..n]
-            .iter()
-            .map(|m| (*m, if rng.bool() { "small" } else { "large" }))
-            .collect();
+        let machines = random_machines(&mut rng);
         let limit = f64::from(rng.u32(8..40));
-        let mut jobs: Vec<Job> = (0..rng.u32(1..7))
-            .map(|i| {
-                // Single-task gangs: for larger ones the pass may choose machines in bulk.
-                let gang = rng.bool();
-                let mut j = job(
-                    i,
-                    "red",
-                    if gang { Shape::Gang } else { Shape::Array },
-                    if gang { 1 } else { rng.u32(1..6) },
-                    f64::from(rng.u32(1..7)),
-                );
-                j.memory_gb = f64::from(rng.u32(1..10));
-                j.image = format!("img-{i}");
-                j
-            })
-            .filter(|j| f64::from(j.tasks) * j.cpus <= limit)
-            .collect();
-        jobs.sort_by(|a, b| a.id.cmp(&b.id));
+        let jobs = random_jobs(&mut rng, limit);
         let mut leader = leader(&machines, limit);
-        for (i, j) in jobs.iter().enumerate() {
-            leader.add_job(OpenJob::new(
-                Rc::new(j.clone()),
-                i as u64 + 1,
-                PriorRuns::None,
-            ));
+        for (spec, revision) in jobs.iter().zip(1..) {
+            let spec = Rc::new(spec.clone());
+            leader.add_job(OpenJob::new(spec, revision, PriorRuns::None));
         }
         leader.start_record_result(&all_started(jobs.len() as u64), true);
         leader.tick(5.1, 0);
-        let mut order: Vec<Job> = Vec::new();
-        // Within the guarantee first, each in order of creation.
-        let (mut sum, mut rest) = (0.0, Vec::new());
-        for j in &jobs {
-            sum += f64::from(j.tasks) * j.cpus;
-            if sum <= 8.0 {
-                order.push(j.clone());
-            } else {
-                rest.push(j.clone());
-            }
-        }
-        order.extend(rest);
-        let mut plain: Vec<Plain> = machines
-            .iter()
-            .map(|(name, kind)| {
-                let t = if *kind == "small" {
-                    (4.0, 16.0)
-                } else {
-                    (16.0, 64.0)
-                };
-                Plain {
-                    name: (*name).into(),
-                    cpus: t.0,
-                    memory_gb: t.1,
-                    image: None,
-                }
-            })
-            .collect();
-        let small_only = |j: &Job| j.cpus > 4.0;
         // A class with a task that fits only the large type keeps that type for itself.
-        if jobs.iter().any(small_only) {
+        if jobs.iter().any(|job| job.cpus > 4.0) {
             continue;
         }
-        let want = place(&mut plain, &order, limit);
+        let plain = machines.iter();
+        let mut plain: Vec<Plain> = plain
+            .map(|(name, kind)| plain_machine(name, kind))
+            .collect();
+        let want = place(&mut plain, &by_guarantee(&jobs), limit);
         let got = placed(&leader.drain());
-        gangs += jobs
-            .iter()
-            .filter(|j| j.shape == Shape::Gang && got.contains_key(&j.id))
-            .count();
+        let is_placed_gang = |job: &&Job| job.shape == Shape::Gang && got.contains_key(&job.id);
+        gangs += jobs.iter().filter(is_placed_gang).count();
         assert_eq!(got, want, "round {round}: {machines:?} {jobs:?}");
     }
     assert!(gangs > 50);
@@ -148,19 +159,19 @@
 /// what is within their guarantees; its own limit bounds them.
 #[test]
 fn one_teams_large_arrays_leave_the_others_their_guarantees() {
-    let mut s = config();
+    let mut config = config();
     let team = |cpus: f64, cpus_max: f64| sched::config::Team {
         cpus,
         cpus_max,
         gpus: 0.0,
         gpus_max: 0.0,
     };
-    s.teams = (0..10)
+    config.teams = (0..10)
         .map(|i| (format!("team-{i}"), team(4.0, 50.0)))
         .collect();
     let names: Vec<String> = (0..10).map(|i| format!("host-{i}")).collect();
     let machines: Vec<(&str, &str)> = names.iter().map(|n| (n.as_str(), "large")).collect();
-    let mut leader = leader_with(s, &machines);
+    let mut leader = leader_with(config, &machines);
     for i in 0..13 {
         let (team, tasks) = if i < 3 { (0, 800) } else { (i - 3, 4) };
         let spec = Rc::new(job(i, &format!("team-{team}"), Shape::Array, tasks, 1.0));
@@ -206,10 +217,10 @@
     red: Priority,
     inherited: &BTreeMap<&str, Priority>,
 ) -> usize {
-    let mut s = config();
-    s.teams.get_mut("blue").unwrap().cpus = blue_guarantee;
+    let mut config = config();
+    config.teams.get_mut("blue").unwrap().cpus = blue_guarantee;
     let small = vec![machine_type("small", 4.0, 16.0, 0.3)];
-    let mut leader = lone_leader(s, small, Vec::new(), 0, &BTreeMap::new());
+    let mut leader = lone_leader(config, small, Vec::new(), 0, &BTreeMap::new());
     leader.tick(5.0, 0);
     let view = |tasks: Vec<wire::peers::TaskStatus>| {
         ToLeader::MachineStatuses(vec![machine_status("host-1", "small", tasks)])
--- a/crates/model/tests/staleness.rs
+++ b/crates/model/tests/staleness.rs
@@ -1,6 +1,8 @@
 //! How old knowledge may be where heartbeats are answered and tasks started, and what is stopped.
 
-use model::world::{config, owner_of_one_machine, roster, roster_record, UnknownJobs};
+use model::world::{
+    config, owner_of_one_machine, roster, roster_record, task_requirements, UnknownJobs,
+};
 use sched::authority::Authority;
 use sched::config::SchedulerConfig;
 use sched::leader::{Action, Leader, OpenJob, PriorRuns};
@@ -8,7 +10,7 @@
 use sched::placement::Resources;
 use std::collections::BTreeMap;
 use std::rc::Rc;
-use wire::peers::{AllowedMachineType, TaskRequirements, ToLeader, ToOwner};
+use wire::peers::{ToLeader, ToOwner};
 use wire::users::Shape;
 use wire::workers::{Heartbeat, Order, ReportedTask, TaskState, Why};
 
@@ -83,28 +85,11 @@
     }
 }
 
-fn requirements(cpus: f64) -> TaskRequirements {
-    let kinds = vec![AllowedMachineType {
-        kind: "small".into(),
-        spot: false,
-        tier: 0,
-    }];
-    TaskRequirements {
-        cpus,
-        gpus: 0.0,
-        memory_gb: 1.0,
-        image: "i".into(),
-        image_gb: 1.0,
-        kinds,
-        zone: None,
-    }
-}
-
 fn assign() -> ToOwner {
     ToOwner::Assign {
         job: "wk-1".into(),
         attempt: 3,
-        requirements: requirements(1.0),
+        requirements: task_requirements(1.0),
         tasks: vec![(0, 1)],
     }
 }
@@ -114,7 +99,7 @@
     ToOwner::AssignBacklog {
         job: job.into(),
         attempt: 7,
-        requirements: requirements(4.0),
+        requirements: task_requirements(4.0),
         tasks: vec![(0, 1)],
         wait_ms: 60_000,
     }
@@ -125,7 +110,7 @@
     let reserve = ToOwner::Reserve {
         job: "wk-2".into(),
         attempt,
-        requirements: requirements(cpus),
+        requirements: task_requirements(cpus),
         places: vec![("host-1".into(), 0, 1)],
         wait_ms: 60_000,
     };
@@ -377,12 +362,12 @@
 
 #[test]
 fn settings_without_time_between_lease_and_cancel_keep_the_freshest_bound() {
-    let s = SchedulerConfig {
+    let tight = SchedulerConfig {
         cancel_s: 9.0,
         ..config()
     };
-    assert!(!s.cancels_in_time() && config().cancels_in_time());
-    assert_eq!(s.answer_staleness_s(), s.start_staleness_s());
+    assert!(!tight.cancels_in_time() && config().cancels_in_time());
+    assert_eq!(tight.answer_staleness_s(), tight.start_staleness_s());
 }
 
 /// The leader hears of a cancellation from who confirmed it, later from the store, and tells the
--- a/crates/model/tests/trace.rs
+++ b/crates/model/tests/trace.rs
@@ -2,15 +2,15 @@
 //!
 //! `trace.digest` beside this file has a line for each group of days: its name, its seeds, and the digest.
 
+mod common;
+
+use common::{chained_day, reloaded_day};
 use model::world::{job, CloudEvent, Defect, Trace, World};
 use std::ops::Range;
 use wire::users::{Job, Priority, Shape};
 
 const RECORDED: &str = include_str!("trace.digest");
 
-/// So small that a bitmap of progress holds eight tasks.
-const SMALL_VALUE_KB: f64 = 0.004;
-
 /// A day with every fault at random, then quiet.
 fn plain_day(seed: u64) -> World {
     let mut world = World::new(seed, Defect::None);
@@ -28,43 +28,6 @@
     world
 }
 
-/// Jobs need others, and the controllers are replaced by ones with smaller records.
-fn chained_day(seed: u64) -> World {
-    let mut world = World::new(seed, Defect::None);
-    world.chained = 70;
-    world.held_up = 6;
-    world.late_copies = 6;
-    world.late_writes = 6;
-    world.live(50.0, 0.0);
-    world.roll(6.0, SMALL_VALUE_KB);
-    world.live(100.0, 120.0);
-    world
-}
-
-/// Controllers read all records anew again and again.
-fn reloaded_day(seed: u64) -> World {
-    let mut world = World::new(seed, Defect::None);
-    world.chained = 50;
-    for round in 0..12 {
-        world.live(6.0, 0.0);
-        (0..3).for_each(|n| {
-            world.submit(Job {
-                estimate_s: 1.0,
-                ..job(700 + 3 * round + n, "red", Shape::Array, 2, 1.0)
-            })
-        });
-        world.pass(2.0);
-        let leader = world.leader_at().unwrap_or(0);
-        world.reload((leader + 1) % 3, 3.0);
-        world.reload(leader, 0.6);
-        world.pass(0.7);
-        world.outage(1.2);
-        world.pass(1.5);
-    }
-    world.calm(300.0);
-    world
-}
-
 /// Everything works, and more jobs come than the machines hold, with a cancellation now and then.
 fn crowded_day(seed: u64) -> World {
     let mut world = World::new(seed, Defect::None);
@@ -173,12 +136,14 @@
 
 #[test]
 fn chained_days_are_as_recorded() {
-    compare("chained", 0..100, chained_day);
+    compare("chained", 0..100, |seed| {
+        chained_day(seed, Defect::None, 120.0)
+    });
 }
 
 #[test]
 fn reloaded_days_are_as_recorded() {
-    compare("reloaded", 0..80, reloaded_day);
+    compare("reloaded", 0..80, |seed| reloaded_day(seed, Defect::None));
 }
 
 #[test]
--- a/crates/model/tests/waits.rs
+++ b/crates/model/tests/waits.rs
@@ -93,6 +93,10 @@
     }
 }
 
+fn reserve_result(attempt: u64, reserved: bool) -> ToLeader {
+    ToLeader::ReserveResult { attempt, reserved }
+}
+
 /// Both machines of a gang were lost between hold and bind, at two owners: the second refusal came when
 /// the gang was ending already and was not heard, so that its task stayed with that owner for ever.
 #[test]
@@ -111,12 +115,9 @@
     let mut leader = lone_leader(config(), small_type(), vec![open], 1, &roster);
     members.iter().for_each(|m| leader.owner_heard(m, 0.5));
     leader.tick(0.6, 2);
-    for (m, h) in members.iter().zip(&hosts) {
-        leader.on_owner_message(
-            m,
-            ToLeader::MachineStatuses(vec![machine_status(h, "small", vec![])]),
-            0.7,
-        );
+    for (member, host) in members.iter().zip(&hosts) {
+        let empty = machine_status(host, "small", vec![]);
+        leader.on_owner_message(member, ToLeader::MachineStatuses(vec![empty]), 0.7);
     }
     let mut now = 0.8;
     let mut reserve = |leader: &mut Leader| {
@@ -129,27 +130,13 @@
                 _ => None,
             });
             if let Some(attempt) = reserved {
-                members.iter().for_each(|m| {
-                    leader.on_owner_message(
-                        m,
-                        ToLeader::ReserveResult {
-                            attempt,
-                            reserved: true,
-                        },
-                        now,
-                    )
-                });
+                for member in &members {
+                    leader.on_owner_message(member, reserve_result(attempt, true), now);
+                }
                 leader.bind_result("wk-000001", attempt, true, now);
-                members.iter().for_each(|m| {
-                    leader.on_owner_message(
-                        m,
-                        ToLeader::ReserveResult {
-                            attempt,
-                            reserved: false,
-                        },
-                        now,
-                    )
-                });
+                for member in &members {
+                    leader.on_owner_message(member, reserve_result(attempt, false), now);
+                }
                 return Some(attempt);
             }
         }
@@ -160,6 +147,22 @@
     assert!(again > first);
 }
 
+/// The tasks of an assignment, each of which fails.
+fn failed_tasks(job: &str, attempt: u64, tasks: &[(u32, u32)]) -> Vec<TaskStatus> {
+    let indices = tasks
+        .iter()
+        .flat_map(|(first, count)| *first..first + count);
+    let failed = indices.map(|index| {
+        let task = TaskRef {
+            job: job.to_string(),
+            index,
+            attempt,
+        };
+        task_status(task, TaskState::Exited, Some(Why::Error))
+    });
+    failed.collect()
+}
+
 /// A job that was submitted with a mistake fails on every machine. Two such jobs made healthy machines
 /// look faulty, which were drained, and others were provisioned for what failed there again.
 #[test]
@@ -190,19 +193,12 @@
                         ..
                     },
                 ) => {
-                    assigned.push((now, tasks.iter().map(|(_, n)| n).sum::<u32>()));
-                    for index in tasks.iter().flat_map(|(a, n)| *a..a + n) {
+                    let failed = failed_tasks(&job, attempt, &tasks);
+                    assigned.push((now, failed.len()));
+                    for task in failed {
                         // Spread over the machines, as an owner does.
-                        let task = TaskRef {
-                            job: job.clone(),
-                            index,
-                            attempt,
-                        };
-                        let view = task_status(task, TaskState::Exited, Some(Why::Error));
-                        waiting
-                            .entry(hosts[turn % hosts.len()].clone())
-                            .or_default()
-                            .push(view);
+                        let host = hosts[turn % hosts.len()].clone();
+                        waiting.entry(host).or_default().push(task);
                         turn += 1;
                     }
                 }
@@ -231,6 +227,16 @@
     );
 }
 
+/// Whether a leader tells some owner to drain a machine.
+fn drains_a_machine(leader: &mut Leader) -> bool {
+    leader.drain().iter().any(|action| {
+        matches!(
+            action,
+            Action::Send(_, ToOwner::SetUsable { usable: false, .. })
+        )
+    })
+}
+
 /// Machines stood idle for as long after the last job of a day as between the jobs of a busy hour.
 #[test]
 fn idle_machines_are_returned_sooner_when_no_jobs_come() {
@@ -246,12 +252,7 @@
         loop {
             now += 0.5;
             leader.tick(now, 0);
-            if leader.drain().iter().any(|action| {
-                matches!(
-                    action,
-                    Action::Send(_, ToOwner::SetUsable { usable: false, .. })
-                )
-            }) {
+            if drains_a_machine(&mut leader) {
                 return now;
             }
             let views = roster
@@ -305,12 +306,7 @@
         ];
         leader.on_owner_message("rung-0", ToLeader::MachineStatuses(views), now);
         leader.tick(now + 0.9, 0);
-        leader.drain().iter().any(|action| {
-            matches!(
-                action,
-                Action::Send(_, ToOwner::SetUsable { usable: false, .. })
-            )
-        })
+        drains_a_machine(&mut leader)
     };
     // Job 1 fails on the first machine, which then completes a task of job 3.
     drained(
--- a/crates/model/tests/world.rs
+++ b/crates/model/tests/world.rs
@@ -1,32 +1,21 @@
 //! Rules and progress over many seeds, and broken variants that the checks must notice.
 
+mod common;
+
+use common::{chained_day, reloaded_day};
 use model::world::{config, job, unlimited_teams, Defect, Fault, JobTimes, World};
 use sched::config::SchedulerConfig;
 use std::collections::{BTreeMap, BTreeSet};
 use wire::users::{Job, Shape};
 
-/// Days on which most jobs need earlier ones, with every fault, while the controllers are replaced one
-/// after the other by ones with smaller records.
-fn chained_day(seed: u64, defect: Defect) -> World {
-    let mut world = World::new(seed, defect);
-    world.chained = 70;
-    world.held_up = 6;
-    world.late_copies = 6;
-    world.late_writes = 6;
-    world.live(50.0, 0.0);
-    world.roll(6.0, SMALL_VALUE_KB);
-    world.live(100.0, 300.0);
-    world
-}
-
-/// So small that a bitmap of progress holds eight tasks.
-const SMALL_VALUE_KB: f64 = 0.004;
+/// How long it is quiet after a day with dependencies.
+const CALM_S: f64 = 300.0;
 
 #[test]
 fn rules_hold_with_chains_and_a_roll() {
     let (mut starts, mut cancelled_with_others, mut blocked) = (0, 0, 0);
     for seed in 0..40 {
-        let world = chained_day(seed, Defect::None);
+        let world = chained_day(seed, Defect::None, CALM_S);
         assert!(world.broken.is_empty(), "seed {seed}: {:?}", world.broken);
         assert_eq!(
             world.open_jobs(),
@@ -48,13 +37,13 @@
 
 #[test]
 fn starting_before_dependencies_are_done_is_noticed() {
-    let broken = chained_day(1, Defect::StartBlocked).broken;
+    let broken = chained_day(1, Defect::StartBlocked, CALM_S).broken;
     assert!(broken.contains("too_early"), "{broken:?}");
 }
 
 #[test]
 fn taking_a_job_for_open_though_its_dependency_is_cancelled_is_noticed() {
-    let broken = chained_day(1, Defect::IgnoreChains).broken;
+    let broken = chained_day(1, Defect::IgnoreChains, CALM_S).broken;
     assert!(broken.contains("orphaned"), "{broken:?}");
 }
 
@@ -313,31 +302,6 @@
     assert!(broken.contains("orphaned"), "{broken:?}");
 }
 
-/// Days on which controllers, the leader mostly, read all records anew again and again.
-fn reloaded_day(seed: u64, defect: Defect) -> World {
-    let mut world = World::new(seed, defect);
-    world.chained = 50;
-    for round in 0..12 {
-        world.live(6.0, 0.0);
-        (0..3).for_each(|n| {
-            world.submit(Job {
-                estimate_s: 1.0,
-                ..job(700 + 3 * round + n, "red", Shape::Array, 2, 1.0)
-            })
-        });
-        world.pass(2.0);
-        let leader = world.leader_at().unwrap_or(0);
-        world.reload((leader + 1) % 3, 3.0);
-        world.reload(leader, 0.6);
-        world.pass(0.7);
-        // What the reload has left is not mended by a read at once.
-        world.outage(1.2);
-        world.pass(1.5);
-    }
-    world.calm(300.0);
-    world
-}
-
 #[test]
 fn rules_hold_while_controllers_reload_all_records() {
     for seed in 0..30 {
