--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -37,7 +37,7 @@
 use controllers::{index_of, name, Controller, StoreRead};
 pub use defect::Defect;
 pub use faults::Fault;
-use faults::{Isolation, PlannedOutage};
+use faults::{Partition, PlannedOutage};
 use fixtures::random_job;
 pub use fixtures::{
     config, config_that_keeps_machines, heartbeat, job, lone_leader, machine_status, machine_type,
@@ -103,7 +103,7 @@
     machines_provisioned: u64,
     store_down_until: f64,
     outage_at: Option<PlannedOutage>,
-    isolated: Option<Isolation>,
+    partitioned: Option<Partition>,
     /// How often each kind of fault happened.
     pub faults: BTreeMap<Fault, u32>,
     /// How often each kind of event of rich worlds happened.
@@ -111,7 +111,7 @@
     /// Messages in a hundred that are lost.
     pub lost: u32,
     /// Messages in a hundred that are delayed for long.
-    pub held_up: u32,
+    pub delayed: u32,
     /// Heartbeats in a hundred of which a copy arrives late, by up to three leases.
     pub late_copies: u32,
     /// Writes in a hundred that get no response and are carried out 2 to 12 s later.
@@ -129,7 +129,7 @@
     /// Cancellations that were confirmed.
     pub cancelled: u32,
     /// Workers' leases that ended.
-    pub lapses: u32,
+    pub lease_expiries: u32,
     /// The tasks that workers have completed, by job and index.
     completed: BTreeSet<(String, u32)>,
     /// The rules that were broken.
@@ -187,11 +187,11 @@
             machines_provisioned: 0,
             store_down_until: 0.0,
             outage_at: None,
-            isolated: None,
+            partitioned: None,
             faults: BTreeMap::new(),
             cloud_events: BTreeMap::new(),
             lost: 3,
-            held_up: 3,
+            delayed: 3,
             late_copies: 0,
             late_writes: 0,
             slow_reads: 0.0,
@@ -200,7 +200,7 @@
             chained: 0,
             cancelled_with_others: 0,
             cancelled: 0,
-            lapses: 0,
+            lease_expiries: 0,
             completed: BTreeSet::new(),
             broken: BTreeSet::new(),
             starts: 0,
@@ -244,7 +244,7 @@
     /// Runs on without faults until all is done, for `seconds` at most.
     pub fn calm(&mut self, seconds: f64) {
         let quiet_since = self.now;
-        (self.lost, self.held_up, self.late_copies, self.late_writes) = (0, 0, 0, 0);
+        (self.lost, self.delayed, self.late_copies, self.late_writes) = (0, 0, 0, 0);
         self.slow_reads = 0.0;
         while self.now < quiet_since + seconds && !self.open_jobs().is_empty() {
             self.step_without_faults(quiet_since);
@@ -326,7 +326,7 @@
             worker.incarnation,
             worker.seq,
             worker.token,
-            worker.lease_from,
+            worker.lease_renewed_at,
             worker.next_heartbeat_at,
             worker.target,
             self.now,
--- a/crates/model/src/world/controllers.rs
+++ b/crates/model/src/world/controllers.rs
@@ -148,9 +148,9 @@
     }
 
     /// Whether a controller is cut off from the store and the other controllers.
-    pub(super) fn is_isolated(&self, i: usize) -> bool {
-        let isolation = self.isolated.as_ref();
-        isolation.is_some_and(|it| it.controller == i && self.now < it.until)
+    pub(super) fn is_partitioned(&self, i: usize) -> bool {
+        let partition = self.partitioned.as_ref();
+        partition.is_some_and(|it| it.controller == i && self.now < it.until)
     }
 
     /// Whether the store answers this controller now.
@@ -158,7 +158,7 @@
         let up = self.now >= self.controllers[i].down_until
             && self.now >= self.controllers[i].refused_until
             && !self.is_frozen(i);
-        up && self.now >= self.store_down_until && !self.is_isolated(i)
+        up && self.now >= self.store_down_until && !self.is_partitioned(i)
     }
 
     /// A random controller among those that reach the store, if there are any.
--- a/crates/model/src/world/defect.rs
+++ b/crates/model/src/world/defect.rs
@@ -6,7 +6,7 @@
     /// None: the decisions as they are.
     None,
     /// Owners accept every heartbeat, including those delayed from before a change of owners.
-    TrustAnyReport,
+    TrustAnyHeartbeat,
     /// A new leader starts with an empty roster and does not wait for its machines to reconcile.
     ForgetRoster,
     /// The leader works with twice the teams' limits.
--- a/crates/model/src/world/faults.rs
+++ b/crates/model/src/world/faults.rs
@@ -79,7 +79,7 @@
 }
 
 /// A controller without the store and the other controllers, but with its workers.
-pub(super) struct Isolation {
+pub(super) struct Partition {
     pub(super) controller: usize,
     pub(super) until: f64,
 }
@@ -122,17 +122,17 @@
             Fault::Crash | Fault::CrashDuringElection => self.crash(i),
             Fault::LeaderCrash => leading.into_iter().for_each(|leading| self.crash(leading)),
             Fault::AllControllersCrash => (0..CONTROLLERS).for_each(|i| self.crash(i)),
-            Fault::LinkCut => self.cut_link(i, 0.3),
+            Fault::LinkCut => self.cut(i, 0.3),
             Fault::NetworkPartition => {
-                self.isolated = Some(Isolation {
+                self.partitioned = Some(Partition {
                     controller: i,
                     until: now + 1.0 + share * 12.0,
                 });
-                self.cut_link(i, 1.0 + share * 12.0);
+                self.cut(i, 1.0 + share * 12.0);
             }
             Fault::ControllerFrozen => self.freeze(i, share * 12.0),
             Fault::LeaderFrozenWithResponse => {
-                self.freeze_with_an_answer(leading.unwrap_or(i), share * 12.0);
+                self.freeze_with_response(leading.unwrap_or(i), share * 12.0);
             }
             _ => {}
         }
@@ -204,8 +204,8 @@
         }
     }
 
-    /// The connections between a controller and the others break.
-    pub(super) fn cut_link(&mut self, i: usize, for_s: f64) {
+    /// A controller's connections to the others break.
+    pub fn cut(&mut self, i: usize, for_s: f64) {
         self.controllers[i].disconnect(self.now + for_s);
         if let Some(leading) = &mut self.leading {
             leading.leader.owner_lost(&name(i));
--- a/crates/model/src/world/freeze.rs
+++ b/crates/model/src/world/freeze.rs
@@ -12,7 +12,7 @@
 
     /// The same right after the controller has decided its next response to a worker, which goes
     /// out when it runs again.
-    pub fn freeze_with_an_answer(&mut self, controller: usize, for_s: f64) {
+    pub fn freeze_with_response(&mut self, controller: usize, for_s: f64) {
         self.controllers[controller].freezes_for = Some(for_s);
     }
 
--- a/crates/model/src/world/leadership.rs
+++ b/crates/model/src/world/leadership.rs
@@ -19,7 +19,7 @@
         let Some(mut leading) = self.leading.take() else {
             return;
         };
-        self.lose_owners_if_isolated(&mut leading);
+        self.lose_owners_if_partitioned(&mut leading);
         if !self.keeps_lease(leading.controller) {
             self.end_leader();
             return;
@@ -32,10 +32,10 @@
         self.leading = Some(leading);
     }
 
-    /// An isolated leader loses its owners at once; its own authority runs out later, and only then
+    /// A partitioned leader loses its owners at once; its own authority runs out later, and only then
     /// another controller can be elected.
-    fn lose_owners_if_isolated(&mut self, leading: &mut LeadingController) {
-        if !self.is_isolated(leading.controller) {
+    fn lose_owners_if_partitioned(&mut self, leading: &mut LeadingController) {
+        if !self.is_partitioned(leading.controller) {
             return;
         }
         for i in (0..self.controllers.len()).filter(|i| *i != leading.controller) {
--- a/crates/model/src/world/script.rs
+++ b/crates/model/src/world/script.rs
@@ -22,12 +22,12 @@
     }
 
     /// A controller loses the store and the others, not its workers.
-    pub fn isolate(&mut self, i: usize, for_s: f64) {
-        self.isolated = Some(Isolation {
+    pub fn partition(&mut self, i: usize, for_s: f64) {
+        self.partitioned = Some(Partition {
             controller: i,
             until: self.now + for_s,
         });
-        self.cut_link(i, for_s);
+        self.cut(i, for_s);
     }
 
     /// A controller finds its view too old, and reads all records anew for so long.
@@ -41,11 +41,6 @@
         });
     }
 
-    /// A controller's connections to the others break.
-    pub fn cut(&mut self, i: usize, for_s: f64) {
-        self.cut_link(i, for_s);
-    }
-
     /// The machines that were provisioned and not returned, in the order of their names.
     pub fn machines(&self) -> Vec<String> {
         self.workers.keys().cloned().collect()
@@ -95,7 +90,7 @@
             .filter(|(_, worker)| worker.zone == zone);
         let names: Vec<String> = in_zone.map(|(name, _)| name.clone()).collect();
         match controller {
-            Some(i) => self.isolate(i, for_s),
+            Some(i) => self.partition(i, for_s),
             None => self.cut_outbound(&names, for_s),
         }
     }
--- a/crates/model/src/world/transit.rs
+++ b/crates/model/src/world/transit.rs
@@ -105,7 +105,7 @@
         match self.rng.u32(0..100) {
             n if n < self.lost => None,
             // Held up in the network, possibly for longer than the sender waits.
-            n if n < self.lost + self.held_up => Some(2.0 + self.rng.f64() * 25.0),
+            n if n < self.lost + self.delayed => Some(2.0 + self.rng.f64() * 25.0),
             _ => Some(0.01 + self.rng.f64() * 0.2),
         }
     }
@@ -121,7 +121,7 @@
             self.send(again, Message::Heartbeat { to, heartbeat });
             return;
         }
-        if self.defect == Defect::TrustAnyReport {
+        if self.defect == Defect::TrustAnyHeartbeat {
             heartbeat.token = u64::MAX;
         }
         let jobs = JobsAsRead::new(&self.jobs, self.terminal_jobs_read_at(to));
--- a/crates/model/src/world/workers.rs
+++ b/crates/model/src/world/workers.rs
@@ -117,7 +117,7 @@
     pub(super) incarnation: u64,
     pub(super) seq: u64,
     pub(super) token: u64,
-    pub(super) lease_from: f64,
+    pub(super) lease_renewed_at: f64,
     pub(super) tasks: BTreeMap<TaskKey, SimTask>,
     /// The controller to which it sends its heartbeats.
     pub(super) target: usize,
@@ -141,7 +141,7 @@
             incarnation: 1,
             seq: 0,
             token: 0,
-            lease_from: up_at,
+            lease_renewed_at: up_at,
             tasks: BTreeMap::new(),
             target,
             next_heartbeat_at: up_at,
@@ -162,7 +162,7 @@
     pub(super) fn restart(&mut self, now: f64) {
         self.tasks.clear();
         self.incarnation += 1;
-        self.lease_from = now;
+        self.lease_renewed_at = now;
         self.in_flight = None;
     }
 
@@ -280,9 +280,9 @@
         if worker.gone || now < worker.up_at {
             return;
         }
-        if now - worker.lease_from > self.config.lease_s {
+        if now - worker.lease_renewed_at > self.config.lease_s {
             // Kills and forgets all tasks, also while it hangs: nothing of it runs on.
-            self.lapses += 1;
+            self.lease_expiries += 1;
             worker.restart(now);
         }
         if now < worker.hung_until {
@@ -391,7 +391,7 @@
             worker.next_heartbeat_at = worker.next_heartbeat_at.min(self.now + 0.5);
         }
         worker.token = response.token;
-        worker.lease_from = worker.lease_from.max(sent);
+        worker.lease_renewed_at = worker.lease_renewed_at.max(sent);
         for order in response.orders {
             self.execute(machine, order);
         }
--- a/crates/model/tests/chains.rs
+++ b/crates/model/tests/chains.rs
@@ -159,7 +159,7 @@
     for seed in 0..SEEDS {
         let mut world = chain(seed);
         let i = seed as usize % 3;
-        world.isolate(i, 15.0);
+        world.partition(i, 15.0);
         world.pass(20.0);
         ends_well(world, seed, ["done"; 4]);
     }
--- a/crates/model/tests/common/mod.rs
+++ b/crates/model/tests/common/mod.rs
@@ -11,7 +11,7 @@
 pub fn chained_day(seed: u64, defect: Defect, calm_s: f64) -> World {
     let mut world = World::new(seed, defect);
     world.chained = 70;
-    world.held_up = 6;
+    world.delayed = 6;
     world.late_copies = 6;
     world.late_writes = 6;
     world.live(50.0, 0.0);
--- a/crates/model/tests/overlapping_faults.rs
+++ b/crates/model/tests/overlapping_faults.rs
@@ -159,7 +159,7 @@
     // The leader is cut from its peers as well.
     meeting(4, |world| {
         let leading = leader(world);
-        world.isolate(leading, 14.0);
+        world.partition(leading, 14.0);
         world.pass(0.6);
         world.cancel_running(4);
         world.pass(0.6);
@@ -203,7 +203,7 @@
 #[test]
 fn old_heartbeats_arrive_after_newer_ones_and_at_later_leaders() {
     meeting(8, |world| {
-        (world.late_copies, world.held_up) = (60, 20);
+        (world.late_copies, world.delayed) = (60, 20);
         for i in 0..5 {
             let leading = leader(world);
             world.end(leading, if i % 2 == 0 { 0.1 } else { 3.0 });
@@ -276,7 +276,7 @@
         world.cancel_running(2);
         (0..3).for_each(|i| world.end(i, if i == 0 { 1.3 * config().lease_s } else { 20.0 }));
         world.pass(1.2 * config().lease_s);
-        assert!(world.lapses > 0);
+        assert!(world.lease_expiries > 0);
         world.pass(15.0);
         world.cancel_running(1);
     });
@@ -285,7 +285,7 @@
 #[test]
 fn more_work_than_capacity_over_slow_links() {
     meeting(3, |world| {
-        world.held_up = 12;
+        world.delayed = 12;
         for i in 0..40 {
             let team = if i % 2 == 0 { "red" } else { "blue" };
             let shape = if i % 4 == 0 {
@@ -303,7 +303,7 @@
             world.pass(0.5);
         }
         world.cancel_running(3);
-        world.held_up = 0;
+        world.delayed = 0;
         let leading = leader(world);
         world.end(leading, 4.0);
     });
@@ -350,7 +350,7 @@
     meeting(8, |world| {
         for _ in 0..3 {
             let leading = leader(world);
-            world.isolate(leading, 25.0);
+            world.partition(leading, 25.0);
             world.pass(1.0);
             world.cancel_running(2);
             world.pass(4.0);
@@ -453,7 +453,7 @@
     let lease = config().lease_s;
     for for_s in [0.4, 1.5, 0.4 * lease, 0.8 * lease, 1.2 * lease] {
         let leading = leader(world);
-        world.freeze_with_an_answer(leading, for_s);
+        world.freeze_with_response(leading, for_s);
         world.pass(0.5);
         world.cancel_running(1);
         world.pass(for_s);
--- a/crates/model/tests/trace.rs
+++ b/crates/model/tests/trace.rs
@@ -21,7 +21,7 @@
 /// The same with many messages and writes that come late or twice.
 fn late_day(seed: u64) -> World {
     let mut world = World::new(seed, Defect::None);
-    world.held_up = 15;
+    world.delayed = 15;
     world.late_copies = 15;
     world.late_writes = 15;
     world.live(150.0, 60.0);
--- a/crates/model/tests/world.rs
+++ b/crates/model/tests/world.rs
@@ -47,13 +47,13 @@
     assert!(broken.contains("orphaned"), "{broken:?}");
 }
 
-fn days(defect: Defect, seeds: std::ops::Range<u64>, held_up: u32) -> (BTreeSet<String>, u64, u64) {
+fn days(defect: Defect, seeds: std::ops::Range<u64>, delayed: u32) -> (BTreeSet<String>, u64, u64) {
     let (mut broken, mut starts, mut leaders) = (BTreeSet::new(), 0, 0);
     for seed in seeds {
         let mut world = World::new(seed, defect);
-        world.held_up = held_up;
-        world.late_copies = held_up;
-        world.late_writes = held_up;
+        world.delayed = delayed;
+        world.late_copies = delayed;
+        world.late_writes = delayed;
         world.live(150.0, 60.0);
         broken.append(&mut world.broken);
         starts += world.starts;
@@ -169,7 +169,7 @@
             ..config()
         },
     );
-    world.held_up = 0;
+    world.delayed = 0;
     let gang = |id: u32, team: &str, tasks: u32| {
         let only = Some(vec!["large".to_string()]);
         Job {
@@ -253,7 +253,7 @@
 #[test]
 fn trusting_delayed_heartbeats_is_noticed() {
     // What it leads to first depends on luck: a second start, or a limit exceeded by it.
-    let (broken, _, _) = days(Defect::TrustAnyReport, 0..60, 15);
+    let (broken, _, _) = days(Defect::TrustAnyHeartbeat, 0..60, 15);
     assert!(
         broken.contains("ran_twice") || broken.contains("quota"),
         "went unnoticed: {broken:?}"
