--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,6 +1,6 @@
-//! Stand-ins and the slow plain model, for tests only: a world of workers, controllers, store
-//! and cloud in simulated time that loses, delays and repeats messages, and checkers for the
-//! rules of the protocol.
+//! Models for tests only: a simulation of workers, controllers, the store and the cloud around the real
+//! scheduler, which loses, delays and repeats messages and checks the rules of the protocol, and a
+//! plain model of the placement pass.
 
 #![warn(missing_docs)]
 
--- a/crates/model/src/plain.rs
+++ b/crates/model/src/plain.rs
@@ -1,4 +1,4 @@
-//! The slow plain model of the one pass: what is placed where, written for reading.
+//! A plain model of the placement pass: what is placed where, slow and simple.
 
 use std::collections::BTreeMap;
 use wire::users::{Job, Shape};
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -63,7 +63,8 @@
 const RENEWED_SHARE: f64 = 0.95;
 /// A job that the leader does not know for this long is forgotten (a figure of the users).
 const FORGOTTEN_S: f64 = 75.0;
-/// Once faults are over, no job waits so long while a machine has capacity for it (a figure of the users).
+/// Once faults are over, no job waits so long while a machine has capacity for it (a figure of the
+/// users).
 const WAITS_S: f64 = 90.0;
 /// Within this time also the largest jobs must begin (a figure of the users).
 const BEGIN_S: f64 = 240.0;
@@ -87,7 +88,7 @@
     lease_end: f64,
     /// No new leader before this: the old one's lease in the store still runs.
     free_at: f64,
-    /// The last token given out, and the last term.
+    /// The last token given out, at an election or for a new epoch.
     term: u64,
     /// The store's revision.
     revision: u64,
@@ -116,7 +117,7 @@
     pub late_copies: u32,
     /// Writes in a hundred that get no response and are carried out 2 to 12 s later.
     pub late_writes: u32,
-    /// How much longer the store takes to answer reads.
+    /// How much longer, in seconds, the store takes to serve reads.
     pub slow_reads: f64,
     /// Whether the controller that confirms a cancellation tells the leader at once.
     pub hints: bool,
--- a/crates/model/src/world/chains.rs
+++ b/crates/model/src/world/chains.rs
@@ -12,7 +12,7 @@
 }
 
 impl ChainView {
-    /// A job's record as this controller has it at a moment of its last read.
+    /// A job's record as this controller has it after a read that was sent at `read_at`.
     fn record(&self, jobs: &BTreeMap<String, JobState>, id: &str, read_at: f64) -> Option<Record> {
         let job = jobs.get(id).filter(|job| job.accepted <= read_at)?;
         let is_terminal = job.has_own_end_by(read_at);
@@ -43,7 +43,7 @@
         effects
     }
 
-    /// All records are read anew, in the order of their keys.
+    /// Starts over from all records, in the order of their keys.
     pub(super) fn reload(&mut self, jobs: &BTreeMap<String, JobState>, read_at: f64) {
         *self = ChainView::default();
         for id in jobs.keys() {
@@ -98,8 +98,8 @@
         changes.into_iter().map(|(_, id)| id.clone()).collect()
     }
 
-    /// A controller has read all records anew, as they were at an instant. The ends that it wrote itself
-    /// since then it knows all the same.
+    /// A controller has reloaded all records, as they were at `read_at`. It still knows the ends that it
+    /// wrote itself since then.
     pub(super) fn finish_reload(&mut self, i: usize, read_at: f64) {
         let now = self.now;
         let mut view = std::mem::take(&mut self.controllers[i].chains);
--- a/crates/model/src/world/controllers.rs
+++ b/crates/model/src/world/controllers.rs
@@ -22,20 +22,20 @@
     pub(super) pings: Connection<f64>,
     /// It has received an epoch since it joined.
     pub(super) epoch: bool,
-    /// Up to when the leader's view of the store was current as it answered pings, behind the
-    /// messages that it had sent before.
+    /// When the leader last read the store, as its responses to pings tell; each arrives after the
+    /// messages that the leader sent before it.
     pub(super) leader_read_at: Connection<f64>,
     /// The store refuses this controller until then, and no other.
     pub(super) refused_until: f64,
-    /// It stands still until then.
+    /// It is frozen until then.
     pub(super) frozen_until: f64,
-    /// It stands still for so long once it has decided its next response to a worker.
+    /// It freezes for so long once it has decided its next response to a worker.
     pub(super) freezes_for: Option<f64>,
     /// The size of values for which it lays out its records.
     pub(super) value_kb: f64,
     /// What it has derived from the dependencies between jobs.
     pub(super) chains: ChainView,
-    /// When the last read of the store that was answered was sent.
+    /// When the last completed read of the store was sent.
     pub(super) read_at: f64,
     pub(super) read: Option<StoreRead>,
     /// A read of all records.
@@ -153,7 +153,7 @@
         partition.is_some_and(|it| it.controller == i && self.now < it.until)
     }
 
-    /// Whether the store answers this controller now.
+    /// Whether the store serves this controller now.
     pub(super) fn reaches_store(&self, i: usize) -> bool {
         let up = self.now >= self.controllers[i].down_until
             && self.now >= self.controllers[i].refused_until
--- a/crates/model/src/world/faults.rs
+++ b/crates/model/src/world/faults.rs
@@ -17,9 +17,9 @@
     LinkCut,
     /// A controller is cut off from the store and the others, but not from workers.
     NetworkPartition,
-    /// A controller stands still.
+    /// A controller freezes for a while.
     ControllerFrozen,
-    /// The leader stands still between deciding a response and sending it.
+    /// The leader freezes between deciding a response and sending it.
     LeaderFrozenWithResponse,
     /// The store serves nobody.
     StoreDown,
--- a/crates/model/src/world/freeze.rs
+++ b/crates/model/src/world/freeze.rs
@@ -1,4 +1,4 @@
-//! Controllers that stand still for a while, their clocks running on.
+//! Frozen controllers: they do nothing for a while, though their clocks run on.
 
 use super::*;
 
--- a/crates/model/src/world/rich.rs
+++ b/crates/model/src/world/rich.rs
@@ -172,7 +172,7 @@
 }
 
 impl SimTask {
-    /// Goes on with saving; says how long the task had run by what is now saved, if anything is.
+    /// Takes a checkpoint or finishes saving; returns how long the task had run by what is now saved.
     fn save(&mut self, spec: &Job, now: f64) -> Option<f64> {
         match self.state {
             TaskState::Saving if now >= self.saves_until => {
--- a/crates/model/src/world/script.rs
+++ b/crates/model/src/world/script.rs
@@ -1,4 +1,4 @@
-//! What tests bring about on purpose, one fault at a time, and what they look at.
+//! What tests do to a world, one fault at a time, and what they look at.
 
 use super::*;
 
@@ -30,7 +30,7 @@
         self.cut(i, for_s);
     }
 
-    /// A controller finds its view too old, and reads all records anew for so long.
+    /// A controller finds its view too old and reloads all records, which takes `for_s`.
     pub fn reload(&mut self, i: usize, for_s: f64) {
         let now = self.now;
         let controller = &mut self.controllers[i];
@@ -65,19 +65,19 @@
         self.on_machines(names, |worker| worker.hung_until = until);
     }
 
-    /// Heartbeats arrive, answers are lost.
+    /// Heartbeats of machines arrive, but the responses are lost.
     pub fn cut_inbound(&mut self, names: &[String], for_s: f64) {
         let until = self.now + for_s;
         self.on_machines(names, |worker| worker.inbound_cut_until = until);
     }
 
-    /// No heartbeat arrives.
+    /// No heartbeat of machines arrives.
     pub fn cut_outbound(&mut self, names: &[String], for_s: f64) {
         let until = self.now + for_s;
         self.on_machines(names, |worker| worker.outbound_cut_until = until);
     }
 
-    /// Machines die without a word.
+    /// Machines die without notice.
     pub fn kill(&mut self, names: &[String]) {
         self.on_machines(names, Worker::die);
     }
--- a/crates/model/src/world/trace.rs
+++ b/crates/model/src/world/trace.rs
@@ -1,4 +1,4 @@
-//! A running digest of all that crosses an edge of the simulated world: heartbeats and answers, messages
+//! A running digest of all that crosses an edge of the simulated world: heartbeats and responses, messages
 //! between controllers, writes, requests to the cloud, what users are told, ends of jobs, elections.
 //!
 //! Two worlds of equal digest took the same decisions at the same times. Everything is hashed as the bytes
@@ -103,7 +103,7 @@
         self.event(now, Event::Submitted).bytes(&encode(job));
     }
 
-    /// A user asked for a cancellation and got an answer.
+    /// A user asked for a cancellation, which was confirmed or not.
     pub(super) fn cancelled(&mut self, now: f64, job: &str, confirmed: bool) {
         self.event(now, Event::Cancelled).text(job).flag(confirmed);
     }
--- a/crates/model/src/world/workers.rs
+++ b/crates/model/src/world/workers.rs
@@ -166,7 +166,7 @@
         self.in_flight = None;
     }
 
-    /// The machine ends without a word.
+    /// The machine dies without notice.
     pub(super) fn die(&mut self) {
         self.gone = true;
         self.tasks.clear();
--- a/crates/model/tests/chains.rs
+++ b/crates/model/tests/chains.rs
@@ -1,5 +1,5 @@
-//! Jobs that need others meet a fault at the wrong moment, each meeting brought about on purpose. The
-//! rules, `too_early` and `orphaned` among them, hold, and every job ends as its chain says.
+//! Jobs with dependencies and a fault at the wrong moment, each combination scripted. The rules,
+//! `too_early` and `orphaned` among them, hold, and every job ends as its chain says.
 
 use model::world::{job, Defect, World};
 use wire::users::{Job, Shape};
@@ -10,7 +10,7 @@
     job(number, "red", Shape::Array, 1, 1.0).id
 }
 
-/// An array of three tasks that needs others.
+/// An array of three tasks with dependencies.
 fn after(number: u32, needed: &[u32], estimate_s: f64) -> Job {
     Job {
         dependencies: needed.iter().map(|n| id(*n)).collect(),
@@ -19,7 +19,7 @@
     }
 }
 
-/// A chain of four, each of which needs the one before, with machines that run its first job.
+/// A chain of four jobs, each of which depends on the one before, with machines that run the first.
 fn chain(seed: u64) -> World {
     let mut world = World::new(seed, Defect::None);
     world.submit(after(1, &[], 20.0));
--- a/crates/model/tests/leader_and_owner.rs
+++ b/crates/model/tests/leader_and_owner.rs
@@ -52,8 +52,8 @@
     owner
 }
 
-/// A new owner's only answer tells the worker the token; the next heartbeat, which shows it, is held
-/// up until after the lease has ended. The worker has then forgotten what that heartbeat shows, and
+/// A new owner's only response tells the worker the token; the next heartbeat, which shows it, is
+/// delayed until after the lease has expired. The worker has then forgotten what that heartbeat shows, and
 /// the leader has given it to another machine.
 #[test]
 fn a_heartbeat_of_an_expired_lease_does_not_count_though_none_counted_before() {
@@ -219,7 +219,7 @@
 }
 
 /// Six dead machines of 1,779 kept all arrays that had begun waiting for 21 s after an end of all
-/// controllers, though all others had reported within three.
+/// controllers, though all others had sent heartbeats within three.
 #[test]
 fn a_few_machines_that_stay_silent_are_returned_soon() {
     let returned_at = |silent: usize| {
@@ -319,9 +319,9 @@
     }
 }
 
-/// Heartbeats are seldom where tasks are short: a task that waits for capacity starts with the answer to
-/// the very heartbeat that shows it; one that finds none in time goes back; a job that is over gets
-/// nothing.
+/// Heartbeats are rare compared with short tasks: a task of the backlog starts with the response to the
+/// very heartbeat that shows capacity for it; one that finds none in time is handed back; a terminal
+/// job gets nothing.
 #[test]
 fn an_owners_backlog_fills_what_a_heartbeat_shows_to_be_free() {
     let mut owner = owner_of_host_1();
--- a/crates/model/tests/overlapping_faults.rs
+++ b/crates/model/tests/overlapping_faults.rs
@@ -1,4 +1,4 @@
-//! Two faults at a time, each meeting brought about on purpose, over a few seeds: the rules of the
+//! Two faults at a time, each combination scripted, over a few seeds: the rules of the
 //! protocol and of the users hold, and all that was accepted is done or cancelled in the end.
 
 use model::world::{config, job, Defect, Fault, World};
@@ -30,7 +30,7 @@
     world
 }
 
-/// Brings a meeting about on several seeds, and judges the days.
+/// Plays a combination of faults on several seeds, and checks the days.
 fn meeting(seeds: u64, script: impl Fn(&mut World)) {
     meeting_with(seeds, config(), script);
 }
@@ -118,7 +118,7 @@
     }
 }
 
-/// The store answers renewals between outages, but no read in time; nobody tells the leader.
+/// The store serves renewals between outages, but no read in time; nobody tells the leader.
 fn slow_gaps(world: &mut World) {
     world.hints = false;
     world.slow_reads = 2.5;
@@ -190,7 +190,7 @@
         let leading = leader(world);
         world.end(leading, 4.0);
         world.pass(6.0);
-        // Now they heartbeat, and don't hear the next leader's answer.
+        // Now their heartbeats arrive, but not the next leader's responses.
         world.cut_inbound(&names, 12.0);
         let leading = leader(world);
         world.end(leading, 0.1);
@@ -446,8 +446,8 @@
     );
 }
 
-/// The leader stands still while its clock runs on, once with an answer that it has just decided, and
-/// jobs are cancelled through the others; then it goes on.
+/// The leader freezes while its clock runs on, once with a response that it has just decided, and jobs
+/// are cancelled through the others; then it goes on.
 fn standstills(world: &mut World) {
     world.hints = false;
     let lease = config().lease_s;
@@ -579,7 +579,7 @@
     );
 }
 
-/// A leader that never learns of cancellations goes on starting tasks of what is called off.
+/// A leader that never learns of cancellations goes on starting tasks of cancelled jobs.
 #[test]
 fn starting_what_was_cancelled_is_noticed() {
     let script = |world: &mut World| {
--- a/crates/model/tests/scale_out.rs
+++ b/crates/model/tests/scale_out.rs
@@ -39,7 +39,7 @@
         scene
     }
 
-    /// A gang that fits only on `large` has come and is over: that type is kept for its class.
+    /// A gang that fits only on `large` is accepted and ends: that type is kept for its class.
     fn see_large_gang(&mut self) {
         let gang = Job {
             class: "large-gang".into(),
--- a/crates/model/tests/staleness.rs
+++ b/crates/model/tests/staleness.rs
@@ -1,4 +1,5 @@
-//! How old knowledge may be where heartbeats are answered and tasks started, and what is stopped.
+//! How stale a view of the store may be for responses to heartbeats and for starts, and which tasks are
+//! stopped.
 
 use model::world::{
     config, owner_of_one_machine, roster, roster_record, task_requirements, UnknownJobs,
@@ -123,8 +124,8 @@
     answered.expect("the owner answers")
 }
 
-/// Leaders changed faster than a machine reported: each answer only told it the next token and
-/// prolonged its lease, so that a cancelled task ran on past `cancel_s`.
+/// Leaders changed faster than a machine sent heartbeats: each response only told it the next token
+/// and prolonged its lease, so that a cancelled task ran on past `cancel_s`.
 #[test]
 fn a_response_to_a_heartbeat_that_does_not_count_stops_terminal_jobs() {
     let mut owner = owner_with_fresh_view();
@@ -154,8 +155,8 @@
     );
 }
 
-/// A stop goes with every answer until a heartbeat shows the task gone, though the leader never asks
-/// for it: it may have begun after the job's record was over.
+/// A stop goes with every response until a heartbeat shows the task gone, though the leader never asks
+/// for it: it may have started after the job's record was terminal.
 #[test]
 fn tasks_of_terminal_jobs_are_stopped_until_they_are_seen_to_be_gone() {
     let mut owner = owner_with_fresh_view();
@@ -197,7 +198,7 @@
     );
 }
 
-/// A start that the owner holds when its job is called off is not sent, nor shown as pending.
+/// A start that the owner holds when its job is cancelled is neither sent nor shown as pending.
 #[test]
 fn no_task_of_a_terminal_job_starts() {
     for is_notified in [false, true] {
@@ -230,7 +231,7 @@
             "is_notified={is_notified}"
         );
     }
-    // The same, when nothing is over: the check above can fail.
+    // The same when the job is open: the check above can fail.
     let mut owner = owner_with_fresh_view();
     owner.on_heartbeat(&heartbeat(1, 5, None), 11.0, &OPEN);
     owner.on_leader_message(assign(), 11.0, &OPEN);
@@ -274,7 +275,7 @@
     assert!(!reserves(&mut owner, 8, 1.0, 11.0));
 }
 
-/// The same for tasks that wait for what becomes free; what is over does not start.
+/// The same for tasks of the backlog; those of terminal jobs do not start.
 #[test]
 fn an_owner_with_a_stale_view_starts_its_backlog() {
     let starts = |over: bool, jobs: &dyn Jobs, job: &str| {
@@ -295,8 +296,8 @@
     assert_eq!(starts(false, &OPEN, "wk-1"), 1);
 }
 
-/// Starts need knowledge as fresh as the leadership; answers, which prolong leases, only so fresh
-/// that what was cancelled since is gone in time.
+/// Starts need a view as fresh as the leadership; responses, which prolong leases, need one only so
+/// fresh that what was cancelled since is gone in time.
 #[test]
 fn a_stale_view_ends_starts_first_and_then_responses() {
     let config = config();
@@ -323,7 +324,7 @@
         owner.on_heartbeat(&heartbeat(5, 5, None), end + 0.01, &OPEN),
         HeartbeatResponse::Unavailable
     );
-    // The last lease that such an answer can prolong ends within cancel_s of the read.
+    // The last lease that such a response can prolong ends within cancel_s of the read.
     assert!(end + config.lease_s * 1.0005 <= stale + config.cancel_s);
 }
 
--- a/crates/model/tests/waits.rs
+++ b/crates/model/tests/waits.rs
@@ -97,8 +97,9 @@
     ToLeader::ReserveResult { attempt, reserved }
 }
 
-/// Both machines of a gang were lost between hold and bind, at two owners: the second refusal came when
-/// the gang was ending already and was not heard, so that its task stayed with that owner for ever.
+/// Both machines of a gang were lost between reservation and binding, at two owners: the second refusal
+/// came when the gang was ending already and was ignored, so that its task stayed with that owner for
+/// ever.
 #[test]
 fn a_gang_whose_owners_all_refuse_the_binding_begins_anew() {
     let spec = Rc::new(job(1, "red", Shape::Gang, 2, 3.0));
--- a/crates/model/tests/world.rs
+++ b/crates/model/tests/world.rs
@@ -1,4 +1,4 @@
-//! Rules and progress over many seeds, and broken variants that the checks must notice.
+//! The rules and progress over many seeds, and defects that the checks must notice.
 
 mod common;
 
@@ -93,8 +93,8 @@
     }
 }
 
-/// Answers to one machine are lost for good: it gets nothing more, what it was to start runs
-/// elsewhere, and it is used again once answers reach it.
+/// Responses to two machines are lost for good: they get no more tasks, and what they were to start runs
+/// elsewhere.
 #[test]
 fn a_machine_that_gets_no_responses_traps_no_work() {
     for seed in 0..12 {
