--- a/crates/sched/src/preemption/planner.rs
+++ b/crates/sched/src/leader/preemption/planner.rs
@@ -6,8 +6,8 @@
 use super::task_plan::{Supply, TaskPlan};
 use super::team_usage::TeamUsage;
 use crate::cluster::Cluster;
+use crate::leader::queue::Cordon;
 use crate::leader::Job;
-use crate::queue::Cordon;
 use crate::Secs;
 use std::collections::BTreeSet;
 
--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -9,8 +9,6 @@
 pub mod leader;
 pub mod owner;
 pub mod placement;
-mod preemption;
-mod queue;
 pub mod ranges;
 pub mod shard;
 
