--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -3,8 +3,6 @@
 //! Both sides implement only what ladderroute's protocols need: bodies of known length, connections
 //! that are kept alive, and `Retry-After` in seconds.
 
-#![warn(missing_docs)]
-
 pub mod client;
 pub mod connections;
 pub mod parse;
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,8 +1,6 @@
 //! The state service: its client and request budget, leadership, the records that share keys, and the replica
 //! of all keys.
 
-#![warn(missing_docs)]
-
 pub mod budget;
 pub mod client;
 pub mod keys;
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -5,8 +5,6 @@
 //! prescribes appear only in serde attributes; the Rust names are the usual ones of cluster
 //! scheduling. A field without a `rename` has the same name on the wire.
 
-#![warn(missing_docs)]
-
 pub mod cbor;
 pub mod cloud;
 pub mod peers;
