--- a/crates/store/src/leadership.rs
+++ b/crates/store/src/leadership.rs
@@ -22,7 +22,7 @@
 }
 
 /// The requests that leadership needs of the state service; every answer may be lost or late.
-#[allow(async_fn_in_trait)]
+#[allow(async_fn_in_trait)] // Everything runs on one thread: no caller needs the futures to be Send.
 pub trait LeaderStore {
     /// Reads a key; none if it does not exist.
     async fn get(&self, key: &str) -> Result<Option<Item>, StoreError>;
