--- a/crates/sched/src/leader/epoch.rs
+++ b/crates/sched/src/leader/epoch.rs
@@ -73,7 +73,7 @@
         });
         let reserved: Vec<String> = reserved.map(|(id, _)| id.clone()).collect();
         for id in reserved {
-            self.end_reservation(&id, now, false);
+            self.cancel_reservation(&id, now, false);
         }
     }
 
--- a/crates/sched/src/leader/mod.rs
+++ b/crates/sched/src/leader/mod.rs
@@ -228,7 +228,7 @@
         let late: Vec<String> = late.map(|(id, _)| id.clone()).collect();
         for id in late {
             log::info!("event=reservation_expired job={id}");
-            self.end_reservation(&id, now, true);
+            self.cancel_reservation(&id, now, true);
         }
     }
 
--- a/crates/sched/src/leader/queue/reservations.rs
+++ b/crates/sched/src/leader/queue/reservations.rs
@@ -87,7 +87,7 @@
         match &job.phase {
             Phase::Reserving { .. } | Phase::Binding { .. } => {
                 log::info!("event=reservation_refused job={id} owner={from}");
-                self.end_reservation(id, now, true);
+                self.cancel_reservation(id, now, true);
             }
             Phase::Running { .. } | Phase::Ending => {
                 // The capacity was given up before the binding came: the gang has to begin anew.
@@ -128,7 +128,7 @@
             .iter()
             .all(|(machine, _, _)| self.cluster.machines.contains_key(machine));
         if !written || !all_present || now >= *until {
-            self.end_reservation(id, now, true);
+            self.cancel_reservation(id, now, true);
             return;
         }
         let placements: Vec<GangPlacement> = places.iter().map(GangPlacement::from).collect();
@@ -161,7 +161,7 @@
 
     /// Releases the capacity of a waiting gang everywhere; with a failure it backs off longer
     /// each time, and keeps its place in the order.
-    pub(crate) fn end_reservation(&mut self, id: &str, now: Secs, failed: bool) {
+    pub(crate) fn cancel_reservation(&mut self, id: &str, now: Secs, failed: bool) {
         let Some(job) = self.cluster.jobs.get_mut(id) else {
             return;
         };
