--- a/crates/ladderroute/src/api/users/cancellation.rs
+++ b/crates/ladderroute/src/api/users/cancellation.rs
@@ -5,8 +5,8 @@
 use crate::controller::Controller;
 use http::server::Response;
 use std::rc::Rc;
-use store::budget::Rank;
-use store::client::{Decided, StoreError};
+use store::budget::RequestPriority;
+use store::client::{StoreError, TxnOutcome};
 use store::keys;
 use store::replica::JobEntry;
 use wire::peers::{frame, ToLeader};
@@ -72,13 +72,15 @@
 ) -> Result<Cancellation, Response> {
     let record = JobRecord::terminal(Recorded::Cancelled, found.created_ms, job);
     let txn = replacement(keys::job(id), found.version, &record);
-    match node.store.txn(&txn, Rank::Decision).await {
-        Ok(Decided::Applied(version)) => {
+    match node.store.txn(&txn, RequestPriority::Decision).await {
+        Ok(TxnOutcome::Applied(version)) => {
             log::info!("event=cancelled job={id} revision={version}");
             confirm(node, id, record, version);
             Ok(Cancellation::Written)
         }
-        Ok(Decided::Conflict(_)) | Err(StoreError::Unknown(_)) => Ok(Cancellation::Undecided),
+        Ok(TxnOutcome::Conflict(_)) | Err(StoreError::OutcomeUnknown(_)) => {
+            Ok(Cancellation::Undecided)
+        }
         Err(_) => Err(retry_later(node, "the state service does not answer")),
     }
 }
@@ -112,7 +114,11 @@
 
 /// Reads a job's record again; an error is the response to give instead.
 async fn read_again(node: &Rc<Controller>, id: &str) -> Result<JobEntry, Response> {
-    let Ok(Some(item)) = node.store.get(&keys::job(id), Rank::Decision).await else {
+    let Ok(Some(item)) = node
+        .store
+        .get(&keys::job(id), RequestPriority::Decision)
+        .await
+    else {
         return Err(retry_later(node, "the outcome is not known yet"));
     };
     if let Some(record) = from_value::<JobRecord>(&item.value) {
--- a/crates/ladderroute/src/api/users/submission.rs
+++ b/crates/ladderroute/src/api/users/submission.rs
@@ -8,8 +8,8 @@
 use http::server::Response;
 use std::rc::Rc;
 use std::time::{SystemTime, UNIX_EPOCH};
-use store::budget::Rank;
-use store::client::{Decided, StoreError, TOO_MANY_REQUESTS};
+use store::budget::RequestPriority;
+use store::client::{StoreError, TxnOutcome, TOO_MANY_REQUESTS};
 use store::keys;
 use wire::cbor;
 use wire::store::{from_value, to_value, Condition, JobRecord, Recorded, Txn, Write};
@@ -128,14 +128,20 @@
         created_ms: unix_ms(),
         job,
     };
-    match node.store.txn(&creation(&record), Rank::Submission).await {
-        Ok(Decided::Applied(version)) => confirm(node, &id, record, version).await,
-        Ok(Decided::Conflict(_)) | Err(StoreError::Unknown(_)) => read_back(node, &id).await,
+    match node
+        .store
+        .txn(&creation(&record), RequestPriority::Submission)
+        .await
+    {
+        Ok(TxnOutcome::Applied(version)) => confirm(node, &id, record, version).await,
+        Ok(TxnOutcome::Conflict(_)) | Err(StoreError::OutcomeUnknown(_)) => {
+            read_back(node, &id).await
+        }
         Err(StoreError::Refused(TOO_MANY_REQUESTS)) => {
             log::debug!("event=submission_refused job={id} by=store");
             too_many(STORE_REFUSAL_S)
         }
-        Err(StoreError::Budget(again_s)) => {
+        Err(StoreError::BudgetExhausted(again_s)) => {
             log::debug!("event=submission_refused job={id} again_s={again_s:.2}");
             too_many(again_s)
         }
@@ -184,7 +190,11 @@
 
 /// Whether the job was accepted is never guessed: it is if the store has its record.
 async fn read_back(node: &Rc<Controller>, id: &str) -> Response {
-    let Ok(Some(item)) = node.store.get(&keys::job(id), Rank::Decision).await else {
+    let Ok(Some(item)) = node
+        .store
+        .get(&keys::job(id), RequestPriority::Decision)
+        .await
+    else {
         return retry_later(node, "the outcome is not known yet");
     };
     let Some(record) = from_value::<JobRecord>(&item.value) else {
--- a/crates/ladderroute/src/cluster_view.rs
+++ b/crates/ladderroute/src/cluster_view.rs
@@ -13,7 +13,7 @@
 use sched::dependencies::{Dependencies, Effect, Record};
 use sched::Secs;
 use store::reload::{LoadState, Reload};
-use store::replica::{Changed, Replica};
+use store::replica::{ChangedKey, Replica};
 use wire::store::{Changes, JobRecord, LeaderRecord, Page, Recorded, Write};
 use wire::users::Priority;
 
@@ -134,8 +134,8 @@
         let changed = self.replica.apply(changes);
         self.read_at = self.read_at.max(read.sent_at);
         let jobs = changed.into_iter().filter_map(|changed| match changed {
-            Changed::Job(id) => Some(id),
-            Changed::Leader | Changed::Other => None,
+            ChangedKey::Job(id) => Some(id),
+            ChangedKey::Leader | ChangedKey::Other => None,
         });
         Some(jobs.flat_map(|id| self.update(&id)).collect())
     }
@@ -188,13 +188,13 @@
 
     /// Applies this controller's own write of a job's end.
     pub fn job_done(&mut self, id: &str, version: u64) -> Vec<JobChange> {
-        self.replica.job_done(id, version);
+        self.replica.mark_job_done(id, version);
         self.update(id)
     }
 
     /// Notes that this controller's writes were applied at a revision.
     pub fn written(&mut self, writes: &[Write], revision: u64) {
-        self.replica.versions.applied(writes, revision);
+        self.replica.versions.record_applied(writes, revision);
     }
 
     /// Applies this controller's own write of the leader's key.
@@ -204,7 +204,7 @@
 
     /// Notes that a member does not lead any more, before the store reports it.
     pub fn leader_ended(&mut self, member: &str) {
-        self.replica.leader_ended(member);
+        self.replica.forget_leader(member);
     }
 
     /// Brings the derived state of a job up to date with the replica. Descendants that are cancelled with it
@@ -233,7 +233,7 @@
             Effect::Reprioritized(id, priority) => JobChange::Reprioritized(id, priority),
             Effect::Cancelled(id) => {
                 log::info!("event=cancelled_with_dependency job={id}");
-                self.replica.cancelled_with_ancestor(&id);
+                self.replica.cancel_with_ancestor(&id);
                 JobChange::Cancelled(id)
             }
         }
--- a/crates/ladderroute/src/controller_links/follower_side.rs
+++ b/crates/ladderroute/src/controller_links/follower_side.rs
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use store::leadership::DRIFT;
+use store::leadership::MAX_CLOCK_DRIFT;
 use wire::peers::{frame, unframe, ToLeader, ToOwner};
 
 /// How long a connection to the leader may take to come about, in seconds.
@@ -27,8 +27,8 @@
 /// How many of the newest pings may still be answered.
 const PINGS_KEPT: u64 = 64;
 
-/// How far two clocks may drift apart, each by `DRIFT` from true time.
-const RELATIVE_DRIFT: f64 = 2.0 * DRIFT;
+/// How far two clocks may drift apart, each by `MAX_CLOCK_DRIFT` from true time.
+const RELATIVE_DRIFT: f64 = 2.0 * MAX_CLOCK_DRIFT;
 
 /// Keeps a connection to whoever leads.
 pub async fn join_leader(controller: Rc<Controller>) {
--- a/crates/ladderroute/src/freshness/reads.rs
+++ b/crates/ladderroute/src/freshness/reads.rs
@@ -4,7 +4,7 @@
 use crate::controller::Controller;
 use std::rc::Rc;
 use std::time::Duration;
-use store::budget::Rank;
+use store::budget::RequestPriority;
 use store::client::StoreError;
 use store::keys;
 use wire::store::Changes;
@@ -57,14 +57,14 @@
             controller.freshness_reads.note_answered();
             is_applied
         }
-        Err(StoreError::TooOld) => {
-            note_too_old(controller, read, &StoreError::TooOld);
+        Err(StoreError::RevisionTooOld) => {
+            note_too_old(controller, read, &StoreError::RevisionTooOld);
             false
         }
         Err(e) => {
             log::debug!("event=read_failed since={} error=\"{e}\"", read.since);
             // A read that this controller's own budget held back says nothing of the store.
-            if !matches!(e, StoreError::Budget(_)) {
+            if !matches!(e, StoreError::BudgetExhausted(_)) {
                 controller.note_store_health(false);
             }
             false
@@ -86,7 +86,12 @@
 ) -> Result<Changes, StoreError> {
     let store = &controller.store;
     store
-        .follow(keys::ALL, read.since, wait, Rank::Decision)
+        .read_changes(
+            keys::ALL_PREFIX,
+            read.since,
+            wait,
+            RequestPriority::Decision,
+        )
         .await
 }
 
--- a/crates/ladderroute/src/freshness/watch.rs
+++ b/crates/ladderroute/src/freshness/watch.rs
@@ -5,7 +5,7 @@
 use crate::controller::Controller;
 use std::rc::Rc;
 use std::time::Duration;
-use store::budget::Rank;
+use store::budget::RequestPriority;
 use store::client::StoreError;
 use store::keys;
 use store::reload::LoadState;
@@ -47,7 +47,7 @@
             }
         }
         // An answer with more than is taken would only grow: the keys themselves are read in pages.
-        Err(e @ (StoreError::TooOld | StoreError::TooLarge(_))) => {
+        Err(e @ (StoreError::RevisionTooOld | StoreError::ResponseTooLarge(_))) => {
             note_too_old(controller, read, &e)
         }
         Err(e) => {
@@ -70,7 +70,11 @@
     loop {
         let page = controller
             .store
-            .range(keys::ALL, reload.last_key(), Rank::Decision)
+            .range(
+                keys::ALL_PREFIX,
+                reload.last_key(),
+                RequestPriority::Decision,
+            )
             .await;
         match page {
             Ok(page) if reload.add_page(&page) == LoadState::Complete => break,
--- a/crates/ladderroute/src/leadership/begin.rs
+++ b/crates/ladderroute/src/leadership/begin.rs
@@ -26,7 +26,7 @@
     }
     // What was assigned in earlier epochs must not be answered on this leadership's authority.
     state.owner = Owner::new(&controller.settings.member, controller.config.clone());
-    state.owner.authority.set(controller.at(lease.until));
+    state.owner.authority.set(controller.at(lease.valid_until));
     state.owner.authority.prove(state.shared.view.read_at());
     let value_kb = controller.limits.value_kb;
     state.shared.leadership = Some(Leadership {
--- a/crates/ladderroute/src/leadership/lease.rs
+++ b/crates/ladderroute/src/leadership/lease.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use store::client::StoreError;
-use store::leadership::usable;
+use store::leadership::authority_duration;
 
 /// Renewals in the time of the store lease, while they are answered.
 const RENEWALS_PER_LEASE: u32 = 5;
@@ -38,8 +38,8 @@
             None => return,
         };
         let sent_at = Instant::now();
-        let answer = controller.store.touch(lease_id).await;
-        let until = sent_at + usable(ttl);
+        let answer = controller.store.renew(lease_id).await;
+        let until = sent_at + authority_duration(ttl);
         match take_answer(controller, answer, until, &mut is_paused) {
             Renewal::Lost => return,
             Renewal::Failed => {
@@ -75,7 +75,7 @@
                 Renewal::NeedsRead
             }
         }
-        Err(StoreError::NoLease) => Renewal::Lost,
+        Err(StoreError::LeaseNotFound) => Renewal::Lost,
         Err(e) => {
             if !state.owner.has_authority(controller.now()) && !*is_paused {
                 *is_paused = true;
--- a/crates/ladderroute/src/leadership/mod.rs
+++ b/crates/ladderroute/src/leadership/mod.rs
@@ -76,7 +76,7 @@
         controller.settings.member,
         lease.token,
         lease.version,
-        controller.at(lease.until) - controller.now()
+        controller.at(lease.valid_until) - controller.now()
     );
     if !catch_up(controller, &lease, ttl).await {
         let _ = controller.store.revoke(lease.lease_id).await;
@@ -100,7 +100,7 @@
 /// nothing is started on the strength of an old one. False if the lease runs out before.
 async fn catch_up(controller: &Rc<Controller>, lease: &LeadershipLease, ttl: Duration) -> bool {
     while is_behind(controller, lease, ttl) {
-        if Instant::now() > lease.until {
+        if Instant::now() > lease.valid_until {
             return false;
         }
         if !freshness::read_once(controller).await {
--- a/crates/ladderroute/src/store_budget.rs
+++ b/crates/ladderroute/src/store_budget.rs
@@ -60,7 +60,7 @@
         (others, Role::Follower) => Shares {
             requests: share((ALL_SHARE - LEADER_REQUESTS) / others as f64),
             writes: Share {
-                part: ALL_SHARE / others as f64,
+                fraction: ALL_SHARE / others as f64,
                 burst_s: FOLLOWER_BURST_S,
                 reserve: FOLLOWER_RESERVE,
             },
@@ -69,9 +69,9 @@
 }
 
 /// A part of a rate, with the leader's reserve.
-fn share(part: f64) -> Share {
+fn share(fraction: f64) -> Share {
     Share {
-        part,
+        fraction,
         burst_s: BURST_S,
         reserve: LEADER_RESERVE,
     }
--- a/crates/ladderroute/src/writer/batch.rs
+++ b/crates/ladderroute/src/writer/batch.rs
@@ -6,7 +6,7 @@
 use super::writes::put;
 use sched::leader::{Action, Leader};
 use std::collections::VecDeque;
-use store::keys::{self, Kind};
+use store::keys::{self, KeyKind};
 use store::replica::{JobEntry, Replica};
 use wire::store::{
     to_value, BindingRecord, Condition, JobRecord, Recorded, RosterRecord, StartedArraysRecord,
@@ -317,8 +317,8 @@
     /// records of jobs have their own conditions; what is dropped with a job is written no more.)
     fn condition(&self, write: &Write) -> Option<Condition> {
         let key = match write {
-            Write::Put { key, .. } if Kind::of(key) != Kind::Job => key,
-            Write::Drop { key } if Kind::of(key) != Kind::Binding => key,
+            Write::Put { key, .. } if KeyKind::of(key) != KeyKind::Job => key,
+            Write::Drop { key } if KeyKind::of(key) != KeyKind::Binding => key,
             _ => return None,
         };
         Some(self.replica.versions.condition(key))
--- a/crates/ladderroute/src/writer/mod.rs
+++ b/crates/ladderroute/src/writer/mod.rs
@@ -110,7 +110,7 @@
     let result = outcome::write(node, &batch, lease).await;
     let is_refused = matches!(
         result,
-        Err(StoreError::Budget(_) | StoreError::Refused(_) | StoreError::NotSent(_))
+        Err(StoreError::BudgetExhausted(_) | StoreError::Refused(_) | StoreError::NotSent(_))
     );
     let is_overtaken = result.as_ref().is_ok_and(Outcome::is_overtaken);
     outcome::apply(node, batch, result).await;
--- a/crates/ladderroute/src/writer/outcome.rs
+++ b/crates/ladderroute/src/writer/outcome.rs
@@ -6,10 +6,10 @@
 use sched::leader::Action;
 use sched::ranges::Ranges;
 use std::rc::Rc;
-use store::budget::Rank;
-use store::client::{Decided, StoreError};
-use store::keys::{self, Kind};
-use store::leadership::{next_token, still_leader, LeadershipLease, NextToken};
+use store::budget::RequestPriority;
+use store::client::{StoreError, TxnOutcome};
+use store::keys::{self, KeyKind};
+use store::leadership::{advance_token, leader_unchanged, LeadershipLease, NextToken};
 use wire::store::{value_bytes, LeaderRecord, Txn, Write};
 
 /// The status by which the store calls a transaction malformed.
@@ -36,7 +36,7 @@
     /// Whether an earlier write of this leader was carried out late, so that the store does not
     /// hold what this leader takes it to hold.
     pub fn is_overtaken(&self) -> bool {
-        let other = |key: &String| !matches!(Kind::of(key), Kind::Job | Kind::Leader);
+        let other = |key: &String| !matches!(KeyKind::of(key), KeyKind::Job | KeyKind::Leader);
         matches!(self, Outcome::Conflict(failed) if failed.iter().any(other))
     }
 }
@@ -58,18 +58,20 @@
         batch.progress.len()
     );
     let txn = transaction(batch, lease);
-    match node.store.txn(&txn, Rank::Decision).await? {
-        Decided::Applied(revision) => Ok(Outcome::Written(revision)),
-        Decided::Conflict(failed) if failed.iter().any(|key| Kind::of(key) == Kind::Leader) => {
+    match node.store.txn(&txn, RequestPriority::Decision).await? {
+        TxnOutcome::Applied(revision) => Ok(Outcome::Written(revision)),
+        TxnOutcome::Conflict(failed)
+            if failed.iter().any(|key| KeyKind::of(key) == KeyKind::Leader) =>
+        {
             Ok(Outcome::Lost)
         }
-        Decided::Conflict(failed) => Ok(Outcome::Conflict(failed)),
+        TxnOutcome::Conflict(failed) => Ok(Outcome::Conflict(failed)),
     }
 }
 
 /// Takes a new fencing token.
 async fn take_token(node: &Rc<Controller>, lease: &LeadershipLease) -> Result<Outcome, StoreError> {
-    let token = next_token(&node.store, &node.settings.member, lease).await?;
+    let token = advance_token(&node.store, &node.settings.member, lease).await?;
     Ok(match token {
         Some(NextToken { token, version }) => Outcome::Token { token, version },
         None => Outcome::Lost,
@@ -78,7 +80,7 @@
 
 /// A batch as a transaction, on the condition that this is still the leader.
 fn transaction(batch: &Batch, lease: &LeadershipLease) -> Txn {
-    let leads = std::iter::once(still_leader(lease.version));
+    let leads = std::iter::once(leader_unchanged(lease.version));
     Txn {
         conditions: leads.chain(batch.conditions.iter().cloned()).collect(),
         writes: batch.writes.clone(),
@@ -232,7 +234,11 @@
             bits,
         } => {
             let mut done = Ranges::default();
-            done.add_bits(first_task, &store::replica::bits(&bits), u32::MAX);
+            done.add_bits(
+                first_task,
+                &store::replica::decode_hex_bitmap(&bits),
+                u32::MAX,
+            );
             leadership
                 .leader
                 .progress_result(&job, first_task, written.then_some(&done));
--- a/crates/ladderroute/src/writer/pages.rs
+++ b/crates/ladderroute/src/writer/pages.rs
@@ -114,7 +114,11 @@
                 } else if !is_laid_out(first_task, bits, chunk_bits) {
                     self.progress.remove(&chunk, Removal::Deferred);
                     let done = foreign.entry(job.to_string()).or_default();
-                    done.add_bits(first_task, &store::replica::bits(bits), MOST_TASKS);
+                    done.add_bits(
+                        first_task,
+                        &store::replica::decode_hex_bitmap(bits),
+                        MOST_TASKS,
+                    );
                 }
             }
         }
@@ -130,7 +134,11 @@
             let first_task = chunk * chunk_bits;
             let mut all = done.clone();
             if let Some(bits) = self.progress.get(&Chunk::new(job, first_task)) {
-                all.add_bits(first_task, &store::replica::bits(bits), MOST_TASKS);
+                all.add_bits(
+                    first_task,
+                    &store::replica::decode_hex_bitmap(bits),
+                    MOST_TASKS,
+                );
             }
             let bits = all.hex(first_task, first_task + chunk_bits);
             self.put_progress(job, first_task, &bits);
@@ -201,15 +209,17 @@
 
     /// A page of the roster that the store does not hold as it is here, beside these.
     pub fn next_roster_page(&self, beside: &[u32]) -> Option<u32> {
-        self.roster.next_dirty_beside(beside)
+        self.roster.next_dirty_except(beside)
     }
 
     /// These pages are in the store as they were last put into a transaction.
     pub fn written(&mut self, roster: &[u32], progress: &[u32]) {
-        roster.iter().for_each(|page| self.roster.written(*page));
+        roster
+            .iter()
+            .for_each(|page| self.roster.mark_written(*page));
         progress
             .iter()
-            .for_each(|page| self.progress.written(*page));
+            .for_each(|page| self.progress.mark_written(*page));
     }
 
     /// A transaction's write of a page of the roster.
--- a/crates/store/src/budget.rs
+++ b/crates/store/src/budget.rs
@@ -5,7 +5,7 @@
 /// What a request is for, most important first. Each rank leaves a part of the burst to the ranks before it,
 /// so that renewals are never starved and decisions go before submissions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Rank {
+pub enum RequestPriority {
     /// Renewals of leases.
     Renewal,
     /// The leader's decisions, cancellations and reads.
@@ -24,11 +24,11 @@
 }
 
 impl Reserve {
-    fn of(self, rank: Rank) -> f64 {
+    fn of(self, rank: RequestPriority) -> f64 {
         match rank {
-            Rank::Renewal => 0.0,
-            Rank::Decision => self.decision,
-            Rank::Submission => self.submission,
+            RequestPriority::Renewal => 0.0,
+            RequestPriority::Decision => self.decision,
+            RequestPriority::Submission => self.submission,
         }
     }
 }
@@ -37,7 +37,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Share {
     /// Part, 0 to 1, of the rate that the settings give for all controllers.
-    pub part: f64,
+    pub fraction: f64,
     /// The burst: as much as this part yields in so many seconds may be used at once.
     pub burst_s: f64,
     /// What lower ranks leave of the burst.
@@ -84,7 +84,7 @@
 
 impl Bucket {
     fn new(rate_of_all: f64, share: Share) -> Bucket {
-        let rate = rate_of_all * share.part;
+        let rate = rate_of_all * share.fraction;
         let capacity = rate * share.burst_s;
         Bucket {
             rate,
@@ -113,7 +113,7 @@
 
     /// Seconds until so many tokens can be taken with the rank's reserve left. A request that is larger than
     /// the bucket is allowed when the bucket is full.
-    fn wait_s(&self, tokens: f64, rank: Rank) -> f64 {
+    fn wait_s(&self, tokens: f64, rank: RequestPriority) -> f64 {
         let needed = (tokens + self.reserve.of(rank) * self.capacity).min(self.capacity);
         ((needed - self.level) / self.rate).max(0.0)
     }
@@ -168,7 +168,12 @@
     /// # Errors
     ///
     /// The budget does not allow it yet; nothing is taken.
-    pub fn take(&mut self, now: f64, writes: usize, rank: Rank) -> Result<(), BudgetExhausted> {
+    pub fn take(
+        &mut self,
+        now: f64,
+        writes: usize,
+        rank: RequestPriority,
+    ) -> Result<(), BudgetExhausted> {
         self.requests.fill(now);
         self.writes.fill(now);
         let writes_wait_s = if writes > 0 {
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -1,6 +1,6 @@
 //! Typed requests to the state service.
 
-use crate::budget::{Budget, Rank, Rates, Shares};
+use crate::budget::{Budget, Rates, RequestPriority, Shares};
 use http::client::{Client, RequestError, Response};
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -45,19 +45,19 @@
     NotSent(String),
     /// Not sent: this controller's budget allows the request after so many seconds.
     #[error("own budget is used up for {0:.2} s")]
-    Budget(f64),
+    BudgetExhausted(f64),
     /// The request may have been carried out, or may still be; names the request and the cause.
     #[error("outcome unknown: {0}")]
-    Unknown(String),
+    OutcomeUnknown(String),
     /// The answer has so many bytes, more than the client accepts.
     #[error("the answer of {0} bytes is larger than accepted")]
-    TooLarge(usize),
+    ResponseTooLarge(usize),
     /// The lease has ended.
     #[error("no such lease")]
-    NoLease,
+    LeaseNotFound,
     /// The store no longer keeps the changes after that revision.
     #[error("the revision asked for is too old")]
-    TooOld,
+    RevisionTooOld,
 }
 
 impl StoreError {
@@ -67,9 +67,9 @@
             RequestError::NotSent(cause) => {
                 StoreError::NotSent(format!("{method} {path}: {cause}"))
             }
-            RequestError::TooLarge(bytes) => StoreError::TooLarge(bytes),
+            RequestError::TooLarge(bytes) => StoreError::ResponseTooLarge(bytes),
             RequestError::Unknown(cause) => {
-                StoreError::Unknown(format!("{method} {path}: {cause}"))
+                StoreError::OutcomeUnknown(format!("{method} {path}: {cause}"))
             }
         }
     }
@@ -77,7 +77,7 @@
 
 /// Result of a transaction that the store has decided.
 #[derive(Debug, PartialEq)]
-pub enum Decided {
+pub enum TxnOutcome {
     /// Applied at this revision, which is the new version of each key that was put.
     Applied(u64),
     /// Not applied: the versions of these keys did not match the conditions.
@@ -91,18 +91,18 @@
     budget: RefCell<Budget>,
     started_at: Instant,
     /// How long a request may take, the wait for the budget apart.
-    pub limit: Duration,
+    pub request_timeout: Duration,
 }
 
 impl Store {
     /// A client of the service at an address.
-    pub fn new(addr: SocketAddr, rates: Rates, shares: Shares, limit: Duration) -> Store {
+    pub fn new(addr: SocketAddr, rates: Rates, shares: Shares, request_timeout: Duration) -> Store {
         Store {
             requests: Client::new(addr, REQUEST_CONNECTIONS, REQUEST_BODY_BYTES),
             watches: Client::new(addr, WATCH_CONNECTIONS, WATCH_BODY_BYTES),
             budget: RefCell::new(Budget::new(rates, shares)),
             started_at: Instant::now(),
-            limit,
+            request_timeout,
         }
     }
 
@@ -112,7 +112,7 @@
     }
 
     /// Reads a key; none if it does not exist.
-    pub async fn get(&self, key: &str, rank: Rank) -> Result<Option<Item>, StoreError> {
+    pub async fn get(&self, key: &str, rank: RequestPriority) -> Result<Option<Item>, StoreError> {
         self.wait_for_budget(0, rank).await?;
         let answer = self.request("GET", &format!("/store/{key}"), &[]).await?;
         match answer.status {
@@ -127,7 +127,7 @@
         &self,
         prefix: &str,
         since: Option<&str>,
-        rank: Rank,
+        rank: RequestPriority,
     ) -> Result<Page, StoreError> {
         self.wait_for_budget(0, rank).await?;
         let since = since.map(|key| format!("&since={key}")).unwrap_or_default();
@@ -139,13 +139,15 @@
         }
     }
 
-    /// Carries out a transaction; `NoLease` if one of its writes names a lease that has ended. Submissions are
+    /// Carries out a transaction; `LeaseNotFound` if one of its writes names a lease that has ended. Submissions are
     /// refused at once when the budget is used up; other ranks wait for it.
-    pub async fn txn(&self, txn: &Txn, rank: Rank) -> Result<Decided, StoreError> {
+    pub async fn txn(&self, txn: &Txn, rank: RequestPriority) -> Result<TxnOutcome, StoreError> {
         let writes = txn.writes.len();
         match rank {
-            Rank::Submission => self.take_budget(writes, rank)?,
-            Rank::Renewal | Rank::Decision => self.wait_for_budget(writes, rank).await?,
+            RequestPriority::Submission => self.take_budget(writes, rank)?,
+            RequestPriority::Renewal | RequestPriority::Decision => {
+                self.wait_for_budget(writes, rank).await?
+            }
         }
         let answer = self.request("POST", "/txn", &cbor::encode(txn)).await;
         if matches!(answer, Err(StoreError::Refused(TOO_MANY_REQUESTS))) {
@@ -153,8 +155,8 @@
         }
         let answer = answer?;
         match answer.status {
-            OK => Ok(Decided::Applied(decode::<Revision>(&answer)?.revision)),
-            CONFLICT => Ok(Decided::Conflict(decode::<Conflict>(&answer)?.failed)),
+            OK => Ok(TxnOutcome::Applied(decode::<Revision>(&answer)?.revision)),
+            CONFLICT => Ok(TxnOutcome::Conflict(decode::<Conflict>(&answer)?.failed)),
             BAD_REQUEST => Err(bad_request(&answer)),
             status => Err(StoreError::Refused(status)),
         }
@@ -162,7 +164,7 @@
 
     /// Creates a lease; returns its id.
     pub async fn grant(&self, ttl: Duration) -> Result<u64, StoreError> {
-        self.wait_for_budget(0, Rank::Renewal).await?;
+        self.wait_for_budget(0, RequestPriority::Renewal).await?;
         let body = LeaseAsk {
             ttl_ms: ttl.as_millis() as u64,
         };
@@ -175,33 +177,33 @@
         }
     }
 
-    /// Renews a lease; `NoLease` if it has ended.
-    pub async fn touch(&self, lease: u64) -> Result<(), StoreError> {
-        self.wait_for_budget(0, Rank::Renewal).await?;
+    /// Renews a lease; `LeaseNotFound` if it has ended.
+    pub async fn renew(&self, lease: u64) -> Result<(), StoreError> {
+        self.wait_for_budget(0, RequestPriority::Renewal).await?;
         let path = format!("/grants/{lease}/touch");
         let answer = self.request("POST", &path, &[]).await?;
         match answer.status {
             OK => Ok(()),
-            NOT_FOUND => Err(StoreError::NoLease),
+            NOT_FOUND => Err(StoreError::LeaseNotFound),
             status => Err(StoreError::Refused(status)),
         }
     }
 
     /// Ends a lease; one that has ended already is no error.
     pub async fn revoke(&self, lease: u64) -> Result<(), StoreError> {
-        self.wait_for_budget(0, Rank::Renewal).await?;
+        self.wait_for_budget(0, RequestPriority::Renewal).await?;
         let path = format!("/grants/{lease}");
         self.request("DELETE", &path, &[]).await.map(drop)
     }
 
-    /// Reads the changes after the revision `since`, waiting up to `wait` for the first one; `TooOld` if the
+    /// Reads the changes after the revision `since`, waiting up to `wait` for the first one; `RevisionTooOld` if the
     /// store does not keep them any more.
-    pub async fn follow(
+    pub async fn read_changes(
         &self,
         prefix: &str,
         since: u64,
         wait: Duration,
-        rank: Rank,
+        rank: RequestPriority,
     ) -> Result<Changes, StoreError> {
         self.wait_for_budget(0, rank).await?;
         let wait_ms = wait.as_millis();
@@ -211,18 +213,23 @@
         } else {
             &self.watches
         };
-        let answer = client.request("GET", &path, &[], self.limit + wait).await;
+        let answer = client
+            .request("GET", &path, &[], self.request_timeout + wait)
+            .await;
         let answer = answer.map_err(|error| StoreError::unanswered("GET", &path, error))?;
         match answer.status {
             OK => decode(&answer),
-            GONE => Err(StoreError::TooOld),
+            GONE => Err(StoreError::RevisionTooOld),
             status => Err(StoreError::Refused(status)),
         }
     }
 
     /// Sends a request; statuses that say nothing of the request itself are errors.
     async fn request(&self, method: &str, path: &str, body: &[u8]) -> Result<Response, StoreError> {
-        let answer = self.requests.request(method, path, body, self.limit).await;
+        let answer = self
+            .requests
+            .request(method, path, body, self.request_timeout)
+            .await;
         let answer = answer.map_err(|error| StoreError::unanswered(method, path, error))?;
         match answer.status {
             status @ (TOO_MANY_REQUESTS | FIRST_SERVER_ERROR..) => Err(StoreError::Refused(status)),
@@ -230,18 +237,23 @@
         }
     }
 
-    fn take_budget(&self, writes: usize, rank: Rank) -> Result<(), StoreError> {
+    fn take_budget(&self, writes: usize, rank: RequestPriority) -> Result<(), StoreError> {
         let taken = self.budget.borrow_mut().take(self.now_s(), writes, rank);
-        taken.map_err(|exhausted| StoreError::Budget(exhausted.wait_s))
+        taken.map_err(|exhausted| StoreError::BudgetExhausted(exhausted.wait_s))
     }
 
     /// Waits for the budget, at most as long as a request may take.
-    async fn wait_for_budget(&self, writes: usize, rank: Rank) -> Result<(), StoreError> {
+    async fn wait_for_budget(
+        &self,
+        writes: usize,
+        rank: RequestPriority,
+    ) -> Result<(), StoreError> {
         let started_at = Instant::now();
         loop {
             match self.take_budget(writes, rank) {
-                Err(StoreError::Budget(wait_s))
-                    if started_at.elapsed().as_secs_f64() + wait_s < self.limit.as_secs_f64() =>
+                Err(StoreError::BudgetExhausted(wait_s))
+                    if started_at.elapsed().as_secs_f64() + wait_s
+                        < self.request_timeout.as_secs_f64() =>
                 {
                     smol::Timer::after(Duration::from_secs_f64(wait_s + WAIT_SLACK_S)).await;
                 }
@@ -259,7 +271,7 @@
 /// Decodes an answer's body. The request was carried out even if its answer can't be read.
 fn decode<T: serde::de::DeserializeOwned>(answer: &Response) -> Result<T, StoreError> {
     cbor::decode(&answer.body)
-        .map_err(|error| StoreError::Unknown(format!("the answer can't be read: {error}")))
+        .map_err(|error| StoreError::OutcomeUnknown(format!("the answer can't be read: {error}")))
 }
 
 /// Tells an ended lease from a transaction that the store can't accept, e.g. for a value that is too large.
@@ -267,7 +279,7 @@
     let text = cbor::decode::<Value>(&answer.body).map(|value| format!("{value:?}"));
     let text = text.unwrap_or_default();
     if text.contains(NO_SUCH_LEASE) {
-        return StoreError::NoLease;
+        return StoreError::LeaseNotFound;
     }
     log::error!("event=store_malformed answer=\"{text}\"");
     StoreError::Refused(BAD_REQUEST)
--- a/crates/store/src/leadership.rs
+++ b/crates/store/src/leadership.rs
@@ -5,20 +5,20 @@
 //! then never free in between. What may be done with it also depends on the freshness of the cluster view
 //! (`sched::authority`).
 
-use crate::budget::Rank;
-use crate::client::{Decided, Store, StoreError};
+use crate::budget::RequestPriority;
+use crate::client::{Store, StoreError, TxnOutcome};
 use crate::keys;
 use std::time::{Duration, Instant};
 use wire::store::{from_value, to_value, Condition, Item, LeaderRecord, TermRecord, Txn, Write};
 
 /// Largest relative drift of a steady clock; both sides of a lease may drift (a figure of the protocol).
-pub const DRIFT: f64 = 0.0005;
+pub const MAX_CLOCK_DRIFT: f64 = 0.0005;
 /// Safety margin of the leader's own authority, as a part of the lease's duration.
-pub const MARGIN: f64 = 0.03;
+pub const AUTHORITY_MARGIN: f64 = 0.03;
 
 /// How long authority may be used after the request that proved it was sent, for a lease of `ttl`.
-pub fn usable(ttl: Duration) -> Duration {
-    ttl.mul_f64(1.0 - 2.0 * DRIFT - MARGIN)
+pub fn authority_duration(ttl: Duration) -> Duration {
+    ttl.mul_f64(1.0 - 2.0 * MAX_CLOCK_DRIFT - AUTHORITY_MARGIN)
 }
 
 /// The requests that leadership needs of the state service; every answer may be lost or late.
@@ -31,12 +31,12 @@
     /// Ends a lease, which drops the keys attached to it.
     async fn revoke(&self, lease: u64) -> Result<(), StoreError>;
     /// Carries out a transaction.
-    async fn txn(&self, txn: &Txn) -> Result<Decided, StoreError>;
+    async fn txn(&self, txn: &Txn) -> Result<TxnOutcome, StoreError>;
 }
 
 impl LeaderStore for Store {
     async fn get(&self, key: &str) -> Result<Option<Item>, StoreError> {
-        Store::get(self, key, Rank::Renewal).await
+        Store::get(self, key, RequestPriority::Renewal).await
     }
     async fn grant(&self, ttl: Duration) -> Result<u64, StoreError> {
         Store::grant(self, ttl).await
@@ -44,8 +44,8 @@
     async fn revoke(&self, lease: u64) -> Result<(), StoreError> {
         Store::revoke(self, lease).await
     }
-    async fn txn(&self, txn: &Txn) -> Result<Decided, StoreError> {
-        Store::txn(self, txn, Rank::Renewal).await
+    async fn txn(&self, txn: &Txn) -> Result<TxnOutcome, StoreError> {
+        Store::txn(self, txn, RequestPriority::Renewal).await
     }
 }
 
@@ -59,7 +59,7 @@
     /// Version of the leader's key: the condition of every write of this leader.
     pub version: u64,
     /// When authority expires unless the lease is renewed.
-    pub until: Instant,
+    pub valid_until: Instant,
 }
 
 /// A token that a leader has moved on to.
@@ -78,7 +78,7 @@
 }
 
 /// The condition that the leader's key is unchanged since `version`.
-pub fn still_leader(version: u64) -> Condition {
+pub fn leader_unchanged(version: u64) -> Condition {
     Condition {
         key: keys::LEADER.into(),
         version,
@@ -112,12 +112,12 @@
         version: stored.version,
     };
     let txn = Txn {
-        conditions: vec![still_leader(keys::ABSENT), term_unchanged],
+        conditions: vec![leader_unchanged(keys::ABSENT), term_unchanged],
         writes: token_writes(&record, lease_id),
     };
     let version = match store.txn(&txn).await {
-        Ok(Decided::Applied(revision)) => revision,
-        Ok(Decided::Conflict(_)) | Err(StoreError::NoLease) => {
+        Ok(TxnOutcome::Applied(revision)) => revision,
+        Ok(TxnOutcome::Conflict(_)) | Err(StoreError::LeaseNotFound) => {
             // The lease expires by itself if this fails.
             let _ = store.revoke(lease_id).await;
             return Ok(None);
@@ -133,7 +133,7 @@
         token: record.token,
         lease_id,
         version,
-        until: sent + usable(ttl),
+        valid_until: sent + authority_duration(ttl),
     }))
 }
 
@@ -144,7 +144,7 @@
 ///
 /// Any error of the store. The outcome may be unknown then; the call may be repeated, and recognizes a token
 /// that an earlier attempt has recorded.
-pub async fn next_token(
+pub async fn advance_token(
     store: &impl LeaderStore,
     member: &str,
     leadership: &LeadershipLease,
@@ -155,24 +155,26 @@
         token,
     };
     let txn = Txn {
-        conditions: vec![still_leader(leadership.version)],
+        conditions: vec![leader_unchanged(leadership.version)],
         writes: token_writes(&record, leadership.lease_id),
     };
     match store.txn(&txn).await {
-        Ok(Decided::Applied(version)) => Ok(Some(NextToken { token, version })),
-        Err(StoreError::NoLease) => Ok(None),
-        Err(error @ (StoreError::Refused(_) | StoreError::NotSent(_) | StoreError::Budget(_))) => {
-            Err(error)
-        }
+        Ok(TxnOutcome::Applied(version)) => Ok(Some(NextToken { token, version })),
+        Err(StoreError::LeaseNotFound) => Ok(None),
+        Err(
+            error @ (StoreError::Refused(_)
+            | StoreError::NotSent(_)
+            | StoreError::BudgetExhausted(_)),
+        ) => Err(error),
         // A conflict can stem from an earlier attempt of this leader whose answer was lost.
-        Ok(Decided::Conflict(_)) | Err(_) => match store.get(keys::LEADER).await? {
+        Ok(TxnOutcome::Conflict(_)) | Err(_) => match store.get(keys::LEADER).await? {
             Some(item) if from_value::<LeaderRecord>(&item.value).as_ref() == Some(&record) => {
                 Ok(Some(NextToken {
                     token,
                     version: item.version,
                 }))
             }
-            Some(item) if item.version == leadership.version => Err(StoreError::Unknown(
+            Some(item) if item.version == leadership.version => Err(StoreError::OutcomeUnknown(
                 "the next token is not applied yet".into(),
             )),
             _ => Ok(None),
--- a/crates/store/src/pages.rs
+++ b/crates/store/src/pages.rs
@@ -125,7 +125,7 @@
 
     /// The first dirty page: one that the store does not hold as it is here.
     pub fn next_dirty(&self) -> Option<u32> {
-        self.next_dirty_beside(&[])
+        self.next_dirty_except(&[])
     }
 
     /// Whether the store does not hold a page as it is here.
@@ -134,7 +134,7 @@
     }
 
     /// The first dirty page that is not among `excluded`, which are being written already.
-    pub fn next_dirty_beside(&self, excluded: &[u32]) -> Option<u32> {
+    pub fn next_dirty_except(&self, excluded: &[u32]) -> Option<u32> {
         let mut dirty = self.dirty.iter();
         dirty.find(|page| !excluded.contains(page)).copied()
     }
@@ -204,7 +204,7 @@
     }
 
     /// Notes that the store holds a page as it is here.
-    pub fn written(&mut self, page: u32) {
+    pub fn mark_written(&mut self, page: u32) {
         self.dirty.remove(&page);
         for new in self.split_into.remove(&page).unwrap_or_default() {
             self.split_from.remove(&new);
--- a/crates/store/src/replica/bitmap.rs
+++ b/crates/store/src/replica/bitmap.rs
@@ -35,7 +35,7 @@
 }
 
 /// Decodes a bitmap's hexadecimal text; pairs of characters that are not hexadecimal are skipped.
-pub fn bits(text: &str) -> Vec<u8> {
+pub fn decode_hex_bitmap(text: &str) -> Vec<u8> {
     let byte = |pair: &[u8]| {
         let digits = std::str::from_utf8(pair).ok()?;
         u8::from_str_radix(digits, HEX_RADIX).ok()
--- a/crates/store/src/replica/jobs.rs
+++ b/crates/store/src/replica/jobs.rs
@@ -1,6 +1,6 @@
 //! Jobs by id, with the progress of those that are open.
 
-use super::bitmap::{bits, Bitmap};
+use super::bitmap::{decode_hex_bitmap, Bitmap};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -199,11 +199,13 @@
             return;
         }
         match self.entries.get_mut(id) {
-            Some(entry) if entry.is_open() => entry.progress.join(first_task, &bits(text)),
+            Some(entry) if entry.is_open() => {
+                entry.progress.join(first_task, &decode_hex_bitmap(text))
+            }
             Some(_) => {}
             None => {
                 let early = self.early_progress.entry(id.to_string()).or_default();
-                early.join(first_task, &bits(text));
+                early.join(first_task, &decode_hex_bitmap(text));
             }
         }
     }
--- a/crates/store/src/replica/mod.rs
+++ b/crates/store/src/replica/mod.rs
@@ -11,14 +11,14 @@
 mod roster;
 
 pub use bindings::Bindings;
-pub use bitmap::{bits, Bitmap};
+pub use bitmap::{decode_hex_bitmap, Bitmap};
 pub use jobs::{CancelledJob, JobEntry, JobResources, Jobs};
 pub use leader::Leader;
 pub use progress::{ProgressPages, Section};
 pub use roster::Roster;
 
-use crate::keys::{self, Kind};
-use crate::versions::{Presence, Versions};
+use crate::keys::{self, KeyKind};
+use crate::versions::{KeyVersions, Presence};
 use std::collections::BTreeSet;
 use std::time::Duration;
 use wire::store::{
@@ -28,7 +28,7 @@
 
 /// What a change was about.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Changed {
+pub enum ChangedKey {
     /// The record of the job with this id.
     Job(String),
     /// The leader's key.
@@ -55,7 +55,7 @@
     /// The arrays of which tasks may have been started.
     pub started_arrays: StartedArraysRecord,
     /// Versions of the keys that a leader writes again and again: all but jobs, leader and term.
-    pub versions: Versions,
+    pub versions: KeyVersions,
 }
 
 impl Replica {
@@ -92,7 +92,7 @@
     }
 
     /// Applies the changes that are newer than this replica's revision; returns what they were about.
-    pub fn apply(&mut self, changes: &Changes) -> Vec<Changed> {
+    pub fn apply(&mut self, changes: &Changes) -> Vec<ChangedKey> {
         // Two requests can return the same change; the older answer must not undo a newer one.
         let revision = self.revision;
         let newer = changes.changes.iter().filter(|c| c.version > revision);
@@ -101,11 +101,11 @@
         changed
     }
 
-    fn apply_one(&mut self, change: &Change) -> Option<Changed> {
+    fn apply_one(&mut self, change: &Change) -> Option<ChangedKey> {
         match (&change.put, &change.value, &change.dropped) {
             (Some(key), Some(value), _) => Some(self.put(key, value, change.version)),
             (_, _, Some(key)) => {
-                self.versions.seen_dropped(key, change.version);
+                self.versions.forget_dropped(key, change.version);
                 Some(self.remove(key))
             }
             _ => None,
@@ -113,49 +113,49 @@
     }
 
     /// Applies a key's value; one that can't be read is skipped.
-    fn put(&mut self, key: &str, value: &Value, version: u64) -> Changed {
-        let kind = Kind::of(key);
-        if !matches!(kind, Kind::Job | Kind::Leader | Kind::Term) {
-            self.versions.changed(key, version, Presence::Present);
+    fn put(&mut self, key: &str, value: &Value, version: u64) -> ChangedKey {
+        let kind = KeyKind::of(key);
+        if !matches!(kind, KeyKind::Job | KeyKind::Leader | KeyKind::Term) {
+            self.versions.record_change(key, version, Presence::Present);
         }
         match kind {
-            Kind::Job => {
+            KeyKind::Job => {
                 let id = keys::job_id(key).unwrap_or_default();
                 if let Some(record) = from_value(value) {
                     self.put_job(id, record, version);
                 }
-                return Changed::Job(id.to_string());
+                return ChangedKey::Job(id.to_string());
             }
-            Kind::Leader => {
+            KeyKind::Leader => {
                 self.leader.set(from_value(value), version);
-                return Changed::Leader;
+                return ChangedKey::Leader;
             }
-            Kind::Progress => {
+            KeyKind::Progress => {
                 if let (Some(number), Some(page)) = (keys::progress_page(key), from_value(value)) {
                     self.put_progress(number, page);
                 }
             }
-            Kind::Roster => {
+            KeyKind::Roster => {
                 if let (Some(number), Some(page)) = (keys::roster_page(key), from_value(value)) {
                     self.roster.put(number, page);
                 }
             }
-            Kind::Binding => {
+            KeyKind::Binding => {
                 if let (Some((job, chunk)), Some(record)) =
                     (keys::binding_chunk(key), from_value(value))
                 {
                     self.bindings.put(job, chunk, record);
                 }
             }
-            Kind::StartRecord => {
+            KeyKind::StartedArrays => {
                 if let Some(record) = from_value(value) {
                     self.started_arrays = record;
                 }
             }
             // The term is read directly when a leadership is acquired.
-            Kind::Term | Kind::Other => {}
+            KeyKind::Term | KeyKind::Other => {}
         }
-        Changed::Other
+        ChangedKey::Other
     }
 
     fn put_progress(&mut self, number: u32, page: ProgressPage) {
@@ -166,30 +166,30 @@
         self.progress.put(number, page);
     }
 
-    fn remove(&mut self, key: &str) -> Changed {
-        match Kind::of(key) {
-            Kind::Leader => {
+    fn remove(&mut self, key: &str) -> ChangedKey {
+        match KeyKind::of(key) {
+            KeyKind::Leader => {
                 self.leader.clear();
-                return Changed::Leader;
+                return ChangedKey::Leader;
             }
-            Kind::Roster => {
+            KeyKind::Roster => {
                 if let Some(number) = keys::roster_page(key) {
                     self.roster.remove(number);
                 }
             }
-            Kind::Progress => {
+            KeyKind::Progress => {
                 if let Some(number) = keys::progress_page(key) {
                     self.progress.remove(number);
                 }
             }
-            Kind::Binding => {
+            KeyKind::Binding => {
                 if let Some((job, chunk)) = keys::binding_chunk(key) {
                     self.bindings.remove(job, chunk);
                 }
             }
-            Kind::Job | Kind::Term | Kind::StartRecord | Kind::Other => {}
+            KeyKind::Job | KeyKind::Term | KeyKind::StartedArrays | KeyKind::Other => {}
         }
-        Changed::Other
+        ChangedKey::Other
     }
 
     /// Applies a job's record, also one that was read directly and of which no change was applied yet.
@@ -198,13 +198,13 @@
     }
 
     /// Marks a job as done by this controller's own write, applied at `version`.
-    pub fn job_done(&mut self, id: &str, version: u64) {
+    pub fn mark_job_done(&mut self, id: &str, version: u64) {
         self.jobs.mark_done(id, version);
     }
 
     /// Cancels an open job because an ancestor is cancelled. Its record stays open in the store; none of its
     /// tasks was ever started.
-    pub fn cancelled_with_ancestor(&mut self, id: &str) {
+    pub fn cancel_with_ancestor(&mut self, id: &str) {
         self.jobs.cancel_with_ancestor(id);
     }
 
@@ -214,7 +214,7 @@
     }
 
     /// Forgets the leader if it is this member, before the store reports that its key is gone.
-    pub fn leader_ended(&mut self, member: &str) {
+    pub fn forget_leader(&mut self, member: &str) {
         self.leader.clear_if(member);
     }
 
--- a/crates/store/src/versions.rs
+++ b/crates/store/src/versions.rs
@@ -28,13 +28,13 @@
 ///
 /// Invariant: the revision that is known of a key only grows until the key is reported as dropped.
 #[derive(Clone, Debug, Default)]
-pub struct Versions {
+pub struct KeyVersions {
     last_changes: BTreeMap<String, LastChange>,
 }
 
-impl Versions {
+impl KeyVersions {
     /// Notes a change of a key, as an answer or a watch reports it; an older one than is known is ignored.
-    pub fn changed(&mut self, key: &str, revision: u64, presence: Presence) {
+    pub fn record_change(&mut self, key: &str, revision: u64, presence: Presence) {
         let change = LastChange { revision, presence };
         match self.last_changes.get_mut(key) {
             Some(known) if known.revision > revision => {}
@@ -47,16 +47,16 @@
 
     /// Merges the changes after `read_at_revision`, at which all keys were read: what `others` knows of that
     /// revision and before is superseded.
-    pub fn merge_newer(&mut self, others: Versions, read_at_revision: u64) {
+    pub fn merge_newer(&mut self, others: KeyVersions, read_at_revision: u64) {
         for (key, change) in others.last_changes {
             if change.revision > read_at_revision {
-                self.changed(&key, change.revision, change.presence);
+                self.record_change(&key, change.revision, change.presence);
             }
         }
     }
 
     /// Forgets a key that a watch reports as dropped: the watch reports no older change of it afterwards.
-    pub fn seen_dropped(&mut self, key: &str, revision: u64) {
+    pub fn forget_dropped(&mut self, key: &str, revision: u64) {
         let known = self.last_changes.get(key);
         if known.is_some_and(|known| known.revision <= revision) {
             self.last_changes.remove(key);
@@ -64,11 +64,11 @@
     }
 
     /// Notes that writes were applied at a revision.
-    pub fn applied(&mut self, writes: &[Write], revision: u64) {
+    pub fn record_applied(&mut self, writes: &[Write], revision: u64) {
         for write in writes {
             match write {
-                Write::Put { key, .. } => self.changed(key, revision, Presence::Present),
-                Write::Drop { key } => self.changed(key, revision, Presence::Absent),
+                Write::Put { key, .. } => self.record_change(key, revision, Presence::Present),
+                Write::Drop { key } => self.record_change(key, revision, Presence::Absent),
             }
         }
     }
--- a/crates/store/tests/budget.rs
+++ b/crates/store/tests/budget.rs
@@ -1,10 +1,10 @@
 //! Ranks and rates of a controller's request budget.
 
-use store::budget::{Budget, Rank, Rates, Reserve, Share, Shares};
+use store::budget::{Budget, Rates, RequestPriority, Reserve, Share, Shares};
 
 fn budget(requests_per_s: f64, writes_per_s: f64, write_burst_s: f64) -> Budget {
     let share = Share {
-        part: 1.0,
+        fraction: 1.0,
         burst_s: 1.0,
         reserve: Reserve {
             decision: 0.15,
@@ -31,24 +31,28 @@
 fn ranks_leave_their_reserve_to_the_ranks_before_them() {
     let mut b = budget(20.0, 10.0, 1.0);
     let mut taken = [0; 3];
-    for (i, rank) in [Rank::Submission, Rank::Decision, Rank::Renewal]
-        .into_iter()
-        .enumerate()
+    for (i, rank) in [
+        RequestPriority::Submission,
+        RequestPriority::Decision,
+        RequestPriority::Renewal,
+    ]
+    .into_iter()
+    .enumerate()
     {
         while b.take(0.0, 0, rank).is_ok() {
             taken[i] += 1;
         }
     }
     assert_eq!(taken, [13, 4, 3]);
-    let wait = b.take(0.0, 0, Rank::Renewal).unwrap_err().wait_s;
-    assert!(b.take(wait + 1e-6, 0, Rank::Renewal).is_ok());
+    let wait = b.take(0.0, 0, RequestPriority::Renewal).unwrap_err().wait_s;
+    assert!(b.take(wait + 1e-6, 0, RequestPriority::Renewal).is_ok());
 }
 
 /// The number of writes in ten seconds, as fast as the budget allows.
 fn writes_in_ten_seconds(b: &mut Budget) -> u32 {
     let (mut now, mut writes) = (0.0, 0);
     while now < 10.0 {
-        if b.take(now, 1, Rank::Renewal).is_ok() {
+        if b.take(now, 1, RequestPriority::Renewal).is_ok() {
             writes += 1;
         }
         now += 0.01;
@@ -68,9 +72,9 @@
 #[test]
 fn a_changed_share_keeps_the_level() {
     let mut b = budget(100.0, 10.0, 1.0);
-    while b.take(0.0, 1, Rank::Renewal).is_ok() {}
+    while b.take(0.0, 1, RequestPriority::Renewal).is_ok() {}
     let share = Share {
-        part: 1.0,
+        fraction: 1.0,
         burst_s: 3.0,
         reserve: Reserve {
             decision: 0.0,
@@ -84,8 +88,8 @@
         },
         0.0,
     );
-    assert!(b.take(0.0, 1, Rank::Renewal).is_err());
-    assert!(b.take(0.11, 1, Rank::Renewal).is_ok());
+    assert!(b.take(0.0, 1, RequestPriority::Renewal).is_err());
+    assert!(b.take(0.11, 1, RequestPriority::Renewal).is_ok());
 }
 
 /// The rate may have fallen without notice. The rest of the burst is not used, renewals wait for no more than
@@ -95,14 +99,22 @@
     let mut b = budget(20.0, 10.0, 1.0);
     b.refused(0.0, 3);
     assert!(
-        b.take(0.0, 0, Rank::Renewal).is_ok(),
+        b.take(0.0, 0, RequestPriority::Renewal).is_ok(),
         "only writes were refused"
     );
-    assert!(b.take(0.0, 1, Rank::Decision).is_err());
+    assert!(b.take(0.0, 1, RequestPriority::Decision).is_err());
     b.refused(0.0, 0);
-    let renewal = b.take(0.0, 0, Rank::Renewal).unwrap_err().wait_s;
-    let decision = b.take(0.0, 0, Rank::Decision).unwrap_err().wait_s;
-    let submission = b.take(0.0, 1, Rank::Submission).unwrap_err().wait_s;
+    let renewal = b.take(0.0, 0, RequestPriority::Renewal).unwrap_err().wait_s;
+    let decision = b
+        .take(0.0, 0, RequestPriority::Decision)
+        .unwrap_err()
+        .wait_s;
+    let submission = b
+        .take(0.0, 1, RequestPriority::Submission)
+        .unwrap_err()
+        .wait_s;
     assert!(renewal <= 1.0 / 20.0 + 1e-9 && renewal < decision && decision < submission);
-    assert!(b.take(submission + 1e-6, 1, Rank::Submission).is_ok());
+    assert!(b
+        .take(submission + 1e-6, 1, RequestPriority::Submission)
+        .is_ok());
 }
--- a/crates/store/tests/keys.rs
+++ b/crates/store/tests/keys.rs
@@ -1,20 +1,21 @@
 //! The names of the keys in the state service.
 
 use store::keys::{
-    binding, binding_chunk, job, job_id, progress, progress_page, roster, roster_page, Kind, ALL,
-    BINDING, JOBS, LEADER, PROGRESS, ROSTER, STARTED_ARRAYS, TERM,
+    binding, binding_chunk, job, job_id, progress, progress_page, roster, roster_page, KeyKind,
+    ALL_PREFIX, BINDING_PREFIX, JOB_PREFIX, LEADER, PROGRESS_PREFIX, ROSTER_PREFIX, STARTED_ARRAYS,
+    TERM,
 };
 
 #[test]
 fn key_names_are_fixed() {
     let fixed = [
-        ALL,
+        ALL_PREFIX,
         LEADER,
         TERM,
-        JOBS,
-        PROGRESS,
-        ROSTER,
-        BINDING,
+        JOB_PREFIX,
+        PROGRESS_PREFIX,
+        ROSTER_PREFIX,
+        BINDING_PREFIX,
         STARTED_ARRAYS,
     ];
     let names = [
@@ -37,18 +38,18 @@
 #[test]
 fn kinds_are_recognized_by_name() {
     for (key, kind) in [
-        ("lr/leader", Kind::Leader),
-        ("lr/term", Kind::Term),
-        ("lr/job/wk-000412", Kind::Job),
-        ("lr/progress/12", Kind::Progress),
-        ("lr/roster/0", Kind::Roster),
-        ("lr/binding/wk-000412/3", Kind::Binding),
-        ("lr/begun", Kind::StartRecord),
-        ("lr/begun/1", Kind::Other),
-        ("lr/", Kind::Other),
-        ("other/job/wk-000412", Kind::Other),
+        ("lr/leader", KeyKind::Leader),
+        ("lr/term", KeyKind::Term),
+        ("lr/job/wk-000412", KeyKind::Job),
+        ("lr/progress/12", KeyKind::Progress),
+        ("lr/roster/0", KeyKind::Roster),
+        ("lr/binding/wk-000412/3", KeyKind::Binding),
+        ("lr/begun", KeyKind::StartedArrays),
+        ("lr/begun/1", KeyKind::Other),
+        ("lr/", KeyKind::Other),
+        ("other/job/wk-000412", KeyKind::Other),
     ] {
-        assert_eq!(Kind::of(key), kind, "{key}");
+        assert_eq!(KeyKind::of(key), kind, "{key}");
     }
 }
 
--- a/crates/store/tests/leadership.rs
+++ b/crates/store/tests/leadership.rs
@@ -3,9 +3,9 @@
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
-use store::client::{Decided, StoreError};
+use store::client::{StoreError, TxnOutcome};
 use store::keys;
-use store::leadership::{acquire, next_token, LeaderStore, LeadershipLease, NextToken};
+use store::leadership::{acquire, advance_token, LeaderStore, LeadershipLease, NextToken};
 use wire::store::{from_value, Item, LeaderRecord, Txn, Value, Write};
 
 /// How many of a hundred requests or answers are lost.
@@ -45,7 +45,7 @@
     }
 
     fn lost<T>() -> Result<T, StoreError> {
-        Err(StoreError::Unknown("time-out".into()))
+        Err(StoreError::OutcomeUnknown("time-out".into()))
     }
 
     fn end(&self, lease: u64) {
@@ -55,7 +55,7 @@
             .retain(|_, stored| stored.lease != Some(lease));
     }
 
-    fn apply(&self, txn: &Txn) -> Result<Decided, StoreError> {
+    fn apply(&self, txn: &Txn) -> Result<TxnOutcome, StoreError> {
         let version = |k: &str| self.keys.borrow().get(k).map_or(0, |stored| stored.version);
         let lease_of = |w: &Write| match w {
             Write::Put { lease, .. } => *lease,
@@ -67,7 +67,7 @@
             .filter_map(lease_of)
             .any(|l| !self.leases.borrow().contains(&l))
         {
-            return Err(StoreError::NoLease);
+            return Err(StoreError::LeaseNotFound);
         }
         let failed: Vec<String> = txn
             .conditions
@@ -76,7 +76,7 @@
             .map(|c| c.key.clone())
             .collect();
         if !failed.is_empty() {
-            return Ok(Decided::Conflict(failed));
+            return Ok(TxnOutcome::Conflict(failed));
         }
         *self.revision.borrow_mut() += 1;
         let revision = *self.revision.borrow();
@@ -93,7 +93,7 @@
                 Write::Drop { key } => self.keys.borrow_mut().remove(key),
             };
         }
-        Ok(Decided::Applied(revision))
+        Ok(TxnOutcome::Applied(revision))
     }
 
     fn lease_of(&self, key: &str) -> Option<u64> {
@@ -135,7 +135,7 @@
         }
         Ok(())
     }
-    async fn txn(&self, txn: &Txn) -> Result<Decided, StoreError> {
+    async fn txn(&self, txn: &Txn) -> Result<TxnOutcome, StoreError> {
         if self.fails() {
             // Lost in transit, or applied after the sender has given up.
             if self.rng.borrow_mut().bool() {
@@ -190,7 +190,7 @@
 
     fn advance(&mut self, member: String, mut lease: LeadershipLease, counts: &mut Counts) {
         let seed = self.seed;
-        match smol::block_on(next_token(&self.store, &member, &lease)) {
+        match smol::block_on(advance_token(&self.store, &member, &lease)) {
             Ok(Some(NextToken { token, version })) => {
                 assert!(
                     self.tokens.insert(token),
--- a/crates/store/tests/pages.rs
+++ b/crates/store/tests/pages.rs
@@ -34,7 +34,7 @@
         }
         assert_eq!(stored, plain);
         while let Some(page) = pages.next_dirty() {
-            pages.written(page);
+            pages.mark_written(page);
         }
     }
     assert!(plain.len() > 10);
@@ -51,7 +51,7 @@
             .unwrap_or_default();
         assert!(entries.len() <= LIMIT / ENTRY, "a page is too large");
         stored.insert(*page, entries);
-        pages.written(*page);
+        pages.mark_written(*page);
     }
 }
 
--- a/crates/store/tests/versions.rs
+++ b/crates/store/tests/versions.rs
@@ -1,7 +1,7 @@
 //! Versions of the keys that a leader writes.
 
 use std::collections::{BTreeMap, BTreeSet};
-use store::versions::{Presence, Versions};
+use store::versions::{KeyVersions, Presence};
 use wire::store::{to_value, Condition, StartedArraysRecord, Write};
 
 const SEEDS: u64 = 200;
@@ -68,7 +68,7 @@
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut store = PlainStore::default();
         let (mut sent, mut confirmed) = (Vec::<Request>::new(), 0);
-        let mut known = Versions::default();
+        let mut known = KeyVersions::default();
         for content in 1..=WRITES {
             let keys: BTreeSet<String> = (0..1 + rng.usize(0..2))
                 .map(|_| format!("lr/roster/{}", rng.u32(0..PAGES)))
@@ -82,12 +82,12 @@
             let is_late = rng.u32(0..4) == 0;
             let is_applied = !is_late && store.apply(&request);
             if is_applied && rng.u32(0..4) > 0 {
-                known.applied(&writes(&request), store.revision);
+                known.record_applied(&writes(&request), store.revision);
                 confirmed += 1;
             } else if !is_applied || rng.bool() {
                 // After an unknown outcome or a conflict, the store is read.
                 for (key, stored) in &store.keys {
-                    known.changed(key, stored.version, Presence::Present);
+                    known.record_change(key, stored.version, Presence::Present);
                 }
             }
             // Any earlier request may be applied now, also a second time.
