--- a/crates/ladderroute/src/controller/message_exchange.rs
+++ b/crates/ladderroute/src/controller/message_exchange.rs
@@ -46,7 +46,7 @@
             return false;
         };
         let mut any = false;
-        for action in leadership.leader.drain() {
+        for action in leadership.leader.take_actions() {
             any = true;
             match action {
                 Action::Send(to, message) if to == self.settings.member => match message {
--- a/crates/ladderroute/src/controller_links/leader_side.rs
+++ b/crates/ladderroute/src/controller_links/leader_side.rs
@@ -123,10 +123,10 @@
     }
     if let Some(old) = links.remove(member) {
         old.outbox.close();
-        leadership.leader.owner_lost(member);
+        leadership.leader.on_owner_disconnected(member);
     }
     log::info!("event=owner_joined member={member}");
-    leadership.leader.owner_heard(member, controller.now());
+    leadership.leader.on_owner_contact(member, controller.now());
     let link = Link {
         outbox: connection.outbox.clone(),
         id: connection.id,
@@ -146,7 +146,7 @@
     if current == Some(connection.id) {
         log::info!("event=owner_left member={member}");
         leadership.links.remove(member);
-        leadership.leader.owner_lost(member);
+        leadership.leader.on_owner_disconnected(member);
     }
 }
 
@@ -159,7 +159,7 @@
     let Some(leadership) = &mut shared.leadership else {
         return Next::End;
     };
-    leadership.leader.owner_heard(&connection.member, now);
+    leadership.leader.on_owner_contact(&connection.member, now);
     match message {
         ToLeader::Ping { n } => {
             answer_ping(controller, leadership, &owner.authority, connection, n, now)
@@ -187,7 +187,7 @@
     let silent_at = now + controller.config.owner_silence_s() * GRANT_SILENCE_SHARE;
     let until = authority.answers_until().min(silent_at);
     let leader = &mut leadership.leader;
-    let Some(valid_s) = leader.grant(&connection.member, now, until) else {
+    let Some(valid_s) = leader.grant_authority(&connection.member, now, until) else {
         return;
     };
     let grant = ToOwner::Grant {
--- a/crates/ladderroute/src/leadership/begin.rs
+++ b/crates/ladderroute/src/leadership/begin.rs
@@ -22,7 +22,7 @@
     if controller.now() < controller.config.lease_s {
         // Who leads so soon after its start is one of several that started together: else one that
         // ran on would lead.
-        leader.expect_others();
+        leader.expect_other_controllers();
     }
     // What was assigned in earlier epochs must not be answered on this leadership's authority.
     state.owner = Owner::new(&controller.settings.member, controller.config.clone());
@@ -65,7 +65,7 @@
     }
     leader.set_recently_cancelled(recently_cancelled(controller, replica));
     if let Some(types) = shared.catalog.clone() {
-        leader.catalog(types);
+        leader.set_catalog(types);
     }
     leader
 }
--- a/crates/ladderroute/src/provisioning.rs
+++ b/crates/ladderroute/src/provisioning.rs
@@ -111,7 +111,7 @@
     let mut guard = controller.lock();
     let state = &mut *guard;
     if let Some(leadership) = &mut state.shared.leadership {
-        leadership.leader.catalog(catalog.types.clone());
+        leadership.leader.set_catalog(catalog.types.clone());
     }
     state.shared.catalog = Some(catalog.types);
     controller.exchange_messages(state);
@@ -125,7 +125,9 @@
         let Some(list) = get::<MachineList>(controller, &list_path(&after)).await else {
             return;
         };
-        with_leader(controller, |leader, now| leader.listed(&list.machines, now));
+        with_leader(controller, |leader, now| {
+            leader.on_machines_listed(&list.machines, now)
+        });
         if list.more {
             since = list.machines.last().map(|machine| machine.name.clone());
             smol::Timer::after(pace(controller)).await;
--- a/crates/ladderroute/src/writer/batch.rs
+++ b/crates/ladderroute/src/writer/batch.rs
@@ -54,7 +54,7 @@
 
     /// Whether it is the new token, which is not written like the rest.
     pub fn is_token(&self) -> bool {
-        matches!(self.actions.first(), Some(Action::NewToken))
+        matches!(self.actions.first(), Some(Action::IssueToken))
     }
 }
 
@@ -138,20 +138,20 @@
     /// Adds the writes of a decision.
     fn join(&mut self, action: &Action) -> Joined {
         match action {
-            Action::NewToken => Joined::Yes,
+            Action::IssueToken => Joined::Yes,
             Action::Bind {
                 job,
                 attempt,
                 places,
             } => self.join_binding(job, *attempt, places),
-            Action::Finish { job } => self.join_finish(job),
-            Action::Roster(name, None) => {
+            Action::FinishJob { job } => self.join_finish(job),
+            Action::UpdateRoster(name, None) => {
                 self.records.drop_machine(name);
                 Joined::Nothing
             }
             _ if self.remaining_writes() == 0 => Joined::Later,
-            Action::Roster(name, Some(record)) => self.join_machine(name, record),
-            Action::Progress {
+            Action::UpdateRoster(name, Some(record)) => self.join_machine(name, record),
+            Action::RecordProgress {
                 job,
                 first_task,
                 bits,
--- a/crates/ladderroute/src/writer/outcome.rs
+++ b/crates/ladderroute/src/writer/outcome.rs
@@ -166,7 +166,7 @@
 
 fn finished_job(action: &Action) -> Option<String> {
     match action {
-        Action::Finish { job } => Some(job.clone()),
+        Action::FinishJob { job } => Some(job.clone()),
         _ => None,
     }
 }
@@ -210,7 +210,7 @@
 ) {
     let written = matches!(result, Ok(Outcome::Written(_)));
     match action {
-        Action::NewToken => {
+        Action::IssueToken => {
             let token = match result {
                 Ok(Outcome::Token { token, .. }) => Some(*token),
                 _ => None,
@@ -223,12 +223,12 @@
                 .leader
                 .bind_result(&job, attempt, written, node.now());
         }
-        Action::Finish { job } => apply_finish(node, leadership, job, result),
+        Action::FinishJob { job } => apply_finish(node, leadership, job, result),
         Action::RecordStartedArrays(record) => {
             leadership.leader.start_record_result(&record, written)
         }
-        Action::Roster(name, _) => leadership.leader.roster_result(&name, true, written),
-        Action::Progress {
+        Action::UpdateRoster(name, _) => leadership.leader.roster_result(&name, true, written),
+        Action::RecordProgress {
             job,
             first_task,
             bits,
@@ -266,7 +266,7 @@
         // Not at once again: the leader comes back to it, and what else waits is written meanwhile.
         Err(StoreError::Refused(MALFORMED)) => leadership.leader.finish_result(&job, false),
         _ => {
-            leadership.writes.push_back(Action::Finish { job });
+            leadership.writes.push_back(Action::FinishJob { job });
             let _ = node.writer_wake.0.try_send(());
         }
     }
--- a/crates/ladderroute/src/writer/urgency.rs
+++ b/crates/ladderroute/src/writer/urgency.rs
@@ -21,10 +21,10 @@
     /// The urgency of a decision.
     pub fn of(action: &Action) -> Urgency {
         match action {
-            Action::NewToken => Urgency::Token,
+            Action::IssueToken => Urgency::Token,
             Action::Bind { .. } => Urgency::Binding,
-            Action::Roster(_, Some(_)) | Action::RecordStartedArrays(_) => Urgency::Admission,
-            Action::Finish { .. } => Urgency::Finish,
+            Action::UpdateRoster(_, Some(_)) | Action::RecordStartedArrays(_) => Urgency::Admission,
+            Action::FinishJob { .. } => Urgency::Finish,
             _ => Urgency::Progress,
         }
     }
@@ -51,8 +51,8 @@
     /// The group of a decision.
     pub(super) fn of(action: &Action) -> Group {
         match action {
-            Action::NewToken => Group::Token,
-            Action::Finish { .. } => Group::Finish,
+            Action::IssueToken => Group::Token,
+            Action::FinishJob { .. } => Group::Finish,
             _ => Group::Records,
         }
     }
--- a/crates/ladderroute/tests/batches.rs
+++ b/crates/ladderroute/tests/batches.rs
@@ -122,12 +122,12 @@
         zone,
         spot: false,
     };
-    Action::Roster(name.into(), Some(record))
+    Action::UpdateRoster(name.into(), Some(record))
 }
 
 fn progress(job: &str) -> Action {
     let (job, bits) = (job.to_string(), "80".to_string());
-    Action::Progress {
+    Action::RecordProgress {
         job,
         first_task: 0,
         bits,
@@ -146,7 +146,7 @@
 }
 
 fn finish(job: &str) -> Action {
-    Action::Finish { job: job.into() }
+    Action::FinishJob { job: job.into() }
 }
 
 fn started_arrays() -> Action {
@@ -159,7 +159,11 @@
 /// A new token is durable before anything that is decided under it.
 #[test]
 fn a_new_token_goes_alone_and_before_all_else() {
-    let mut scene = Scene::new([machine("host-1"), Action::NewToken, binding("wk-000001", 1)]);
+    let mut scene = Scene::new([
+        machine("host-1"),
+        Action::IssueToken,
+        binding("wk-000001", 1),
+    ]);
     let batch = scene.next();
     assert!(batch.is_token());
     assert_eq!((batch.actions.len(), batch.writes.len()), (1, 0));
@@ -290,7 +294,7 @@
     assert!(scene.next().is_empty(), "taking over writes nothing");
     scene
         .waiting
-        .push_back(Action::Roster("host-000007".into(), None));
+        .push_back(Action::UpdateRoster("host-000007".into(), None));
     let batch = scene.next();
     assert_within(&batch, LOWER);
     let mut machines: Vec<String> = batch.writes.iter().flat_map(machines_on).collect();
@@ -359,7 +363,7 @@
     });
     let mut scene = Scene::taking_over(stored, LOWER);
     scene.accept("wk-000001");
-    let records = [8192, 12_288].map(|first_task| Action::Progress {
+    let records = [8192, 12_288].map(|first_task| Action::RecordProgress {
         job: "wk-000001".into(),
         first_task,
         bits: "ff".repeat(512),
--- a/crates/ladderroute/tests/reload.rs
+++ b/crates/ladderroute/tests/reload.rs
@@ -48,7 +48,7 @@
 fn leader_knows(node: &Controller, id: &str) -> bool {
     let state = node.lock();
     let leadership = state.shared.leadership.as_ref();
-    leadership.is_some_and(|leadership| leadership.leader.knows(id))
+    leadership.is_some_and(|leadership| leadership.leader.has_job(id))
 }
 
 /// A job ends during a reload, by a write of this controller that was in flight: the pages still hold it as
--- a/crates/model/src/world/election.rs
+++ b/crates/model/src/world/election.rs
@@ -60,7 +60,7 @@
         if self.defect != Defect::ForgetCancelled {
             leader.set_recently_cancelled(self.recently_cancelled());
         }
-        leader.catalog(self.types.clone());
+        leader.set_catalog(self.types.clone());
         leader
     }
 
--- a/crates/model/src/world/faults.rs
+++ b/crates/model/src/world/faults.rs
@@ -200,7 +200,7 @@
         if was_leading {
             self.end_leader();
         } else if let Some(leading) = &mut self.leading {
-            leading.leader.owner_lost(&name(i));
+            leading.leader.on_owner_disconnected(&name(i));
         }
     }
 
@@ -208,7 +208,7 @@
     pub fn cut(&mut self, i: usize, for_s: f64) {
         self.controllers[i].disconnect(self.now + for_s);
         if let Some(leading) = &mut self.leading {
-            leading.leader.owner_lost(&name(i));
+            leading.leader.on_owner_disconnected(&name(i));
         }
     }
 }
--- a/crates/model/src/world/fixtures.rs
+++ b/crates/model/src/world/fixtures.rs
@@ -103,7 +103,7 @@
     roster: &BTreeMap<String, RosterRecord>,
 ) -> Leader {
     let mut leader = Leader::new("rung-0", config, 1, 1, 4.0, jobs, roster, started_upto, 0.0);
-    leader.catalog(types);
+    leader.set_catalog(types);
     leader
 }
 
--- a/crates/model/src/world/leadership.rs
+++ b/crates/model/src/world/leadership.rs
@@ -39,7 +39,7 @@
             return;
         }
         for i in (0..self.controllers.len()).filter(|i| *i != leading.controller) {
-            leading.leader.owner_lost(&name(i));
+            leading.leader.on_owner_disconnected(&name(i));
             self.controllers[i].disconnect(self.now + 0.2);
         }
     }
@@ -92,9 +92,9 @@
         let now = self.now;
         let authority = &self.controllers[leading.controller].owner.authority;
         let (answers_until, read_at) = (authority.answers_until(), authority.read_at());
-        leading.leader.owner_heard(&name(from), now);
+        leading.leader.on_owner_contact(&name(from), now);
         let until = answers_until.min(now + self.config.owner_silence_s() * 1.25);
-        let granted = leading.leader.grant(&name(from), now, until);
+        let granted = leading.leader.grant_authority(&name(from), now, until);
         self.trace.granted(now, from, sent, granted);
         let Some(valid_s) = granted else {
             return;
@@ -121,7 +121,7 @@
                 let from = name(leading.controller);
                 leading.leader.on_owner_message(&from, message, self.now);
             }
-            for action in leading.leader.drain() {
+            for action in leading.leader.take_actions() {
                 is_idle = false;
                 self.request(leading, action);
             }
--- a/crates/model/src/world/outcomes.rs
+++ b/crates/model/src/world/outcomes.rs
@@ -39,16 +39,16 @@
         let now = self.now;
         self.trace.carried_out(now, &action, outcome);
         match action {
-            Action::NewToken => {
+            Action::IssueToken => {
                 self.term += u64::from(outcome.took_effect());
                 leader.token_result(outcome.is_confirmed().then_some(self.term), now);
             }
-            Action::Roster(machine, record) => {
+            Action::UpdateRoster(machine, record) => {
                 let is_put = record.is_some();
                 self.write_roster(&machine, record, outcome);
                 leader.roster_result(&machine, is_put, outcome.is_confirmed());
             }
-            Action::Progress {
+            Action::RecordProgress {
                 job,
                 first_task,
                 bits,
@@ -58,7 +58,7 @@
                 let written = outcome.is_confirmed().then_some(&written);
                 leader.progress_result(&job, first_task, written);
             }
-            Action::Finish { job } => {
+            Action::FinishJob { job } => {
                 let is_written = self.write_end(&job, outcome);
                 leader.finish_result(&job, is_written);
             }
--- a/crates/model/src/world/rules.rs
+++ b/crates/model/src/world/rules.rs
@@ -84,7 +84,7 @@
             let is_ready = job
                 .ready_at
                 .is_some_and(|at| self.now - at > LEADER_LEASE_S);
-            job.is_open() && is_ready && !leading.leader.knows(id)
+            job.is_open() && is_ready && !leading.leader.has_job(id)
         };
         if self.jobs.iter().any(is_forgotten) {
             self.break_rule("forgotten");
--- a/crates/model/src/world/store.rs
+++ b/crates/model/src/world/store.rs
@@ -18,10 +18,10 @@
 /// The key that an action replaces; none for what has a condition of its own or is no write.
 fn key(action: &Action) -> Option<String> {
     match action {
-        Action::Roster(machine, _) => Some(format!("roster/{machine}")),
+        Action::UpdateRoster(machine, _) => Some(format!("roster/{machine}")),
         Action::Bind { job, .. } => Some(format!("binding/{job}")),
         Action::RecordStartedArrays(_) => Some("begun".into()),
-        Action::Progress {
+        Action::RecordProgress {
             job, first_task, ..
         } => Some(format!("progress/{job}/{first_task}")),
         _ => None,
@@ -178,7 +178,7 @@
 
     /// A job's end that a leader writes is known at its controller from then on.
     fn note_writer(&mut self, leading: usize, action: &Action) {
-        let Action::Finish { job } = action else {
+        let Action::FinishJob { job } = action else {
             return;
         };
         if let Some(job) = self.jobs.get_mut(job).filter(|job| job.is_open()) {
--- a/crates/model/src/world/trace.rs
+++ b/crates/model/src/world/trace.rs
@@ -232,21 +232,21 @@
     fn action(&mut self, action: &Action) {
         match action {
             Action::Send(to, message) => self.raw(&[1]).text(to).bytes(&frame(message)),
-            Action::NewToken => self.raw(&[2]),
-            Action::Roster(machine, record) => self
+            Action::IssueToken => self.raw(&[2]),
+            Action::UpdateRoster(machine, record) => self
                 .raw(&[3])
                 .text(machine)
                 .flag(record.is_some())
                 .bytes(&record.as_ref().map(encode).unwrap_or_default()),
             Action::RecordStartedArrays(record) => self.raw(&[4]).bytes(&encode(record)),
-            Action::Progress {
+            Action::RecordProgress {
                 job,
                 first_task,
                 bits,
             } => self
                 .raw(&[5])
                 .bytes(&encode(&progress(job, *first_task, bits))),
-            Action::Finish { job } => self.raw(&[6]).text(job),
+            Action::FinishJob { job } => self.raw(&[6]).text(job),
             Action::Bind {
                 job,
                 attempt,
--- a/crates/model/tests/leader_and_owner.rs
+++ b/crates/model/tests/leader_and_owner.rs
@@ -130,7 +130,7 @@
         1.0,
     );
     assert_eq!(leader.used_by("red").cpus, 4.0);
-    leader.drain();
+    leader.take_actions();
     let done = view_of(0, 7, TaskState::Exited, Some(Why::Done));
     leader.on_owner_message(
         "rung-0",
@@ -138,9 +138,9 @@
         1.1,
     );
     assert_eq!(leader.used_by("red").cpus, 4.0);
-    assert!(leader.done_of("wk-1").contains(0));
+    assert!(leader.done_tasks("wk-1").contains(0));
     let stop = |d: &Action| matches!(d, Action::Send(_, ToOwner::Stop { machine, task, .. }) if machine == "host-1" && task.attempt == 9);
-    assert!(leader.drain().iter().any(stop));
+    assert!(leader.take_actions().iter().any(stop));
 }
 
 /// A job is cancelled while the new leader does not know yet what runs on a machine that hangs:
@@ -164,13 +164,13 @@
         },
         true,
     );
-    leader.drain();
+    leader.take_actions();
     leader.tick(2.0, 0);
     let assigned = |d: Action| match d {
         Action::Send(_, ToOwner::Assign { tasks, .. }) => tasks.iter().map(|(_, n)| n).sum::<u32>(),
         _ => 0,
     };
-    let assigned: u32 = leader.drain().into_iter().map(assigned).sum();
+    let assigned: u32 = leader.take_actions().into_iter().map(assigned).sum();
     assert_eq!(assigned, 2, "of 16 CPUs two tasks of 4 may still run");
 }
 
@@ -191,20 +191,20 @@
             0.0,
         );
         if starting {
-            leader.expect_others();
+            leader.expect_other_controllers();
         }
         let mut seen = Vec::new();
         for step in 1..40 {
             let now = f64::from(step) / 10.0;
             for (member, at) in [("rung-1", 5), ("rung-2", 12), ("rung-3", 21)] {
                 if step >= at {
-                    leader.owner_heard(member, now);
+                    leader.on_owner_contact(member, now);
                 }
             }
             leader.tick(now, 3);
-            for d in leader.drain() {
+            for d in leader.take_actions() {
                 match d {
-                    Action::NewToken => leader.token_result(Some(leader.token() + 1), now),
+                    Action::IssueToken => leader.token_result(Some(leader.token() + 1), now),
                     Action::Send(to, ToOwner::Epoch { members, .. }) if to == "rung-0" => {
                         seen.push(members.len())
                     }
@@ -237,11 +237,11 @@
             .map(|n| machine_status(n, Vec::new()))
             .collect();
         leader.on_owner_message("rung-0", ToLeader::MachineStatuses(known), 2.0);
-        leader.drain();
+        leader.take_actions();
         (20..400).map(|t| f64::from(t) / 10.0).find(|now| {
             leader.tick(*now, 0);
             leader
-                .drain()
+                .take_actions()
                 .iter()
                 .any(|d| matches!(d, Action::Deprovision(names) if names.len() == silent))
         })
@@ -279,7 +279,7 @@
         leader.add_job(OpenJob::new(array(id), 10 + i as u64, prior_runs));
     }
     leader.tick(1.0, 0);
-    let record = leader.drain().into_iter().find_map(|d| match d {
+    let record = leader.take_actions().into_iter().find_map(|d| match d {
         Action::RecordStartedArrays(record) => Some(record),
         _ => None,
     });
@@ -296,7 +296,7 @@
     leader.start_record_result(&record, false);
     leader.tick(2.0, 0);
     assert!(leader
-        .drain()
+        .take_actions()
         .iter()
         .any(|d| matches!(d, Action::RecordStartedArrays(again) if *again == record)));
 }
--- a/crates/model/tests/notices.rs
+++ b/crates/model/tests/notices.rs
@@ -50,7 +50,7 @@
     while now < 6.0 {
         now += 0.5;
         leader.tick(now, 0);
-        for action in leader.drain() {
+        for action in leader.take_actions() {
             if let Action::Send(_, ToOwner::Stop { task, grace_s, .. }) = action {
                 assert!(grace_s >= 2.0, "there is time to save");
                 stopped.insert(task.index);
--- a/crates/model/tests/plain.rs
+++ b/crates/model/tests/plain.rs
@@ -31,7 +31,7 @@
 fn leader_with(config: SchedulerConfig, machines: &[(&str, &str)]) -> Leader {
     let mut leader = lone_leader(config, machine_types(), Vec::new(), 0, &BTreeMap::new());
     leader.tick(5.0, 0);
-    leader.drain();
+    leader.take_actions();
     for (name, kind) in machines {
         let status = MachineStatus {
             usable: false,
@@ -40,7 +40,7 @@
         leader.on_owner_message("rung-0", ToLeader::MachineStatuses(vec![status]), 5.0);
         leader.roster_result(name, true, true);
     }
-    leader.drain();
+    leader.take_actions();
     leader
 }
 
@@ -147,7 +147,7 @@
             .map(|(name, kind)| plain_machine(name, kind))
             .collect();
         let want = place(&mut plain, &by_guarantee(&jobs), limit);
-        let got = placed(&leader.drain());
+        let got = placed(&leader.take_actions());
         let is_placed_gang = |job: &&Job| job.shape == Shape::Gang && got.contains_key(&job.id);
         gangs += jobs.iter().filter(is_placed_gang).count();
         assert_eq!(got, want, "round {round}: {machines:?} {jobs:?}");
@@ -179,7 +179,7 @@
     }
     leader.start_record_result(&all_started(13), true);
     leader.tick(5.1, 0);
-    let got = placed(&leader.drain());
+    let got = placed(&leader.take_actions());
     for i in 4..13 {
         assert_eq!(
             got.get(&format!("wk-{i:06}")),
@@ -197,9 +197,9 @@
 fn a_new_leader_uses_the_machines_of_the_roster() {
     let roster = roster(["host-1"], &roster_record("small"));
     let mut leader = Leader::new("rung-0", config(), 1, 7, 4.0, Vec::new(), &roster, 0, 0.0);
-    leader.catalog(vec![machine_type("small", 4.0, 16.0, 0.3)]);
+    leader.set_catalog(vec![machine_type("small", 4.0, 16.0, 0.3)]);
     leader.tick(5.0, 0);
-    let usable = leader.drain().into_iter().any(
+    let usable = leader.take_actions().into_iter().any(
         |d| matches!(d, Action::Send(_, ToOwner::Epoch { machines, .. }) if machines.iter().any(|c| c.name == "host-1" && c.usable)),
     );
     assert!(usable, "the owner was not told that it may use the machine");
@@ -237,7 +237,7 @@
     };
     add(&mut leader, job(1, "blue", Shape::Array, 4, 1.0), 1);
     leader.tick(6.0, 0);
-    let assigned = leader.drain().into_iter().find_map(|d| match d {
+    let assigned = leader.take_actions().into_iter().find_map(|d| match d {
         Action::Send(_, ToOwner::Assign { attempt, .. }) => Some(attempt),
         _ => None,
     });
@@ -260,7 +260,7 @@
     leader.tick(7.0, 0);
     leader.tick(9.0, 0);
     leader
-        .drain()
+        .take_actions()
         .iter()
         .filter(
             |d| matches!(d, Action::Send(_, ToOwner::Stop { task, .. }) if task.job == "wk-000001"),
--- a/crates/model/tests/preemption.rs
+++ b/crates/model/tests/preemption.rs
@@ -78,7 +78,7 @@
         while self.now < end {
             self.now += 0.25;
             self.leader.tick(self.now, 0);
-            for action in self.leader.drain() {
+            for action in self.leader.take_actions() {
                 match action {
                     Action::Send(_, ToOwner::Stop { task, .. }) => {
                         self.stopped.insert(task);
@@ -254,7 +254,7 @@
     while now < 8.0 {
         now += 0.25;
         leader.tick(now, 0);
-        for action in leader.drain() {
+        for action in leader.take_actions() {
             if let Action::Provision(request) = action {
                 provisioned += request.count;
             }
--- a/crates/model/tests/scale_out.rs
+++ b/crates/model/tests/scale_out.rs
@@ -69,14 +69,14 @@
                 .collect();
             self.leader
                 .on_owner_message("rung-0", ToLeader::MachineStatuses(views), self.now);
-            for action in self.leader.drain() {
+            for action in self.leader.take_actions() {
                 match action {
                     Action::Provision(request) => {
                         self.requests.push((self.now, request.clone()));
                         self.leader
                             .provision_result(&request.name, Some(Vec::new()), self.now);
                     }
-                    Action::NewToken => self.leader.token_result(Some(2), self.now),
+                    Action::IssueToken => self.leader.token_result(Some(2), self.now),
                     Action::RecordStartedArrays(record) => {
                         self.leader.start_record_result(&record, true)
                     }
--- a/crates/model/tests/staleness.rs
+++ b/crates/model/tests/staleness.rs
@@ -389,14 +389,14 @@
         "red".to_string(),
         Resources::default(),
     )]);
-    leader.owner_heard("rung-1", 0.0);
+    leader.on_owner_contact("rung-1", 0.0);
     leader.tick(1.0, 1);
     let notified = |leader: &mut Leader| -> Vec<Vec<String>> {
         let over = |d| match d {
             Action::Send(to, ToOwner::Terminal { jobs }) if to == "rung-1" => Some(jobs),
             _ => None,
         };
-        leader.drain().into_iter().filter_map(over).collect()
+        leader.take_actions().into_iter().filter_map(over).collect()
     };
     assert_eq!(notified(&mut leader), vec![vec!["wk-000009".to_string()]]);
     leader.on_owner_message(
@@ -409,8 +409,8 @@
     assert_eq!(notified(&mut leader), vec![vec!["wk-000001".to_string()]]);
     leader.on_job_terminal("wk-000001");
     assert_eq!(notified(&mut leader), Vec::<Vec<String>>::new());
-    leader.owner_lost("rung-1");
-    leader.owner_heard("rung-1", 2.0);
+    leader.on_owner_disconnected("rung-1");
+    leader.on_owner_contact("rung-1", 2.0);
     leader.tick(2.5, 1);
     leader.token_result(Some(2), 2.6);
     assert_eq!(
--- a/crates/model/tests/waits.rs
+++ b/crates/model/tests/waits.rs
@@ -37,7 +37,7 @@
         now += 0.5;
         leader.tick(now, 0);
         let mut exits = Vec::new();
-        for action in leader.drain() {
+        for action in leader.take_actions() {
             if let Action::Send(_, ToOwner::Assign { job, attempt, .. }) = action {
                 tries.push(now);
                 let task = TaskRef {
@@ -114,7 +114,7 @@
     let roster = roster(hosts.clone(), &roster_record("small"));
     let open = OpenJob::new(spec, 1, PriorRuns::None);
     let mut leader = lone_leader(config(), small_type(), vec![open], 1, &roster);
-    members.iter().for_each(|m| leader.owner_heard(m, 0.5));
+    members.iter().for_each(|m| leader.on_owner_contact(m, 0.5));
     leader.tick(0.6, 2);
     for (member, host) in members.iter().zip(&hosts) {
         let empty = machine_status(host, "small", vec![]);
@@ -124,9 +124,9 @@
     let mut reserve = |leader: &mut Leader| {
         for _ in 0..100 {
             now += 0.5;
-            members.iter().for_each(|m| leader.owner_heard(m, now));
+            members.iter().for_each(|m| leader.on_owner_contact(m, now));
             leader.tick(now, 2);
-            let reserved = leader.drain().into_iter().find_map(|d| match d {
+            let reserved = leader.take_actions().into_iter().find_map(|d| match d {
                 Action::Send(_, ToOwner::Reserve { attempt, .. }) => Some(attempt),
                 _ => None,
             });
@@ -183,7 +183,7 @@
         now += 0.5;
         leader.tick(now, 0);
         let mut turn = 0;
-        for action in leader.drain() {
+        for action in leader.take_actions() {
             match action {
                 Action::Send(
                     _,
@@ -230,7 +230,7 @@
 
 /// Whether a leader tells some owner to drain a machine.
 fn drains_a_machine(leader: &mut Leader) -> bool {
-    leader.drain().iter().any(|action| {
+    leader.take_actions().iter().any(|action| {
         matches!(
             action,
             Action::Send(_, ToOwner::SetUsable { usable: false, .. })
--- a/crates/sched/src/leader/epoch.rs
+++ b/crates/sched/src/leader/epoch.rs
@@ -11,24 +11,24 @@
 
 impl Leader {
     /// A controller has connected, or was heard.
-    pub fn owner_heard(&mut self, member: &str, now: Secs) {
-        self.epochs.owner_heard(member, now);
+    pub fn on_owner_contact(&mut self, member: &str, now: Secs) {
+        self.epochs.on_owner_contact(member, now);
     }
 
     /// The connection to an owner is lost.
-    pub fn owner_lost(&mut self, member: &str) {
-        self.epochs.owner_lost(member);
+    pub fn on_owner_disconnected(&mut self, member: &str) {
+        self.epochs.on_owner_disconnected(member);
     }
 
     /// For how long an owner may be granted authority that ends before `until`, in seconds; none if it is
     /// no owner under the present token.
-    pub fn grant(&mut self, member: &str, now: Secs, until: Secs) -> Option<Secs> {
-        self.epochs.grant(member, now, until)
+    pub fn grant_authority(&mut self, member: &str, now: Secs, until: Secs) -> Option<Secs> {
+        self.epochs.grant_authority(member, now, until)
     }
 
     /// The other controllers are probably starting as well: the first epoch waits for them a little.
-    pub fn expect_others(&mut self) {
-        self.epochs.expect_others();
+    pub fn expect_other_controllers(&mut self) {
+        self.epochs.expect_other_controllers();
     }
 
     /// A new token is durable, or could not be had for now.
@@ -43,7 +43,7 @@
         let silence_s = self.cluster.config.owner_silence_s();
         match self.epochs.review(now, known, silence_s) {
             EpochReview::Unchanged => {}
-            EpochReview::NeedsToken => self.actions.push(Action::NewToken),
+            EpochReview::NeedsToken => self.actions.push(Action::IssueToken),
             EpochReview::Begin => self.begin_epoch(now),
         }
     }
@@ -64,7 +64,7 @@
         self.forget_sent_orders();
         self.announce_epoch(&change);
         self.reconcile();
-        self.wake = true;
+        self.pass_requested = true;
     }
 
     fn cancel_all_reservations(&mut self, now: Secs) {
--- a/crates/sched/src/leader/jobs.rs
+++ b/crates/sched/src/leader/jobs.rs
@@ -9,7 +9,7 @@
 
 impl Leader {
     /// Whether a job is in this leader's hands.
-    pub fn knows(&self, id: &str) -> bool {
+    pub fn has_job(&self, id: &str) -> bool {
         self.cluster.jobs.contains_key(id)
     }
 
@@ -22,7 +22,7 @@
         }
         self.autoscaler.arrived(&job.spec, self.time);
         self.cluster.insert_job(Job::new(job, self.time));
-        self.wake = true;
+        self.pass_requested = true;
     }
 
     /// Treats a job with the priority of a job that needs it, or with its own again.
@@ -30,7 +30,7 @@
         let changes = |job: &&mut Job| job.priority != priority;
         if let Some(job) = self.cluster.jobs.get_mut(id).filter(changes) {
             job.priority = priority;
-            self.wake = true;
+            self.pass_requested = true;
         }
     }
 
@@ -64,7 +64,7 @@
         }
         self.stop_all(id, 0.0);
         self.forget_if_terminal(id);
-        self.wake = true;
+        self.pass_requested = true;
     }
 
     /// Owners hold starts that no status has shown yet: they are told not to carry them out.
@@ -111,7 +111,7 @@
         }
         self.finish_if_done(id);
         self.forget_if_terminal(id);
-        self.wake = true;
+        self.pass_requested = true;
     }
 
     /// Has the end of a job recorded once all its tasks are done.
@@ -119,7 +119,7 @@
         if let Some(job) = self.cluster.jobs.get_mut(id) {
             if !job.terminal && !job.finishing && job.done.len() == job.spec.tasks {
                 job.finishing = true;
-                self.actions.push(Action::Finish { job: id.into() });
+                self.actions.push(Action::FinishJob { job: id.into() });
             }
         }
     }
--- a/crates/sched/src/leader/machine_status.rs
+++ b/crates/sched/src/leader/machine_status.rs
@@ -84,7 +84,7 @@
             self.repeat_usable(from, &status);
         }
         self.apply_tasks(&status, now);
-        self.wake = true;
+        self.pass_requested = true;
     }
 
     fn add_machine(&mut self, owner: &str, status: &MachineStatus, now: Secs) {
@@ -116,7 +116,8 @@
             zone: machine.zone.clone(),
             spot: machine.spot,
         };
-        self.actions.push(Action::Roster(name.into(), Some(record)));
+        self.actions
+            .push(Action::UpdateRoster(name.into(), Some(record)));
     }
 
     /// An owner that began anew after it was sent whether it may use a machine is sent it again.
--- a/crates/sched/src/leader/machines.rs
+++ b/crates/sched/src/leader/machines.rs
@@ -21,7 +21,7 @@
         self.cluster.machines.mark_dirty(machine);
         if written {
             self.send_usable(machine);
-            self.wake = true;
+            self.pass_requested = true;
         }
     }
 
@@ -51,8 +51,8 @@
             self.requeue_task(&id, index);
         }
         self.cluster.machines.remove(name);
-        self.actions.push(Action::Roster(name.into(), None));
+        self.actions.push(Action::UpdateRoster(name.into(), None));
         self.reconcile();
-        self.wake = true;
+        self.pass_requested = true;
     }
 }
--- a/crates/sched/src/leader/mod.rs
+++ b/crates/sched/src/leader/mod.rs
@@ -12,7 +12,6 @@
 mod jobs;
 mod machine_status;
 mod machines;
-mod notices;
 mod preemption;
 mod progress;
 mod queue;
@@ -21,12 +20,13 @@
 mod running_counts;
 mod scaling;
 mod shard_epochs;
+mod spot_notices;
 mod started_arrays;
 mod stops;
 mod summary;
 mod task_status;
 mod terminal_jobs;
-mod unresolved;
+mod unresolved_tasks;
 
 pub(crate) use crate::cluster::{
     Active, Cluster, Job, Machine, Phase, Rostered, StartRecord, TaskLocation,
@@ -34,7 +34,7 @@
 pub use crate::cluster::{OpenJob, PriorRuns};
 pub use progress::chunk_bits;
 pub use summary::{CpuUse, Summary};
-pub(crate) use task_status::LONGEST_BACKOFF_S;
+pub(crate) use task_status::MAX_BACKOFF_S;
 
 use crate::config::SchedulerConfig;
 use crate::placement::Resources;
@@ -44,7 +44,7 @@
 use started_arrays::StartedArrays;
 use std::collections::BTreeMap;
 use terminal_jobs::TerminalJobs;
-use unresolved::UnresolvedTasks;
+use unresolved_tasks::UnresolvedTasks;
 use wire::cloud::{MachineType, ProvisionRequest};
 use wire::peers::ToOwner;
 use wire::store::{RosterRecord, StartedArraysRecord};
@@ -55,13 +55,13 @@
     /// Send a message to an owner.
     Send(String, ToOwner),
     /// Make the next fencing token durable; answered by [`Leader::token_result`].
-    NewToken,
+    IssueToken,
     /// Write a machine's record into the roster, or drop it; answered by [`Leader::roster_result`].
-    Roster(String, Option<RosterRecord>),
+    UpdateRoster(String, Option<RosterRecord>),
     /// Record from which arrays tasks may be started; answered by [`Leader::start_record_result`].
     RecordStartedArrays(StartedArraysRecord),
     /// Record which tasks of a job are done; answered by [`Leader::progress_result`].
-    Progress {
+    RecordProgress {
         /// The job.
         job: String,
         /// The task of the first bit.
@@ -70,7 +70,7 @@
         bits: String,
     },
     /// Record that a job is done; answered by [`Leader::finish_result`].
-    Finish {
+    FinishJob {
         /// The job.
         job: String,
     },
@@ -108,12 +108,12 @@
     has_unknown_prior_runs: bool,
     pub(crate) actions: Vec<Action>,
     /// Something has changed that the next pass should see soon.
-    wake: bool,
+    pass_requested: bool,
     /// Tasks of a progress record.
     chunk_bits: u32,
     progress_flushed_at: Secs,
-    pass_at: Secs,
-    pub(crate) preemption_at: Secs,
+    last_pass_at: Secs,
+    pub(crate) last_preemption_at: Secs,
 }
 
 /// Progress is written every so many parts of a worker's lease.
@@ -148,11 +148,11 @@
             time: now,
             has_unknown_prior_runs: true,
             actions: Vec::new(),
-            wake: false,
+            pass_requested: false,
             chunk_bits: chunk_bits(value_kb),
             progress_flushed_at: now,
-            pass_at: f64::MIN,
-            preemption_at: f64::MIN,
+            last_pass_at: f64::MIN,
+            last_preemption_at: f64::MIN,
         };
         for job in jobs {
             leader.add_job(job);
@@ -187,7 +187,7 @@
     }
 
     /// Takes the actions that were decided since.
-    pub fn drain(&mut self) -> Vec<Action> {
+    pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
@@ -207,7 +207,7 @@
         self.expire_reservations(now);
         self.handle_spot_notices(now);
         if self.pass_is_due(now) {
-            self.pass_at = now;
+            self.last_pass_at = now;
             self.schedule(now);
             self.preempt(now);
         }
@@ -235,7 +235,7 @@
     /// Whether a pass is to be made now: something has changed, or half a heartbeat interval is over.
     fn pass_is_due(&mut self, now: Secs) -> bool {
         let interval_s = self.cluster.config.heartbeat_s.min(1.0) / 2.0;
-        std::mem::take(&mut self.wake) || now - self.pass_at > interval_s
+        std::mem::take(&mut self.pass_requested) || now - self.last_pass_at > interval_s
     }
 
     /// What is not recorded yet is still in the workers' heartbeats, should this leader be lost.
@@ -247,8 +247,8 @@
         }
     }
 
-    pub(crate) fn wake(&mut self) {
-        self.wake = true;
+    pub(crate) fn request_pass(&mut self) {
+        self.pass_requested = true;
     }
 
     /// A number for an attempt, unique among all leaders, since the token is.
@@ -258,7 +258,7 @@
     }
 
     /// The cloud's machine types, as they are at present.
-    pub fn catalog(&mut self, types: Vec<MachineType>) {
+    pub fn set_catalog(&mut self, types: Vec<MachineType>) {
         let has_changed = self.cluster.set_types(types);
         if has_changed && self.epochs.is_set() {
             let types = self.cluster.types.values().cloned().collect();
@@ -267,6 +267,6 @@
                 self.send(&member, message.clone());
             }
         }
-        self.wake = true;
+        self.pass_requested = true;
     }
 }
--- a/crates/sched/src/leader/preemption/mod.rs
+++ b/crates/sched/src/leader/preemption/mod.rs
@@ -39,7 +39,7 @@
     /// examined only when there is an entry for which others may be stopped.
     pub(crate) fn preempt(&mut self, now: Secs) {
         let interval_s = self.cluster.config.guarantee_s * GRACE_SHARE / ROUNDS_PER_GRACE;
-        if now - self.preemption_at < interval_s {
+        if now - self.last_preemption_at < interval_s {
             return;
         }
         let entries = eligibility::eligible_entries(&self.cluster, now);
@@ -47,7 +47,7 @@
         if !eligibility::any_preemptible(&self.cluster, &entries, &usage) {
             return;
         }
-        self.preemption_at = now;
+        self.last_preemption_at = now;
         let scarce = self.cluster.scarce();
         let cordon = self.cordon_for_gang(&scarce, now);
         let planner = Planner::new(&self.cluster, usage, &scarce, cordon.as_ref(), now);
--- a/crates/sched/src/leader/progress.rs
+++ b/crates/sched/src/leader/progress.rs
@@ -11,7 +11,7 @@
 
 impl Leader {
     /// What is done of a job at present.
-    pub fn done_of(&self, id: &str) -> Ranges {
+    pub fn done_tasks(&self, id: &str) -> Ranges {
         self.cluster
             .jobs
             .get(id)
@@ -60,7 +60,7 @@
             for chunk in dirty {
                 let first_task = chunk * chunk_tasks;
                 let end = (first_task + chunk_tasks).min(job.spec.tasks);
-                self.actions.push(Action::Progress {
+                self.actions.push(Action::RecordProgress {
                     job: id.clone(),
                     first_task,
                     bits: job.done.hex(first_task, end),
--- a/crates/sched/src/leader/queue/bookkeeping.rs
+++ b/crates/sched/src/leader/queue/bookkeeping.rs
@@ -1,6 +1,6 @@
 //! What placing a task changes in the leader's view of the cluster, for arrays and gangs alike.
 
-use crate::leader::LONGEST_BACKOFF_S;
+use crate::leader::MAX_BACKOFF_S;
 use crate::leader::{Active, Leader, TaskLocation};
 use crate::placement::Resources;
 use crate::Secs;
@@ -18,7 +18,7 @@
             .cluster
             .jobs
             .get(id)
-            .is_some_and(|job| !job.is_broken() || now - job.backoff_until > LONGEST_BACKOFF_S);
+            .is_some_and(|job| !job.is_broken() || now - job.backoff_until > MAX_BACKOFF_S);
         if counts {
             self.cluster.unmet.push((id.into(), tasks));
         }
--- a/crates/sched/src/leader/queue/reservations.rs
+++ b/crates/sched/src/leader/queue/reservations.rs
@@ -199,7 +199,7 @@
                 ToOwner::ReleaseReservation { attempt: *attempt },
             ));
         }
-        self.wake();
+        self.request_pass();
     }
 
     /// Ends what an attempt has reserved on a machine, and returns the machine's owner; none if the
--- a/crates/sched/src/leader/reconciliation.rs
+++ b/crates/sched/src/leader/reconciliation.rs
@@ -48,7 +48,7 @@
         }
         for id in known {
             self.resolve_prior_runs(&id);
-            self.wake = true;
+            self.pass_requested = true;
         }
     }
 
--- a/crates/sched/src/leader/requeue.rs
+++ b/crates/sched/src/leader/requeue.rs
@@ -12,7 +12,7 @@
         let Some(job) = self.cluster.jobs.get_mut(id) else {
             return;
         };
-        self.wake = true;
+        self.pass_requested = true;
         if !job.terminal && !job.done.contains(index) {
             job.ready.insert(index);
         }
--- a/crates/sched/src/leader/scaling.rs
+++ b/crates/sched/src/leader/scaling.rs
@@ -55,7 +55,7 @@
     }
 
     /// A list of the cloud's machines: adopts what is not known, returns what has failed.
-    pub fn listed(&mut self, list: &[ListedMachine], now: Secs) {
+    pub fn on_machines_listed(&mut self, list: &[ListedMachine], now: Secs) {
         let releases = self.autoscaler.take_in_list(&self.cluster, list, now);
         self.actions
             .extend(releases.into_iter().map(Action::Deprovision));
--- a/crates/sched/src/leader/shard_epochs.rs
+++ b/crates/sched/src/leader/shard_epochs.rs
@@ -127,7 +127,7 @@
     }
 
     /// A controller has connected, or was heard.
-    pub(crate) fn owner_heard(&mut self, member: &str, now: Secs) {
+    pub(crate) fn on_owner_contact(&mut self, member: &str, now: Secs) {
         let link = self.links.entry(member.into()).or_insert(OwnerLink {
             connected_at: now,
             last_heard: now,
@@ -137,7 +137,7 @@
     }
 
     /// The connection to a controller is lost.
-    pub(crate) fn owner_lost(&mut self, member: &str) {
+    pub(crate) fn on_owner_disconnected(&mut self, member: &str) {
         let Some(link) = self.links.remove(member) else {
             return;
         };
@@ -154,7 +154,7 @@
 
     /// For how long an owner may be granted authority that ends before `until`, in seconds; none if it is
     /// no owner under the present token.
-    pub(crate) fn grant(&mut self, member: &str, now: Secs, until: Secs) -> Option<Secs> {
+    pub(crate) fn grant_authority(&mut self, member: &str, now: Secs, until: Secs) -> Option<Secs> {
         if !self.is_set || !self.is_member(member) {
             return None;
         }
@@ -170,7 +170,7 @@
     /// The other controllers are probably starting as well: the first epoch waits for them a
     /// little. Each epoch that moves a machine to another owner costs two of its heartbeats before
     /// it is reconciled, and a worker makes haste for a new token only once in half a lease.
-    pub(crate) fn expect_others(&mut self) {
+    pub(crate) fn expect_other_controllers(&mut self) {
         self.expects_others = true;
     }
 
@@ -202,7 +202,7 @@
         let silent: Vec<String> = silent.map(|(member, _)| member.clone()).collect();
         for member in silent {
             log::info!("event=owner_silent member={member}");
-            self.owner_lost(&member);
+            self.on_owner_disconnected(&member);
         }
     }
 
--- a/crates/sched/src/leader/started_arrays.rs
+++ b/crates/sched/src/leader/started_arrays.rs
@@ -69,6 +69,6 @@
         for job in covered.filter(|job| record.covers(job.revision)) {
             job.start_record = outcome;
         }
-        self.wake = true;
+        self.pass_requested = true;
     }
 }
--- a/crates/sched/src/leader/task_status.rs
+++ b/crates/sched/src/leader/task_status.rs
@@ -7,7 +7,7 @@
 
 /// A job whose tasks fail waits no longer than this, about: no job may wait 90 s beside capacity for it (a
 /// figure of the users), and the cause may have been a machine.
-pub(crate) const LONGEST_BACKOFF_S: Secs = 45.0;
+pub(crate) const MAX_BACKOFF_S: Secs = 45.0;
 
 /// The back-off of a job doubles with each failure, at most so often.
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
@@ -146,7 +146,7 @@
                 if now >= job.backoff_until {
                     job.failures += 1;
                     let doublings = job.failures.min(MAX_BACKOFF_DOUBLINGS);
-                    let wait_s = (base_s * f64::from(1u32 << doublings)).min(LONGEST_BACKOFF_S);
+                    let wait_s = (base_s * f64::from(1u32 << doublings)).min(MAX_BACKOFF_S);
                     job.backoff_until = now + wait_s * (0.75 + 0.5 * self.rng.f64());
                 }
                 if why == Why::Error {
