--- a/crates/ladderroute/src/api/users/job_state.rs
+++ b/crates/ladderroute/src/api/users/job_state.rs
@@ -49,7 +49,7 @@
 
 /// Answers with the state of a job whose record was written for this request.
 pub(super) async fn answer_created(node: &Rc<Controller>, id: &str) -> Response {
-    let is_fresh = node.view_age() <= node.config.start_staleness_s();
+    let is_fresh = node.view_age() <= node.config.max_start_staleness_s();
     let created = entry(node, id).filter(|entry| is_fresh || has_no_ancestors(entry));
     if let Some(created) = created {
         return accepted(node, 201, id, &created);
--- a/crates/ladderroute/src/api/workers.rs
+++ b/crates/ladderroute/src/api/workers.rs
@@ -85,7 +85,7 @@
             revision: state.shared.view.replica().revision,
             staleness_s: now - authority.read_at(),
             authority_s: authority.until() - now,
-            margin_s: authority.answers_until() - now,
+            margin_s: authority.responses_until() - now,
         }
     }
 }
--- a/crates/ladderroute/src/cluster_view.rs
+++ b/crates/ladderroute/src/cluster_view.rs
@@ -10,7 +10,7 @@
 //! discarded once the reload has begun: the loaded pages are then certainly as new as any changes that were
 //! applied.
 
-use sched::dependencies::{Dependencies, Effect, Record};
+use sched::dependencies::{DependencyGraph, DependencyState, Effect};
 use sched::Secs;
 use store::reload::{LoadState, Reload};
 use store::replica::{ChangedKey, Replica};
@@ -73,7 +73,7 @@
 /// Invariant: the replica holds, for each key, the store's record as of `read_at` or a newer one.
 pub struct ClusterView {
     replica: Replica,
-    dependencies: Dependencies,
+    dependencies: DependencyGraph,
     read_at: Secs,
     /// Whether the store's changes since the replica's revision can bring it up to date.
     complete: bool,
@@ -87,7 +87,7 @@
     pub fn new(chunk_bits: u32) -> ClusterView {
         ClusterView {
             replica: Replica::new(chunk_bits),
-            dependencies: Dependencies::default(),
+            dependencies: DependencyGraph::default(),
             read_at: f64::MIN,
             complete: false,
             reloads_begun: 0,
@@ -101,7 +101,7 @@
     }
 
     /// The dependencies between the jobs.
-    pub fn dependencies(&self) -> &Dependencies {
+    pub fn dependencies(&self) -> &DependencyGraph {
         &self.dependencies
     }
 
@@ -168,7 +168,7 @@
         self.replica = reload.pages.finish(in_use);
         self.read_at = reload.first_page_sent_at;
         self.complete = true;
-        self.dependencies = Dependencies::default();
+        self.dependencies = DependencyGraph::default();
         let ids: Vec<String> = self.replica.jobs.keys().cloned().collect();
         for id in ids {
             self.update(&id);
@@ -217,10 +217,10 @@
             (Some(job), Recorded::Open) => {
                 let replica = &self.replica;
                 self.dependencies
-                    .accepted(job, |other| record_of(replica, other))
+                    .on_accepted(job, |other| record_of(replica, other))
             }
-            (_, Recorded::Done) => self.dependencies.done(id),
-            _ => self.dependencies.cancelled(id),
+            (_, Recorded::Done) => self.dependencies.on_done(id),
+            _ => self.dependencies.on_cancelled(id),
         };
         let own = JobChange::Record(id.to_string());
         let derived = effects.into_iter().map(|effect| self.apply_effect(effect));
@@ -241,11 +241,11 @@
 }
 
 /// A job's state as the dependencies need it.
-fn record_of(replica: &Replica, id: &str) -> Option<Record> {
+fn record_of(replica: &Replica, id: &str) -> Option<DependencyState> {
     let entry = replica.jobs.get(id)?;
     Some(match (&entry.job, entry.state) {
-        (Some(job), Recorded::Open) => Record::Open(job.priority),
-        (_, Recorded::Done) => Record::Done,
-        _ => Record::Cancelled,
+        (Some(job), Recorded::Open) => DependencyState::Open(job.priority),
+        (_, Recorded::Done) => DependencyState::Done,
+        _ => DependencyState::Cancelled,
     })
 }
--- a/crates/ladderroute/src/controller/replica_jobs.rs
+++ b/crates/ladderroute/src/controller/replica_jobs.rs
@@ -1,6 +1,6 @@
 //! The jobs of the replica, as the owner asks for them.
 
-use sched::owner::Jobs;
+use sched::owner::JobLookup;
 use sched::placement::Resources;
 use store::replica::Replica;
 use wire::store::Recorded;
@@ -16,7 +16,7 @@
     }
 }
 
-impl Jobs for ReplicaJobs<'_> {
+impl JobLookup for ReplicaJobs<'_> {
     fn resources(&self, job: &str) -> Option<Resources> {
         let spec = self.spec(job)?;
         Some(Resources {
--- a/crates/ladderroute/src/controller/view_updates.rs
+++ b/crates/ladderroute/src/controller/view_updates.rs
@@ -5,7 +5,7 @@
 use crate::cluster_view::{JobChange, Read, ViewReload};
 use crate::counters::Counters;
 use sched::leader::{OpenJob, PriorRuns};
-use sched::ranges::Ranges;
+use sched::ranges::RangeSet;
 use std::rc::Rc;
 use store::replica::JobEntry;
 use wire::store::{Changes, JobRecord};
@@ -46,7 +46,7 @@
     fn act_on_view(&self, state: &mut State) {
         self.exchange_messages(state);
         let read_at = state.shared.view.read_at();
-        state.owner.authority.prove(read_at);
+        state.owner.authority.record_read(read_at);
     }
 
     /// Takes a job's record, as the store holds it at a version, with all that follows.
@@ -111,8 +111,8 @@
 
 /// A job of the replica as the leader takes it.
 pub fn open_job(entry: &JobEntry, spec: Rc<Job>, prior_runs: PriorRuns) -> OpenJob {
-    let mut done = Ranges::default();
-    done.add_bits(0, entry.progress.bytes(), spec.tasks);
+    let mut done = RangeSet::default();
+    done.insert_bitmap(0, entry.progress.bytes(), spec.tasks);
     OpenJob {
         spec,
         revision: entry.version,
--- a/crates/ladderroute/src/controller_links/follower_side.rs
+++ b/crates/ladderroute/src/controller_links/follower_side.rs
@@ -86,7 +86,7 @@
         .spawn(write_frames(stream.clone(), outbox.clone(), limit));
     let mut frames = FrameReader::new(stream, limit);
     let pings = Rc::new(Pings::new(outbox.clone()));
-    let interval = controller.config.owner_silence_s() / PINGS_PER_SILENCE;
+    let interval = controller.config.owner_timeout_s() / PINGS_PER_SILENCE;
     let pinger = controller.executor.spawn(keep_pinging(
         pings.clone(),
         Duration::from_secs_f64(interval),
@@ -205,7 +205,7 @@
         }
         log::info!("event=joined_leader member={}", self.leader);
         // Authority from an earlier leader is not authority under this one.
-        state.owner.authority.set(f64::MIN);
+        state.owner.authority.set_until(f64::MIN);
         state.shared.to_leader = Some(self.outbox.clone());
     }
 
@@ -223,7 +223,7 @@
         // Counted from the ping's sending, so that delays only shorten it.
         if let Some(sent_at) = self.pings.sent_at(n).filter(|_| is_current) {
             let valid_s = valid_ms as f64 / 1000.0 * (1.0 - RELATIVE_DRIFT);
-            owner.authority.set(controller.at(sent_at) + valid_s);
+            owner.authority.set_until(controller.at(sent_at) + valid_s);
         }
     }
 
@@ -234,7 +234,7 @@
         // Counted back from the ping's sending: delays only make it older.
         if let Some(sent_at) = sent_at.filter(|_| self.has_joined) {
             let age_s = age_ms as f64 / 1000.0 * (1.0 + RELATIVE_DRIFT);
-            owner.authority.prove(controller.at(sent_at) - age_s);
+            owner.authority.record_read(controller.at(sent_at) - age_s);
         }
     }
 }
--- a/crates/ladderroute/src/controller_links/leader_side.rs
+++ b/crates/ladderroute/src/controller_links/leader_side.rs
@@ -184,8 +184,8 @@
     now: f64,
 ) {
     // An owner's authority ends before the leader's own, and soon after the last ping.
-    let silent_at = now + controller.config.owner_silence_s() * GRANT_SILENCE_SHARE;
-    let until = authority.answers_until().min(silent_at);
+    let silent_at = now + controller.config.owner_timeout_s() * GRANT_SILENCE_SHARE;
+    let until = authority.responses_until().min(silent_at);
     let leader = &mut leadership.leader;
     let Some(valid_s) = leader.grant_authority(&connection.member, now, until) else {
         return;
--- a/crates/ladderroute/src/leadership/begin.rs
+++ b/crates/ladderroute/src/leadership/begin.rs
@@ -26,8 +26,14 @@
     }
     // What was assigned in earlier epochs must not be answered on this leadership's authority.
     state.owner = Owner::new(&controller.settings.member, controller.config.clone());
-    state.owner.authority.set(controller.at(lease.valid_until));
-    state.owner.authority.prove(state.shared.view.read_at());
+    state
+        .owner
+        .authority
+        .set_until(controller.at(lease.valid_until));
+    state
+        .owner
+        .authority
+        .record_read(state.shared.view.read_at());
     let value_kb = controller.limits.value_kb;
     state.shared.leadership = Some(Leadership {
         leader,
--- a/crates/ladderroute/src/leadership/mod.rs
+++ b/crates/ladderroute/src/leadership/mod.rs
@@ -118,7 +118,7 @@
 
 fn end_leadership(controller: &Controller) {
     let mut state = controller.lock();
-    state.owner.authority.set(f64::MIN);
+    state.owner.authority.set_until(f64::MIN);
     if let Some(leadership) = state.shared.leadership.take() {
         for link in leadership.links.values() {
             link.outbox.close();
--- a/crates/ladderroute/src/writer/outcome.rs
+++ b/crates/ladderroute/src/writer/outcome.rs
@@ -4,7 +4,7 @@
 use crate::cluster_view::ClusterView;
 use crate::controller::{Controller, Leadership, State};
 use sched::leader::Action;
-use sched::ranges::Ranges;
+use sched::ranges::RangeSet;
 use std::rc::Rc;
 use store::budget::RequestPriority;
 use store::client::{StoreError, TxnOutcome};
@@ -233,8 +233,8 @@
             first_task,
             bits,
         } => {
-            let mut done = Ranges::default();
-            done.add_bits(
+            let mut done = RangeSet::default();
+            done.insert_bitmap(
                 first_task,
                 &store::replica::decode_hex_bitmap(&bits),
                 u32::MAX,
--- a/crates/ladderroute/src/writer/pages.rs
+++ b/crates/ladderroute/src/writer/pages.rs
@@ -4,7 +4,7 @@
 
 use super::writes::put;
 use sched::leader::chunk_bits;
-use sched::ranges::Ranges;
+use sched::ranges::RangeSet;
 use std::collections::{BTreeMap, BTreeSet};
 use store::keys;
 use store::pages::{Pages, Removal};
@@ -101,7 +101,7 @@
     /// Takes the progress of open jobs. What another controller laid out with other limits is taken out of
     /// its page and put anew, in chunks of this one's size.
     fn load_progress(&mut self, replica: &Replica, chunk_bits: u32) {
-        let mut foreign: BTreeMap<String, Ranges> = BTreeMap::new();
+        let mut foreign: BTreeMap<String, RangeSet> = BTreeMap::new();
         for (n, page) in replica.progress.pages() {
             for section in replica.progress.sections(page) {
                 let (job, first_task, bits) = (section.job, section.first_task, section.bits);
@@ -114,7 +114,7 @@
                 } else if !is_laid_out(first_task, bits, chunk_bits) {
                     self.progress.remove(&chunk, Removal::Deferred);
                     let done = foreign.entry(job.to_string()).or_default();
-                    done.add_bits(
+                    done.insert_bitmap(
                         first_task,
                         &store::replica::decode_hex_bitmap(bits),
                         MOST_TASKS,
@@ -128,19 +128,19 @@
     }
 
     /// Puts progress that another controller laid out in chunks of this one's size.
-    fn put_foreign(&mut self, job: &str, done: &Ranges, chunk_bits: u32) {
+    fn put_foreign(&mut self, job: &str, done: &RangeSet, chunk_bits: u32) {
         let chunks: BTreeSet<u32> = done.iter().map(|task| task / chunk_bits).collect();
         for chunk in chunks {
             let first_task = chunk * chunk_bits;
             let mut all = done.clone();
             if let Some(bits) = self.progress.get(&Chunk::new(job, first_task)) {
-                all.add_bits(
+                all.insert_bitmap(
                     first_task,
                     &store::replica::decode_hex_bitmap(bits),
                     MOST_TASKS,
                 );
             }
-            let bits = all.hex(first_task, first_task + chunk_bits);
+            let bits = all.to_hex_bitmap(first_task, first_task + chunk_bits);
             self.put_progress(job, first_task, &bits);
         }
     }
--- a/crates/ladderroute/tests/stale_view.rs
+++ b/crates/ladderroute/tests/stale_view.rs
@@ -31,7 +31,7 @@
 /// The view of a controller is from so long ago that it proves nothing any more.
 fn read_long_ago(node: &Controller, store: &Store) {
     let view = &mut node.lock().shared.view;
-    let mut reload = view.begin_reload(node.now() - node.config.start_staleness_s());
+    let mut reload = view.begin_reload(node.now() - node.config.max_start_staleness_s());
     assert_eq!(
         reload.add_page(&store.items_after("")),
         store::reload::LoadState::Complete
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -3,9 +3,9 @@
 
 use sched::config::{SchedulerConfig, Team};
 use sched::leader::{Action, Leader, OpenJob, PriorRuns};
-use sched::owner::{HeartbeatResponse, Jobs, Owner};
+use sched::owner::{HeartbeatResponse, JobLookup, Owner};
 use sched::placement::Resources;
-use sched::ranges::Ranges;
+use sched::ranges::RangeSet;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 use wire::cloud::{MachineType, ProvisionRequest};
--- a/crates/model/src/world/chains.rs
+++ b/crates/model/src/world/chains.rs
@@ -2,36 +2,41 @@
 //! the rules.
 
 use super::*;
-use sched::dependencies::{Dependencies, Effect, Record};
+use sched::dependencies::{DependencyGraph, DependencyState, Effect};
 
 /// What a controller has derived from the records of jobs that it has read.
 #[derive(Default)]
 pub(super) struct ChainView {
-    graph: Dependencies,
+    graph: DependencyGraph,
     cancelled: BTreeSet<String>,
 }
 
 impl ChainView {
     /// A job's record as this controller has it after a read that was sent at `read_at`.
-    fn record(&self, jobs: &BTreeMap<String, JobState>, id: &str, read_at: f64) -> Option<Record> {
+    fn record(
+        &self,
+        jobs: &BTreeMap<String, JobState>,
+        id: &str,
+        read_at: f64,
+    ) -> Option<DependencyState> {
         let job = jobs.get(id).filter(|job| job.accepted <= read_at)?;
         let is_terminal = job.has_own_end_by(read_at);
         Some(match (is_terminal, job.cancelled) {
-            (true, true) => Record::Cancelled,
-            (true, false) => Record::Done,
-            _ if self.cancelled.contains(id) => Record::Cancelled,
-            _ => Record::Open(job.spec.priority),
+            (true, true) => DependencyState::Cancelled,
+            (true, false) => DependencyState::Done,
+            _ if self.cancelled.contains(id) => DependencyState::Cancelled,
+            _ => DependencyState::Open(job.spec.priority),
         })
     }
 
     fn update(&mut self, jobs: &BTreeMap<String, JobState>, id: &str, read_at: f64) -> Vec<Effect> {
         let mut graph = std::mem::take(&mut self.graph);
         let effects = match self.record(jobs, id, read_at) {
-            Some(Record::Open(_)) => {
-                graph.accepted(&jobs[id].spec, |other| self.record(jobs, other, read_at))
+            Some(DependencyState::Open(_)) => {
+                graph.on_accepted(&jobs[id].spec, |other| self.record(jobs, other, read_at))
             }
-            Some(Record::Done) => graph.done(id),
-            Some(Record::Cancelled) => graph.cancelled(id),
+            Some(DependencyState::Done) => graph.on_done(id),
+            Some(DependencyState::Cancelled) => graph.on_cancelled(id),
             None => Vec::new(),
         };
         self.graph = graph;
@@ -120,7 +125,7 @@
         let controller = &mut self.controllers[i];
         controller.chains = view;
         controller.read_at = read_at;
-        controller.owner.authority.prove(read_at);
+        controller.owner.authority.record_read(read_at);
     }
 
     fn notify_leader(&self, leader: &mut Leader, view: &ChainView, id: &str, read_at: f64) {
--- a/crates/model/src/world/controllers.rs
+++ b/crates/model/src/world/controllers.rs
@@ -87,12 +87,12 @@
         while let Some(message) = self.to_owner.receive(now) {
             if matches!(message, ToOwner::Epoch { .. }) && !self.epoch {
                 self.epoch = true;
-                self.owner.authority.set(f64::MIN);
+                self.owner.authority.set_until(f64::MIN);
             }
             self.owner.on_leader_message(message, now, jobs);
         }
         while let Some(read_at) = self.leader_read_at.receive(now) {
-            self.owner.authority.prove(read_at);
+            self.owner.authority.record_read(read_at);
         }
     }
 }
@@ -118,7 +118,7 @@
         let owner = &mut self.controllers[i].owner;
         owner.tick(self.now);
         if self.defect == Defect::TrustStaleView {
-            owner.authority.prove(self.now);
+            owner.authority.record_read(self.now);
         }
     }
 
--- a/crates/model/src/world/election.rs
+++ b/crates/model/src/world/election.rs
@@ -107,8 +107,8 @@
         let controller = &mut self.controllers[elected];
         controller.owner = Owner::new(&name(elected), self.config.clone());
         let authority = &mut controller.owner.authority;
-        authority.set(now + LEADER_LEASE_S * RENEWED_SHARE);
-        authority.prove(now);
+        authority.set_until(now + LEADER_LEASE_S * RENEWED_SHARE);
+        authority.record_read(now);
         // What changes at this very instant comes with the next read.
         controller.read_at = now - STEP / 10.0;
         controller.read = None;
--- a/crates/model/src/world/fixtures.rs
+++ b/crates/model/src/world/fixtures.rs
@@ -110,7 +110,7 @@
 /// A replica that knows no job at all.
 pub struct UnknownJobs;
 
-impl Jobs for UnknownJobs {
+impl JobLookup for UnknownJobs {
     fn resources(&self, _: &str) -> Option<Resources> {
         None
     }
@@ -141,7 +141,7 @@
         machines: vec![descriptor],
     };
     owner.on_leader_message(epoch, 10.0, &UnknownJobs);
-    owner.authority.set(1e9);
+    owner.authority.set_until(1e9);
     owner
 }
 
--- a/crates/model/src/world/jobs.rs
+++ b/crates/model/src/world/jobs.rs
@@ -9,7 +9,7 @@
     /// When its first task began to run.
     pub(super) started_at: Option<f64>,
     pub(super) revision: u64,
-    pub(super) done: Ranges,
+    pub(super) done: RangeSet,
     /// When it ended, by its own record or because one of its dependencies was cancelled.
     pub(super) terminal_at: Option<f64>,
     /// When its own record was written as terminal.
@@ -29,7 +29,7 @@
             accepted,
             started_at: None,
             revision,
-            done: Ranges::default(),
+            done: RangeSet::default(),
             terminal_at: None,
             own_end: None,
             ended_by: None,
@@ -77,7 +77,7 @@
     }
 }
 
-impl Jobs for JobsAsRead<'_> {
+impl JobLookup for JobsAsRead<'_> {
     fn resources(&self, job: &str) -> Option<Resources> {
         let spec = self.open_spec(job)?;
         Some(Resources {
--- a/crates/model/src/world/leadership.rs
+++ b/crates/model/src/world/leadership.rs
@@ -62,7 +62,7 @@
 
     fn tick_leader(&mut self, leader: &mut Leader, controller: usize) {
         let authority = &self.controllers[controller].owner.authority;
-        if self.now < authority.answers_until() {
+        if self.now < authority.responses_until() {
             leader.tick(self.now, 2);
         }
         if !leader.index_agrees() {
@@ -91,9 +91,9 @@
     fn answer_ping(&mut self, leading: &mut LeadingController, from: usize, sent: f64) {
         let now = self.now;
         let authority = &self.controllers[leading.controller].owner.authority;
-        let (answers_until, read_at) = (authority.answers_until(), authority.read_at());
+        let (answers_until, read_at) = (authority.responses_until(), authority.read_at());
         leading.leader.on_owner_contact(&name(from), now);
-        let until = answers_until.min(now + self.config.owner_silence_s() * 1.25);
+        let until = answers_until.min(now + self.config.owner_timeout_s() * 1.25);
         let granted = leading.leader.grant_authority(&name(from), now, until);
         self.trace.granted(now, from, sent, granted);
         let Some(valid_s) = granted else {
@@ -101,7 +101,7 @@
         };
         let controller = &mut self.controllers[from];
         if controller.epoch && controller.owner.token() == leading.leader.token() {
-            controller.owner.authority.set(sent + valid_s);
+            controller.owner.authority.set_until(sent + valid_s);
             // Behind all that was sent before it.
             let arrives_at = controller.to_owner.arrival(now + 0.02);
             let known_until = sent - (now - read_at);
--- a/crates/model/src/world/outcomes.rs
+++ b/crates/model/src/world/outcomes.rs
@@ -24,11 +24,11 @@
 }
 
 /// The tasks of a page of progress, which starts at a task and has a bit for each.
-fn tasks_of_page(first_task: u32, bits: &str) -> Ranges {
+fn tasks_of_page(first_task: u32, bits: &str) -> RangeSet {
     let byte = |i: usize| u8::from_str_radix(&bits[i * 2..i * 2 + 2], 16).ok();
     let bytes: Vec<u8> = (0..bits.len() / 2).filter_map(byte).collect();
-    let mut tasks = Ranges::default();
-    tasks.add_bits(first_task, &bytes, u32::MAX);
+    let mut tasks = RangeSet::default();
+    tasks.insert_bitmap(first_task, &bytes, u32::MAX);
     tasks
 }
 
@@ -100,7 +100,7 @@
         };
     }
 
-    fn write_progress(&mut self, job: &str, written: &Ranges, outcome: Outcome) {
+    fn write_progress(&mut self, job: &str, written: &RangeSet, outcome: Outcome) {
         let job = self.jobs.get_mut(job);
         if let Some(job) = job.filter(|_| outcome.took_effect()) {
             for index in written.iter() {
--- a/crates/model/src/world/store.rs
+++ b/crates/model/src/world/store.rs
@@ -69,7 +69,7 @@
     fn finish_read(&mut self, i: usize, sent: f64) {
         let before = std::mem::replace(&mut self.controllers[i].read_at, sent);
         self.read_jobs(i, before, sent);
-        self.controllers[i].owner.authority.prove(sent);
+        self.controllers[i].owner.authority.record_read(sent);
     }
 
     /// Up to when a controller's replica shows which jobs are terminal.
--- a/crates/model/tests/dependencies.rs
+++ b/crates/model/tests/dependencies.rs
@@ -1,18 +1,18 @@
 //! The graph of dependencies against a plain model that is recomputed from scratch.
 
 use model::world::job;
-use sched::dependencies::{Dependencies, Effect, Record};
+use sched::dependencies::{DependencyGraph, DependencyState, Effect};
 use std::collections::{BTreeMap, BTreeSet};
 use wire::users::{Job, Priority, Shape};
 
 /// The jobs of a plain model: what the store's records say, and nothing else.
 #[derive(Default)]
 struct Plain {
-    jobs: BTreeMap<String, (Job, Record)>,
+    jobs: BTreeMap<String, (Job, DependencyState)>,
 }
 
 impl Plain {
-    fn record(&self, id: &str) -> Option<Record> {
+    fn record(&self, id: &str) -> Option<DependencyState> {
         self.jobs.get(id).map(|(_, record)| *record)
     }
 
@@ -26,21 +26,21 @@
     /// Cancelled by its own record or by that of any ancestor.
     fn is_cancelled(&self, id: &str) -> bool {
         match self.record(id) {
-            Some(Record::Done) | None => false,
-            Some(Record::Cancelled) => true,
-            Some(Record::Open(_)) => self
+            Some(DependencyState::Done) | None => false,
+            Some(DependencyState::Cancelled) => true,
+            Some(DependencyState::Open(_)) => self
                 .dependencies(id)
                 .any(|needed| self.is_cancelled(needed)),
         }
     }
 
     fn is_open(&self, id: &str) -> bool {
-        matches!(self.record(id), Some(Record::Open(_))) && !self.is_cancelled(id)
+        matches!(self.record(id), Some(DependencyState::Open(_))) && !self.is_cancelled(id)
     }
 
     fn is_blocked(&self, id: &str) -> bool {
         self.dependencies(id)
-            .any(|needed| self.record(needed) != Some(Record::Done))
+            .any(|needed| self.record(needed) != Some(DependencyState::Done))
     }
 
     /// The most urgent of its own and its open descendants'.
@@ -66,7 +66,7 @@
 /// What a controller makes of the effects, as its leader would.
 #[derive(Default)]
 struct Follower {
-    graph: Dependencies,
+    graph: DependencyGraph,
     cancelled: BTreeSet<String>,
     runnable: BTreeSet<String>,
     priorities: BTreeMap<String, Priority>,
@@ -74,9 +74,9 @@
 
 impl Follower {
     /// The record as this controller has it: what it derived counts as cancelled.
-    fn record(&self, plain: &Plain, id: &str) -> Option<Record> {
+    fn record(&self, plain: &Plain, id: &str) -> Option<DependencyState> {
         if self.cancelled.contains(id) {
-            return Some(Record::Cancelled);
+            return Some(DependencyState::Cancelled);
         }
         plain.record(id)
     }
@@ -101,18 +101,18 @@
     fn update(&mut self, plain: &Plain, id: &str) {
         let (job, record) = &plain.jobs[id];
         let effects = match record {
-            Record::Open(_) if self.cancelled.contains(id) => Vec::new(),
-            Record::Open(_) => {
+            DependencyState::Open(_) if self.cancelled.contains(id) => Vec::new(),
+            DependencyState::Open(_) => {
                 let mut graph = std::mem::take(&mut self.graph);
-                let effects = graph.accepted(job, |other| self.record(plain, other));
+                let effects = graph.on_accepted(job, |other| self.record(plain, other));
                 self.graph = graph;
                 effects
             }
-            Record::Done => self.graph.done(id),
-            Record::Cancelled => self.graph.cancelled(id),
+            DependencyState::Done => self.graph.on_done(id),
+            DependencyState::Cancelled => self.graph.on_cancelled(id),
         };
         self.take(effects);
-        if matches!(record, Record::Open(_))
+        if matches!(record, DependencyState::Open(_))
             && !self.cancelled.contains(id)
             && !self.graph.is_blocked(id)
         {
@@ -137,7 +137,7 @@
 
     fn agrees_with(&self, plain: &Plain) {
         for id in plain.jobs.keys() {
-            let derived = self.record(plain, id) == Some(Record::Cancelled);
+            let derived = self.record(plain, id) == Some(DependencyState::Cancelled);
             assert_eq!(derived, plain.is_cancelled(id), "cancelled: {id}");
         }
         for id in plain.open() {
@@ -185,7 +185,7 @@
         .collect();
     job.dependencies = names.into_iter().collect();
     let id = job.id.clone();
-    let record = Record::Open(job.priority);
+    let record = DependencyState::Open(job.priority);
     plain.jobs.insert(id.clone(), (job, record));
     id
 }
@@ -199,9 +199,9 @@
         if plain.is_blocked(&id) && rng.u32(0..4) > 0 {
             return None;
         }
-        Record::Cancelled
+        DependencyState::Cancelled
     } else {
-        Record::Done
+        DependencyState::Done
     };
     plain.jobs.get_mut(&id)?.1 = record;
     Some(id)
@@ -242,29 +242,29 @@
 /// jobs that it names.
 #[test]
 fn a_job_named_before_it_is_known_blocks_until_its_record_comes() {
-    let record = |known: Option<Record>| move |_: &str| known;
+    let record = |known: Option<DependencyState>| move |_: &str| known;
     let mut needed = job(1, "red", Shape::Array, 1, 1.0);
     needed.priority = Priority::Standard;
     let mut dependent = job(2, "red", Shape::Array, 1, 1.0);
     dependent.dependencies = vec![needed.id.clone()];
     for outcome in ["open", "done", "cancelled"] {
-        let mut graph = Dependencies::default();
-        graph.accepted(&dependent, record(None));
+        let mut graph = DependencyGraph::default();
+        graph.on_accepted(&dependent, record(None));
         assert!(graph.is_blocked(&dependent.id));
         match outcome {
             "open" => {
-                assert!(graph.accepted(&needed, record(None)).is_empty());
+                assert!(graph.on_accepted(&needed, record(None)).is_empty());
                 assert!(!graph.is_blocked(&needed.id));
                 assert!(graph.is_blocked(&dependent.id));
             }
             "done" => {
                 let unblocked = Effect::Unblocked(dependent.id.clone());
-                assert_eq!(graph.done(&needed.id), [unblocked]);
+                assert_eq!(graph.on_done(&needed.id), [unblocked]);
                 assert!(graph.is_empty());
             }
             _ => {
                 let cancelled = Effect::Cancelled(dependent.id.clone());
-                assert_eq!(graph.cancelled(&needed.id), [cancelled]);
+                assert_eq!(graph.on_cancelled(&needed.id), [cancelled]);
                 assert!(graph.is_empty());
             }
         }
@@ -276,27 +276,27 @@
 #[test]
 fn long_chains_and_many_dependents() {
     const LENGTH: u32 = 20_000;
-    let open = |_: &str| Some(Record::Open(Priority::BestEffort));
-    let mut graph = Dependencies::default();
+    let open = |_: &str| Some(DependencyState::Open(Priority::BestEffort));
+    let mut graph = DependencyGraph::default();
     for number in 1..LENGTH {
         let mut next = job(number, "red", Shape::Array, 1, 1.0);
         next.priority = Priority::BestEffort;
         next.dependencies = vec![job(number - 1, "red", Shape::Array, 1, 1.0).id];
-        graph.accepted(&next, open);
+        graph.on_accepted(&next, open);
     }
     let mut last = job(LENGTH, "red", Shape::Array, 1, 1.0);
     last.priority = Priority::Prod;
     last.dependencies = vec![job(LENGTH - 1, "red", Shape::Array, 1, 1.0).id];
     let first = job(0, "red", Shape::Array, 1, 1.0).id;
-    assert_eq!(graph.accepted(&last, open).len() as u32, LENGTH);
+    assert_eq!(graph.on_accepted(&last, open).len() as u32, LENGTH);
     assert_eq!(graph.priority(&first, Priority::BestEffort), Priority::Prod);
-    assert_eq!(graph.cancelled(&first).len() as u32, LENGTH);
+    assert_eq!(graph.on_cancelled(&first).len() as u32, LENGTH);
     assert!(graph.is_empty());
     for number in 1..LENGTH {
         let mut next = job(number, "red", Shape::Array, 1, 1.0);
         next.dependencies = vec![first.clone()];
-        graph.accepted(&next, open);
+        graph.on_accepted(&next, open);
     }
-    assert_eq!(graph.done(&first).len() as u32, LENGTH - 1);
+    assert_eq!(graph.on_done(&first).len() as u32, LENGTH - 1);
     assert!(graph.is_empty());
 }
--- a/crates/model/tests/leader_and_owner.rs
+++ b/crates/model/tests/leader_and_owner.rs
@@ -6,7 +6,7 @@
 };
 use sched::config::{SchedulerConfig, Team};
 use sched::leader::{Action, Leader, OpenJob, PriorRuns};
-use sched::owner::{HeartbeatResponse, Jobs, Owner};
+use sched::owner::{HeartbeatResponse, JobLookup, Owner};
 use sched::placement::Resources;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -48,7 +48,7 @@
 /// An owner of one machine whose view of the store is always fresh.
 fn owner_of_host_1() -> Owner {
     let mut owner = owner_of_one_machine(config());
-    owner.authority.prove(1e9);
+    owner.authority.record_read(1e9);
     owner
 }
 
@@ -303,7 +303,7 @@
 
 struct OneJob;
 
-impl Jobs for OneJob {
+impl JobLookup for OneJob {
     fn resources(&self, job: &str) -> Option<Resources> {
         (job == "wk-1").then_some(Resources {
             cpus: 4.0,
--- a/crates/model/tests/staleness.rs
+++ b/crates/model/tests/staleness.rs
@@ -7,7 +7,7 @@
 use sched::authority::Authority;
 use sched::config::SchedulerConfig;
 use sched::leader::{Action, Leader, OpenJob, PriorRuns};
-use sched::owner::{HeartbeatResponse, Jobs, Owner};
+use sched::owner::{HeartbeatResponse, JobLookup, Owner};
 use sched::placement::Resources;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -20,7 +20,7 @@
     is_terminal: bool,
 }
 
-impl Jobs for Replica {
+impl JobLookup for Replica {
     fn resources(&self, job: &str) -> Option<Resources> {
         (job == "wk-1" && !self.is_terminal).then_some(Resources {
             cpus: 1.0,
@@ -49,7 +49,7 @@
         10.0,
         &OPEN,
     );
-    owner.authority.prove(10.0);
+    owner.authority.record_read(10.0);
     owner
 }
 
@@ -278,7 +278,7 @@
 /// The same for tasks of the backlog; those of terminal jobs do not start.
 #[test]
 fn an_owner_with_a_stale_view_starts_its_backlog() {
-    let starts = |over: bool, jobs: &dyn Jobs, job: &str| {
+    let starts = |over: bool, jobs: &dyn JobLookup, job: &str| {
         let mut owner = owner_with_fresh_view();
         owner.on_heartbeat(&heartbeat(1, 5, Some(TaskState::Running)), 11.0, &OPEN);
         owner.on_leader_message(backlog(job), 11.0, &OPEN);
@@ -304,18 +304,18 @@
     let mut owner = owner_with_fresh_view();
     owner.on_heartbeat(&heartbeat(1, 5, None), 10.5, &OPEN);
     owner.on_leader_message(assign(), 10.5, &OPEN);
-    let stale = 10.0 + config.start_staleness_s() + 0.01;
+    let stale = 10.0 + config.max_start_staleness_s() + 0.01;
     assert_eq!(
         orders(owner.on_heartbeat(&heartbeat(2, 5, None), stale, &OPEN)),
         vec![]
     );
     // It was only put off.
-    owner.authority.prove(stale);
+    owner.authority.record_read(stale);
     assert_eq!(
         orders(owner.on_heartbeat(&heartbeat(3, 5, None), stale + 0.1, &OPEN)).len(),
         1
     );
-    let end = stale + config.answer_staleness_s();
+    let end = stale + config.max_response_staleness_s();
     assert!(matches!(
         owner.on_heartbeat(&heartbeat(4, 5, None), end - 0.01, &OPEN),
         HeartbeatResponse::Orders(_)
@@ -333,30 +333,30 @@
 #[test]
 fn authority_that_ran_out_comes_back_with_a_read_sent_after_the_renewal() {
     let mut authority = Authority::new(&config());
-    authority.prove(0.5);
+    authority.record_read(0.5);
     authority.renew(3.0, 1.0);
-    assert_eq!(authority.answers_until(), f64::MIN, "it had none before");
-    authority.prove(1.0);
+    assert_eq!(authority.responses_until(), f64::MIN, "it had none before");
+    authority.record_read(1.0);
     assert_eq!(
-        (authority.answers_until(), authority.starts_until()),
+        (authority.responses_until(), authority.starts_until()),
         (3.0, 3.0)
     );
     // Renewed in time, it goes on.
     authority.renew(4.0, 2.5);
     assert_eq!(
-        (authority.answers_until(), authority.starts_until()),
+        (authority.responses_until(), authority.starts_until()),
         (4.0, 3.0)
     );
     // It ran out at 4 and is renewed at 9, with a read that was sent before.
-    authority.prove(8.9);
+    authority.record_read(8.9);
     authority.renew(11.0, 9.0);
     assert_eq!(
-        (authority.answers_until(), authority.starts_until()),
+        (authority.responses_until(), authority.starts_until()),
         (f64::MIN, f64::MIN)
     );
-    authority.prove(9.1);
+    authority.record_read(9.1);
     assert_eq!(
-        (authority.answers_until(), authority.starts_until()),
+        (authority.responses_until(), authority.starts_until()),
         (11.0, 11.0)
     );
 }
@@ -368,7 +368,10 @@
         ..config()
     };
     assert!(!tight.cancels_in_time() && config().cancels_in_time());
-    assert_eq!(tight.answer_staleness_s(), tight.start_staleness_s());
+    assert_eq!(
+        tight.max_response_staleness_s(),
+        tight.max_start_staleness_s()
+    );
 }
 
 /// The leader hears of a cancellation from who confirmed it, later from the store, and tells the
--- a/crates/sched/src/authority.rs
+++ b/crates/sched/src/authority.rs
@@ -4,8 +4,8 @@
 //! A cancellation is confirmed by any controller on the store's word alone. What was confirmed
 //! after the last answered read was sent is not known here. An answer that prolongs a lease at `t`
 //! lets a task run until `t` + lease, so it is given only while that ends within `cancel_s` of the
-//! read (`SchedulerConfig::answer_staleness_s`); starts need knowledge as fresh as the leadership itself
-//! (`SchedulerConfig::start_staleness_s`). An outage preserves the store's leases, so that a leader may come
+//! read (`SchedulerConfig::max_response_staleness_s`); starts need knowledge as fresh as the leadership itself
+//! (`SchedulerConfig::max_start_staleness_s`). An outage preserves the store's leases, so that a leader may come
 //! back with a view from before it: its authority then counts only with a read sent after the
 //! renewal was answered.
 
@@ -23,9 +23,9 @@
     /// When authority that had run out came back: reads sent before do not count.
     regained_at: Secs,
     /// How old knowledge of the store may be for an answer to a heartbeat.
-    answer_staleness_s: Secs,
+    max_response_staleness_s: Secs,
     /// How old knowledge of the store may be for a start.
-    start_staleness_s: Secs,
+    max_start_staleness_s: Secs,
 }
 
 impl Authority {
@@ -35,13 +35,13 @@
             until: f64::MIN,
             read_at: f64::MIN,
             regained_at: f64::MIN,
-            answer_staleness_s: config.answer_staleness_s(),
-            start_staleness_s: config.start_staleness_s(),
+            max_response_staleness_s: config.max_response_staleness_s(),
+            max_start_staleness_s: config.max_start_staleness_s(),
         }
     }
 
     /// Takes authority until an instant that the caller has proved.
-    pub fn set(&mut self, until: Secs) {
+    pub fn set_until(&mut self, until: Secs) {
         self.until = until;
     }
 
@@ -54,7 +54,7 @@
     }
 
     /// All that the store held at `at` is known here.
-    pub fn prove(&mut self, at: Secs) {
+    pub fn record_read(&mut self, at: Secs) {
         self.read_at = self.read_at.max(at);
     }
 
@@ -69,13 +69,13 @@
     }
 
     /// Until when heartbeats may be answered.
-    pub fn answers_until(&self) -> Secs {
-        self.bounded(self.answer_staleness_s)
+    pub fn responses_until(&self) -> Secs {
+        self.bounded(self.max_response_staleness_s)
     }
 
     /// Until when tasks may be started.
     pub fn starts_until(&self) -> Secs {
-        self.bounded(self.start_staleness_s)
+        self.bounded(self.max_start_staleness_s)
     }
 
     /// The end of authority, or of knowledge that may be `staleness_s` old.
--- a/crates/sched/src/capacity_index.rs
+++ b/crates/sched/src/capacity_index.rs
@@ -48,7 +48,7 @@
     }
 
     /// Adds the machines on which a task fits, in the order of their free CPUs.
-    fn add_fits(&self, requirements: &TaskRequirements, tier: u8, fits: &mut Vec<Fit>) {
+    fn add_fits(&self, requirements: &TaskRequirements, tier: u8, fits: &mut Vec<MachineFit>) {
         let resources = Resources::of(requirements);
         // One part less: the pool's order is rounded, the comparison of a task with a machine is not.
         let least = ordered_cpus(requirements.cpus).saturating_sub(1);
@@ -61,7 +61,7 @@
                 empty: machine.empty,
             };
             if let Some(rank) = rank(requirements, &candidate) {
-                fits.push(Fit {
+                fits.push(MachineFit {
                     rank,
                     name: name.clone(),
                     zone: self.zone.clone(),
@@ -74,7 +74,7 @@
 
 /// A machine on which at least one task fits.
 #[derive(Clone, Debug, PartialEq, PartialOrd)]
-pub struct Fit {
+pub struct MachineFit {
     /// How well it suits.
     pub rank: Rank,
     /// The machine's name.
@@ -96,7 +96,7 @@
 ///
 /// Invariant: each machine is in exactly one pool, under the free CPUs of its entry.
 #[derive(Debug, Default)]
-pub struct Index {
+pub struct CapacityIndex {
     pools: Vec<Pool>,
     machines: BTreeMap<Rc<str>, Entry>,
 }
@@ -105,7 +105,7 @@
     (cpus.max(0.0) * ORDERED_PARTS_PER_CPU).round() as u64
 }
 
-impl Index {
+impl CapacityIndex {
     /// The position of a pool, which is added if it is new.
     fn pool(
         &mut self,
@@ -131,7 +131,7 @@
 
     /// Takes a machine in, or what has changed of it. `guarantee_s` is the time in seconds allowed for
     /// a guaranteed start.
-    pub fn put(
+    pub fn upsert(
         &mut self,
         name: &str,
         machine_type: &MachineType,
@@ -167,7 +167,7 @@
 
     /// Takes all machines out.
     pub fn clear(&mut self) {
-        *self = Index::default();
+        *self = CapacityIndex::default();
     }
 
     /// What is known of a machine; none if it is not here.
@@ -185,7 +185,7 @@
     }
 
     /// Sets resources of a machine aside for `count` tasks that need an image.
-    pub fn take(&mut self, name: &str, resources: Resources, count: u32, image: &str) {
+    pub fn allocate(&mut self, name: &str, resources: Resources, count: u32, image: &str) {
         let Some((name, entry)) = self.machines.remove_entry(name) else {
             return;
         };
@@ -202,16 +202,16 @@
 
     /// The machines on which a task fits, the best first. Whatever one takes makes it suit the
     /// same job's next task even better, so a job may fill them one after the other.
-    pub fn fits(&self, requirements: &TaskRequirements) -> Vec<Fit> {
-        self.fits_outside(requirements, None)
+    pub fn fits(&self, requirements: &TaskRequirements) -> Vec<MachineFit> {
+        self.fits_outside_cordon(requirements, None)
     }
 
     /// The same without the machines that are kept for tasks with the requirements `cordon`.
-    pub fn fits_outside(
+    pub fn fits_outside_cordon(
         &self,
         requirements: &TaskRequirements,
         cordon: Option<&TaskRequirements>,
-    ) -> Vec<Fit> {
+    ) -> Vec<MachineFit> {
         let mut fits = Vec::new();
         for pool in &self.pools {
             let tier_for = |task: &TaskRequirements| tier(task, &pool.kind, &pool.zone, pool.spot);
--- a/crates/sched/src/cluster/job.rs
+++ b/crates/sched/src/cluster/job.rs
@@ -1,7 +1,7 @@
 //! A job as the leader knows it, and where its tasks may be running.
 
 use crate::placement::Resources;
-use crate::ranges::Ranges;
+use crate::ranges::RangeSet;
 use crate::Secs;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -95,13 +95,13 @@
     /// Its end is being written.
     pub finishing: bool,
     /// Tasks that are done.
-    pub done: Ranges,
+    pub done: RangeSet,
     /// Those of which the store knows.
-    pub durable: Ranges,
+    pub durable: RangeSet,
     /// Chunks of progress that have to be written.
     pub dirty: BTreeSet<u32>,
     /// Tasks that may be started.
-    pub ready: Ranges,
+    pub ready: RangeSet,
     /// Tasks that may be running.
     pub active: BTreeMap<u32, Active>,
     /// Started by an earlier leader perhaps; not to be started until the suspects are known.
@@ -133,7 +133,7 @@
 impl Job {
     /// A job that this leader learns of at `now`.
     pub(crate) fn new(open: OpenJob, now: Secs) -> Job {
-        let mut ready = Ranges::full(open.spec.tasks);
+        let mut ready = RangeSet::full(open.spec.tasks);
         for index in open.done.iter() {
             ready.remove(index);
         }
@@ -248,7 +248,7 @@
     /// The store's revision at its creation.
     pub revision: u64,
     /// Tasks that are done.
-    pub done: Ranges,
+    pub done: RangeSet,
     /// What earlier leaders may have started of it.
     pub prior_runs: PriorRuns,
 }
@@ -259,7 +259,7 @@
         OpenJob {
             spec,
             revision,
-            done: Ranges::default(),
+            done: RangeSet::default(),
             prior_runs,
         }
     }
--- a/crates/sched/src/cluster/machine_inventory.rs
+++ b/crates/sched/src/cluster/machine_inventory.rs
@@ -3,7 +3,7 @@
 //! Invariant: a machine of which the index may hold something else than its present state is marked dirty.
 
 use super::{Machine, UnknownMachines};
-use crate::capacity_index::{Index, IndexedMachine};
+use crate::capacity_index::{CapacityIndex, IndexedMachine};
 use crate::placement::Resources;
 use crate::Secs;
 use std::collections::{btree_map, BTreeMap, BTreeSet};
@@ -17,7 +17,7 @@
     machines: BTreeMap<String, Machine>,
     unknown: UnknownMachines,
     /// Machines with free capacity, as a pass looks at them.
-    index: Index,
+    index: CapacityIndex,
     /// Machines that changed since the index was last brought up to date.
     dirty: BTreeSet<String>,
 }
@@ -28,7 +28,7 @@
         MachineInventory {
             machines: BTreeMap::new(),
             unknown: UnknownMachines::new(now),
-            index: Index::default(),
+            index: CapacityIndex::default(),
             dirty: BTreeSet::new(),
         }
     }
@@ -97,7 +97,7 @@
     }
 
     /// Machines with free capacity, as of the last time the index was brought up to date.
-    pub(crate) fn index(&self) -> &Index {
+    pub(crate) fn index(&self) -> &CapacityIndex {
         &self.index
     }
 
@@ -109,7 +109,7 @@
         tasks: u32,
         image: &str,
     ) {
-        self.index.take(name, resources, tasks, image);
+        self.index.allocate(name, resources, tasks, image);
     }
 
     /// What the index holds of a machine may not hold any more.
@@ -135,7 +135,7 @@
             let machine = self.machines.get(&name).filter(|machine| machine.open());
             let found = machine.and_then(|machine| Some((machine, types.get(&machine.kind)?)));
             match found {
-                Some((machine, machine_type)) => self.index.put(
+                Some((machine, machine_type)) => self.index.upsert(
                     &name,
                     machine_type,
                     &machine.zone,
--- a/crates/sched/src/cluster/quota.rs
+++ b/crates/sched/src/cluster/quota.rs
@@ -2,7 +2,7 @@
 
 use super::{Cluster, Job, Phase};
 use crate::config::Team;
-use crate::placement::{Resources, ROUNDING_SLACK};
+use crate::placement::{Resources, ROUNDING_TOLERANCE};
 use std::collections::BTreeMap;
 
 /// What a team's jobs want together, as far as its limit goes.
@@ -20,7 +20,7 @@
     }
 
     fn is_guaranteed(&self, team: &Team) -> bool {
-        self.cpus <= team.cpus + ROUNDING_SLACK && self.gpus <= team.gpus + ROUNDING_SLACK
+        self.cpus <= team.cpus + ROUNDING_TOLERANCE && self.gpus <= team.gpus + ROUNDING_TOLERANCE
     }
 }
 
--- a/crates/sched/src/cluster/zones.rs
+++ b/crates/sched/src/cluster/zones.rs
@@ -1,7 +1,7 @@
 //! The zones that an array may use.
 
 use super::{Cluster, Job, TaskLocation};
-use crate::capacity_index::Fit;
+use crate::capacity_index::MachineFit;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
@@ -24,7 +24,11 @@
 
     /// How many more tasks of an array each zone may take, when zones matter to its job; none while it is not
     /// known which zones are in use.
-    pub(crate) fn zone_limits(&self, job: &Job, found: &[Fit]) -> Option<BTreeMap<Rc<str>, u32>> {
+    pub(crate) fn zone_limits(
+        &self,
+        job: &Job,
+        found: &[MachineFit],
+    ) -> Option<BTreeMap<Rc<str>, u32>> {
         let used = self.zones_in_use(job)?;
         let half = job.spec.tasks.div_ceil(2);
         let limit = |zone: &str| {
@@ -46,7 +50,7 @@
 }
 
 /// The zone of a job that wants one: that of its active tasks, else the one in which most tasks fit.
-fn only_zone(used: &BTreeMap<String, u32>, found: &[Fit]) -> Option<Rc<str>> {
+fn only_zone(used: &BTreeMap<String, u32>, found: &[MachineFit]) -> Option<Rc<str>> {
     if let Some(zone) = used.keys().next() {
         return Some(zone.as_str().into());
     }
--- a/crates/sched/src/config.rs
+++ b/crates/sched/src/config.rs
@@ -58,7 +58,7 @@
 
 impl SchedulerConfig {
     /// After how long without a word an owner counts as lost.
-    pub fn owner_silence_s(&self) -> Secs {
+    pub fn owner_timeout_s(&self) -> Secs {
         (self.lease_s * SILENCE_PER_LEASE).min(wire::ANSWER_DROPPED_S * SILENCE_PER_DROPPED_ANSWER)
     }
 
@@ -71,8 +71,8 @@
     /// How old knowledge of the store may be where an answer prolongs a worker's lease: what was
     /// cancelled since then is gone in time. Where the settings leave no such time, what is as
     /// fresh as the leadership has to do (see `cancels_in_time`).
-    pub fn answer_staleness_s(&self) -> Secs {
-        (self.cancel_s - self.lease_expiry_s()).max(self.start_staleness_s())
+    pub fn max_response_staleness_s(&self) -> Secs {
+        (self.cancel_s - self.lease_expiry_s()).max(self.max_start_staleness_s())
     }
 
     /// For how long a job that is over is remembered: by then its last task is gone.
@@ -81,12 +81,12 @@
     }
 
     /// How old knowledge of the store may be for a start.
-    pub fn start_staleness_s(&self) -> Secs {
+    pub fn max_start_staleness_s(&self) -> Secs {
         self.leader_lease_s
     }
 
     /// Whether the settings leave time enough between a worker's lease and `cancel_s`.
     pub fn cancels_in_time(&self) -> bool {
-        self.cancel_s - self.lease_expiry_s() >= self.start_staleness_s()
+        self.cancel_s - self.lease_expiry_s() >= self.max_start_staleness_s()
     }
 }
--- a/crates/sched/src/dependencies.rs
+++ b/crates/sched/src/dependencies.rs
@@ -22,7 +22,7 @@
 
 /// What the store says of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Record {
+pub enum DependencyState {
     /// Accepted and not over, with its own priority.
     Open(Priority),
     /// All its tasks are done.
@@ -111,11 +111,11 @@
 ///
 /// Invariant: a node names another as a dependency if and only if that one names it as a dependent.
 #[derive(Clone, Debug, Default)]
-pub struct Dependencies {
+pub struct DependencyGraph {
     nodes: HashMap<Rc<str>, Node>,
 }
 
-impl Dependencies {
+impl DependencyGraph {
     /// Whether a job that is open must wait for others.
     pub fn is_blocked(&self, id: &str) -> bool {
         self.nodes
@@ -139,7 +139,11 @@
     }
 
     /// Takes an open job in; `record` says what is known of other jobs. A repetition changes nothing.
-    pub fn accepted(&mut self, job: &Job, record: impl Fn(&str) -> Option<Record>) -> Vec<Effect> {
+    pub fn on_accepted(
+        &mut self,
+        job: &Job,
+        record: impl Fn(&str) -> Option<DependencyState>,
+    ) -> Vec<Effect> {
         let id: Rc<str> = job.id.as_str().into();
         if job.dependencies.is_empty() && !self.nodes.contains_key(&id) {
             return Vec::new();
@@ -148,12 +152,12 @@
         let mut is_cancelled = false;
         for name in &job.dependencies {
             let needed = match record(name) {
-                Some(Record::Done) => continue,
-                Some(Record::Cancelled) => {
+                Some(DependencyState::Done) => continue,
+                Some(DependencyState::Cancelled) => {
                     is_cancelled = true;
                     continue;
                 }
-                Some(Record::Open(own)) => Node::new(own, true),
+                Some(DependencyState::Open(own)) => Node::new(own, true),
                 None => Node::new(Priority::BestEffort, false),
             };
             if let Some(dependency) = self.connect(&id, name, needed) {
@@ -167,7 +171,7 @@
         let mut effects = self.shift(shifts);
         if is_cancelled {
             effects.push(Effect::Cancelled(job.id.clone()));
-            effects.extend(self.cancelled(&job.id));
+            effects.extend(self.on_cancelled(&job.id));
         }
         self.drop_if_alone(&id);
         effects
@@ -201,7 +205,7 @@
     }
 
     /// The store holds that a job is done.
-    pub fn done(&mut self, id: &str) -> Vec<Effect> {
+    pub fn on_done(&mut self, id: &str) -> Vec<Effect> {
         let Some((node, mut effects)) = self.remove(id) else {
             return Vec::new();
         };
@@ -219,7 +223,7 @@
     }
 
     /// The store holds that a job is cancelled: so are all its descendants.
-    pub fn cancelled(&mut self, id: &str) -> Vec<Effect> {
+    pub fn on_cancelled(&mut self, id: &str) -> Vec<Effect> {
         let mut effects = Vec::new();
         let mut to_cancel: Vec<Rc<str>> = vec![id.into()];
         let mut seen: BTreeSet<Rc<str>> = to_cancel.iter().cloned().collect();
--- a/crates/sched/src/leader/epoch.rs
+++ b/crates/sched/src/leader/epoch.rs
@@ -40,7 +40,7 @@
 
     /// Changes the shard owners if that is due; `known` is the number of other controllers in the settings.
     pub(super) fn review_epoch(&mut self, now: Secs, known: usize) {
-        let silence_s = self.cluster.config.owner_silence_s();
+        let silence_s = self.cluster.config.owner_timeout_s();
         match self.epochs.review(now, known, silence_s) {
             EpochReview::Unchanged => {}
             EpochReview::NeedsToken => self.actions.push(Action::IssueToken),
--- a/crates/sched/src/leader/jobs.rs
+++ b/crates/sched/src/leader/jobs.rs
@@ -2,7 +2,7 @@
 
 use super::{Action, Job, Leader, OpenJob, Phase};
 use crate::placement::Resources;
-use crate::ranges::Ranges;
+use crate::ranges::RangeSet;
 use crate::Secs;
 use wire::peers::{TaskRef, ToOwner};
 use wire::users::Priority;
@@ -51,7 +51,7 @@
             return;
         };
         job.terminal = true;
-        job.ready = Ranges::default();
+        job.ready = RangeSet::default();
         let phase = std::mem::replace(&mut job.phase, Phase::Ending);
         let clears = std::mem::take(&mut job.clears);
         if job.uncertain || !job.active.is_empty() {
--- a/crates/sched/src/leader/preemption/team_usage.rs
+++ b/crates/sched/src/leader/preemption/team_usage.rs
@@ -4,7 +4,7 @@
 use crate::cluster::Cluster;
 use crate::config::Team;
 use crate::leader::Job;
-use crate::placement::{Resources, ROUNDING_SLACK};
+use crate::placement::{Resources, ROUNDING_TOLERANCE};
 use std::collections::BTreeMap;
 
 /// What each team uses once all tasks that were told to stop, and all that are planned to, are gone.
@@ -38,7 +38,7 @@
         self.used.iter().any(|(team, used)| {
             self.teams
                 .get(*team)
-                .is_some_and(|team| used.cpus > team.cpus + ROUNDING_SLACK)
+                .is_some_and(|team| used.cpus > team.cpus + ROUNDING_TOLERANCE)
         })
     }
 
@@ -72,7 +72,7 @@
         };
         let mut left = self.used.get(name).copied().unwrap_or_default();
         left.sub(taken);
-        left.cpus >= team.cpus - ROUNDING_SLACK
-            && left.gpus >= team.gpus.min(left.gpus) - ROUNDING_SLACK
+        left.cpus >= team.cpus - ROUNDING_TOLERANCE
+            && left.gpus >= team.gpus.min(left.gpus) - ROUNDING_TOLERANCE
     }
 }
--- a/crates/sched/src/leader/progress.rs
+++ b/crates/sched/src/leader/progress.rs
@@ -1,7 +1,7 @@
 //! What of the jobs' progress is to be recorded: which tasks are done, and which arrays may have begun.
 
 use super::{Action, Leader, Rostered};
-use crate::ranges::Ranges;
+use crate::ranges::RangeSet;
 
 /// Tasks per progress record: a bitmap in hexadecimal takes half of what a value may hold. Records say
 /// where each bitmap begins, since other controllers may have other limits.
@@ -11,7 +11,7 @@
 
 impl Leader {
     /// What is done of a job at present.
-    pub fn done_tasks(&self, id: &str) -> Ranges {
+    pub fn done_tasks(&self, id: &str) -> RangeSet {
         self.cluster
             .jobs
             .get(id)
@@ -20,7 +20,7 @@
     }
 
     /// A chunk of progress is durable up to the tasks that it contained, or was not written.
-    pub fn progress_result(&mut self, id: &str, first_task: u32, written: Option<&Ranges>) {
+    pub fn progress_result(&mut self, id: &str, first_task: u32, written: Option<&RangeSet>) {
         let bits = self.chunk_bits;
         let chunk = first_task / bits;
         let Some(job) = self.cluster.jobs.get_mut(id) else {
@@ -63,7 +63,7 @@
                 self.actions.push(Action::RecordProgress {
                     job: id.clone(),
                     first_task,
-                    bits: job.done.hex(first_task, end),
+                    bits: job.done.to_hex_bitmap(first_task, end),
                 });
             }
         }
--- a/crates/sched/src/leader/queue/arrays.rs
+++ b/crates/sched/src/leader/queue/arrays.rs
@@ -2,9 +2,9 @@
 //! what is left over joins the owners' backlogs.
 
 use super::pass::Pass;
-use crate::capacity_index::Fit;
+use crate::capacity_index::MachineFit;
 use crate::leader::{Action, Leader, StartRecord, TaskLocation};
-use crate::ranges::runs;
+use crate::ranges::to_runs;
 use crate::Secs;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -79,7 +79,7 @@
             .cluster
             .machines
             .index()
-            .fits_outside(&requirements, pass.cordon_against(id));
+            .fits_outside_cordon(&requirements, pass.cordon_against(id));
         // Recorded before its first start, so that a later leader knows which jobs an earlier
         // one has never touched and need not wait for every machine with them.
         if job.start_record != StartRecord::Written {
@@ -103,7 +103,13 @@
 
     /// Requests the record that an array has begun, if its turn comes now or soon: the record is then
     /// written in time. Until it is, none of the array's tasks may start.
-    fn await_start_record(&mut self, id: &str, fits: &[Fit], admitted: u32, pass: &mut Pass) {
+    fn await_start_record(
+        &mut self,
+        id: &str,
+        fits: &[MachineFit],
+        admitted: u32,
+        pass: &mut Pass,
+    ) {
         let fitting = fits
             .iter()
             .map(|fit| fit.slots)
@@ -125,7 +131,7 @@
 
     /// How many tasks of an array each zone may take. `None` if zones matter to the job and it is not
     /// known where one of its tasks is: until that is settled, nothing more of it is placed.
-    fn zone_limits_of(&self, id: &str, fits: &[Fit]) -> Option<ZoneLimits> {
+    fn zone_limits_of(&self, id: &str, fits: &[MachineFit]) -> Option<ZoneLimits> {
         let job = self.cluster.jobs.get(id)?;
         if !job.spec.one_zone && !job.spec.spread {
             return Some(ZoneLimits::Unlimited);
@@ -140,7 +146,7 @@
         id: &str,
         requirements: &TaskRequirements,
         admitted: u32,
-        fits: Vec<Fit>,
+        fits: Vec<MachineFit>,
         mut zone_limits: ZoneLimits,
         pass: &mut Pass,
     ) -> u32 {
@@ -221,7 +227,7 @@
                     job: assignment.job.into(),
                     attempt: assignment.attempt,
                     requirements,
-                    tasks: runs(indexes),
+                    tasks: to_runs(indexes),
                 },
             ));
         }
--- a/crates/sched/src/leader/queue/backlog.rs
+++ b/crates/sched/src/leader/queue/backlog.rs
@@ -5,9 +5,9 @@
 use super::pass::Pass;
 use super::{contains_offer, MS_PER_S};
 use crate::leader::{Action, Leader, TaskLocation};
-use crate::owner::STATUS_ROUNDS_PER_HEARTBEAT;
+use crate::owner::STATUS_UPDATES_PER_HEARTBEAT;
 use crate::placement::Resources;
-use crate::ranges::runs;
+use crate::ranges::to_runs;
 use crate::Secs;
 use std::collections::BTreeMap;
 use wire::peers::{TaskRequirements, ToOwner};
@@ -31,7 +31,7 @@
     /// it: the owner collects changes for a part of a heartbeat interval, then the next pass is due.
     fn reaction_s(&self) -> Secs {
         let heartbeat_s = self.cluster.config.heartbeat_s;
-        heartbeat_s.min(MAX_TWO_PASSES_S) / 2.0 + heartbeat_s / STATUS_ROUNDS_PER_HEARTBEAT
+        heartbeat_s.min(MAX_TWO_PASSES_S) / 2.0 + heartbeat_s / STATUS_UPDATES_PER_HEARTBEAT
     }
 
     /// Whether running array tasks are expected to free what the arrays so far in this pass lack
@@ -116,7 +116,7 @@
                 job: id.into(),
                 attempt,
                 requirements: requirements.clone(),
-                tasks: runs(tasks),
+                tasks: to_runs(tasks),
                 wait_ms,
             };
             self.actions.push(Action::Send(owner.clone(), message));
--- a/crates/sched/src/leader/queue/gangs.rs
+++ b/crates/sched/src/leader/queue/gangs.rs
@@ -3,7 +3,7 @@
 
 use super::pass::Pass;
 use super::{jitter, MS_PER_S};
-use crate::capacity_index::Fit;
+use crate::capacity_index::MachineFit;
 use crate::leader::{Action, Job, Leader, Phase};
 use crate::placement::Resources;
 use crate::Secs;
@@ -96,7 +96,7 @@
                     .cluster
                     .machines
                     .index()
-                    .fits_outside(&requirements, cordon);
+                    .fits_outside_cordon(&requirements, cordon);
                 distribute(fits, job.spec.tasks, most_in_zone(job))
             })
     }
@@ -210,7 +210,7 @@
 
 /// Distributes a gang's tasks over machines, the best first and at most `most_in_zone` in one zone;
 /// `None` if they don't all fit.
-fn distribute(fits: Vec<Fit>, tasks: u32, most_in_zone: u32) -> Option<Vec<MachineShare>> {
+fn distribute(fits: Vec<MachineFit>, tasks: u32, most_in_zone: u32) -> Option<Vec<MachineShare>> {
     let mut used_by_zone: BTreeMap<Rc<str>, u32> = BTreeMap::new();
     let mut left = tasks;
     let mut shares = Vec::new();
--- a/crates/sched/src/owner/backlog.rs
+++ b/crates/sched/src/owner/backlog.rs
@@ -4,7 +4,7 @@
 use super::outbox::Outbox;
 use super::pending_starts::StartGroup;
 use crate::placement::Resources;
-use crate::ranges::runs;
+use crate::ranges::to_runs;
 use crate::Secs;
 use std::collections::VecDeque;
 use wire::peers::TaskRequirements;
@@ -59,7 +59,7 @@
         self.entries.retain_mut(|entry| {
             let over = is_over(entry);
             if over {
-                let tasks = runs(std::mem::take(&mut entry.indexes));
+                let tasks = to_runs(std::mem::take(&mut entry.indexes));
                 outbox.hand_back(std::mem::take(&mut entry.job), entry.attempt, tasks);
             }
             !over
--- a/crates/sched/src/owner/heartbeats.rs
+++ b/crates/sched/src/owner/heartbeats.rs
@@ -1,6 +1,6 @@
 //! Heartbeats of machines, and the answers to them. Tasks start in these answers only.
 
-use super::{HeartbeatResponse, Jobs, Owner};
+use super::{HeartbeatResponse, JobLookup, Owner};
 use crate::Secs;
 use wire::split_task;
 use wire::workers::{Heartbeat, Order, Orders, TaskState};
@@ -11,7 +11,7 @@
         &mut self,
         heartbeat: &Heartbeat,
         now: Secs,
-        jobs: &dyn Jobs,
+        jobs: &dyn JobLookup,
     ) -> HeartbeatResponse {
         if let Some(refusal) = self.refusal(heartbeat, now) {
             return refusal;
@@ -51,7 +51,7 @@
 
     /// Fills what a machine's heartbeat shows to be free from the backlog, in the very answer:
     /// otherwise the resources wait for the leader and then for the machine's next heartbeat.
-    fn start_from_backlog(&mut self, name: &str, jobs: &dyn Jobs) {
+    fn start_from_backlog(&mut self, name: &str, jobs: &dyn JobLookup) {
         if self.backlog.is_empty() {
             return;
         }
--- a/crates/sched/src/owner/messages.rs
+++ b/crates/sched/src/owner/messages.rs
@@ -3,15 +3,15 @@
 use super::backlog::BacklogEntry;
 use super::epoch::OwnerEpoch;
 use super::reservations::Reservation;
-use super::{Jobs, Owner};
-use crate::ranges::indexes_of;
+use super::{JobLookup, Owner};
+use crate::ranges::expand_runs;
 use crate::Secs;
 use wire::cloud::MachineType;
 use wire::peers::{ToLeader, ToOwner};
 
 impl Owner {
     /// Takes a message of the leader (its grants are the caller's business).
-    pub fn on_leader_message(&mut self, message: ToOwner, now: Secs, jobs: &dyn Jobs) {
+    pub fn on_leader_message(&mut self, message: ToOwner, now: Secs, jobs: &dyn JobLookup) {
         self.outbox.show_changes();
         match message {
             ToOwner::Epoch {
@@ -53,7 +53,7 @@
     }
 
     /// Takes tasks that the leader sends to start, to wait or to be reserved for; no other message.
-    fn on_tasks(&mut self, message: ToOwner, now: Secs, jobs: &dyn Jobs) {
+    fn on_tasks(&mut self, message: ToOwner, now: Secs, jobs: &dyn JobLookup) {
         match message {
             ToOwner::Assign {
                 job,
@@ -73,7 +73,7 @@
                     job,
                     attempt,
                     requirements,
-                    indexes: indexes_of(&tasks).collect(),
+                    indexes: expand_runs(&tasks).collect(),
                     until: after_ms(now, wait_ms),
                 });
             }
--- a/crates/sched/src/owner/mod.rs
+++ b/crates/sched/src/owner/mod.rs
@@ -27,7 +27,7 @@
 mod terminal_jobs;
 
 use crate::authority::Authority;
-use crate::capacity_index::Index;
+use crate::capacity_index::CapacityIndex;
 use crate::config::SchedulerConfig;
 use crate::placement::Resources;
 use crate::Secs;
@@ -44,7 +44,7 @@
 use wire::workers::Orders;
 
 /// What a controller's own replica of the store knows of jobs.
-pub trait Jobs {
+pub trait JobLookup {
     /// What one task of the job takes; none if the job is not known here.
     fn resources(&self, job: &str) -> Option<Resources>;
     /// The image of the job's tasks; none if the job is not known here.
@@ -65,7 +65,7 @@
 }
 
 /// Parts of a heartbeat interval for which changes that heartbeats bring are collected.
-pub(crate) const STATUS_ROUNDS_PER_HEARTBEAT: f64 = 20.0;
+pub(crate) const STATUS_UPDATES_PER_HEARTBEAT: f64 = 20.0;
 
 /// The owner of a shard of the machines.
 pub struct Owner {
@@ -82,7 +82,7 @@
     terminal_jobs: TerminalJobs,
     outbox: Outbox,
     /// Open machines as placement looks at them.
-    index: Index,
+    index: CapacityIndex,
     /// Machines that changed since the index was last brought up to date.
     dirty_machines: BTreeSet<String>,
 }
@@ -102,7 +102,7 @@
             assigned: AssignedJobs::default(),
             terminal_jobs: TerminalJobs::default(),
             outbox: Outbox::new(),
-            index: Index::default(),
+            index: CapacityIndex::default(),
             dirty_machines: BTreeSet::new(),
         }
     }
@@ -121,7 +121,7 @@
 
     /// Whether heartbeats may be answered now.
     pub fn has_authority(&self, now: Secs) -> bool {
-        now < self.authority.answers_until()
+        now < self.authority.responses_until()
     }
 
     /// What is to be told to the leader. What heartbeats change is collected for a short while;
@@ -138,7 +138,7 @@
         if self.assigned.begin_review(now, self.config.lease_s) {
             self.forget_unused_jobs();
         }
-        let status_interval_s = self.config.heartbeat_s / STATUS_ROUNDS_PER_HEARTBEAT;
+        let status_interval_s = self.config.heartbeat_s / STATUS_UPDATES_PER_HEARTBEAT;
         self.outbox.show_changes_every(status_interval_s, now);
         self.reservations.expire(now, &mut self.dirty_machines);
         let lease_expiry_s = self.config.lease_expiry_s();
--- a/crates/sched/src/owner/placement.rs
+++ b/crates/sched/src/owner/placement.rs
@@ -3,10 +3,10 @@
 use super::machine::{MachineIdentity, OwnedMachine};
 use super::pending_starts::StartGroup;
 use super::reservations::Reservation;
-use super::{Jobs, Owner};
-use crate::capacity_index::{Fit, IndexedMachine};
+use super::{JobLookup, Owner};
+use crate::capacity_index::{IndexedMachine, MachineFit};
 use crate::placement::Resources;
-use crate::ranges::{indexes_of, runs};
+use crate::ranges::{expand_runs, to_runs};
 use crate::Secs;
 use std::cmp::Reverse;
 use wire::peers::{TaskRequirements, ToLeader};
@@ -25,7 +25,7 @@
         requirements: &TaskRequirements,
         tasks: &[(u32, u32)],
         now: Secs,
-        jobs: &dyn Jobs,
+        jobs: &dyn JobLookup,
     ) {
         self.assigned.learn(&job, requirements);
         self.refresh_index(jobs);
@@ -35,7 +35,7 @@
             resources: Resources::of(requirements),
             image: &requirements.image,
         };
-        let mut indexes = indexes_of(tasks).peekable();
+        let mut indexes = expand_runs(tasks).peekable();
         for fit in self.suitable_machines(requirements, now) {
             if indexes.peek().is_none() {
                 break;
@@ -45,10 +45,10 @@
             };
             let started = machine.add_starts(&group, indexes.by_ref().take(fit.slots as usize));
             self.index
-                .take(&fit.name, group.resources, started, group.image);
+                .allocate(&fit.name, group.resources, started, group.image);
             self.dirty_machines.insert(fit.name.to_string());
         }
-        let unplaced = runs(indexes);
+        let unplaced = to_runs(indexes);
         if !unplaced.is_empty() {
             self.outbox.hand_back(job, attempt, unplaced);
         }
@@ -56,7 +56,7 @@
 
     /// The machines on which a task fits, the best first. A start goes with the answer to a heartbeat:
     /// of machines that suit alike, the one whose next heartbeat is due first starts first.
-    fn suitable_machines(&self, requirements: &TaskRequirements, now: Secs) -> Vec<Fit> {
+    fn suitable_machines(&self, requirements: &TaskRequirements, now: Secs) -> Vec<MachineFit> {
         let step_s = self.config.heartbeat_s / SILENCE_STEPS;
         let silence = |name: &str| {
             self.machines.get(name).map_or(0, |machine| {
@@ -85,7 +85,7 @@
         attempt: u64,
         requirements: &TaskRequirements,
         reservation: Reservation,
-        jobs: &dyn Jobs,
+        jobs: &dyn JobLookup,
     ) -> bool {
         let fits = |name: &str, count: u32| {
             let machine = self.machines.get(name).filter(|m| m.is_open());
@@ -144,7 +144,7 @@
         &self,
         name: &str,
         machine: &OwnedMachine,
-        jobs: &dyn Jobs,
+        jobs: &dyn JobLookup,
     ) -> Option<Resources> {
         let kind = &machine.identity().kind;
         let mut free = self.types.get(kind).map(Resources::of_type)?;
@@ -159,7 +159,7 @@
     }
 
     /// Brings the index up to what has changed since it was last looked at.
-    fn refresh_index(&mut self, jobs: &dyn Jobs) {
+    fn refresh_index(&mut self, jobs: &dyn JobLookup) {
         for name in std::mem::take(&mut self.dirty_machines) {
             let open = self.machines.get(&name).filter(|m| m.is_open());
             let found = open.and_then(|m| Some((m, self.types.get(&m.identity().kind)?)));
@@ -170,7 +170,7 @@
             let free = self.free_resources(&name, machine, jobs);
             let entry = self.index_entry(machine, free.unwrap_or_default(), jobs);
             let MachineIdentity { zone, spot, .. } = machine.identity();
-            self.index.put(
+            self.index.upsert(
                 &name,
                 machine_type,
                 zone,
@@ -189,7 +189,7 @@
         &self,
         machine: &OwnedMachine,
         free: Resources,
-        jobs: &dyn Jobs,
+        jobs: &dyn JobLookup,
     ) -> IndexedMachine {
         let mut images: Vec<String> = machine.images().cloned().collect();
         for image in machine
@@ -209,11 +209,11 @@
     }
 
     /// What a task of a job takes, by this controller's replica or by the leader's word.
-    fn resources(&self, job: &str, jobs: &dyn Jobs) -> Option<Resources> {
+    fn resources(&self, job: &str, jobs: &dyn JobLookup) -> Option<Resources> {
         jobs.resources(job).or_else(|| self.assigned.resources(job))
     }
 
-    fn image(&self, job: &str, jobs: &dyn Jobs) -> Option<String> {
+    fn image(&self, job: &str, jobs: &dyn JobLookup) -> Option<String> {
         let assigned = || self.assigned.image(job).map(str::to_string);
         jobs.image(job).or_else(assigned)
     }
--- a/crates/sched/src/owner/terminal_jobs.rs
+++ b/crates/sched/src/owner/terminal_jobs.rs
@@ -1,6 +1,6 @@
 //! Jobs that the leader said are over.
 
-use super::Jobs;
+use super::JobLookup;
 use crate::Secs;
 use std::collections::BTreeMap;
 
@@ -19,7 +19,7 @@
     }
 
     /// Whether a job is over by the leader's word or by this controller's own replica.
-    pub(super) fn is_terminal(&self, job: &str, jobs: &dyn Jobs) -> bool {
+    pub(super) fn is_terminal(&self, job: &str, jobs: &dyn JobLookup) -> bool {
         self.notified_at.contains_key(job) || jobs.is_terminal(job)
     }
 
--- a/crates/sched/src/placement.rs
+++ b/crates/sched/src/placement.rs
@@ -16,7 +16,7 @@
 }
 
 /// Sums of decimals are compared with this slack.
-pub const ROUNDING_SLACK: f64 = 1e-6;
+pub const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 /// The most tasks that are counted on one machine: tasks that take nothing would fit without end.
 const MAX_FITTING: f64 = 1e6;
@@ -70,11 +70,11 @@
         }
     }
 
-    /// Whether `needed` fits into these amounts, up to `ROUNDING_SLACK`.
+    /// Whether `needed` fits into these amounts, up to `ROUNDING_TOLERANCE`.
     pub fn can_fit(&self, needed: Resources) -> bool {
-        needed.cpus <= self.cpus + ROUNDING_SLACK
-            && needed.gpus <= self.gpus + ROUNDING_SLACK
-            && needed.memory_gb <= self.memory_gb + ROUNDING_SLACK
+        needed.cpus <= self.cpus + ROUNDING_TOLERANCE
+            && needed.gpus <= self.gpus + ROUNDING_TOLERANCE
+            && needed.memory_gb <= self.memory_gb + ROUNDING_TOLERANCE
     }
 
     /// How many tasks that each take `needed` fit, up to a million.
@@ -83,7 +83,7 @@
             if needed <= 0.0 {
                 f64::INFINITY
             } else {
-                ((free + ROUNDING_SLACK) / needed).floor().max(0.0)
+                ((free + ROUNDING_TOLERANCE) / needed).floor().max(0.0)
             }
         };
         fitting(self.cpus, needed.cpus)
--- a/crates/sched/src/ranges.rs
+++ b/crates/sched/src/ranges.rs
@@ -4,12 +4,12 @@
 
 /// A set of numbers, kept as sorted ranges `[from, to)` that don't touch.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Ranges(Vec<(u32, u32)>);
+pub struct RangeSet(Vec<(u32, u32)>);
 
-impl Ranges {
+impl RangeSet {
     /// The numbers below `n`.
-    pub fn full(n: u32) -> Ranges {
-        Ranges(if n == 0 { Vec::new() } else { vec![(0, n)] })
+    pub fn full(n: u32) -> RangeSet {
+        RangeSet(if n == 0 { Vec::new() } else { vec![(0, n)] })
     }
 
     /// Whether it has no member.
@@ -93,7 +93,7 @@
 
     /// The set as a bitmap in hexadecimal for the numbers `[from, to)`: in each byte the lowest bit
     /// stands for the lowest number.
-    pub fn hex(&self, from: u32, to: u32) -> String {
+    pub fn to_hex_bitmap(&self, from: u32, to: u32) -> String {
         let mut bytes = vec![0u8; ((to - from) as usize).div_ceil(BITS_PER_BYTE)];
         for number in self.iter().filter(|number| (from..to).contains(number)) {
             let at = (number - from) as usize;
@@ -103,7 +103,7 @@
     }
 
     /// Adds the numbers of a bitmap that begins at `from`, except those from `below` on.
-    pub fn add_bits(&mut self, from: u32, bits: &[u8], below: u32) {
+    pub fn insert_bitmap(&mut self, from: u32, bits: &[u8], below: u32) {
         for (at, byte) in bits.iter().enumerate() {
             for bit in 0..BITS_PER_BYTE {
                 let number = from + (at * BITS_PER_BYTE + bit) as u32;
@@ -116,13 +116,13 @@
 }
 
 /// The indexes of (first, count) runs, in their order.
-pub fn indexes_of(runs: &[(u32, u32)]) -> impl Iterator<Item = u32> + '_ {
+pub fn expand_runs(runs: &[(u32, u32)]) -> impl Iterator<Item = u32> + '_ {
     runs.iter()
         .flat_map(|&(first, count)| first..first.saturating_add(count))
 }
 
 /// Joins sorted indexes into (first, count) runs.
-pub fn runs(indexes: impl IntoIterator<Item = u32>) -> Vec<(u32, u32)> {
+pub fn to_runs(indexes: impl IntoIterator<Item = u32>) -> Vec<(u32, u32)> {
     let mut joined: Vec<(u32, u32)> = Vec::new();
     for index in indexes {
         match joined.last_mut() {
--- a/crates/sched/tests/ranges.rs
+++ b/crates/sched/tests/ranges.rs
@@ -1,12 +1,12 @@
 //! Sets of task numbers against a plain set.
 
-use sched::ranges::{runs, Ranges};
+use sched::ranges::{to_runs, RangeSet};
 use std::collections::BTreeSet;
 
 #[test]
 fn behaves_as_a_plain_set() {
     let mut rng = fastrand::Rng::with_seed(7);
-    let (mut fast, mut plain) = (Ranges::full(40), (0..40).collect::<BTreeSet<u32>>());
+    let (mut fast, mut plain) = (RangeSet::full(40), (0..40).collect::<BTreeSet<u32>>());
     for _ in 0..5000 {
         let i = rng.u32(0..50);
         match rng.u8(0..5) {
@@ -17,14 +17,14 @@
         assert!(fast.iter().eq(plain.iter().copied()));
         assert_eq!(fast.len() as usize, plain.len());
     }
-    let mut back = Ranges::default();
+    let mut back = RangeSet::default();
     let bytes: Vec<u8> = fast
-        .hex(0, 50)
+        .to_hex_bitmap(0, 50)
         .as_bytes()
         .chunks(2)
         .map(|c| u8::from_str_radix(std::str::from_utf8(c).unwrap(), 16).unwrap())
         .collect();
-    back.add_bits(0, &bytes, 50);
+    back.insert_bitmap(0, &bytes, 50);
     assert_eq!(back, fast);
-    assert_eq!(runs([1, 2, 3, 7, 9, 10]), [(1, 3), (7, 1), (9, 2)]);
+    assert_eq!(to_runs([1, 2, 3, 7, 9, 10]), [(1, 3), (7, 1), (9, 2)]);
 }
