--- a/crates/sched/src/autoscaler/incoming.rs
+++ b/crates/sched/src/autoscaler/incoming.rs
@@ -99,7 +99,7 @@
         let joining = cluster
             .machines
             .values()
-            .filter(|m| m.rostered != Rostered::Yes && m.lapsed_at.is_none() && !m.drain)
+            .filter(|m| m.rostered != Rostered::Yes && m.lease_expired_at.is_none() && !m.draining)
             .map(|machine| (Offer::of_machine(machine), 1));
         let mut counts: BTreeMap<Offer, u32> = BTreeMap::new();
         for (offer, count) in booting.chain(requested).chain(joining) {
--- a/crates/sched/src/autoscaler/retention.rs
+++ b/crates/sched/src/autoscaler/retention.rs
@@ -152,7 +152,7 @@
     cluster
         .machines
         .values()
-        .filter(|m| m.open() && m.tasks.is_empty() && m.reserved.is_empty())
+        .filter(|m| m.accepts_tasks() && m.tasks.is_empty() && m.reserved.is_empty())
         .filter_map(|machine| cluster.capacity(&machine.kind))
         .map(|capacity| capacity.cpus)
         .sum()
--- a/crates/sched/src/autoscaler/scale_in.rs
+++ b/crates/sched/src/autoscaler/scale_in.rs
@@ -63,7 +63,7 @@
     /// What speaks against a machine at an instant.
     fn of(machine: &Machine, retention: &IdleRetention, now: Secs) -> Condition {
         let idle_s = now - machine.idle_since;
-        let silent_s = machine.lapsed_at.map(|lapsed_at| now - lapsed_at);
+        let silent_s = machine.lease_expired_at.map(|lapsed_at| now - lapsed_at);
         Condition {
             idle_s,
             expired: idle_s > retention.retention_s(machine.spot),
@@ -128,7 +128,7 @@
             match review(name, machine, retention.of(&machine.kind), now) {
                 Verdict::Keep => {}
                 Verdict::Drain => {
-                    machine.drain = true;
+                    machine.draining = true;
                     returns.close.push(name.clone());
                 }
                 Verdict::Release => {
@@ -166,7 +166,7 @@
 /// Decides on one machine that is not being released.
 fn review(name: &str, machine: &Machine, retention: &IdleRetention, now: Secs) -> Verdict {
     let condition = Condition::of(machine, retention, now);
-    if !machine.drain && condition.calls_for_drain(machine.rostered) {
+    if !machine.draining && condition.calls_for_drain(machine.rostered) {
         log::info!(
             "event=drain machine={name} idle_s={:.0} faulty={} lost={}",
             condition.idle_s,
@@ -177,7 +177,7 @@
     }
     // Also of a lost machine its owner must show first that it places nothing there: it may have come back
     // meanwhile, and what is placed on a returned machine is lost.
-    let is_closed = machine.drain && machine.confirmed_unusable && machine.reconciled;
+    let is_closed = machine.draining && machine.confirmed_unusable && machine.reconciled;
     if is_closed && !is_in_use(machine) {
         Verdict::Release
     } else {
@@ -208,7 +208,7 @@
 /// returned they hold nothing.
 fn release_unknown(cluster: &mut Cluster) -> Vec<String> {
     let machines = cluster.machines.iter_mut();
-    let silent = machines.filter(|(_, machine)| machine.unknown && !machine.releasing);
+    let silent = machines.filter(|(_, machine)| machine.content_unknown && !machine.releasing);
     let released = silent.map(|(name, machine)| {
         log::info!("event=machine_silent machine={name}");
         machine.releasing = true;
--- a/crates/sched/src/autoscaler/scale_out.rs
+++ b/crates/sched/src/autoscaler/scale_out.rs
@@ -102,7 +102,7 @@
                 continue;
             };
             // Capacity is being taken back for it.
-            if self.now < job.reclaims_until {
+            if self.now < job.preempting_until {
                 continue;
             }
             let requirements = cluster.requirements_sparing(job, self.scarce);
--- a/crates/sched/src/cluster/active_tasks.rs
+++ b/crates/sched/src/cluster/active_tasks.rs
@@ -12,7 +12,7 @@
             return;
         };
         let resources = job.resources();
-        job.ready.remove(index);
+        job.ready_tasks.remove(index);
         if let Some(owner) = waits_at(&active.location) {
             self.backlogs.add(owner, resources.cpus);
         }
--- a/crates/sched/src/cluster/job.rs
+++ b/crates/sched/src/cluster/job.rs
@@ -89,7 +89,7 @@
     /// The store's revision at its creation: the order of creation.
     pub revision: u64,
     /// When this leader learned of it.
-    pub seen: Secs,
+    pub first_seen_at: Secs,
     /// Done or cancelled.
     pub terminal: bool,
     /// Its end is being written.
@@ -97,17 +97,17 @@
     /// Tasks that are done.
     pub done: RangeSet,
     /// Those of which the store knows.
-    pub durable: RangeSet,
+    pub durable_done: RangeSet,
     /// Chunks of progress that have to be written.
-    pub dirty: BTreeSet<u32>,
+    pub dirty_chunks: BTreeSet<u32>,
     /// Tasks that may be started.
-    pub ready: RangeSet,
+    pub ready_tasks: RangeSet,
     /// Tasks that may be running.
     pub active: BTreeMap<u32, Active>,
     /// Started by an earlier leader perhaps; not to be started until the suspects are known.
-    pub uncertain: bool,
+    pub awaits_reconciliation: bool,
     /// Machines on which it may be running, if it was started; none stands for any.
-    pub suspects: Option<BTreeSet<String>>,
+    pub possible_machines: Option<BTreeSet<String>>,
     /// Of an array: whether it is recorded that it may have been started.
     pub start_record: StartRecord,
     /// No task is started before this.
@@ -115,16 +115,16 @@
     /// Failures since a task was last done or a gang last bound.
     pub failures: u32,
     /// Machines on which its tasks failed since one of them was last done, a few.
-    pub failed_on: BTreeSet<String>,
+    pub failed_machines: BTreeSet<String>,
     /// Of a gang: how far it is on its way to running.
     pub phase: Phase,
     /// Done tasks that their workers keep until that is durable, with the machine.
-    pub clears: Vec<(String, TaskRef)>,
+    pub pending_clears: Vec<(String, TaskRef)>,
     /// Whether it fits into its team's guarantee together with the team's earlier jobs.
     pub within_guarantee: bool,
     /// Tasks of others are being stopped so that this whole gang has capacity. Until then that capacity is
     /// kept for it and no machine is provisioned.
-    pub reclaims_until: Secs,
+    pub preempting_until: Secs,
 }
 
 /// A job that failed on so many machines, and was done on none, is taken to fail on any.
@@ -150,24 +150,24 @@
         Job {
             priority: open.spec.priority,
             revision: open.revision,
-            seen: now,
+            first_seen_at: now,
             terminal: false,
             finishing: false,
-            durable: open.done.clone(),
+            durable_done: open.done.clone(),
             done: open.done,
-            dirty: BTreeSet::new(),
-            ready,
+            dirty_chunks: BTreeSet::new(),
+            ready_tasks: ready,
             active: BTreeMap::new(),
-            uncertain: !is_untouched,
-            suspects,
+            awaits_reconciliation: !is_untouched,
+            possible_machines: suspects,
             start_record,
             backoff_until: 0.0,
             failures: 0,
-            failed_on: BTreeSet::new(),
+            failed_machines: BTreeSet::new(),
             phase: Phase::Idle,
-            clears: Vec::new(),
+            pending_clears: Vec::new(),
             within_guarantee: false,
-            reclaims_until: 0.0,
+            preempting_until: 0.0,
             spec: open.spec,
         }
     }
@@ -188,14 +188,14 @@
         };
         for index in indexes {
             if self.done.insert(index) {
-                self.ready.remove(index);
-                self.dirty.insert(index / chunk_tasks);
+                self.ready_tasks.remove(index);
+                self.dirty_chunks.insert(index / chunk_tasks);
             }
         }
     }
 
     /// How many tasks are not done.
-    pub(crate) fn open_tasks(&self) -> u32 {
+    pub(crate) fn unfinished_tasks(&self) -> u32 {
         self.spec.tasks - self.done.len().min(self.spec.tasks)
     }
 
@@ -219,12 +219,12 @@
     }
 
     /// Whether it fails wherever it is tried, so that the fault is its own and not the machines'.
-    pub(crate) fn is_broken(&self) -> bool {
-        self.failed_on.len() >= MACHINES_TO_BLAME_JOB
+    pub(crate) fn fails_everywhere(&self) -> bool {
+        self.failed_machines.len() >= MACHINES_TO_BLAME_JOB
     }
 
     /// The smallest number of tasks that may run: all of a gang, one of an array.
-    pub(crate) fn minimum(&self) -> u32 {
+    pub(crate) fn min_tasks(&self) -> u32 {
         if self.is_gang() {
             self.spec.tasks
         } else {
--- a/crates/sched/src/cluster/machine.rs
+++ b/crates/sched/src/cluster/machine.rs
@@ -27,15 +27,15 @@
     /// Its shard owner.
     pub owner: String,
     /// The token under which that became the owner.
-    pub since: u64,
+    pub owner_token: u64,
     /// Its owner has shown what is on it in this epoch.
     pub reconciled: bool,
     /// Not reconciled since this leader began: what is on it is not known at all.
-    pub unknown: bool,
+    pub content_unknown: bool,
     /// Since when its worker's lease has certainly expired, and nothing newer was heard.
-    pub lapsed_at: Option<Secs>,
+    pub lease_expired_at: Option<Secs>,
     /// When the cloud takes it back, once that was announced.
-    pub notice_until: Option<Secs>,
+    pub notice_expires_at: Option<Secs>,
     /// Whether it is on the durable roster.
     pub rostered: Rostered,
     /// Whether its owner may place tasks there, as it was last sent.
@@ -49,7 +49,7 @@
     /// Tasks of terminal jobs that are not known here any more: nothing is placed beside them.
     pub has_unknown_jobs: bool,
     /// No more tasks are placed there, and it is released once it is empty.
-    pub drain: bool,
+    pub draining: bool,
     /// The cloud is being asked to take it back.
     pub releasing: bool,
     /// Attempts of tasks that may be running there, by job and index.
@@ -61,13 +61,13 @@
     /// Since when nothing is charged to it.
     pub idle_since: Secs,
     /// When its owner last sent its status.
-    pub seen_at: Secs,
+    pub last_status_at: Secs,
     /// Images that it has, or is fetching, the newest first.
     pub images: Vec<String>,
     /// Jobs that failed there, and not everywhere.
     pub failed_jobs: BTreeSet<String>,
     /// Exited tasks that its worker was told to forget in this epoch.
-    pub cleared: BTreeSet<TaskRef>,
+    pub cleared_tasks: BTreeSet<TaskRef>,
 }
 
 impl Machine {
@@ -78,27 +78,27 @@
             zone: zone.into(),
             spot,
             owner: String::new(),
-            since: token,
+            owner_token: token,
             reconciled: false,
-            unknown: false,
-            lapsed_at: None,
-            notice_until: None,
+            content_unknown: false,
+            lease_expired_at: None,
+            notice_expires_at: None,
             rostered: Rostered::No,
             usable_sent: false,
             confirmed_unusable: false,
             is_idle: true,
             unreachable: false,
             has_unknown_jobs: false,
-            drain: false,
+            draining: false,
             releasing: false,
             tasks: BTreeMap::new(),
             used: Resources::default(),
             reserved: BTreeMap::new(),
             idle_since: now,
-            seen_at: now,
+            last_status_at: now,
             images: Vec::new(),
             failed_jobs: BTreeSet::new(),
-            cleared: BTreeSet::new(),
+            cleared_tasks: BTreeSet::new(),
         }
     }
 
@@ -121,13 +121,14 @@
     }
 
     /// Whether its owner may place tasks there: it is rostered, and is not about to be released.
-    pub fn may_be_used(&self) -> bool {
-        self.rostered == Rostered::Yes && !self.drain && !self.releasing
+    pub fn is_usable(&self) -> bool {
+        self.rostered == Rostered::Yes && !self.draining && !self.releasing
     }
 
     /// Whether tasks may be placed there now, as far as the leader knows.
-    pub fn open(&self) -> bool {
-        let present = self.reconciled && self.lapsed_at.is_none() && self.notice_until.is_none();
+    pub fn accepts_tasks(&self) -> bool {
+        let present =
+            self.reconciled && self.lease_expired_at.is_none() && self.notice_expires_at.is_none();
         self.rostered == Rostered::Yes
             && self.usable_sent
             && present
--- a/crates/sched/src/cluster/machine_inventory.rs
+++ b/crates/sched/src/cluster/machine_inventory.rs
@@ -132,7 +132,10 @@
     /// part of `guarantee_s` count as slow.
     pub(crate) fn refresh_index(&mut self, types: &MachineTypes, guarantee_s: Secs) {
         for name in std::mem::take(&mut self.dirty) {
-            let machine = self.machines.get(&name).filter(|machine| machine.open());
+            let machine = self
+                .machines
+                .get(&name)
+                .filter(|machine| machine.accepts_tasks());
             let found = machine.and_then(|machine| Some((machine, types.get(&machine.kind)?)));
             match found {
                 Some((machine, machine_type)) => self.index.upsert(
@@ -156,7 +159,10 @@
             let (kind, zone) = (machine.kind.clone(), machine.zone.clone());
             Some((name.clone(), (kind, zone, machine.spot, indexed)))
         };
-        let open = self.machines.iter().filter(|(_, machine)| machine.open());
+        let open = self
+            .machines
+            .iter()
+            .filter(|(_, machine)| machine.accepts_tasks());
         let rebuilt: BTreeMap<_, _> = open.filter_map(entry).collect();
         rebuilt == self.index.contents()
     }
--- a/crates/sched/src/cluster/quota.rs
+++ b/crates/sched/src/cluster/quota.rs
@@ -14,7 +14,7 @@
 
 impl Wanted {
     fn add(&mut self, job: &Job, team: &Team) {
-        let tasks = f64::from(job.open_tasks());
+        let tasks = f64::from(job.unfinished_tasks());
         self.cpus += bounded_sum(tasks, job.spec.cpus, team.cpus_max);
         self.gpus += bounded_sum(tasks, job.spec.gpus, team.gpus_max);
     }
@@ -63,7 +63,7 @@
     fn unseen_capacity(&self) -> Unseen {
         let mut unseen = Unseen::default();
         for machine in self.machines.values() {
-            let sum = match (machine.unknown, machine.has_unknown_jobs) {
+            let sum = match (machine.content_unknown, machine.has_unknown_jobs) {
                 (true, _) => &mut unseen.unknown_content,
                 (false, true) => &mut unseen.unknown_jobs,
                 (false, false) => continue,
@@ -78,8 +78,8 @@
     fn unseen_usage(&self, team: &str, unseen: Unseen) -> Resources {
         let mut most = self.usage.cancelled_of(team);
         let jobs = self.jobs.values();
-        for job in jobs.filter(|job| job.uncertain && job.spec.team == team) {
-            let tasks = f64::from(job.open_tasks()) - job.active.len() as f64;
+        for job in jobs.filter(|job| job.awaits_reconciliation && job.spec.team == team) {
+            let tasks = f64::from(job.unfinished_tasks()) - job.active.len() as f64;
             most.cpus += tasks.max(0.0) * job.spec.cpus;
             most.gpus += tasks.max(0.0) * job.spec.gpus;
         }
@@ -121,10 +121,12 @@
     /// A job became terminal before all machines were known: what was not seen of it may still be running.
     pub(crate) fn charge_unseen_tasks(&mut self, id: &str) {
         let job = self.jobs.get(id);
-        let Some(job) = job.filter(|job| job.uncertain) else {
+        let Some(job) = job.filter(|job| job.awaits_reconciliation) else {
             return;
         };
-        let unseen = job.open_tasks().saturating_sub(job.active.len() as u32);
+        let unseen = job
+            .unfinished_tasks()
+            .saturating_sub(job.active.len() as u32);
         let resources = job.resources().scaled(unseen);
         self.usage.note_cancelled(&job.spec.team, resources);
     }
--- a/crates/sched/src/cluster/wait_estimates.rs
+++ b/crates/sched/src/cluster/wait_estimates.rs
@@ -48,7 +48,7 @@
         };
         let objective_s = self.config.wait_s.get(&job.spec.class).copied();
         let within_s = objective_s.unwrap_or(self.config.guarantee_s * DEFAULT_WAIT_GUARANTEES);
-        now - job.seen > within_s * self.config.max_wait_share
+        now - job.first_seen_at > within_s * self.config.max_wait_share
     }
 
     /// When machines on which these tasks may run are expected to be empty, the earliest first.
@@ -56,7 +56,7 @@
         let usable = self
             .machines
             .iter()
-            .filter(|(_, machine)| machine.open() && allows(requirements, machine));
+            .filter(|(_, machine)| machine.accepts_tasks() && allows(requirements, machine));
         let busy = usable.map(|(name, machine)| BusyMachine {
             empty_at: self.empty_at(machine, now),
             name: name.clone(),
@@ -129,7 +129,7 @@
             .fold(f64::MAX, f64::min);
         // What is provisioned once the wait is given up must still be up in time, slow boots included.
         let time_to_boot_s = within_s - shortest_boot_s * SLOW_BOOT_FACTOR;
-        Some(job.seen + (within_s * self.config.max_wait_share).min(time_to_boot_s))
+        Some(job.first_seen_at + (within_s * self.config.max_wait_share).min(time_to_boot_s))
     }
 
     /// Positions of busy machines on which a whole gang fits and that are empty in time, all in one zone if it
--- a/crates/sched/src/leader/epoch.rs
+++ b/crates/sched/src/leader/epoch.rs
@@ -108,12 +108,12 @@
             let owner = self.epochs.owner_of(name).to_string();
             if owner != machine.owner || change.restarted.contains(&owner) {
                 machine.owner = owner;
-                machine.since = change.token;
+                machine.owner_token = change.token;
             }
             machine.reconciled = false;
             // Owners learn from the descriptors what they may use; also what an earlier leader rostered.
-            machine.usable_sent = machine.may_be_used();
-            machine.cleared.clear();
+            machine.usable_sent = machine.is_usable();
+            machine.cleared_tasks.clear();
             machine.confirmed_unusable = false;
         }
     }
@@ -121,7 +121,7 @@
     /// What was sent to owners under an earlier token may be lost, and is sent again when it is due.
     fn forget_sent_orders(&mut self) {
         for job in self.cluster.jobs.values_mut() {
-            job.clears.clear();
+            job.pending_clears.clear();
             for active in job.active.values_mut() {
                 active.stop_sent = false;
             }
--- a/crates/sched/src/leader/jobs.rs
+++ b/crates/sched/src/leader/jobs.rs
@@ -51,10 +51,10 @@
             return;
         };
         job.terminal = true;
-        job.ready = RangeSet::default();
+        job.ready_tasks = RangeSet::default();
         let phase = std::mem::replace(&mut job.phase, Phase::Ending);
-        let clears = std::mem::take(&mut job.clears);
-        if job.uncertain || !job.active.is_empty() {
+        let clears = std::mem::take(&mut job.pending_clears);
+        if job.awaits_reconciliation || !job.active.is_empty() {
             self.send_terminal(id);
         }
         self.cluster.charge_unseen_tasks(id);
@@ -99,7 +99,7 @@
         let started_at = running.map(|active| active.since);
         job.mark_done(index, chunk_tasks);
         job.failures = 0;
-        job.failed_on.clear();
+        job.failed_machines.clear();
         if let Some(started_at) = started_at {
             let class = job.spec.class.clone();
             self.cluster.observe_run(class, now - started_at);
--- a/crates/sched/src/leader/machine_status.rs
+++ b/crates/sched/src/leader/machine_status.rs
@@ -67,14 +67,14 @@
         let Some(machine) = self.cluster.machines.get_mut(&status.name) else {
             return;
         };
-        if machine.owner != from || status.token < machine.since {
+        if machine.owner != from || status.token < machine.owner_token {
             return;
         }
         update_machine(machine, &status, now);
         // Only a status of this very epoch proves that nothing else was placed there meanwhile.
         if is_current {
             machine.reconciled = true;
-            if std::mem::take(&mut machine.unknown) {
+            if std::mem::take(&mut machine.content_unknown) {
                 self.cluster.machines.note_known(&status.name, now);
             }
         }
@@ -106,7 +106,7 @@
         let Some(machine) = self.cluster.machines.get_mut(name) else {
             return;
         };
-        let is_up = machine.lapsed_at.is_none() && !machine.releasing;
+        let is_up = machine.lease_expired_at.is_none() && !machine.releasing;
         if machine.rostered != Rostered::No || !is_up {
             return;
         }
@@ -204,15 +204,17 @@
 /// Takes what a status says of the machine itself.
 fn update_machine(machine: &mut Machine, status: &MachineStatus, now: Secs) {
     let name = &status.name;
-    machine.seen_at = now;
-    if status.lapsed != machine.lapsed_at.is_some() {
+    machine.last_status_at = now;
+    if status.lapsed != machine.lease_expired_at.is_some() {
         let event = if status.lapsed { "lost" } else { "back" };
         log::info!("event=machine_{event} machine={name}");
     }
-    machine.lapsed_at = status.lapsed.then(|| machine.lapsed_at.unwrap_or(now));
-    machine.notice_until = status
+    machine.lease_expired_at = status
+        .lapsed
+        .then(|| machine.lease_expired_at.unwrap_or(now));
+    machine.notice_expires_at = status
         .notice_s
-        .map(|notice_s| machine.notice_until.unwrap_or(now + notice_s));
+        .map(|notice_s| machine.notice_expires_at.unwrap_or(now + notice_s));
     machine.confirmed_unusable = !status.usable;
     if status.unreachable != machine.unreachable {
         let event = if status.unreachable {
--- a/crates/sched/src/leader/machines.rs
+++ b/crates/sched/src/leader/machines.rs
@@ -30,7 +30,7 @@
         let Some(machine) = self.cluster.machines.get_mut(name) else {
             return;
         };
-        let usable = machine.may_be_used();
+        let usable = machine.is_usable();
         if usable == machine.usable_sent {
             return;
         }
--- a/crates/sched/src/leader/mod.rs
+++ b/crates/sched/src/leader/mod.rs
@@ -160,7 +160,7 @@
         for (name, record) in roster {
             let mut machine = leader.new_machine(&record.kind, &record.zone, record.spot, now);
             machine.rostered = Rostered::Yes;
-            machine.unknown = true;
+            machine.content_unknown = true;
             leader.cluster.machines.insert_unknown(name, machine);
         }
         leader
--- a/crates/sched/src/leader/preemption/candidates.rs
+++ b/crates/sched/src/leader/preemption/candidates.rs
@@ -27,7 +27,7 @@
     cluster
         .machines
         .iter()
-        .filter(|(_, machine)| machine.open())
+        .filter(|(_, machine)| machine.accepts_tasks())
         .filter_map(|(name, machine)| {
             Some((name.as_str(), CandidateMachine::of(cluster, machine, now)?))
         })
--- a/crates/sched/src/leader/preemption/eligibility.rs
+++ b/crates/sched/src/leader/preemption/eligibility.rs
@@ -49,7 +49,7 @@
 
 /// Whether others may be stopped for a job that found no capacity.
 fn may_preempt(cluster: &Cluster, job: &Job, now: Secs) -> bool {
-    let waited_s = now - job.seen;
+    let waited_s = now - job.first_seen_at;
     let in_time = preemption_window(cluster, job).contains(&waited_s);
     let starved = waited_s > cluster.config.guarantee_s * STARVED_FACTOR;
     (in_time || starved)
--- a/crates/sched/src/leader/preemption/planner.rs
+++ b/crates/sched/src/leader/preemption/planner.rs
@@ -40,7 +40,7 @@
         cordon: Option<&'a Cordon>,
         now: Secs,
     ) -> Planner<'a> {
-        let frees_capacity = |job: &Job| now < job.reclaims_until;
+        let frees_capacity = |job: &Job| now < job.preempting_until;
         Planner {
             cluster,
             supply: Supply {
--- a/crates/sched/src/leader/preemption/stops.rs
+++ b/crates/sched/src/leader/preemption/stops.rs
@@ -38,7 +38,7 @@
     pub(super) fn carry_out(&mut self, preemption: Preemption) {
         let job = self.cluster.jobs.get_mut(&preemption.job);
         if let (Some(job), Some(until)) = (job, preemption.reclaims_until) {
-            job.reclaims_until = until;
+            job.preempting_until = until;
         }
         for stop in preemption.stops {
             log::info!(
--- a/crates/sched/src/leader/progress.rs
+++ b/crates/sched/src/leader/progress.rs
@@ -27,16 +27,16 @@
             return;
         };
         let Some(written) = written else {
-            job.dirty.insert(chunk);
+            job.dirty_chunks.insert(chunk);
             return;
         };
         written.iter().filter(|i| i / bits == chunk).for_each(|i| {
-            job.durable.insert(i);
+            job.durable_done.insert(i);
         });
-        let (ready, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut job.clears)
+        let (ready, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut job.pending_clears)
             .into_iter()
-            .partition(|(_, t)| job.durable.contains(t.index));
-        job.clears = rest;
+            .partition(|(_, t)| job.durable_done.contains(t.index));
+        job.pending_clears = rest;
         for (machine, task) in ready {
             self.clear(&machine, task);
         }
@@ -52,8 +52,8 @@
     fn write_dirty_chunks(&mut self) {
         let chunk_tasks = self.chunk_bits;
         let jobs = self.cluster.jobs.iter_mut();
-        for (id, job) in jobs.filter(|(_, job)| !job.dirty.is_empty()) {
-            let dirty = std::mem::take(&mut job.dirty);
+        for (id, job) in jobs.filter(|(_, job)| !job.dirty_chunks.is_empty()) {
+            let dirty = std::mem::take(&mut job.dirty_chunks);
             if job.terminal || job.finishing {
                 continue;
             }
@@ -82,7 +82,8 @@
     /// So is the end of a job.
     fn retry_finish(&mut self) {
         let open = self.cluster.jobs.iter();
-        let open = open.filter(|(_, job)| !job.terminal && !job.finishing && !job.uncertain);
+        let open =
+            open.filter(|(_, job)| !job.terminal && !job.finishing && !job.awaits_reconciliation);
         let open: Vec<String> = open.map(|(id, _)| id.clone()).collect();
         for id in open {
             self.finish_if_done(&id);
--- a/crates/sched/src/leader/queue/arrays.rs
+++ b/crates/sched/src/leader/queue/arrays.rs
@@ -154,7 +154,7 @@
             return 0;
         };
         let (resources, spec) = (job.resources(), job.spec.clone());
-        let ready: Vec<u32> = job.ready.iter().take(admitted as usize).collect();
+        let ready: Vec<u32> = job.ready_tasks.iter().take(admitted as usize).collect();
         let mut ready = ready.into_iter();
         let mut assignment = Assignment {
             job: id,
--- a/crates/sched/src/leader/queue/backlog.rs
+++ b/crates/sched/src/leader/queue/backlog.rs
@@ -45,7 +45,7 @@
     /// time, less what waits already.
     fn backlog_capacity(&self) -> BTreeMap<String, f64> {
         let mut used: BTreeMap<&str, f64> = BTreeMap::new();
-        for machine in self.cluster.machines.values().filter(|m| m.open()) {
+        for machine in self.cluster.machines.values().filter(|m| m.accepts_tasks()) {
             *used.entry(&machine.owner).or_default() += machine.used.cpus;
         }
         let all: f64 = used.values().sum();
@@ -83,7 +83,7 @@
         if count == 0 {
             return;
         }
-        let ready: Vec<u32> = job.ready.iter().take(count as usize).collect();
+        let ready: Vec<u32> = job.ready_tasks.iter().take(count as usize).collect();
         self.send_backlog(id, &requirements, ready, backlog, pass.now);
         pass.charge(&spec.team, resources, count);
     }
--- a/crates/sched/src/leader/queue/bookkeeping.rs
+++ b/crates/sched/src/leader/queue/bookkeeping.rs
@@ -14,11 +14,10 @@
     /// provisioned at once; but should it be the machines' fault after all, it must not wait for
     /// ever.
     pub(super) fn note_unmet(&mut self, id: &str, tasks: u32, now: Secs) {
-        let counts = self
-            .cluster
-            .jobs
-            .get(id)
-            .is_some_and(|job| !job.is_broken() || now - job.backoff_until > MAX_BACKOFF_S);
+        let counts =
+            self.cluster.jobs.get(id).is_some_and(|job| {
+                !job.fails_everywhere() || now - job.backoff_until > MAX_BACKOFF_S
+            });
         if counts {
             self.cluster.unmet.push((id.into(), tasks));
         }
--- a/crates/sched/src/leader/queue/cordon.rs
+++ b/crates/sched/src/leader/queue/cordon.rs
@@ -40,10 +40,10 @@
             job.is_multi_task_gang()
                 && job.phase == Phase::Idle
                 && !job.terminal
-                && !job.ready.is_empty()
+                && !job.ready_tasks.is_empty()
         };
         let needs_cordon =
-            |job: &Job| now < job.reclaims_until || self.cluster.waits_long(&job.spec.id, now);
+            |job: &Job| now < job.preempting_until || self.cluster.waits_long(&job.spec.id, now);
         self.cluster
             .unmet
             .iter()
--- a/crates/sched/src/leader/queue/gangs.rs
+++ b/crates/sched/src/leader/queue/gangs.rs
@@ -191,7 +191,7 @@
 /// Whether capacity may be sought for a gang now.
 fn may_reserve(job: &Job, admitted: u32) -> bool {
     // The count check: a gang with fewer tasks than its minimum is turned away.
-    let is_whole = job.ready.len() + job.active.len() as u32 >= job.minimum();
+    let is_whole = job.ready_tasks.len() + job.active.len() as u32 >= job.min_tasks();
     let is_idle = job.phase == Phase::Idle && job.active.is_empty();
     // In one zone and yet spread over several: no zone may hold all of it. Such a gang waits until
     // it is cancelled, and does not count as unmet, so that nothing is provisioned for it.
--- a/crates/sched/src/leader/queue/mod.rs
+++ b/crates/sched/src/leader/queue/mod.rs
@@ -75,7 +75,10 @@
     /// The entries that may be placed now, in queue order.
     fn queue_order(&self, now: Secs) -> Vec<QueueKey> {
         let may_be_placed = |job: &Job| {
-            !job.ready.is_empty() && !job.uncertain && !job.terminal && now >= job.backoff_until
+            !job.ready_tasks.is_empty()
+                && !job.awaits_reconciliation
+                && !job.terminal
+                && now >= job.backoff_until
         };
         let mut order: Vec<QueueKey> = self
             .cluster
--- a/crates/sched/src/leader/queue/pass.rs
+++ b/crates/sched/src/leader/queue/pass.rs
@@ -40,7 +40,7 @@
         };
         let within_limit = free
             .count_fitting(without_memory(job.resources()))
-            .min(job.ready.len());
+            .min(job.ready_tasks.len());
         if job.is_gang() {
             return if within_limit < job.spec.tasks {
                 0
@@ -48,7 +48,7 @@
                 within_limit
             };
         }
-        if job.is_broken() {
+        if job.fails_everywhere() {
             // One at a time shows whether it still fails.
             return within_limit.min(1).saturating_sub(job.active.len() as u32);
         }
--- a/crates/sched/src/leader/reconciliation.rs
+++ b/crates/sched/src/leader/reconciliation.rs
@@ -35,12 +35,12 @@
     fn resolve_known_jobs(&mut self) {
         let unknown = self.cluster.machines.unknown();
         let all_known = unknown.is_empty();
-        let is_known = |job: &Job| match &job.suspects {
+        let is_known = |job: &Job| match &job.possible_machines {
             Some(machines) => machines.iter().all(|name| !unknown.contains(name)),
             None => all_known,
         };
         let known = self.cluster.jobs.iter();
-        let known = known.filter(|(_, job)| job.uncertain && is_known(job));
+        let known = known.filter(|(_, job)| job.awaits_reconciliation && is_known(job));
         let known: Vec<String> = known.map(|(id, _)| id.clone()).collect();
         if all_known {
             self.has_unknown_prior_runs = false;
@@ -58,7 +58,7 @@
         let Some(job) = self.cluster.jobs.get_mut(id) else {
             return;
         };
-        job.uncertain = false;
+        job.awaits_reconciliation = false;
         if !job.is_gang() || job.terminal || !job.done.is_empty() {
             self.finish_if_done(id);
             return;
@@ -78,6 +78,11 @@
 
     /// Whether work waits for machines of unknown content.
     pub(crate) fn waits_for_unknown_machines(&self) -> bool {
-        self.has_unknown_prior_runs && self.cluster.jobs.values().any(|job| job.uncertain)
+        self.has_unknown_prior_runs
+            && self
+                .cluster
+                .jobs
+                .values()
+                .any(|job| job.awaits_reconciliation)
     }
 }
--- a/crates/sched/src/leader/requeue.rs
+++ b/crates/sched/src/leader/requeue.rs
@@ -14,12 +14,12 @@
         };
         self.pass_requested = true;
         if !job.terminal && !job.done.contains(index) {
-            job.ready.insert(index);
+            job.ready_tasks.insert(index);
         }
         if job.is_gang() && !job.terminal && job.done.is_empty() {
             if job.active.is_empty() {
                 job.phase = Phase::Idle;
-            } else if !job.uncertain {
+            } else if !job.awaits_reconciliation {
                 job.phase = Phase::Ending;
                 self.stop_all(id, 0.0);
             }
--- a/crates/sched/src/leader/spot_notices.rs
+++ b/crates/sched/src/leader/spot_notices.rs
@@ -45,7 +45,7 @@
     fn due_to_save(&self, now: Secs) -> Vec<DueTask> {
         let mut due = Vec::new();
         for (name, machine) in self.cluster.machines.iter() {
-            let Some(until) = machine.notice_until else {
+            let Some(until) = machine.notice_expires_at else {
                 continue;
             };
             for (id, index) in machine.tasks.keys() {
--- a/crates/sched/src/leader/stops.rs
+++ b/crates/sched/src/leader/stops.rs
@@ -55,7 +55,7 @@
         let Some(known) = self.cluster.machines.get_mut(machine) else {
             return;
         };
-        if known.cleared.insert(task.clone()) {
+        if known.cleared_tasks.insert(task.clone()) {
             let owner = known.owner.clone();
             self.send(
                 &owner,
--- a/crates/sched/src/leader/summary.rs
+++ b/crates/sched/src/leader/summary.rs
@@ -64,7 +64,7 @@
             running.count() as f64 * job.spec.cpus
         });
         Summary {
-            queued: jobs.clone().map(|job| job.ready.len() as usize).sum(),
+            queued: jobs.clone().map(|job| job.ready_tasks.len() as usize).sum(),
             running: jobs.clone().map(|job| job.active.len()).sum(),
             machines: self.cluster.machines.len(),
             booting: self.autoscaler.booting_count(),
@@ -103,9 +103,9 @@
                 j.spec.tasks,
                 j.spec.cpus,
                 j.spec.team,
-                j.ready.len(),
+                j.ready_tasks.len(),
                 j.done.len(),
-                j.uncertain,
+                j.awaits_reconciliation,
                 j.phase,
                 j.backoff_until,
                 at.join(" ")
@@ -114,7 +114,7 @@
         let machine = |(n, m): (&String, &Machine)| {
             format!(
                 "{n} {} {} spot={} owner={} reconciled={} usable={} lapsed={:?} foreign={} used={} rostered={:?} drain={} closed={} quiet={} releasing={}",
-                m.kind, m.zone, m.spot, m.owner, m.reconciled, m.usable_sent, m.lapsed_at, m.has_unknown_jobs, m.used.cpus, m.rostered, m.drain, m.confirmed_unusable, m.is_idle, m.releasing
+                m.kind, m.zone, m.spot, m.owner, m.reconciled, m.usable_sent, m.lease_expired_at, m.has_unknown_jobs, m.used.cpus, m.rostered, m.draining, m.confirmed_unusable, m.is_idle, m.releasing
             )
         };
         self.cluster
--- a/crates/sched/src/leader/task_status.rs
+++ b/crates/sched/src/leader/task_status.rs
@@ -120,10 +120,10 @@
         let Some(job) = self.cluster.jobs.get_mut(&task.job) else {
             return;
         };
-        let is_durable = job.terminal || job.durable.contains(task.index);
+        let is_durable = job.terminal || job.durable_done.contains(task.index);
         let entry = (machine.to_string(), task.clone());
-        if !is_durable && !job.clears.contains(&entry) {
-            job.clears.push(entry);
+        if !is_durable && !job.pending_clears.contains(&entry) {
+            job.pending_clears.push(entry);
         }
         let is_new = !job.done.contains(task.index) || job.is_active(task);
         if is_new {
@@ -163,17 +163,17 @@
     /// again: they may have completed other work since.
     fn blame(&mut self, machine: &str, id: &str) {
         let job = self.cluster.jobs.get_mut(id);
-        let Some(job) = job.filter(|job| !job.is_broken()) else {
+        let Some(job) = job.filter(|job| !job.fails_everywhere()) else {
             return;
         };
-        job.failed_on.insert(machine.into());
-        if !job.is_broken() {
+        job.failed_machines.insert(machine.into());
+        if !job.fails_everywhere() {
             if let Some(machine) = self.cluster.machines.get_mut(machine) {
                 machine.failed_jobs.insert(id.into());
             }
             return;
         }
-        for name in &job.failed_on {
+        for name in &job.failed_machines {
             if let Some(machine) = self.cluster.machines.get_mut(name) {
                 machine.failed_jobs.remove(id);
             }
