--- a/crates/sched/src/autoscaler/gang.rs
+++ b/crates/sched/src/autoscaler/gang.rs
@@ -56,7 +56,7 @@
         let zones = self.zones(requirements);
         let outlook = |zone: &String| self.outlook(&in_zone(requirements, zone), tasks);
         let suits = |zone: &&String| {
-            let keeps_zone = || self.cluster.waits_long(id, self.now);
+            let keeps_zone = || self.cluster.has_waited_long(id, self.now);
             zones.contains(*zone) && (keeps_zone() || !outlook(zone).hopeless)
         };
         let kept = self.autoscaler.gang_zones.get(id).filter(suits);
@@ -84,7 +84,7 @@
     fn zones(&self, requirements: &TaskRequirements) -> BTreeSet<String> {
         let kinds = requirements.kinds.iter();
         kinds
-            .filter_map(|allowed| self.cluster.types.get(&allowed.kind))
+            .filter_map(|allowed| self.cluster.machine_types.get(&allowed.kind))
             .flat_map(|machine_type| machine_type.zones.iter().cloned())
             .collect()
     }
--- a/crates/sched/src/autoscaler/market.rs
+++ b/crates/sched/src/autoscaler/market.rs
@@ -60,7 +60,7 @@
         requirements: &'r TaskRequirements,
     ) -> impl Iterator<Item = Offer> + 'r {
         let offers = requirements.kinds.iter().flat_map(|allowed| {
-            let machine_type = self.cluster.types.get(&allowed.kind);
+            let machine_type = self.cluster.machine_types.get(&allowed.kind);
             let zones = machine_type.map_or(&[][..], |machine_type| &machine_type.zones);
             zones
                 .iter()
@@ -113,7 +113,7 @@
         let resources = Resources::of(requirements);
         let mut priced = Vec::new();
         for allowed in &requirements.kinds {
-            let Some(machine_type) = self.cluster.types.get(&allowed.kind) else {
+            let Some(machine_type) = self.cluster.machine_types.get(&allowed.kind) else {
                 continue;
             };
             let capacity = Resources::of_type(machine_type);
--- a/crates/sched/src/autoscaler/mod.rs
+++ b/crates/sched/src/autoscaler/mod.rs
@@ -33,7 +33,7 @@
 const EARLY_REVIEW_SHARE: f64 = 0.25;
 
 /// What the autoscaler has to know of the leader's present epoch.
-pub(crate) struct EpochView {
+pub(crate) struct EpochContext {
     /// The leader's token; part of the names of requests, which are never used twice.
     pub token: u64,
     /// When the epoch began.
@@ -47,7 +47,7 @@
     /// Requests to send to the cloud.
     pub provision: Vec<ProvisionRequest>,
     /// Machines on which nothing may be placed any more: their owners have to be told.
-    pub close: Vec<String>,
+    pub cordon: Vec<String>,
     /// Machines to return, in batches of which each fits one release.
     pub deprovision: Vec<Vec<String>>,
 }
@@ -90,12 +90,12 @@
     }
 
     /// A job came.
-    pub fn arrived(&mut self, job: &Spec, now: Secs) {
+    pub fn record_arrival(&mut self, job: &Spec, now: Secs) {
         self.arrivals.record(job, now);
     }
 
     /// A machine has sent its first heartbeat.
-    pub fn booted(&mut self, name: &str, now: Secs) {
+    pub fn record_boot(&mut self, name: &str, now: Secs) {
         if let Some(machine) = self.booting.remove(name) {
             log::info!(
                 "event=machine_booted machine={name} kind={} after_s={:.1}",
@@ -121,26 +121,26 @@
         let interval_s = cluster.config.heartbeat_s.min(MAX_REVIEW_INTERVAL_S);
         let since_s = now - self.reviewed_at;
         let early = self.requested.is_empty()
-            && !cluster.unmet.is_empty()
+            && !cluster.unplaced.is_empty()
             && since_s >= interval_s * EARLY_REVIEW_SHARE;
-        (since_s >= interval_s || early) && !cluster.types.is_empty()
+        (since_s >= interval_s || early) && !cluster.machine_types.is_empty()
     }
 
     /// Provisions for work that found no machine, and returns machines that are not worth their price.
     pub fn decide(
         &mut self,
         cluster: &mut Cluster,
-        epoch: &EpochView,
+        epoch: &EpochContext,
         rng: &mut fastrand::Rng,
         now: Secs,
     ) -> ScalingDecision {
         self.reviewed_at = now;
-        let scarce = cluster.scarce();
+        let scarce = cluster.scarce_types();
         let provision = self.scale_out(cluster, &scarce, epoch.token, rng, now);
         let returns = self.scale_in(cluster, &scarce, epoch, now);
         ScalingDecision {
             provision,
-            close: returns.close,
+            cordon: returns.close,
             deprovision: self.begin_release(returns.release),
         }
     }
@@ -187,7 +187,7 @@
 
     /// Takes in a list of the cloud's machines: adopts those that are not known, and gives batches of failed
     /// ones to return.
-    pub fn take_in_list(
+    pub fn process_machine_list(
         &mut self,
         cluster: &Cluster,
         list: &[ListedMachine],
@@ -217,7 +217,7 @@
         let since_request_s = if listed.state == Listed::Booting {
             listed.age_s
         } else {
-            let machine_type = cluster.types.get(&listed.kind);
+            let machine_type = cluster.machine_types.get(&listed.kind);
             machine_type.map_or(0.0, |machine_type| machine_type.boot_s)
         };
         self.add_booting(
--- a/crates/sched/src/autoscaler/retention.rs
+++ b/crates/sched/src/autoscaler/retention.rs
@@ -82,7 +82,7 @@
             idle_cpus: idle_cpus(cluster),
             now,
         };
-        let types = cluster.types.iter();
+        let types = cluster.machine_types.iter();
         let by_type = types.map(|(kind, of_kind)| (kind.clone(), policy.of_type(of_kind, scarce)));
         RetentionByType {
             by_type: by_type.collect(),
@@ -160,7 +160,7 @@
 
 /// The longest that demand may have any machine kept: arrivals before that count for nothing.
 fn longest_retention_s(cluster: &Cluster) -> f64 {
-    let types = cluster.types.values();
+    let types = cluster.machine_types.values();
     let longest = types
         .map(|machine_type| machine_type.boot_s * price_advantage(machine_type, true))
         .fold(0.0, f64::max);
--- a/crates/sched/src/autoscaler/scale_in.rs
+++ b/crates/sched/src/autoscaler/scale_in.rs
@@ -1,7 +1,7 @@
 //! Returning machines: idle ones, faulty ones, lost ones, and those that never came up.
 
 use super::retention::{IdleRetention, RetentionByType};
-use super::{Autoscaler, EpochView, MIN_CHARGE_S};
+use super::{Autoscaler, EpochContext, MIN_CHARGE_S};
 use crate::cluster::{Cluster, Machine, Rostered};
 use crate::Secs;
 use std::collections::BTreeSet;
@@ -85,7 +85,7 @@
         &mut self,
         cluster: &mut Cluster,
         scarce: &BTreeSet<(String, bool)>,
-        epoch: &EpochView,
+        epoch: &EpochContext,
         now: Secs,
     ) -> Returns {
         let work_is_blocked = epoch.waits_for_unknown_machines;
@@ -143,7 +143,7 @@
     /// Machines that should have come up long ago.
     fn late_boots(&self, cluster: &Cluster, now: Secs) -> Vec<String> {
         let max_boot_s = |kind: &str| {
-            let machine_type = cluster.types.get(kind);
+            let machine_type = cluster.machine_types.get(kind);
             MAX_BOOT_TIMES * machine_type.map_or(MIN_CHARGE_S, |machine_type| machine_type.boot_s)
         };
         let late = self
@@ -189,7 +189,7 @@
 /// give up twice on a controller that does not answer; or nearly all were heard, and the last of them a while
 /// ago, long enough for a worker whose heartbeat was lost to try again: the few that are left are dead, and all
 /// work would wait for them.
-fn should_give_up_unknown(cluster: &Cluster, epoch: &EpochView, now: Secs) -> bool {
+fn should_give_up_unknown(cluster: &Cluster, epoch: &EpochContext, now: Secs) -> bool {
     let few = cluster.machines.unknown().len() as f64
         <= cluster.machines.len() as f64 * FEW_UNKNOWN_SHARE;
     let heard_recently = now
--- a/crates/sched/src/autoscaler/scale_out.rs
+++ b/crates/sched/src/autoscaler/scale_out.rs
@@ -82,10 +82,10 @@
             now,
             plan: Plan::default(),
             turnover: Turnover {
-                cpus_per_s: cluster.turnover(),
+                cpus_per_s: cluster.turnover_cpus_per_s(),
                 taken_cpus: 0.0,
             },
-            gang_waits_for_scarce: cluster.waits_for_scarce(scarce),
+            gang_waits_for_scarce: cluster.gang_waits_for_scarce_types(scarce),
             busy_machines: None,
         };
         let plan = review.run();
@@ -97,7 +97,7 @@
     /// Plans machines for each job that found none, in the order of the queue.
     fn run(mut self) -> Plan {
         let cluster = self.cluster;
-        for (id, tasks) in &cluster.unmet {
+        for (id, tasks) in &cluster.unplaced {
             let Some(job) = cluster.jobs.get(id) else {
                 continue;
             };
@@ -105,7 +105,7 @@
             if self.now < job.preempting_until {
                 continue;
             }
-            let requirements = cluster.requirements_sparing(job, self.scarce);
+            let requirements = cluster.requirements_avoiding_scarce(job, self.scarce);
             if !job.is_gang() {
                 self.plan_for_array(job, &requirements, *tasks);
             } else if !self.can_wait_for_busy_machines(id, &requirements) {
@@ -120,8 +120,8 @@
         let (cluster, now) = (self.cluster, self.now);
         let busy_machines = self
             .busy_machines
-            .get_or_insert_with(|| cluster.busy_until(requirements, now));
-        cluster.can_wait(id, requirements, busy_machines, now)
+            .get_or_insert_with(|| cluster.busy_machines(requirements, now));
+        cluster.claim_busy_machines(id, requirements, busy_machines, now)
     }
 
     /// Plans machines for tasks of an array that will find neither capacity on its way nor capacity that
--- a/crates/sched/src/cluster/active_tasks.rs
+++ b/crates/sched/src/cluster/active_tasks.rs
@@ -2,11 +2,11 @@
 //! start it until it is certainly not running.
 
 use super::job::waits_at;
-use super::{Active, Cluster, TaskLocation};
+use super::{ActiveTask, Cluster, TaskLocation};
 
 impl Cluster {
     /// A task may be running from now on, or at another place than before.
-    pub(crate) fn set_active(&mut self, id: &str, index: u32, active: Active) {
+    pub(crate) fn set_active(&mut self, id: &str, index: u32, active: ActiveTask) {
         self.remove_active(id, index);
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -27,7 +27,7 @@
     }
 
     /// A task is certainly not running any more, or is about to be charged elsewhere.
-    pub(crate) fn remove_active(&mut self, id: &str, index: u32) -> Option<Active> {
+    pub(crate) fn remove_active(&mut self, id: &str, index: u32) -> Option<ActiveTask> {
         let job = self.jobs.get_mut(id)?;
         let active = job.active.remove(&index)?;
         let resources = job.resources();
@@ -36,11 +36,11 @@
         }
         if let Some(name) = machine_of(&active.location) {
             if let Some(machine) = self.machines.get_mut(name) {
-                machine.discharge(&(id.to_string(), index), resources);
+                machine.uncharge(&(id.to_string(), index), resources);
                 self.machines.mark_dirty(name);
             }
         }
-        self.usage.discharge(&job.spec.team, resources);
+        self.usage.uncharge(&job.spec.team, resources);
         Some(active)
     }
 }
--- a/crates/sched/src/cluster/job.rs
+++ b/crates/sched/src/cluster/job.rs
@@ -22,7 +22,7 @@
 
 /// A task that may be running.
 #[derive(Clone, Debug)]
-pub(crate) struct Active {
+pub(crate) struct ActiveTask {
     /// The attempt that may be running.
     pub attempt: u64,
     /// Where.
@@ -37,7 +37,7 @@
 
 /// How far a gang is on its way to running.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) enum Phase {
+pub(crate) enum GangPhase {
     /// It waits in the queue. So does every array.
     Idle,
     /// Owners were asked to reserve resources.
@@ -103,7 +103,7 @@
     /// Tasks that may be started.
     pub ready_tasks: RangeSet,
     /// Tasks that may be running.
-    pub active: BTreeMap<u32, Active>,
+    pub active: BTreeMap<u32, ActiveTask>,
     /// Started by an earlier leader perhaps; not to be started until the suspects are known.
     pub awaits_reconciliation: bool,
     /// Machines on which it may be running, if it was started; none stands for any.
@@ -117,7 +117,7 @@
     /// Machines on which its tasks failed since one of them was last done, a few.
     pub failed_machines: BTreeSet<String>,
     /// Of a gang: how far it is on its way to running.
-    pub phase: Phase,
+    pub phase: GangPhase,
     /// Done tasks that their workers keep until that is durable, with the machine.
     pub pending_clears: Vec<(String, TaskRef)>,
     /// Whether it fits into its team's guarantee together with the team's earlier jobs.
@@ -164,7 +164,7 @@
             backoff_until: 0.0,
             failures: 0,
             failed_machines: BTreeSet::new(),
-            phase: Phase::Idle,
+            phase: GangPhase::Idle,
             pending_clears: Vec::new(),
             within_guarantee: false,
             preempting_until: 0.0,
--- a/crates/sched/src/cluster/machine.rs
+++ b/crates/sched/src/cluster/machine.rs
@@ -110,7 +110,7 @@
     }
 
     /// A task is not running here any more.
-    pub fn discharge(&mut self, task: &(String, u32), resources: Resources) {
+    pub fn uncharge(&mut self, task: &(String, u32), resources: Resources) {
         if self.tasks.remove(task).is_some() {
             self.used.sub(resources);
         }
--- a/crates/sched/src/cluster/machine_inventory.rs
+++ b/crates/sched/src/cluster/machine_inventory.rs
@@ -92,8 +92,8 @@
     }
 
     /// The content of a machine is known from now on.
-    pub(crate) fn note_known(&mut self, name: &str, now: Secs) {
-        self.unknown.note_known(name, now);
+    pub(crate) fn mark_known(&mut self, name: &str, now: Secs) {
+        self.unknown.mark_known(name, now);
     }
 
     /// Machines with free capacity, as of the last time the index was brought up to date.
@@ -152,7 +152,7 @@
     }
 
     /// Whether the index is what a plain rebuild from the machines gives; for tests.
-    pub(crate) fn index_agrees(&self, types: &MachineTypes) -> bool {
+    pub(crate) fn index_is_consistent(&self, types: &MachineTypes) -> bool {
         let entry = |(name, machine): (&String, &Machine)| {
             let machine_type = types.get(&machine.kind)?;
             let indexed = indexed_machine(machine, machine_type);
--- a/crates/sched/src/cluster/mod.rs
+++ b/crates/sched/src/cluster/mod.rs
@@ -13,7 +13,7 @@
 mod wait_estimates;
 mod zones;
 
-pub(crate) use job::{Active, Job, Phase, StartRecord, TaskLocation};
+pub(crate) use job::{ActiveTask, GangPhase, Job, StartRecord, TaskLocation};
 pub use job::{OpenJob, PriorRuns};
 pub(crate) use job_table::JobTable;
 pub(crate) use machine::{Machine, Rostered};
@@ -71,7 +71,7 @@
 /// The state that decisions are made on.
 pub(crate) struct Cluster {
     pub(crate) config: SchedulerConfig,
-    pub(crate) types: MachineTypes,
+    pub(crate) machine_types: MachineTypes,
     pub(crate) jobs: JobTable,
     pub(crate) machines: MachineInventory,
     pub(crate) usage: QuotaUsage,
@@ -79,21 +79,21 @@
     run_times: BTreeMap<String, RunTime>,
     class_profiles: BTreeMap<String, ClassProfile>,
     /// Entries that the last pass could not place: the job, and how many of its tasks.
-    pub(crate) unmet: Vec<(String, u32)>,
+    pub(crate) unplaced: Vec<(String, u32)>,
 }
 
 impl Cluster {
     pub(crate) fn new(config: SchedulerConfig, now: Secs) -> Cluster {
         Cluster {
             config,
-            types: BTreeMap::new(),
+            machine_types: BTreeMap::new(),
             jobs: JobTable::default(),
             machines: MachineInventory::new(now),
             usage: QuotaUsage::default(),
             backlogs: Backlogs::default(),
             run_times: BTreeMap::new(),
             class_profiles: BTreeMap::new(),
-            unmet: Vec::new(),
+            unplaced: Vec::new(),
         }
     }
 
@@ -111,20 +111,20 @@
     /// Brings the index of free capacity up to what has changed since the last pass.
     pub(crate) fn refresh_index(&mut self) {
         self.machines
-            .refresh_index(&self.types, self.config.guarantee_s);
+            .refresh_index(&self.machine_types, self.config.guarantee_s);
     }
 
     /// Whether the index of free capacity is what a plain rebuild gives; for tests.
-    pub(crate) fn index_agrees(&mut self) -> bool {
+    pub(crate) fn index_is_consistent(&mut self) -> bool {
         self.refresh_index();
-        self.machines.index_agrees(&self.types)
+        self.machines.index_is_consistent(&self.machine_types)
     }
 
     /// Takes the cloud's machine types; says whether there are others than before.
-    pub(crate) fn set_types(&mut self, types: Vec<MachineType>) -> bool {
-        let is_same = self.types.len() == types.len();
+    pub(crate) fn set_machine_types(&mut self, types: Vec<MachineType>) -> bool {
+        let is_same = self.machine_types.len() == types.len();
         let by_name = types.into_iter().map(|kind| (kind.name.clone(), kind));
-        self.types = by_name.collect();
+        self.machine_types = by_name.collect();
         if !is_same {
             self.machines.clear_index();
         }
@@ -132,13 +132,13 @@
     }
 
     /// A task of a class has run for so many seconds.
-    pub(crate) fn observe_run(&mut self, class: String, run_s: Secs) {
+    pub(crate) fn record_run_time(&mut self, class: String, run_s: Secs) {
         self.run_times.entry(class).or_default().observe(run_s);
     }
 
     /// What a machine of a type has; none if the cloud does not list the type.
     pub(crate) fn capacity(&self, kind: &str) -> Option<Resources> {
-        self.types.get(kind).map(Resources::of_type)
+        self.machine_types.get(kind).map(Resources::of_type)
     }
 
     /// Learns from a new job what tasks of its class take.
--- a/crates/sched/src/cluster/quota.rs
+++ b/crates/sched/src/cluster/quota.rs
@@ -1,6 +1,6 @@
 //! Teams: their guarantees and limits, with what machines of unknown content may hold of them.
 
-use super::{Cluster, Job, Phase};
+use super::{Cluster, GangPhase, Job};
 use crate::config::Team;
 use crate::placement::{Resources, ROUNDING_TOLERANCE};
 use std::collections::BTreeMap;
@@ -44,7 +44,7 @@
 
 impl Cluster {
     /// Marks the jobs that fit into their team's guarantee together with its earlier ones.
-    pub(crate) fn mark_within(&mut self) {
+    pub(crate) fn mark_within_guarantee(&mut self) {
         let teams = &self.config.teams;
         let mut wanted_by: BTreeMap<&str, Wanted> = BTreeMap::new();
         self.jobs.for_each_by_creation(|job| {
@@ -76,7 +76,7 @@
     /// What tasks that are not known may take from a team's limit: all that their machines have, but of
     /// unknown content no more than the team's jobs that may be there could use.
     fn unseen_usage(&self, team: &str, unseen: Unseen) -> Resources {
-        let mut most = self.usage.cancelled_of(team);
+        let mut most = self.usage.recently_cancelled(team);
         let jobs = self.jobs.values();
         for job in jobs.filter(|job| job.awaits_reconciliation && job.spec.team == team) {
             let tasks = f64::from(job.unfinished_tasks()) - job.active.len() as f64;
@@ -92,7 +92,7 @@
     }
 
     /// What each team may still use, beside what its tasks use, have reserved, or may use unseen.
-    pub(crate) fn limits(&self) -> BTreeMap<String, Resources> {
+    pub(crate) fn quota_headroom(&self) -> BTreeMap<String, Resources> {
         let unseen = self.unseen_capacity();
         let mut limits: BTreeMap<String, Resources> = BTreeMap::new();
         for (name, team) in &self.config.teams {
@@ -107,8 +107,12 @@
             free.sub(without_memory(self.usage.used_by(name)));
             limits.insert(name.clone(), free);
         }
-        let has_reservation =
-            |job: &&Job| matches!(job.phase, Phase::Reserving { .. } | Phase::Binding { .. });
+        let has_reservation = |job: &&Job| {
+            matches!(
+                job.phase,
+                GangPhase::Reserving { .. } | GangPhase::Binding { .. }
+            )
+        };
         for job in self.jobs.values().filter(has_reservation) {
             if let Some(free) = limits.get_mut(&job.spec.team) {
                 let reserved = job.resources().scaled(job.spec.tasks);
@@ -119,7 +123,7 @@
     }
 
     /// A job became terminal before all machines were known: what was not seen of it may still be running.
-    pub(crate) fn charge_unseen_tasks(&mut self, id: &str) {
+    pub(crate) fn charge_unobserved_tasks(&mut self, id: &str) {
         let job = self.jobs.get(id);
         let Some(job) = job.filter(|job| job.awaits_reconciliation) else {
             return;
@@ -128,7 +132,7 @@
             .unfinished_tasks()
             .saturating_sub(job.active.len() as u32);
         let resources = job.resources().scaled(unseen);
-        self.usage.note_cancelled(&job.spec.team, resources);
+        self.usage.add_cancelled(&job.spec.team, resources);
     }
 }
 
--- a/crates/sched/src/cluster/requirements.rs
+++ b/crates/sched/src/cluster/requirements.rs
@@ -11,15 +11,15 @@
 
 impl Cluster {
     /// Machine types that are the only ones on which some class's tasks fit: kept for those.
-    pub(crate) fn scarce(&self) -> ScarceTypes {
+    pub(crate) fn scarce_types(&self) -> ScarceTypes {
         let mut scarce = ScarceTypes::new();
         for profile in self.class_profiles.values() {
-            let types = self.types.values();
+            let types = self.machine_types.values();
             let fitting: BTreeSet<&str> = types
                 .filter(|machine_type| profile.fits(machine_type))
                 .map(|machine_type| machine_type.name.as_str())
                 .collect();
-            if fitting.len() != 1 || self.types.len() <= 1 {
+            if fitting.len() != 1 || self.machine_types.len() <= 1 {
                 continue;
             }
             for name in fitting {
@@ -41,7 +41,7 @@
         let spec = &job.spec;
         let is_spared = |kind: &(String, bool)| without.is_some_and(|spared| spared.contains(kind));
         let mut kinds = Vec::new();
-        let types = self.types.values();
+        let types = self.machine_types.values();
         for machine_type in types.filter(|machine_type| can_run(job, machine_type)) {
             // Spot machines first, so that ordinary ones become empty and can be released.
             for spot in [true, false] {
@@ -67,14 +67,18 @@
     }
 
     /// Whether a gang that fits no other machine types waits for these.
-    pub(crate) fn waits_for_scarce(&self, scarce: &ScarceTypes) -> bool {
-        let unmet = self.unmet.iter();
+    pub(crate) fn gang_waits_for_scarce_types(&self, scarce: &ScarceTypes) -> bool {
+        let unmet = self.unplaced.iter();
         let mut gangs = unmet.filter_map(|(id, _)| self.jobs.get(id).filter(|job| job.is_gang()));
         gangs.any(|job| self.requirements(job, Some(scarce)).kinds.is_empty())
     }
 
     /// What tasks of a job require without scarce machine types, unless the job has no other.
-    pub(crate) fn requirements_sparing(&self, job: &Job, scarce: &ScarceTypes) -> TaskRequirements {
+    pub(crate) fn requirements_avoiding_scarce(
+        &self,
+        job: &Job,
+        scarce: &ScarceTypes,
+    ) -> TaskRequirements {
         let requirements = self.requirements(job, Some(scarce));
         if requirements.kinds.is_empty() {
             return self.requirements(job, None);
--- a/crates/sched/src/cluster/unknown.rs
+++ b/crates/sched/src/cluster/unknown.rs
@@ -1,6 +1,6 @@
 //! Machines of the roster whose content no owner has shown since this leader began.
 //!
-//! Invariant: a machine is here exactly as long as its `Machine::unknown` is set.
+//! Invariant: a machine is here exactly as long as its `Machine::content_unknown` is set.
 
 use crate::Secs;
 use std::collections::BTreeSet;
@@ -25,7 +25,7 @@
     }
 
     /// The content of a machine is known from now on.
-    pub(super) fn note_known(&mut self, name: &str, now: Secs) {
+    pub(super) fn mark_known(&mut self, name: &str, now: Secs) {
         self.names.remove(name);
         self.last_known_at = now;
     }
--- a/crates/sched/src/cluster/usage.rs
+++ b/crates/sched/src/cluster/usage.rs
@@ -23,7 +23,7 @@
     }
 
     /// Takes the charge for an active task back.
-    pub(crate) fn discharge(&mut self, team: &str, resources: Resources) {
+    pub(crate) fn uncharge(&mut self, team: &str, resources: Resources) {
         if let Some(used) = self.active.get_mut(team) {
             used.sub(resources);
         }
@@ -40,19 +40,19 @@
     }
 
     /// What a team's recently cancelled jobs could use.
-    pub(crate) fn cancelled_of(&self, team: &str) -> Resources {
+    pub(crate) fn recently_cancelled(&self, team: &str) -> Resources {
         let cancelled = self.recently_cancelled.get(team);
         cancelled.copied().unwrap_or_default()
     }
 
     /// A job was cancelled whose tasks may still be running on machines of unknown content.
-    pub(crate) fn note_cancelled(&mut self, team: &str, resources: Resources) {
+    pub(crate) fn add_cancelled(&mut self, team: &str, resources: Resources) {
         let cancelled = self.recently_cancelled.entry(team.to_string());
         cancelled.or_default().add(resources);
     }
 
     /// Forgets what cancelled jobs could use.
-    pub(crate) fn forget_cancelled(&mut self) {
+    pub(crate) fn clear_cancelled(&mut self) {
         self.recently_cancelled.clear();
     }
 }
--- a/crates/sched/src/cluster/wait_estimates.rs
+++ b/crates/sched/src/cluster/wait_estimates.rs
@@ -1,6 +1,6 @@
 //! Whether work may wait for a machine in use rather than have one provisioned, and how long tasks run.
 
-use super::{Active, Cluster, Job, Machine};
+use super::{ActiveTask, Cluster, Job, Machine};
 use crate::placement::tier;
 use crate::Secs;
 use std::collections::BTreeMap;
@@ -42,7 +42,7 @@
 
 impl Cluster {
     /// Whether a gang has waited so long that machines are cordoned for it.
-    pub(crate) fn waits_long(&self, id: &str, now: Secs) -> bool {
+    pub(crate) fn has_waited_long(&self, id: &str, now: Secs) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
@@ -52,7 +52,7 @@
     }
 
     /// When machines on which these tasks may run are expected to be empty, the earliest first.
-    pub(crate) fn busy_until(&self, requirements: &TaskRequirements, now: Secs) -> BusyMachines {
+    pub(crate) fn busy_machines(&self, requirements: &TaskRequirements, now: Secs) -> BusyMachines {
         let usable = self
             .machines
             .iter()
@@ -76,8 +76,8 @@
     }
 
     /// When a task is expected to end.
-    fn end_of(&self, job: &Job, task: &Active, now: Secs) -> Secs {
-        let run_s = self.run_s(job);
+    fn end_of(&self, job: &Job, task: &ActiveTask, now: Secs) -> Secs {
+        let run_s = self.expected_run_s(job);
         if task.running {
             (task.since + run_s).max(now + run_s * MIN_REST_SHARE)
         } else {
@@ -86,7 +86,7 @@
     }
 
     /// How long a task of a job runs, as far as was learned of its class.
-    pub(crate) fn run_s(&self, job: &Job) -> f64 {
+    pub(crate) fn expected_run_s(&self, job: &Job) -> f64 {
         self.run_times
             .get(&job.spec.class)
             .map_or(job.spec.estimate_s, |run_time| run_time.mean_s)
@@ -95,7 +95,7 @@
 
     /// Whether a gang is expected to get machines that are in use early enough for its class's objective; those
     /// machines are then taken for as long as its tasks run.
-    pub(crate) fn can_wait(
+    pub(crate) fn claim_busy_machines(
         &self,
         id: &str,
         requirements: &TaskRequirements,
@@ -111,7 +111,7 @@
         let Some(positions) = self.gather(job, requirements, busy_machines, latest, now) else {
             return false;
         };
-        let run_s = self.run_s(job);
+        let run_s = self.expected_run_s(job);
         for position in positions {
             busy_machines[position].empty_at += run_s;
         }
@@ -124,7 +124,7 @@
         let within_s = self.config.wait_s.get(&job.spec.class)?;
         let kinds = requirements.kinds.iter();
         let shortest_boot_s = kinds
-            .filter_map(|allowed| self.types.get(&allowed.kind))
+            .filter_map(|allowed| self.machine_types.get(&allowed.kind))
             .map(|machine_type| machine_type.boot_s)
             .fold(f64::MAX, f64::min);
         // What is provisioned once the wait is given up must still be up in time, slow boots included.
@@ -165,13 +165,13 @@
     }
 
     /// CPUs per second that running array tasks free for others.
-    pub(crate) fn turnover(&self) -> f64 {
+    pub(crate) fn turnover_cpus_per_s(&self) -> f64 {
         let arrays = self
             .jobs
             .values()
             .filter(|job| job.spec.shape == Shape::Array);
         arrays
-            .map(|job| job.active.len() as f64 * job.spec.cpus / self.run_s(job))
+            .map(|job| job.active.len() as f64 * job.spec.cpus / self.expected_run_s(job))
             .sum()
     }
 }
--- a/crates/sched/src/leader/epoch.rs
+++ b/crates/sched/src/leader/epoch.rs
@@ -2,7 +2,7 @@
 //! owner anew, and each owner is told its machines under the new fencing token.
 
 use super::shard_epochs::{EpochChange, EpochReview};
-use super::{Action, Leader, Phase, TaskLocation};
+use super::{Action, GangPhase, Leader, TaskLocation};
 use crate::Secs;
 use wire::peers::{MachineDescriptor, ToOwner};
 
@@ -69,7 +69,10 @@
 
     fn cancel_all_reservations(&mut self, now: Secs) {
         let reserved = self.cluster.jobs.iter().filter(|(_, job)| {
-            matches!(job.phase, Phase::Reserving { .. } | Phase::Binding { .. })
+            matches!(
+                job.phase,
+                GangPhase::Reserving { .. } | GangPhase::Binding { .. }
+            )
         });
         let reserved: Vec<String> = reserved.map(|(id, _)| id.clone()).collect();
         for id in reserved {
@@ -130,7 +133,7 @@
 
     fn announce_epoch(&mut self, change: &EpochChange) {
         let catalog = ToOwner::Catalog {
-            types: self.cluster.types.values().cloned().collect(),
+            types: self.cluster.machine_types.values().cloned().collect(),
         };
         let terminal = self.terminal_jobs.ids();
         for member in self.epochs.members().to_vec() {
--- a/crates/sched/src/leader/jobs.rs
+++ b/crates/sched/src/leader/jobs.rs
@@ -1,6 +1,6 @@
 //! Jobs come, are stopped, and end.
 
-use super::{Action, Job, Leader, OpenJob, Phase};
+use super::{Action, GangPhase, Job, Leader, OpenJob};
 use crate::placement::Resources;
 use crate::ranges::RangeSet;
 use crate::Secs;
@@ -20,7 +20,7 @@
         if self.cluster.jobs.contains_key(id) || self.terminal_jobs.contains(id) {
             return;
         }
-        self.autoscaler.arrived(&job.spec, self.time);
+        self.autoscaler.record_arrival(&job.spec, self.time);
         self.cluster.insert_job(Job::new(job, self.time));
         self.pass_requested = true;
     }
@@ -52,12 +52,12 @@
         };
         job.terminal = true;
         job.ready_tasks = RangeSet::default();
-        let phase = std::mem::replace(&mut job.phase, Phase::Ending);
+        let phase = std::mem::replace(&mut job.phase, GangPhase::Ending);
         let clears = std::mem::take(&mut job.pending_clears);
         if job.awaits_reconciliation || !job.active.is_empty() {
             self.send_terminal(id);
         }
-        self.cluster.charge_unseen_tasks(id);
+        self.cluster.charge_unobserved_tasks(id);
         self.release_reservation(&phase);
         for (machine, task) in clears {
             self.clear(&machine, task);
@@ -102,7 +102,7 @@
         job.failed_machines.clear();
         if let Some(started_at) = started_at {
             let class = job.spec.class.clone();
-            self.cluster.observe_run(class, now - started_at);
+            self.cluster.record_run_time(class, now - started_at);
         }
         if is_current {
             self.cluster.remove_active(id, index);
@@ -139,9 +139,9 @@
         &mut self,
         jobs: impl IntoIterator<Item = (String, String, Resources)>,
     ) {
-        self.cluster.usage.forget_cancelled();
+        self.cluster.usage.clear_cancelled();
         for (id, team, resources) in jobs {
-            self.cluster.usage.note_cancelled(&team, resources);
+            self.cluster.usage.add_cancelled(&team, resources);
             self.terminal_jobs.insert(&id, self.time);
         }
     }
--- a/crates/sched/src/leader/machine_status.rs
+++ b/crates/sched/src/leader/machine_status.rs
@@ -1,6 +1,6 @@
 //! What owners show of their machines, and what the leader's cluster view takes from it.
 
-use super::{Action, Active, Leader, Machine, Rostered, TaskLocation};
+use super::{Action, ActiveTask, Leader, Machine, Rostered, TaskLocation};
 use crate::Secs;
 use std::collections::BTreeSet;
 use wire::peers::{MachineStatus, TaskRef, ToLeader, ToOwner};
@@ -37,7 +37,7 @@
         for index in indexes {
             let known = self.cluster.jobs.get(job);
             let assigned = known.and_then(|known| known.active.get(&index));
-            let is_assigned = |active: &Active| {
+            let is_assigned = |active: &ActiveTask| {
                 active.attempt == attempt
                     && matches!(&active.location, TaskLocation::Assigned(to, _) if to == owner)
             };
@@ -75,7 +75,7 @@
         if is_current {
             machine.reconciled = true;
             if std::mem::take(&mut machine.content_unknown) {
-                self.cluster.machines.note_known(&status.name, now);
+                self.cluster.machines.mark_known(&status.name, now);
             }
         }
         self.cluster.machines.mark_dirty(&status.name);
@@ -98,7 +98,7 @@
         let mut machine = self.new_machine(&status.kind, &status.zone, status.spot, now);
         machine.owner = owner.to_string();
         self.cluster.machines.insert(&status.name, machine);
-        self.autoscaler.booted(&status.name, now);
+        self.autoscaler.record_boot(&status.name, now);
     }
 
     /// Has a machine that is up rostered, if it is not yet.
@@ -141,7 +141,7 @@
         let live = status.tasks.iter();
         let live = live.filter(|task| task.state != TaskState::Exited);
         for task in live.map(|task| &task.task).chain(&status.pending) {
-            let is_here = |active: &Active| match &active.location {
+            let is_here = |active: &ActiveTask| match &active.location {
                 TaskLocation::Assigned(owner, _) => owner == from,
                 TaskLocation::OnMachine(machine) => *machine == status.name,
                 TaskLocation::Unresolved(_) => false,
--- a/crates/sched/src/leader/mod.rs
+++ b/crates/sched/src/leader/mod.rs
@@ -29,7 +29,7 @@
 mod unresolved_tasks;
 
 pub(crate) use crate::cluster::{
-    Active, Cluster, Job, Machine, Phase, Rostered, StartRecord, TaskLocation,
+    ActiveTask, Cluster, GangPhase, Job, Machine, Rostered, StartRecord, TaskLocation,
 };
 pub use crate::cluster::{OpenJob, PriorRuns};
 pub use progress::chunk_bits;
@@ -173,7 +173,7 @@
 
     /// Whether the index of free resources agrees with a plain rebuild; for tests.
     pub fn index_agrees(&mut self) -> bool {
-        self.cluster.index_agrees()
+        self.cluster.index_is_consistent()
     }
 
     /// The newest fencing token.
@@ -221,8 +221,8 @@
     /// Gives up gangs whose reservations did not become a binding in time.
     fn expire_reservations(&mut self, now: Secs) {
         let is_late = |job: &Job| match &job.phase {
-            Phase::Reserving { until, .. } | Phase::Binding { until, .. } => now >= *until,
-            Phase::Idle | Phase::Running { .. } | Phase::Ending => false,
+            GangPhase::Reserving { until, .. } | GangPhase::Binding { until, .. } => now >= *until,
+            GangPhase::Idle | GangPhase::Running { .. } | GangPhase::Ending => false,
         };
         let late = self.cluster.jobs.iter().filter(|(_, job)| is_late(job));
         let late: Vec<String> = late.map(|(id, _)| id.clone()).collect();
@@ -259,9 +259,9 @@
 
     /// The cloud's machine types, as they are at present.
     pub fn set_catalog(&mut self, types: Vec<MachineType>) {
-        let has_changed = self.cluster.set_types(types);
+        let has_changed = self.cluster.set_machine_types(types);
         if has_changed && self.epochs.is_set() {
-            let types = self.cluster.types.values().cloned().collect();
+            let types = self.cluster.machine_types.values().cloned().collect();
             let message = ToOwner::Catalog { types };
             for member in self.members().to_vec() {
                 self.send(&member, message.clone());
--- a/crates/sched/src/leader/preemption/eligibility.rs
+++ b/crates/sched/src/leader/preemption/eligibility.rs
@@ -24,7 +24,7 @@
 /// The entries that the last pass could not place and that may have others stopped now.
 pub(super) fn eligible_entries(cluster: &Cluster, now: Secs) -> Vec<Entry<'_>> {
     cluster
-        .unmet
+        .unplaced
         .iter()
         .filter_map(|(id, tasks)| {
             Some(Entry {
--- a/crates/sched/src/leader/preemption/mod.rs
+++ b/crates/sched/src/leader/preemption/mod.rs
@@ -48,7 +48,7 @@
             return;
         }
         self.last_preemption_at = now;
-        let scarce = self.cluster.scarce();
+        let scarce = self.cluster.scarce_types();
         let cordon = self.cordon_for_gang(&scarce, now);
         let planner = Planner::new(&self.cluster, usage, &scarce, cordon.as_ref(), now);
         let preemptions = planner.plan(&entries);
--- a/crates/sched/src/leader/preemption/planner.rs
+++ b/crates/sched/src/leader/preemption/planner.rs
@@ -74,7 +74,7 @@
         if self.blocking_gang.is_some_and(|blocking| blocking != id) {
             return;
         }
-        let requirements = self.cluster.requirements_sparing(job, self.scarce);
+        let requirements = self.cluster.requirements_avoiding_scarce(job, self.scarce);
         let Some(tasks) = self.supply.plan_gang(job, &requirements) else {
             return;
         };
--- a/crates/sched/src/leader/preemption/victims.rs
+++ b/crates/sched/src/leader/preemption/victims.rs
@@ -1,7 +1,7 @@
 //! Tasks that may be stopped for others, and what is lost with them.
 
 use crate::cluster::Cluster;
-use crate::leader::{Active, Job, TaskLocation};
+use crate::leader::{ActiveTask, Job, TaskLocation};
 use crate::placement::Resources;
 use crate::Secs;
 use wire::users::Priority;
@@ -36,7 +36,7 @@
         cluster: &Cluster,
         job: &'a Job,
         index: u32,
-        task: &Active,
+        task: &ActiveTask,
         now: Secs,
     ) -> Option<Victim<'a>> {
         let is_on_machine = matches!(task.location, TaskLocation::OnMachine(_));
@@ -59,7 +59,7 @@
             team: &job.spec.team,
             priority: job.priority,
             within_guarantee: job.within_guarantee,
-            costly: !can_save && lost_s > cluster.run_s(job) * MAX_LOST_SHARE,
+            costly: !can_save && lost_s > cluster.expected_run_s(job) * MAX_LOST_SHARE,
         })
     }
 
--- a/crates/sched/src/leader/queue/backlog.rs
+++ b/crates/sched/src/leader/queue/backlog.rs
@@ -37,7 +37,9 @@
     /// Whether running array tasks are expected to free what the arrays so far in this pass lack
     /// within the time that a task may wait in a backlog, so that the next array's turn comes soon.
     pub(super) fn turn_comes_soon(&self, pass: &mut Pass) -> bool {
-        let turnover = *pass.turnover.get_or_insert_with(|| self.cluster.turnover());
+        let turnover = *pass
+            .turnover
+            .get_or_insert_with(|| self.cluster.turnover_cpus_per_s());
         pass.queued_cpus <= turnover * self.reaction_s() * BACKLOG_WAIT_FACTOR
     }
 
@@ -49,7 +51,7 @@
             *used.entry(&machine.owner).or_default() += machine.used.cpus;
         }
         let all: f64 = used.values().sum();
-        let freed = self.cluster.turnover() * self.reaction_s() * BACKLOG_FACTOR;
+        let freed = self.cluster.turnover_cpus_per_s() * self.reaction_s() * BACKLOG_FACTOR;
         let waiting = |owner: &str| self.cluster.backlogs.waiting_at(owner);
         used.into_iter()
             .map(|(owner, cpus)| {
--- a/crates/sched/src/leader/queue/bookkeeping.rs
+++ b/crates/sched/src/leader/queue/bookkeeping.rs
@@ -1,7 +1,7 @@
 //! What placing a task changes in the leader's view of the cluster, for arrays and gangs alike.
 
 use crate::leader::MAX_BACKOFF_S;
-use crate::leader::{Active, Leader, TaskLocation};
+use crate::leader::{ActiveTask, Leader, TaskLocation};
 use crate::placement::Resources;
 use crate::Secs;
 use wire::peers::TaskRequirements;
@@ -19,7 +19,7 @@
                 !job.fails_everywhere() || now - job.backoff_until > MAX_BACKOFF_S
             });
         if counts {
-            self.cluster.unmet.push((id.into(), tasks));
+            self.cluster.unplaced.push((id.into(), tasks));
         }
     }
 
@@ -59,7 +59,7 @@
         self.cluster.set_active(
             id,
             index,
-            Active {
+            ActiveTask {
                 attempt,
                 location,
                 running: false,
--- a/crates/sched/src/leader/queue/cordon.rs
+++ b/crates/sched/src/leader/queue/cordon.rs
@@ -1,6 +1,6 @@
 //! Machines that are cordoned for a gang that has waited long.
 
-use crate::leader::{Job, Leader, Phase};
+use crate::leader::{GangPhase, Job, Leader};
 use crate::Secs;
 use std::collections::BTreeSet;
 use wire::peers::TaskRequirements;
@@ -23,7 +23,7 @@
         now: Secs,
     ) -> Option<Cordon> {
         let job = self.longest_waiting_gang(now)?;
-        let mut requirements = self.cluster.requirements_sparing(job, scarce);
+        let mut requirements = self.cluster.requirements_avoiding_scarce(job, scarce);
         if requirements.zone.is_none() {
             requirements.zone = self.autoscaler.gang_zone(&job.spec.id).cloned();
         }
@@ -38,14 +38,15 @@
     fn longest_waiting_gang(&self, now: Secs) -> Option<&Job> {
         let is_waiting_gang = |job: &Job| {
             job.is_multi_task_gang()
-                && job.phase == Phase::Idle
+                && job.phase == GangPhase::Idle
                 && !job.terminal
                 && !job.ready_tasks.is_empty()
         };
-        let needs_cordon =
-            |job: &Job| now < job.preempting_until || self.cluster.waits_long(&job.spec.id, now);
+        let needs_cordon = |job: &Job| {
+            now < job.preempting_until || self.cluster.has_waited_long(&job.spec.id, now)
+        };
         self.cluster
-            .unmet
+            .unplaced
             .iter()
             .filter_map(|(id, _)| self.cluster.jobs.get(id))
             .filter(|job| is_waiting_gang(job) && needs_cordon(job))
--- a/crates/sched/src/leader/queue/gangs.rs
+++ b/crates/sched/src/leader/queue/gangs.rs
@@ -4,7 +4,7 @@
 use super::pass::Pass;
 use super::{jitter, MS_PER_S};
 use crate::capacity_index::MachineFit;
-use crate::leader::{Action, Job, Leader, Phase};
+use crate::leader::{Action, GangPhase, Job, Leader};
 use crate::placement::Resources;
 use crate::Secs;
 use std::collections::BTreeMap;
@@ -165,7 +165,7 @@
         );
         let by_owner = by_owner(&placements);
         if let Some(job) = self.cluster.jobs.get_mut(id) {
-            job.phase = Phase::Reserving {
+            job.phase = GangPhase::Reserving {
                 attempt,
                 waiting: by_owner.keys().cloned().collect(),
                 until: now + wait_s,
@@ -192,7 +192,7 @@
 fn may_reserve(job: &Job, admitted: u32) -> bool {
     // The count check: a gang with fewer tasks than its minimum is turned away.
     let is_whole = job.ready_tasks.len() + job.active.len() as u32 >= job.min_tasks();
-    let is_idle = job.phase == Phase::Idle && job.active.is_empty();
+    let is_idle = job.phase == GangPhase::Idle && job.active.is_empty();
     // In one zone and yet spread over several: no zone may hold all of it. Such a gang waits until
     // it is cancelled, and does not count as unmet, so that nothing is provisioned for it.
     let contradicts_itself = job.spec.one_zone && most_in_zone(job) < job.spec.tasks;
--- a/crates/sched/src/leader/queue/mod.rs
+++ b/crates/sched/src/leader/queue/mod.rs
@@ -46,10 +46,10 @@
     /// One pass over the queue: places what has quota and capacity, and notes what found none.
     pub(crate) fn schedule(&mut self, now: Secs) {
         self.cluster.refresh_index();
-        self.cluster.mark_within();
+        self.cluster.mark_within_guarantee();
         let mut pass = self.begin_pass(now);
         let order = self.queue_order(now);
-        self.cluster.unmet.clear();
+        self.cluster.unplaced.clear();
         for entry in order {
             self.place_entry(&entry.job, &mut pass);
         }
@@ -59,12 +59,12 @@
     /// What a pass knows before its first entry. The cordon and the wait for scarce types follow
     /// from what the previous pass could not place.
     fn begin_pass(&self, now: Secs) -> Pass {
-        let scarce = self.cluster.scarce();
+        let scarce = self.cluster.scarce_types();
         Pass {
             now,
-            limits: self.cluster.limits(),
+            limits: self.cluster.quota_headroom(),
             cordon: self.cordon_for_gang(&scarce, now),
-            scarce_awaited: self.cluster.waits_for_scarce(&scarce),
+            scarce_awaited: self.cluster.gang_waits_for_scarce_types(&scarce),
             scarce,
             backlog: None,
             queued_cpus: 0.0,
@@ -116,7 +116,7 @@
     /// Where an entry's tasks may run. Machine types that are the only ones for some gangs are
     /// spared; arrays take them too, last of all, while no such gang waits for capacity.
     fn entry_requirements(&self, job: &Job, pass: &Pass) -> TaskRequirements {
-        let mut requirements = self.cluster.requirements_sparing(job, &pass.scarce);
+        let mut requirements = self.cluster.requirements_avoiding_scarce(job, &pass.scarce);
         if job.is_gang() || pass.scarce_awaited {
             return requirements;
         }
--- a/crates/sched/src/leader/queue/reservations.rs
+++ b/crates/sched/src/leader/queue/reservations.rs
@@ -3,7 +3,7 @@
 
 use super::gangs::GangPlacement;
 use super::jitter;
-use crate::leader::{Action, Leader, Phase, TaskLocation};
+use crate::leader::{Action, GangPhase, Leader, TaskLocation};
 use crate::Secs;
 use std::collections::BTreeSet;
 use wire::peers::ToOwner;
@@ -37,12 +37,12 @@
     /// The gang that an attempt belongs to, if that is still its present one.
     fn gang_of_attempt(&self, attempt: u64) -> Option<String> {
         let (id, _) = self.cluster.jobs.iter().find(|(_, job)| match &job.phase {
-            Phase::Reserving { attempt: of, .. }
-            | Phase::Binding { attempt: of, .. }
-            | Phase::Running { attempt: of } => *of == attempt,
+            GangPhase::Reserving { attempt: of, .. }
+            | GangPhase::Binding { attempt: of, .. }
+            | GangPhase::Running { attempt: of } => *of == attempt,
             // Another owner has refused its part before.
-            Phase::Ending => job.active.values().any(|task| task.attempt == attempt),
-            Phase::Idle => false,
+            GangPhase::Ending => job.active.values().any(|task| task.attempt == attempt),
+            GangPhase::Idle => false,
         })?;
         Some(id.clone())
     }
@@ -52,7 +52,7 @@
         let Some(job) = self.cluster.jobs.get_mut(id) else {
             return;
         };
-        let Phase::Reserving {
+        let GangPhase::Reserving {
             waiting,
             until,
             places,
@@ -66,7 +66,7 @@
             return;
         }
         let (until, places) = (*until, std::mem::take(places));
-        job.phase = Phase::Binding {
+        job.phase = GangPhase::Binding {
             attempt,
             until,
             places: places.clone(),
@@ -85,11 +85,11 @@
             return;
         };
         match &job.phase {
-            Phase::Reserving { .. } | Phase::Binding { .. } => {
+            GangPhase::Reserving { .. } | GangPhase::Binding { .. } => {
                 log::info!("event=reservation_refused job={id} owner={from}");
                 self.cancel_reservation(id, now, true);
             }
-            Phase::Running { .. } | Phase::Ending => {
+            GangPhase::Running { .. } | GangPhase::Ending => {
                 // The capacity was given up before the binding came: the gang has to begin anew.
                 let lost: Vec<u32> = job
                     .active
@@ -103,7 +103,7 @@
                     self.requeue_task(id, index);
                 }
             }
-            Phase::Idle => {}
+            GangPhase::Idle => {}
         }
     }
 
@@ -112,7 +112,7 @@
         let Some(job) = self.cluster.jobs.get(id) else {
             return;
         };
-        let Phase::Binding {
+        let GangPhase::Binding {
             attempt: bound,
             until,
             places,
@@ -138,7 +138,7 @@
     /// Starts all tasks of a gang whose binding is durable.
     fn start_gang(&mut self, id: &str, attempt: u64, placements: Vec<GangPlacement>, now: Secs) {
         if let Some(job) = self.cluster.jobs.get_mut(id) {
-            job.phase = Phase::Running { attempt };
+            job.phase = GangPhase::Running { attempt };
             job.failures = 0;
         }
         let mut owners = BTreeSet::new();
@@ -165,7 +165,7 @@
         let Some(job) = self.cluster.jobs.get_mut(id) else {
             return;
         };
-        let phase = std::mem::replace(&mut job.phase, Phase::Idle);
+        let phase = std::mem::replace(&mut job.phase, GangPhase::Idle);
         if failed {
             job.failures += 1;
             let doublings = job.failures.min(MAX_BACKOFF_DOUBLINGS);
@@ -179,11 +179,11 @@
 
     /// Releases what a gang in this phase has reserved, if anything, on its machines and with their
     /// owners.
-    pub(crate) fn release_reservation(&mut self, phase: &Phase) {
-        let (Phase::Reserving {
+    pub(crate) fn release_reservation(&mut self, phase: &GangPhase) {
+        let (GangPhase::Reserving {
             attempt, places, ..
         }
-        | Phase::Binding {
+        | GangPhase::Binding {
             attempt, places, ..
         }) = phase
         else {
--- a/crates/sched/src/leader/reconciliation.rs
+++ b/crates/sched/src/leader/reconciliation.rs
@@ -1,7 +1,7 @@
 //! Reconciling a new leader, or a new epoch, with the machines: what may have been started before is settled
 //! once the machines are known on which it may be running.
 
-use super::{Job, Leader, Phase, TaskLocation};
+use super::{GangPhase, Job, Leader, TaskLocation};
 
 impl Leader {
     /// Settles what waited for machines to be reconciled.
@@ -64,14 +64,14 @@
             return;
         }
         let Some(attempt) = job.active.values().next().map(|active| active.attempt) else {
-            job.phase = Phase::Idle;
+            job.phase = GangPhase::Idle;
             return;
         };
         let is_whole = job.active.len() == job.spec.tasks as usize;
         if is_whole && job.active.values().all(|active| active.attempt == attempt) {
-            job.phase = Phase::Running { attempt };
+            job.phase = GangPhase::Running { attempt };
         } else {
-            job.phase = Phase::Ending;
+            job.phase = GangPhase::Ending;
             self.stop_all(id, 0.0);
         }
     }
--- a/crates/sched/src/leader/requeue.rs
+++ b/crates/sched/src/leader/requeue.rs
@@ -1,6 +1,6 @@
 //! Tasks that are certainly not running any more go back to the queue.
 
-use super::{Leader, Phase};
+use super::{GangPhase, Leader};
 
 impl Leader {
     /// A task is certainly not running any more, and goes back to the queue unless it is done. What is left of
@@ -18,9 +18,9 @@
         }
         if job.is_gang() && !job.terminal && job.done.is_empty() {
             if job.active.is_empty() {
-                job.phase = Phase::Idle;
+                job.phase = GangPhase::Idle;
             } else if !job.awaits_reconciliation {
-                job.phase = Phase::Ending;
+                job.phase = GangPhase::Ending;
                 self.stop_all(id, 0.0);
             }
         }
--- a/crates/sched/src/leader/scaling.rs
+++ b/crates/sched/src/leader/scaling.rs
@@ -1,7 +1,7 @@
 //! Carries out what the autoscaler decides, and hands the cloud's answers to it.
 
 use super::{Action, Leader};
-use crate::autoscaler::{EpochView, ScalingDecision};
+use crate::autoscaler::{EpochContext, ScalingDecision};
 use crate::Secs;
 use wire::cloud::ListedMachine;
 
@@ -11,7 +11,7 @@
         if !self.autoscaler.is_due(&self.cluster, now) {
             return;
         }
-        let epoch = EpochView {
+        let epoch = EpochContext {
             token: self.epochs.token(),
             began_at: self.epochs.began_at(),
             waits_for_unknown_machines: self.waits_for_unknown_machines(),
@@ -25,7 +25,7 @@
     fn carry_out_scaling(&mut self, decision: ScalingDecision) {
         let requests = decision.provision.into_iter();
         self.actions.extend(requests.map(Action::Provision));
-        for machine in &decision.close {
+        for machine in &decision.cordon {
             self.send_usable(machine);
         }
         let releases = decision.deprovision.into_iter();
@@ -56,7 +56,9 @@
 
     /// A list of the cloud's machines: adopts what is not known, returns what has failed.
     pub fn on_machines_listed(&mut self, list: &[ListedMachine], now: Secs) {
-        let releases = self.autoscaler.take_in_list(&self.cluster, list, now);
+        let releases = self
+            .autoscaler
+            .process_machine_list(&self.cluster, list, now);
         self.actions
             .extend(releases.into_iter().map(Action::Deprovision));
     }
--- a/crates/sched/src/leader/spot_notices.rs
+++ b/crates/sched/src/leader/spot_notices.rs
@@ -1,6 +1,6 @@
 //! Spot notices: machines that the cloud takes back soon. What can be saved on them is saved.
 
-use super::{Job, Leader, Phase};
+use super::{GangPhase, Job, Leader};
 use crate::Secs;
 
 /// How much longer than announced saving may take.
@@ -33,7 +33,7 @@
             match self.cluster.jobs.get_mut(&due.job) {
                 // The tasks of a gang save together or not at all.
                 Some(job) if job.is_gang() => {
-                    job.phase = Phase::Ending;
+                    job.phase = GangPhase::Ending;
                     self.stop_all(&due.job, grace_s);
                 }
                 _ => self.stop_task(&due.job, due.index, grace_s),
--- a/crates/sched/src/leader/task_status.rs
+++ b/crates/sched/src/leader/task_status.rs
@@ -1,6 +1,6 @@
 //! What the status of a machine says of single tasks: that they may be running there, or have exited.
 
-use super::{Active, Job, Leader, Phase, TaskLocation};
+use super::{ActiveTask, GangPhase, Job, Leader, TaskLocation};
 use crate::Secs;
 use wire::peers::{TaskRef, TaskStatus};
 use wire::workers::{TaskState, Why};
@@ -52,7 +52,7 @@
             return;
         };
         let Some(active) = job.active.get_mut(&task.index) else {
-            let active = Active {
+            let active = ActiveTask {
                 attempt: task.attempt,
                 location,
                 running,
@@ -67,7 +67,7 @@
             active.since = now;
         }
         if active.location != location {
-            let moved = Active {
+            let moved = ActiveTask {
                 location,
                 ..active.clone()
             };
@@ -185,6 +185,6 @@
 /// Whether a task that is shown on a machine is to be stopped.
 fn is_unwanted(job: &Job, index: u32) -> bool {
     // A gang that lost a task before this one was seen: what is stopped is only what was seen.
-    let is_ending = job.is_gang() && job.phase == Phase::Ending;
+    let is_ending = job.is_gang() && job.phase == GangPhase::Ending;
     job.terminal || is_ending || job.done.contains(index) && !job.is_gang()
 }
