--- a/crates/sched/src/autoscaler/mod.rs
+++ b/crates/sched/src/autoscaler/mod.rs
@@ -7,9 +7,9 @@
 mod arrivals;
 mod gang;
 mod incoming;
-mod market;
 mod offer;
 mod plan;
+mod pricing;
 mod retention;
 mod scale_in;
 mod scale_out;
--- a/crates/sched/src/autoscaler/scale_out.rs
+++ b/crates/sched/src/autoscaler/scale_out.rs
@@ -1,8 +1,8 @@
 //! Provisioning machines for work that finds none, beside those that are on their way already.
 
 use super::incoming::Incoming;
-use super::market::PricedOffer;
 use super::plan::Plan;
+use super::pricing::PricedOffer;
 use super::{Autoscaler, MIN_CHARGE_S};
 use crate::cluster::{BusyMachines, Cluster, Job};
 use crate::placement::Resources;
--- a/crates/sched/src/cluster/mod.rs
+++ b/crates/sched/src/cluster/mod.rs
@@ -8,7 +8,7 @@
 mod machine_inventory;
 mod quota;
 mod requirements;
-mod unknown;
+mod unknown_machines;
 mod usage;
 mod wait_estimates;
 mod zones;
@@ -18,7 +18,7 @@
 pub(crate) use job_table::JobTable;
 pub(crate) use machine::{Machine, Rostered};
 pub(crate) use machine_inventory::{MachineInventory, MachineTypes};
-pub(crate) use unknown::UnknownMachines;
+pub(crate) use unknown_machines::UnknownMachines;
 pub(crate) use usage::{Backlogs, QuotaUsage};
 pub(crate) use wait_estimates::{BusyMachines, SLOW_BOOT_FACTOR};
 
