--- a/crates/sched/src/leader/epoch.rs
+++ b/crates/sched/src/leader/epoch.rs
@@ -38,10 +38,13 @@
         }
     }
 
-    /// Changes the shard owners if that is due; `known` is the number of other controllers in the settings.
-    pub(super) fn review_epoch(&mut self, now: Secs, known: usize) {
-        let silence_s = self.cluster.config.owner_timeout_s();
-        match self.epochs.review(now, known, silence_s) {
+    /// Changes the shard owners if that is due; `other_controllers` is the number of other controllers in the settings.
+    pub(super) fn review_epoch(&mut self, now: Secs, other_controllers: usize) {
+        let silence_timeout_s = self.cluster.config.owner_timeout_s();
+        match self
+            .epochs
+            .review(now, other_controllers, silence_timeout_s)
+        {
             EpochReview::Unchanged => {}
             EpochReview::NeedsToken => self.actions.push(Action::IssueToken),
             EpochReview::Begin => self.begin_epoch(now),
@@ -58,10 +61,10 @@
         );
         self.cancel_all_reservations(now);
         for owner in &change.previous_members {
-            self.leave_unresolved(owner);
+            self.mark_unresolved(owner);
         }
         self.reassign_machines(&change);
-        self.forget_sent_orders();
+        self.reset_sent_orders();
         self.announce_epoch(&change);
         self.reconcile();
         self.pass_requested = true;
@@ -82,7 +85,7 @@
 
     /// Tasks that were assigned to an owner and that no status has shown may be on any machine that was
     /// its.
-    fn leave_unresolved(&mut self, owner: &str) {
+    fn mark_unresolved(&mut self, owner: &str) {
         let mut tasks: Vec<(String, u32)> = Vec::new();
         for (id, job) in self.cluster.jobs.iter() {
             let assigned = job.active.iter().filter(|(_, active)| {
@@ -109,7 +112,7 @@
         self.cluster.machines.mark_all_dirty();
         for (name, machine) in self.cluster.machines.iter_mut() {
             let owner = self.epochs.owner_of(name).to_string();
-            if owner != machine.owner || change.restarted.contains(&owner) {
+            if owner != machine.owner || change.disconnected_members.contains(&owner) {
                 machine.owner = owner;
                 machine.owner_token = change.token;
             }
@@ -122,7 +125,7 @@
     }
 
     /// What was sent to owners under an earlier token may be lost, and is sent again when it is due.
-    fn forget_sent_orders(&mut self) {
+    fn reset_sent_orders(&mut self) {
         for job in self.cluster.jobs.values_mut() {
             job.pending_clears.clear();
             for active in job.active.values_mut() {
--- a/crates/sched/src/leader/jobs.rs
+++ b/crates/sched/src/leader/jobs.rs
@@ -20,8 +20,8 @@
         if self.cluster.jobs.contains_key(id) || self.terminal_jobs.contains(id) {
             return;
         }
-        self.autoscaler.record_arrival(&job.spec, self.time);
-        self.cluster.insert_job(Job::new(job, self.time));
+        self.autoscaler.record_arrival(&job.spec, self.last_tick_at);
+        self.cluster.insert_job(Job::new(job, self.last_tick_at));
         self.pass_requested = true;
     }
 
@@ -36,9 +36,9 @@
 
     /// A controller has confirmed a cancellation that the replica here may not show yet. The job may not
     /// be known here either, because it waits for others.
-    pub(crate) fn cancel_confirmed(&mut self, id: &str) {
+    pub(crate) fn on_cancel_confirmed(&mut self, id: &str) {
         if !self.cluster.jobs.contains_key(id) {
-            self.terminal_jobs.insert(id, self.time);
+            self.terminal_jobs.insert(id, self.last_tick_at);
         }
         self.on_job_terminal(id);
     }
@@ -60,23 +60,23 @@
         self.cluster.charge_unobserved_tasks(id);
         self.release_reservation(&phase);
         for (machine, task) in clears {
-            self.clear(&machine, task);
+            self.clear_task(&machine, task);
         }
-        self.stop_all(id, 0.0);
-        self.forget_if_terminal(id);
+        self.stop_all_tasks(id, 0.0);
+        self.remove_if_terminal(id);
         self.pass_requested = true;
     }
 
     /// Owners hold starts that no status has shown yet: they are told not to carry them out.
     fn send_terminal(&mut self, id: &str) {
-        self.terminal_jobs.insert(id, self.time);
+        self.terminal_jobs.insert(id, self.last_tick_at);
         for member in self.epochs.members().to_vec() {
             let jobs = vec![id.into()];
             self.send(&member, ToOwner::Terminal { jobs });
         }
     }
 
-    pub(crate) fn forget_if_terminal(&mut self, id: &str) {
+    pub(crate) fn remove_if_terminal(&mut self, id: &str) {
         let job = self.cluster.jobs.get(id);
         if job.is_some_and(|job| job.terminal && job.active.is_empty()) {
             self.autoscaler.forget_job(id);
@@ -85,7 +85,7 @@
     }
 
     /// A task is done on a machine, for the first time as far as this leader knows.
-    pub(super) fn task_done(&mut self, task: &TaskRef, now: Secs) {
+    pub(super) fn complete_task(&mut self, task: &TaskRef, now: Secs) {
         let (id, index) = (task.job.as_str(), task.index);
         let chunk_tasks = self.chunk_bits;
         let Some(job) = self.cluster.jobs.get_mut(id) else {
@@ -110,7 +110,7 @@
             self.stop_task(id, index, 0.0);
         }
         self.finish_if_done(id);
-        self.forget_if_terminal(id);
+        self.remove_if_terminal(id);
         self.pass_requested = true;
     }
 
@@ -142,7 +142,7 @@
         self.cluster.usage.clear_cancelled();
         for (id, team, resources) in jobs {
             self.cluster.usage.add_cancelled(&team, resources);
-            self.terminal_jobs.insert(&id, self.time);
+            self.terminal_jobs.insert(&id, self.last_tick_at);
         }
     }
 }
--- a/crates/sched/src/leader/machine_status.rs
+++ b/crates/sched/src/leader/machine_status.rs
@@ -21,17 +21,17 @@
                 job,
                 attempt,
                 tasks,
-            } => self.take_back(from, &job, attempt, &tasks),
+            } => self.requeue_handed_back(from, &job, attempt, &tasks),
             ToLeader::ReserveResult { attempt, reserved } => {
                 self.on_reserve_result(from, attempt, reserved, now)
             }
-            ToLeader::Cancelled { job } => self.cancel_confirmed(&job),
+            ToLeader::Cancelled { job } => self.on_cancel_confirmed(&job),
             ToLeader::Hello { .. } | ToLeader::Ping { .. } => {}
         }
     }
 
     /// An owner hands tasks back that it did not start and never will: runs of first task and number.
-    fn take_back(&mut self, owner: &str, job: &str, attempt: u64, runs: &[(u32, u32)]) {
+    fn requeue_handed_back(&mut self, owner: &str, job: &str, attempt: u64, runs: &[(u32, u32)]) {
         let indexes = runs.iter();
         let indexes = indexes.flat_map(|(first, count)| *first..first.saturating_add(*count));
         for index in indexes {
@@ -79,9 +79,9 @@
             }
         }
         self.cluster.machines.mark_dirty(&status.name);
-        self.roster(&status.name);
+        self.write_roster_record(&status.name);
         if is_current {
-            self.repeat_usable(from, &status);
+            self.resend_usable(from, &status);
         }
         self.apply_tasks(&status, now);
         self.pass_requested = true;
@@ -102,7 +102,7 @@
     }
 
     /// Has a machine that is up rostered, if it is not yet.
-    pub(crate) fn roster(&mut self, name: &str) {
+    pub(crate) fn write_roster_record(&mut self, name: &str) {
         let Some(machine) = self.cluster.machines.get_mut(name) else {
             return;
         };
@@ -121,7 +121,7 @@
     }
 
     /// An owner that began anew after it was sent whether it may use a machine is sent it again.
-    fn repeat_usable(&mut self, owner: &str, status: &MachineStatus) {
+    fn resend_usable(&mut self, owner: &str, status: &MachineStatus) {
         let machine = self.cluster.machines.get(&status.name);
         let usable = machine.map(|machine| machine.usable_sent);
         if let Some(usable) = usable.filter(|usable| *usable != status.usable) {
@@ -162,19 +162,19 @@
             .partition(|task| task.state == TaskState::Exited);
         let mut has_unknown_jobs = false;
         for task in &live {
-            has_unknown_jobs |= !self.note_live(name, &task.task, task.state, now);
+            has_unknown_jobs |= !self.on_live_task(name, &task.task, task.state, now);
         }
         for task in &status.pending {
-            has_unknown_jobs |= !self.note_live(name, task, TaskState::Fetching, now);
+            has_unknown_jobs |= !self.on_live_task(name, task, TaskState::Fetching, now);
         }
         for task in exited {
-            self.note_exit(name, task, now);
+            self.on_task_exit(name, task, now);
         }
         if let Some(machine) = self.cluster.machines.get_mut(name) {
             machine.has_unknown_jobs = has_unknown_jobs;
         }
         let shown = live.iter().map(|task| &task.task).chain(&status.pending);
-        self.requeue_missing(name, shown);
+        self.requeue_missing_tasks(name, shown);
         if let Some(machine) = self.cluster.machines.get_mut(name) {
             if !machine.tasks.is_empty() || !machine.reserved.is_empty() {
                 machine.idle_since = now;
@@ -183,7 +183,7 @@
     }
 
     /// Tasks that were on a machine and that its status does not show any more have ended there.
-    fn requeue_missing<'a>(&mut self, name: &str, shown: impl Iterator<Item = &'a TaskRef>) {
+    fn requeue_missing_tasks<'a>(&mut self, name: &str, shown: impl Iterator<Item = &'a TaskRef>) {
         let shown: BTreeSet<(&str, u32)> =
             shown.map(|task| (task.job.as_str(), task.index)).collect();
         let Some(machine) = self.cluster.machines.get(name) else {
@@ -193,7 +193,7 @@
         let missing = missing.filter(|(id, index)| !shown.contains(&(id.as_str(), *index)));
         let missing: Vec<(String, u32)> = missing.cloned().collect();
         for (id, index) in missing {
-            let location = self.location(&id, index);
+            let location = self.task_location(&id, index);
             if matches!(location, Some(TaskLocation::OnMachine(_))) {
                 self.requeue_task(&id, index);
             }
--- a/crates/sched/src/leader/machines.rs
+++ b/crates/sched/src/leader/machines.rs
@@ -10,11 +10,11 @@
     }
 
     /// The roster record of a machine is durable (or dropped), or could not be written.
-    pub fn roster_result(&mut self, machine: &str, put: bool, written: bool) {
+    pub fn roster_result(&mut self, machine: &str, is_put: bool, written: bool) {
         let Some(known) = self.cluster.machines.get_mut(machine) else {
             return;
         };
-        if !put {
+        if !is_put {
             return;
         }
         known.rostered = if written { Rostered::Yes } else { Rostered::No };
@@ -42,7 +42,7 @@
     }
 
     /// A machine is certainly gone.
-    pub(crate) fn forget_machine(&mut self, name: &str) {
+    pub(crate) fn remove_machine(&mut self, name: &str) {
         let Some(machine) = self.cluster.machines.get(name) else {
             return;
         };
--- a/crates/sched/src/leader/mod.rs
+++ b/crates/sched/src/leader/mod.rs
@@ -2,7 +2,7 @@
 //! arrays among the shards, and keeps account of what may be running where.
 //!
 //! A task may be running (`Job::active`) from the decision to start it until an owner shows that it is not.
-//! Only tasks in `Job::ready` are ever started.
+//! Only tasks in `Job::ready_tasks` are ever started.
 //!
 //! [`Leader`] coordinates parts that own their state: the view of the cluster with jobs, machines and usage
 //! (`cluster`), shard epochs, unresolved tasks, the watermark of started arrays, recently terminal jobs, and the
@@ -33,7 +33,7 @@
 };
 pub use crate::cluster::{OpenJob, PriorRuns};
 pub use progress::chunk_bits;
-pub use summary::{CpuUse, Summary};
+pub use summary::{CpuUsage, Summary};
 pub(crate) use task_status::MAX_BACKOFF_S;
 
 use crate::config::SchedulerConfig;
@@ -101,9 +101,9 @@
     running_counts: RunningCounts,
     pub(crate) rng: fastrand::Rng,
     /// How many attempts were begun under this leader.
-    attempts: u64,
+    attempt_count: u64,
     /// The time of the last tick.
-    time: Secs,
+    last_tick_at: Secs,
     /// Whether jobs wait for machines on which an earlier leader may have started them.
     has_unknown_prior_runs: bool,
     pub(crate) actions: Vec<Action>,
@@ -144,8 +144,8 @@
             terminal_jobs: TerminalJobs::default(),
             running_counts: RunningCounts::new(now),
             rng: fastrand::Rng::with_seed(seed),
-            attempts: 0,
-            time: now,
+            attempt_count: 0,
+            last_tick_at: now,
             has_unknown_prior_runs: true,
             actions: Vec::new(),
             pass_requested: false,
@@ -195,13 +195,13 @@
         self.actions.push(Action::Send(to.to_string(), message));
     }
 
-    /// Does what is due: `known` is the number of other controllers in the settings.
-    pub fn tick(&mut self, now: Secs, known: usize) {
-        self.time = now;
+    /// Does what is due: `other_controllers` is the number of other controllers in the settings.
+    pub fn tick(&mut self, now: Secs, other_controllers: usize) {
+        self.last_tick_at = now;
         let retention_s = self.cluster.config.terminal_retention_s();
         self.terminal_jobs.expire(now, retention_s);
-        self.review_epoch(now, known);
-        if !self.epochs.is_set() {
+        self.review_epoch(now, other_controllers);
+        if !self.epochs.has_begun() {
             return;
         }
         self.expire_reservations(now);
@@ -213,7 +213,7 @@
         }
         self.autoscale(now);
         self.flush_progress_if_due(now);
-        if self.running_counts.is_due(now) {
+        if self.running_counts.take_due(now) {
             self.send_running_counts();
         }
     }
@@ -253,14 +253,14 @@
 
     /// A number for an attempt, unique among all leaders, since the token is.
     pub(crate) fn next_attempt(&mut self) -> u64 {
-        self.attempts += 1;
-        (self.token() << 24) | (self.attempts & 0xff_ffff)
+        self.attempt_count += 1;
+        (self.token() << 24) | (self.attempt_count & 0xff_ffff)
     }
 
     /// The cloud's machine types, as they are at present.
     pub fn set_catalog(&mut self, types: Vec<MachineType>) {
         let has_changed = self.cluster.set_machine_types(types);
-        if has_changed && self.epochs.is_set() {
+        if has_changed && self.epochs.has_begun() {
             let types = self.cluster.machine_types.values().cloned().collect();
             let message = ToOwner::Catalog { types };
             for member in self.members().to_vec() {
--- a/crates/sched/src/leader/progress.rs
+++ b/crates/sched/src/leader/progress.rs
@@ -15,14 +15,14 @@
         self.cluster
             .jobs
             .get(id)
-            .map(|j| j.done.clone())
+            .map(|job| job.done.clone())
             .unwrap_or_default()
     }
 
     /// A chunk of progress is durable up to the tasks that it contained, or was not written.
     pub fn progress_result(&mut self, id: &str, first_task: u32, written: Option<&RangeSet>) {
-        let bits = self.chunk_bits;
-        let chunk = first_task / bits;
+        let chunk_tasks = self.chunk_bits;
+        let chunk = first_task / chunk_tasks;
         let Some(job) = self.cluster.jobs.get_mut(id) else {
             return;
         };
@@ -30,15 +30,18 @@
             job.dirty_chunks.insert(chunk);
             return;
         };
-        written.iter().filter(|i| i / bits == chunk).for_each(|i| {
-            job.durable_done.insert(i);
-        });
-        let (ready, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut job.pending_clears)
+        written
+            .iter()
+            .filter(|index| index / chunk_tasks == chunk)
+            .for_each(|index| {
+                job.durable_done.insert(index);
+            });
+        let (durable, remaining): (Vec<_>, Vec<_>) = std::mem::take(&mut job.pending_clears)
             .into_iter()
-            .partition(|(_, t)| job.durable_done.contains(t.index));
-        job.pending_clears = rest;
-        for (machine, task) in ready {
-            self.clear(&machine, task);
+            .partition(|(_, task)| job.durable_done.contains(task.index));
+        job.pending_clears = remaining;
+        for (machine, task) in durable {
+            self.clear_task(&machine, task);
         }
     }
 
@@ -75,7 +78,7 @@
         let missing = missing.filter(|(_, machine)| machine.rostered == Rostered::No);
         let missing: Vec<String> = missing.map(|(name, _)| name.clone()).collect();
         for name in missing {
-            self.roster(&name);
+            self.write_roster_record(&name);
         }
     }
 
--- a/crates/sched/src/leader/reconciliation.rs
+++ b/crates/sched/src/leader/reconciliation.rs
@@ -7,7 +7,7 @@
     /// Settles what waited for machines to be reconciled.
     pub(crate) fn reconcile(&mut self) {
         self.requeue_resolved_tasks();
-        if self.has_unknown_prior_runs && self.epochs.is_set() {
+        if self.has_unknown_prior_runs && self.epochs.has_begun() {
             self.resolve_known_jobs();
         }
     }
@@ -15,10 +15,11 @@
     /// Tasks of lost owners that no machine has shown are not running anywhere.
     fn requeue_resolved_tasks(&mut self) {
         let machines = &self.cluster.machines;
-        let is_settled = |name: &String| machines.get(name).is_none_or(|m| m.reconciled);
+        let is_settled =
+            |name: &String| machines.get(name).is_none_or(|machine| machine.reconciled);
         for (group, tasks) in self.unresolved.take_settled(is_settled) {
             for (id, index) in tasks {
-                if self.location(&id, index) == Some(&TaskLocation::Unresolved(group)) {
+                if self.task_location(&id, index) == Some(&TaskLocation::Unresolved(group)) {
                     self.requeue_task(&id, index);
                 }
             }
@@ -26,7 +27,7 @@
     }
 
     /// Where a task may be running.
-    pub(super) fn location(&self, id: &str, index: u32) -> Option<&TaskLocation> {
+    pub(super) fn task_location(&self, id: &str, index: u32) -> Option<&TaskLocation> {
         let active = self.cluster.jobs.get(id)?.active.get(&index)?;
         Some(&active.location)
     }
@@ -72,7 +73,7 @@
             job.phase = GangPhase::Running { attempt };
         } else {
             job.phase = GangPhase::Ending;
-            self.stop_all(id, 0.0);
+            self.stop_all_tasks(id, 0.0);
         }
     }
 
--- a/crates/sched/src/leader/requeue.rs
+++ b/crates/sched/src/leader/requeue.rs
@@ -21,9 +21,9 @@
                 job.phase = GangPhase::Idle;
             } else if !job.awaits_reconciliation {
                 job.phase = GangPhase::Ending;
-                self.stop_all(id, 0.0);
+                self.stop_all_tasks(id, 0.0);
             }
         }
-        self.forget_if_terminal(id);
+        self.remove_if_terminal(id);
     }
 }
--- a/crates/sched/src/leader/running_counts.rs
+++ b/crates/sched/src/leader/running_counts.rs
@@ -5,25 +5,25 @@
 use wire::peers::ToOwner;
 
 /// Seconds between two messages with the numbers of running tasks.
-const INTERVAL_S: Secs = 1.0;
+const CHECK_INTERVAL_S: Secs = 1.0;
 
 /// The numbers that were sent last, and when they were last looked at.
 pub(crate) struct RunningCounts {
-    last: Vec<(String, u32)>,
+    last_sent: Vec<(String, u32)>,
     checked_at: Secs,
 }
 
 impl RunningCounts {
     pub(crate) fn new(now: Secs) -> RunningCounts {
         RunningCounts {
-            last: Vec::new(),
+            last_sent: Vec::new(),
             checked_at: now,
         }
     }
 
     /// Whether it is time to look again; not said again for a while.
-    pub(crate) fn is_due(&mut self, now: Secs) -> bool {
-        let is_due = now - self.checked_at > INTERVAL_S;
+    pub(crate) fn take_due(&mut self, now: Secs) -> bool {
+        let is_due = now - self.checked_at > CHECK_INTERVAL_S;
         if is_due {
             self.checked_at = now;
         }
@@ -39,7 +39,7 @@
             (id.clone(), running.count() as u32)
         });
         let running: Vec<(String, u32)> = counts.filter(|(_, count)| *count > 0).collect();
-        if running == self.running_counts.last {
+        if running == self.running_counts.last_sent {
             return;
         }
         let mut controllers: Vec<String> = self.epochs.connected().cloned().collect();
@@ -48,6 +48,6 @@
             let running = running.clone();
             self.send(&controller, ToOwner::RunningCounts { running });
         }
-        self.running_counts.last = running;
+        self.running_counts.last_sent = running;
     }
 }
--- a/crates/sched/src/leader/scaling.rs
+++ b/crates/sched/src/leader/scaling.rs
@@ -19,10 +19,10 @@
         let decision = self
             .autoscaler
             .decide(&mut self.cluster, &epoch, &mut self.rng, now);
-        self.carry_out_scaling(decision);
+        self.apply_scaling_decision(decision);
     }
 
-    fn carry_out_scaling(&mut self, decision: ScalingDecision) {
+    fn apply_scaling_decision(&mut self, decision: ScalingDecision) {
         let requests = decision.provision.into_iter();
         self.actions.extend(requests.map(Action::Provision));
         for machine in &decision.cordon {
@@ -44,7 +44,7 @@
         for name in names {
             if ok {
                 self.autoscaler.release_confirmed(name);
-                self.forget_machine(name);
+                self.remove_machine(name);
             } else {
                 self.autoscaler.release_failed(name);
                 if let Some(machine) = self.cluster.machines.get_mut(name) {
--- a/crates/sched/src/leader/shard_epochs.rs
+++ b/crates/sched/src/leader/shard_epochs.rs
@@ -1,20 +1,20 @@
 //! Which controllers own the shards, under which fencing token, and when that has to change.
 //!
 //! Invariant: an owner is granted authority only under the token of the present epoch, and no later than
-//! `lost_until` and the owners' `granted_until` any earlier owner has authority.
+//! `disconnected_granted_until` and the owners' `granted_until` any earlier owner has authority.
 
 use crate::shard;
 use crate::Secs;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How many of these settling times fit into the silence after which an owner counts as lost.
-const SETTLING_TIMES_PER_SILENCE: f64 = 8.0;
+const SETTLING_PERIODS_PER_TIMEOUT: f64 = 8.0;
 
 /// For how many such silences a leader waits for controllers that start together with it.
-const SILENCES_TO_WAIT_FOR_OTHERS: f64 = 2.0;
+const STARTUP_WAIT_TIMEOUTS: f64 = 2.0;
 
 /// The connection of another controller to this leader.
-struct OwnerLink {
+struct OwnerConnection {
     connected_at: Secs,
     last_heard: Secs,
     /// The end of the latest authority that it was granted.
@@ -39,7 +39,7 @@
     pub(crate) previous_token: u64,
     pub(crate) previous_members: Vec<String>,
     /// Members whose connection broke: they start anew even if they are owners again.
-    pub(crate) restarted: BTreeSet<String>,
+    pub(crate) disconnected_members: BTreeSet<String>,
     /// For how long an earlier owner may still prolong workers' leases, in milliseconds.
     pub(crate) extra_ms: u64,
 }
@@ -47,7 +47,7 @@
 impl EpochChange {
     /// Whether a member goes on with what it holds: it was an owner, and nothing sent to it was lost.
     pub(crate) fn continues(&self, member: &String) -> bool {
-        self.previous_members.contains(member) && !self.restarted.contains(member)
+        self.previous_members.contains(member) && !self.disconnected_members.contains(member)
     }
 }
 
@@ -59,16 +59,16 @@
     epoch_token: u64,
     started_at: Secs,
     began_at: Secs,
-    is_set: bool,
+    has_begun: bool,
     /// An owner's connection broke: what was sent to it may be lost, so a new epoch is due.
-    is_broken: bool,
-    broken: BTreeSet<String>,
+    member_disconnected: bool,
+    disconnected_members: BTreeSet<String>,
     token_requested: bool,
-    expects_others: bool,
+    expects_other_controllers: bool,
     members: Vec<String>,
-    links: BTreeMap<String, OwnerLink>,
+    connections: BTreeMap<String, OwnerConnection>,
     /// The end of the latest authority that was granted to a controller which is not connected any more.
-    lost_until: Secs,
+    disconnected_granted_until: Secs,
 }
 
 impl ShardEpochs {
@@ -80,14 +80,14 @@
             epoch_token: 0,
             started_at: now,
             began_at: now,
-            is_set: false,
-            is_broken: false,
-            broken: BTreeSet::new(),
+            has_begun: false,
+            member_disconnected: false,
+            disconnected_members: BTreeSet::new(),
             token_requested: false,
-            expects_others: false,
+            expects_other_controllers: false,
             members: Vec::new(),
-            links: BTreeMap::new(),
-            lost_until: now,
+            connections: BTreeMap::new(),
+            disconnected_granted_until: now,
         }
     }
 
@@ -102,8 +102,8 @@
     }
 
     /// Whether a first epoch has begun.
-    pub(crate) fn is_set(&self) -> bool {
-        self.is_set
+    pub(crate) fn has_begun(&self) -> bool {
+        self.has_begun
     }
 
     /// When the present epoch began.
@@ -113,7 +113,7 @@
 
     /// The connected controllers.
     pub(crate) fn connected(&self) -> impl Iterator<Item = &String> {
-        self.links.keys()
+        self.connections.keys()
     }
 
     /// The owner of a machine; this controller if there is none.
@@ -128,23 +128,28 @@
 
     /// A controller has connected, or was heard.
     pub(crate) fn on_owner_contact(&mut self, member: &str, now: Secs) {
-        let link = self.links.entry(member.into()).or_insert(OwnerLink {
-            connected_at: now,
-            last_heard: now,
-            granted_until: f64::MIN,
-        });
-        link.last_heard = now;
+        let connection = self
+            .connections
+            .entry(member.into())
+            .or_insert(OwnerConnection {
+                connected_at: now,
+                last_heard: now,
+                granted_until: f64::MIN,
+            });
+        connection.last_heard = now;
     }
 
     /// The connection to a controller is lost.
     pub(crate) fn on_owner_disconnected(&mut self, member: &str) {
-        let Some(link) = self.links.remove(member) else {
+        let Some(connection) = self.connections.remove(member) else {
             return;
         };
-        self.lost_until = self.lost_until.max(link.granted_until);
+        self.disconnected_granted_until = self
+            .disconnected_granted_until
+            .max(connection.granted_until);
         if self.is_member(member) {
-            self.is_broken = true;
-            self.broken.insert(member.into());
+            self.member_disconnected = true;
+            self.disconnected_members.insert(member.into());
         }
     }
 
@@ -155,15 +160,15 @@
     /// For how long an owner may be granted authority that ends before `until`, in seconds; none if it is
     /// no owner under the present token.
     pub(crate) fn grant_authority(&mut self, member: &str, now: Secs, until: Secs) -> Option<Secs> {
-        if !self.is_set || !self.is_member(member) {
+        if !self.has_begun || !self.is_member(member) {
             return None;
         }
         let valid_s = until - now;
         if valid_s <= 0.0 {
             return None;
         }
-        let link = self.links.get_mut(member)?;
-        link.granted_until = link.granted_until.max(until);
+        let connection = self.connections.get_mut(member)?;
+        connection.granted_until = connection.granted_until.max(until);
         Some(valid_s)
     }
 
@@ -171,34 +176,43 @@
     /// little. Each epoch that moves a machine to another owner costs two of its heartbeats before
     /// it is reconciled, and a worker makes haste for a new token only once in half a lease.
     pub(crate) fn expect_other_controllers(&mut self) {
-        self.expects_others = true;
+        self.expects_other_controllers = true;
     }
 
-    /// Drops silent owners, and says whether the owners have to change. `silence_s` is the time after which
-    /// an owner counts as lost, `known` the number of other controllers in the settings.
-    pub(crate) fn review(&mut self, now: Secs, known: usize, silence_s: Secs) -> EpochReview {
-        self.drop_silent(now, silence_s);
+    /// Drops silent owners, and says whether the owners have to change. `silence_timeout_s` is the time after which
+    /// an owner counts as lost, `other_controllers` the number of other controllers in the settings.
+    pub(crate) fn review(
+        &mut self,
+        now: Secs,
+        other_controllers: usize,
+        silence_timeout_s: Secs,
+    ) -> EpochReview {
+        self.disconnect_silent_members(now, silence_timeout_s);
         let wanted = self.wanted_members();
-        let stands = self.is_set && !self.is_broken && wanted == self.members;
-        if self.token_requested || stands {
+        let is_current = self.has_begun && !self.member_disconnected && wanted == self.members;
+        if self.token_requested || is_current {
             return EpochReview::Unchanged;
         }
         let lacks_member = self.members.iter().any(|member| !wanted.contains(member));
-        let lost = self.is_broken || self.is_set && lacks_member;
-        let settling_s = self.settling_s(now, silence_s);
-        if !lost && self.links.len() < known && now - self.newest_link() < settling_s {
+        let has_lost_member = self.member_disconnected || self.has_begun && lacks_member;
+        let settling_s = self.settling_s(now, silence_timeout_s);
+        if !has_lost_member
+            && self.connections.len() < other_controllers
+            && now - self.last_connected_at() < settling_s
+        {
             return EpochReview::Unchanged;
         }
-        if !self.is_set {
+        if !self.has_begun {
             return EpochReview::Begin;
         }
         self.token_requested = true;
         EpochReview::NeedsToken
     }
 
-    fn drop_silent(&mut self, now: Secs, silence_s: Secs) {
-        let silent = self.links.iter();
-        let silent = silent.filter(|(_, link)| now - link.last_heard > silence_s);
+    fn disconnect_silent_members(&mut self, now: Secs, silence_timeout_s: Secs) {
+        let silent = self.connections.iter();
+        let silent =
+            silent.filter(|(_, connection)| now - connection.last_heard > silence_timeout_s);
         let silent: Vec<String> = silent.map(|(member, _)| member.clone()).collect();
         for member in silent {
             log::info!("event=owner_silent member={member}");
@@ -208,7 +222,7 @@
 
     /// Members that are heard and should be owners; the leader itself only if there are none.
     fn wanted_members(&self) -> Vec<String> {
-        let connected: Vec<String> = self.links.keys().cloned().collect();
+        let connected: Vec<String> = self.connections.keys().cloned().collect();
         if connected.is_empty() {
             return vec![self.member.clone()];
         }
@@ -216,19 +230,22 @@
     }
 
     /// How long the leader waits for further controllers after one has connected.
-    fn settling_s(&self, now: Secs, silence_s: Secs) -> Secs {
-        let waits_for_others = self.expects_others
-            && !self.is_set
-            && now - self.started_at < silence_s * SILENCES_TO_WAIT_FOR_OTHERS;
-        if waits_for_others {
-            silence_s
+    fn settling_s(&self, now: Secs, silence_timeout_s: Secs) -> Secs {
+        let waits_for_startup = self.expects_other_controllers
+            && !self.has_begun
+            && now - self.started_at < silence_timeout_s * STARTUP_WAIT_TIMEOUTS;
+        if waits_for_startup {
+            silence_timeout_s
         } else {
-            silence_s / SETTLING_TIMES_PER_SILENCE
+            silence_timeout_s / SETTLING_PERIODS_PER_TIMEOUT
         }
     }
 
-    fn newest_link(&self) -> Secs {
-        let connected_at = self.links.values().map(|link| link.connected_at);
+    fn last_connected_at(&self) -> Secs {
+        let connected_at = self
+            .connections
+            .values()
+            .map(|connection| connection.connected_at);
         connected_at.fold(self.started_at, f64::max)
     }
 
@@ -246,17 +263,20 @@
         let wanted = self.wanted_members();
         let previous_members = std::mem::replace(&mut self.members, wanted);
         let previous_token = std::mem::replace(&mut self.epoch_token, self.token);
-        self.is_set = true;
+        self.has_begun = true;
         self.began_at = now;
-        self.is_broken = false;
+        self.member_disconnected = false;
         // Any earlier owner may have prolonged leases until its authority ends for certain.
-        let granted = self.links.values().map(|link| link.granted_until);
-        let granted_until = granted.fold(self.lost_until, f64::max);
+        let granted = self
+            .connections
+            .values()
+            .map(|connection| connection.granted_until);
+        let granted_until = granted.fold(self.disconnected_granted_until, f64::max);
         EpochChange {
             token: self.token,
             previous_token,
             previous_members,
-            restarted: std::mem::take(&mut self.broken),
+            disconnected_members: std::mem::take(&mut self.disconnected_members),
             extra_ms: ((granted_until - now).max(0.0) * 1000.0).ceil() as u64,
         }
     }
--- a/crates/sched/src/leader/started_arrays.rs
+++ b/crates/sched/src/leader/started_arrays.rs
@@ -14,14 +14,14 @@
 pub(crate) struct StartedArrays {
     /// No array accepted at a later revision is recorded as started.
     upto: u64,
-    is_pending: bool,
+    write_pending: bool,
 }
 
 impl StartedArrays {
     pub(crate) fn new(upto: u64) -> StartedArrays {
         StartedArrays {
             upto,
-            is_pending: false,
+            write_pending: false,
         }
     }
 }
@@ -30,10 +30,10 @@
     /// Has it recorded which arrays start, if any are to and no record is being written.
     pub(crate) fn request_start_record(&mut self) {
         let is_requested = |job: &Job| job.start_record == StartRecord::Requested;
-        if self.started_arrays.is_pending || !self.cluster.jobs.values().any(is_requested) {
+        if self.started_arrays.write_pending || !self.cluster.jobs.values().any(is_requested) {
             return;
         }
-        self.started_arrays.is_pending = true;
+        self.started_arrays.write_pending = true;
         let record = self.start_record();
         self.actions.push(Action::RecordStartedArrays(record));
     }
@@ -55,7 +55,7 @@
 
     /// The record of started arrays is durable, or its outcome is not known (the next pass asks again).
     pub fn start_record_result(&mut self, record: &StartedArraysRecord, written: bool) {
-        self.started_arrays.is_pending = false;
+        self.started_arrays.write_pending = false;
         if written {
             self.started_arrays.upto = self.started_arrays.upto.max(record.upto);
         }
--- a/crates/sched/src/leader/stops.rs
+++ b/crates/sched/src/leader/stops.rs
@@ -5,7 +5,7 @@
 
 impl Leader {
     /// Has all tasks of a job stopped that are on machines and were not sent a stop yet.
-    pub(crate) fn stop_all(&mut self, id: &str, grace_s: f64) {
+    pub(crate) fn stop_all_tasks(&mut self, id: &str, grace_s: f64) {
         let Some(job) = self.cluster.jobs.get(id) else {
             return;
         };
@@ -37,7 +37,12 @@
 
     /// Has the owner of a machine stop a task there.
     pub(crate) fn send_stop(&mut self, machine: String, task: TaskRef, grace_s: f64) {
-        let Some(owner) = self.cluster.machines.get(&machine).map(|m| m.owner.clone()) else {
+        let Some(owner) = self
+            .cluster
+            .machines
+            .get(&machine)
+            .map(|known| known.owner.clone())
+        else {
             return;
         };
         self.send(
@@ -51,7 +56,7 @@
     }
 
     /// Lets a worker forget a task that has exited, once.
-    pub(crate) fn clear(&mut self, machine: &str, task: TaskRef) {
+    pub(crate) fn clear_task(&mut self, machine: &str, task: TaskRef) {
         let Some(known) = self.cluster.machines.get_mut(machine) else {
             return;
         };
--- a/crates/sched/src/leader/summary.rs
+++ b/crates/sched/src/leader/summary.rs
@@ -4,7 +4,7 @@
 
 /// CPUs of machines of one kind, spot or ordinary.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct CpuUse {
+pub struct CpuUsage {
     /// CPUs of the machines that are up.
     pub total: u32,
     /// CPUs of tasks that may be running on them.
@@ -25,9 +25,9 @@
     /// Machines whose owner has not shown their content in this epoch.
     pub unreconciled: usize,
     /// Use of the ordinary machines.
-    pub ordinary: CpuUse,
+    pub ordinary: CpuUsage,
     /// Use of the spot machines.
-    pub spot: CpuUse,
+    pub spot: CpuUsage,
     /// CPUs of tasks that are known to run.
     pub running_cpus: u32,
     /// CPUs of tasks that wait at owners for capacity.
@@ -69,21 +69,21 @@
             machines: self.cluster.machines.len(),
             booting: self.autoscaler.booting_count(),
             unreconciled: machines.filter(|machine| !machine.reconciled).count(),
-            ordinary: self.cpu_use(false),
-            spot: self.cpu_use(true),
+            ordinary: self.cpu_usage(false),
+            spot: self.cpu_usage(true),
             running_cpus: running_cpus.sum::<f64>() as u32,
             backlog_cpus: self.cluster.backlogs.total() as u32,
         }
     }
 
-    fn cpu_use(&self, spot: bool) -> CpuUse {
+    fn cpu_usage(&self, spot: bool) -> CpuUsage {
         let machines = self.cluster.machines.values();
         let machines = machines.filter(|machine| machine.spot == spot);
         let capacity = |machine: &Machine| self.cluster.capacity(&machine.kind);
         let total = machines
             .clone()
             .map(|machine| capacity(machine).map_or(0.0, |capacity| capacity.cpus));
-        CpuUse {
+        CpuUsage {
             total: total.sum::<f64>() as u32,
             used: machines.map(|machine| machine.used.cpus).sum::<f64>() as u32,
         }
@@ -91,37 +91,37 @@
 
     /// Every open job in words, for logs and failed tests.
     pub fn explain(&self) -> String {
-        let job = |(id, j): (&String, &Job)| {
-            let at: Vec<String> = j
+        let describe_job = |(id, job): (&String, &Job)| {
+            let locations: Vec<String> = job
                 .active
                 .iter()
-                .map(|(i, a)| format!("{i}@{:?}", a.location))
+                .map(|(index, active)| format!("{index}@{:?}", active.location))
                 .collect();
             format!(
                 "{id} {:?} tasks={} cpus={} team={} ready={} done={} uncertain={} phase={:?} backoff={:.1} active=[{}]",
-                j.spec.shape,
-                j.spec.tasks,
-                j.spec.cpus,
-                j.spec.team,
-                j.ready_tasks.len(),
-                j.done.len(),
-                j.awaits_reconciliation,
-                j.phase,
-                j.backoff_until,
-                at.join(" ")
+                job.spec.shape,
+                job.spec.tasks,
+                job.spec.cpus,
+                job.spec.team,
+                job.ready_tasks.len(),
+                job.done.len(),
+                job.awaits_reconciliation,
+                job.phase,
+                job.backoff_until,
+                locations.join(" ")
             )
         };
-        let machine = |(n, m): (&String, &Machine)| {
+        let describe_machine = |(name, machine): (&String, &Machine)| {
             format!(
-                "{n} {} {} spot={} owner={} reconciled={} usable={} lapsed={:?} foreign={} used={} rostered={:?} drain={} closed={} quiet={} releasing={}",
-                m.kind, m.zone, m.spot, m.owner, m.reconciled, m.usable_sent, m.lease_expired_at, m.has_unknown_jobs, m.used.cpus, m.rostered, m.draining, m.confirmed_unusable, m.is_idle, m.releasing
+                "{name} {} {} spot={} owner={} reconciled={} usable={} lapsed={:?} foreign={} used={} rostered={:?} drain={} closed={} quiet={} releasing={}",
+                machine.kind, machine.zone, machine.spot, machine.owner, machine.reconciled, machine.usable_sent, machine.lease_expired_at, machine.has_unknown_jobs, machine.used.cpus, machine.rostered, machine.draining, machine.confirmed_unusable, machine.is_idle, machine.releasing
             )
         };
         self.cluster
             .jobs
             .iter()
-            .map(job)
-            .chain(self.cluster.machines.iter().map(machine))
+            .map(describe_job)
+            .chain(self.cluster.machines.iter().map(describe_machine))
             .collect::<Vec<_>>()
             .join("\n")
     }
--- a/crates/sched/src/leader/task_status.rs
+++ b/crates/sched/src/leader/task_status.rs
@@ -14,7 +14,7 @@
 
 impl Leader {
     /// A task is running on a machine, or about to. False if its job is not known here.
-    pub(super) fn note_live(
+    pub(super) fn on_live_task(
         &mut self,
         machine: &str,
         task: &TaskRef,
@@ -37,7 +37,7 @@
             self.send_stop(machine.into(), task.clone(), 0.0);
             return true;
         }
-        self.place_on_machine(machine, task, state, now);
+        self.record_placement(machine, task, state, now);
         if is_unwanted {
             self.stop_unwanted(machine, task);
         }
@@ -45,7 +45,7 @@
     }
 
     /// Charges a task to the machine that shows it.
-    fn place_on_machine(&mut self, machine: &str, task: &TaskRef, state: TaskState, now: Secs) {
+    fn record_placement(&mut self, machine: &str, task: &TaskRef, state: TaskState, now: Secs) {
         let running = matches!(state, TaskState::Running | TaskState::Saving);
         let location = TaskLocation::OnMachine(machine.into());
         let Some(job) = self.cluster.jobs.get_mut(&task.job) else {
@@ -86,16 +86,16 @@
     }
 
     /// A task has exited on a machine.
-    pub(super) fn note_exit(&mut self, machine: &str, status: &TaskStatus, now: Secs) {
+    pub(super) fn on_task_exit(&mut self, machine: &str, status: &TaskStatus, now: Secs) {
         let task = &status.task;
         let Some(job) = self.cluster.jobs.get(&task.job) else {
-            self.clear(machine, task.clone());
+            self.clear_task(machine, task.clone());
             return;
         };
         let is_current = job.is_active(task);
         let why = status.why.unwrap_or(Why::Error);
         if why == Why::Done {
-            self.note_done(machine, task, now);
+            self.on_task_done(machine, task, now);
             return;
         }
         if is_current {
@@ -108,11 +108,11 @@
             self.back_off(machine, &task.job, why, now);
             self.requeue_task(&task.job, task.index);
         }
-        self.clear(machine, task.clone());
+        self.clear_task(machine, task.clone());
     }
 
     /// A task is done. The worker keeps that until it is durable.
-    fn note_done(&mut self, machine: &str, task: &TaskRef, now: Secs) {
+    fn on_task_done(&mut self, machine: &str, task: &TaskRef, now: Secs) {
         // What completes shows that earlier errors there were their jobs' own.
         if let Some(machine) = self.cluster.machines.get_mut(machine) {
             machine.failed_jobs.clear();
@@ -127,10 +127,10 @@
         }
         let is_new = !job.done.contains(task.index) || job.is_active(task);
         if is_new {
-            self.task_done(task, now);
+            self.complete_task(task, now);
         }
         if is_durable {
-            self.clear(machine, task.clone());
+            self.clear_task(machine, task.clone());
         }
     }
 
@@ -150,7 +150,7 @@
                     job.backoff_until = now + wait_s * (0.75 + 0.5 * self.rng.f64());
                 }
                 if why == Why::Error {
-                    self.blame(machine, id);
+                    self.record_failure(machine, id);
                 }
             }
             Why::Full | Why::InUse => job.backoff_until = job.backoff_until.max(now + base_s),
@@ -161,7 +161,7 @@
     /// Counts a failure against the machine it happened on, until the job has failed on so many that the
     /// fault is its own: then it counts against none of them. Machines of earlier failures are not blamed
     /// again: they may have completed other work since.
-    fn blame(&mut self, machine: &str, id: &str) {
+    fn record_failure(&mut self, machine: &str, id: &str) {
         let job = self.cluster.jobs.get_mut(id);
         let Some(job) = job.filter(|job| !job.fails_everywhere()) else {
             return;
