--- a/crates/sched/src/leader/machines.rs
+++ b/crates/sched/src/leader/machines.rs
@@ -9,7 +9,8 @@
         Machine::new(kind, zone, spot, self.epochs.token(), now)
     }
 
-    /// Handles the outcome of [`Action::UpdateRoster`]. `is_put` is false if the record was to be deleted.
+    /// Handles the outcome of [`Action::UpdateRoster`]. `is_put` is false for a
+    /// deletion, and `written` tells whether the change is durable.
     pub fn roster_result(&mut self, machine: &str, is_put: bool, written: bool) {
         let Some(known) = self.cluster.machines.get_mut(machine) else {
             return;
--- a/crates/sched/src/leader/mod.rs
+++ b/crates/sched/src/leader/mod.rs
@@ -6,8 +6,8 @@
 //!
 //! [`Leader`] coordinates components that own their state: the view of the cluster with jobs,
 //! machines and usage (`cluster`), shard epochs, unresolved tasks, the watermark of started arrays,
-//! recently terminal jobs, and the autoscaler. The leader performs no I/O: it returns its effects
-//! as [`Action`]s.
+//! recently terminal jobs, and the autoscaler. Effects for the caller to
+//! carry out are returned as [`Action`]s.
 
 mod epoch;
 mod jobs;
--- a/crates/sched/src/leader/shard_epochs.rs
+++ b/crates/sched/src/leader/shard_epochs.rs
@@ -9,7 +9,7 @@
 use crate::Secs;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Number of settling periods per silence timeout, after which an owner counts as lost.
+/// Number of settling periods in the silence timeout, after which an owner counts as lost.
 const SETTLING_PERIODS_PER_TIMEOUT: f64 = 8.0;
 
 /// Number of silence timeouts for which a leader waits for controllers that start together with it.
