--- a/crates/model/src/world/leadership.rs
+++ b/crates/model/src/world/leadership.rs
@@ -65,7 +65,7 @@
         if self.now < authority.responses_until() {
             leader.tick(self.now, 2);
         }
-        if !leader.index_agrees() {
+        if !leader.index_is_consistent() {
             self.break_rule("index");
         }
     }
--- a/crates/sched/src/leader/mod.rs
+++ b/crates/sched/src/leader/mod.rs
@@ -175,7 +175,7 @@
     }
 
     /// Returns whether the index of free resources equals a full rebuild; for tests.
-    pub fn index_agrees(&mut self) -> bool {
+    pub fn index_is_consistent(&mut self) -> bool {
         self.cluster.index_is_consistent()
     }
 
