--- a/crates/sched/src/leader/epoch.rs
+++ b/crates/sched/src/leader/epoch.rs
@@ -32,7 +32,9 @@
         self.epochs.expect_other_controllers();
     }
 
-    /// Handles the outcome of [`Action::IssueToken`]: the durable token, or `None` if the write failed.
+    /// Handles the outcome of [`Action::IssueToken`]: the durable token, or `None` if none was
+    /// confirmed. In that case, the next review requests a token again if the owners still have to
+    /// change.
     pub fn token_result(&mut self, token: Option<u64>, now: Secs) {
         if self.epochs.token_result(token) {
             self.begin_epoch(now);
@@ -160,8 +162,8 @@
         }
     }
 
-    /// Sends the epoch to an owner. `previous_token` is the token of the epoch whose state the
-    /// owner keeps, or 0 if the owner starts with empty state.
+    /// Sends the epoch to an owner, or to this leader if it is not an owner. `previous_token` is the
+    /// token of the epoch whose state the owner keeps, or 0 if the owner starts with empty state.
     fn send_epoch(&mut self, member: &str, change: &EpochChange, previous_token: u64) {
         let message = ToOwner::Epoch {
             token: change.token,
--- a/crates/sched/src/leader/mod.rs
+++ b/crates/sched/src/leader/mod.rs
@@ -258,7 +258,8 @@
         self.pass_requested = true;
     }
 
-    /// Returns an attempt number that is unique among all leaders because it contains the token.
+    /// Returns an attempt number that is unique among all leaders because it contains the token,
+    /// and no two leaders have the same token.
     pub(crate) fn next_attempt(&mut self) -> u64 {
         self.attempt_count += 1;
         (self.token() << 24) | (self.attempt_count & 0xff_ffff)
--- a/crates/sched/src/leader/reconciliation.rs
+++ b/crates/sched/src/leader/reconciliation.rs
@@ -34,6 +34,7 @@
     }
 
     /// Resolves prior runs of jobs once all machines on which the jobs may be running are known.
+    /// Only then does this leader start tasks of these jobs.
     fn resolve_known_jobs(&mut self) {
         let unknown = self.cluster.machines.unknown();
         let all_known = unknown.is_empty();
--- a/crates/sched/src/leader/spot_notices.rs
+++ b/crates/sched/src/leader/spot_notices.rs
@@ -20,7 +20,8 @@
 }
 
 impl Leader {
-    /// Stops tasks in time for them to save before the cloud reclaims their machines.
+    /// Stops tasks in time for them to save before the cloud reclaims their machines. Tasks that
+    /// cannot save their state are not stopped.
     pub(super) fn handle_spot_notices(&mut self, now: Secs) {
         for due in self.tasks_to_save(now) {
             log::info!(
@@ -42,7 +43,7 @@
     }
 
     /// Returns the running tasks that have to be saved now because the cloud is about to reclaim
-    /// their machines.
+    /// their machines. Only tasks that can save their state are included.
     fn tasks_to_save(&self, now: Secs) -> Vec<TaskToSave> {
         let mut due = Vec::new();
         for (name, machine) in self.cluster.machines.iter() {
--- a/crates/sched/src/leader/started_arrays.rs
+++ b/crates/sched/src/leader/started_arrays.rs
@@ -40,7 +40,8 @@
         self.actions.push(Action::RecordStartedArrays(record));
     }
 
-    /// Returns a record that covers all open arrays except those that are not about to start.
+    /// Returns a record that covers all open arrays except those that are not about to start. Any
+    /// other array accepted up to the record's revision counts as covered as well.
     fn start_record(&self) -> StartedArraysRecord {
         let jobs = self.cluster.jobs.values();
         let arrays: Vec<&Job> = jobs.filter(|job| !job.is_gang() && !job.terminal).collect();
--- a/crates/sched/src/leader/task_status.rs
+++ b/crates/sched/src/leader/task_status.rs
@@ -143,7 +143,8 @@
         };
         match why {
             Why::Error | Why::NoSuch => {
-                // Tasks of an array that fail during a backoff count as one failure.
+                // The many tasks of an array that fail together count as one failure: during a
+                // backoff, no further failure is counted.
                 if now >= job.backoff_until {
                     job.failures += 1;
                     let doublings = job.failures.min(MAX_BACKOFF_DOUBLINGS);
