--- a/crates/sched/src/authority.rs
+++ b/crates/sched/src/authority.rs
@@ -70,16 +70,16 @@
 
     /// Until when heartbeats may be answered.
     pub fn responses_until(&self) -> Secs {
-        self.bounded(self.max_response_staleness_s)
+        self.limited_by_staleness(self.max_response_staleness_s)
     }
 
     /// Until when tasks may be started.
     pub fn starts_until(&self) -> Secs {
-        self.bounded(self.max_start_staleness_s)
+        self.limited_by_staleness(self.max_start_staleness_s)
     }
 
     /// The end of authority, or of knowledge that may be `staleness_s` old.
-    fn bounded(&self, staleness_s: Secs) -> Secs {
+    fn limited_by_staleness(&self, staleness_s: Secs) -> Secs {
         if self.read_at < self.regained_at {
             return f64::MIN;
         }
--- a/crates/sched/src/capacity_index.rs
+++ b/crates/sched/src/capacity_index.rs
@@ -2,14 +2,14 @@
 //! ranks on: type, zone and kind as pools, and in each pool the free CPUs. A job looks only at
 //! the pools that it allows, and there only at machines with enough free CPUs.
 
-use crate::placement::{rank, slow_above_gb, tier, Candidate, Rank, Resources};
+use crate::placement::{rank, slow_fetch_above_gb, tier, Candidate, Rank, Resources};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use wire::cloud::MachineType;
 use wire::peers::TaskRequirements;
 
 /// Pools order their machines by free CPUs in this many parts of one.
-const ORDERED_PARTS_PER_CPU: f64 = 1000.0;
+const ORDERING_STEPS_PER_CPU: f64 = 1000.0;
 
 /// What placement needs to know of one machine.
 #[derive(Clone, Debug, PartialEq)]
@@ -31,33 +31,33 @@
     zone: Rc<str>,
     spot: bool,
     /// Images above this size in gigabytes take long to fetch.
-    slow_above_gb: f64,
+    slow_fetch_above_gb: f64,
     /// Its machines by free CPUs and name.
     by_cpus: BTreeMap<(u64, Rc<str>), Rc<IndexedMachine>>,
 }
 
 impl Pool {
-    fn put(&mut self, name: &Rc<str>, machine: &Rc<IndexedMachine>) {
-        let key = (ordered_cpus(machine.free.cpus), name.clone());
+    fn insert(&mut self, name: &Rc<str>, machine: &Rc<IndexedMachine>) {
+        let key = (cpu_key(machine.free.cpus), name.clone());
         self.by_cpus.insert(key, machine.clone());
     }
 
     fn remove(&mut self, name: &Rc<str>, machine: &IndexedMachine) {
-        let key = (ordered_cpus(machine.free.cpus), name.clone());
+        let key = (cpu_key(machine.free.cpus), name.clone());
         self.by_cpus.remove(&key);
     }
 
     /// Adds the machines on which a task fits, in the order of their free CPUs.
-    fn add_fits(&self, requirements: &TaskRequirements, tier: u8, fits: &mut Vec<MachineFit>) {
+    fn collect_fits(&self, requirements: &TaskRequirements, tier: u8, fits: &mut Vec<MachineFit>) {
         let resources = Resources::of(requirements);
         // One part less: the pool's order is rounded, the comparison of a task with a machine is not.
-        let least = ordered_cpus(requirements.cpus).saturating_sub(1);
-        for ((_, name), machine) in self.by_cpus.range((least, Rc::from(""))..) {
+        let lower_bound = cpu_key(requirements.cpus).saturating_sub(1);
+        for ((_, name), machine) in self.by_cpus.range((lower_bound, Rc::from(""))..) {
             let candidate = Candidate {
                 tier,
                 free: machine.free,
                 has_image: machine.images.contains(&requirements.image),
-                slow_fetch: requirements.image_gb > self.slow_above_gb,
+                slow_fetch: requirements.image_gb > self.slow_fetch_above_gb,
                 empty: machine.empty,
             };
             if let Some(rank) = rank(requirements, &candidate) {
@@ -101,28 +101,28 @@
     machines: BTreeMap<Rc<str>, Entry>,
 }
 
-fn ordered_cpus(cpus: f64) -> u64 {
-    (cpus.max(0.0) * ORDERED_PARTS_PER_CPU).round() as u64
+fn cpu_key(cpus: f64) -> u64 {
+    (cpus.max(0.0) * ORDERING_STEPS_PER_CPU).round() as u64
 }
 
 impl CapacityIndex {
     /// The position of a pool, which is added if it is new.
-    fn pool(
+    fn find_or_add_pool(
         &mut self,
         machine_type: &MachineType,
         zone: &str,
         spot: bool,
         guarantee_s: f64,
     ) -> usize {
-        let same = |pool: &Pool| {
+        let matches = |pool: &Pool| {
             pool.kind == machine_type.name && *pool.zone == *zone && pool.spot == spot
         };
-        self.pools.iter().position(same).unwrap_or_else(|| {
+        self.pools.iter().position(matches).unwrap_or_else(|| {
             self.pools.push(Pool {
                 kind: machine_type.name.clone(),
                 zone: zone.into(),
                 spot,
-                slow_above_gb: slow_above_gb(machine_type, guarantee_s),
+                slow_fetch_above_gb: slow_fetch_above_gb(machine_type, guarantee_s),
                 by_cpus: BTreeMap::new(),
             });
             self.pools.len() - 1
@@ -148,13 +148,13 @@
             }
             None => name.into(),
         };
-        let pool = self.pool(machine_type, zone, spot, guarantee_s);
+        let pool = self.find_or_add_pool(machine_type, zone, spot, guarantee_s);
         self.insert(key, pool, machine);
     }
 
     fn insert(&mut self, name: Rc<str>, pool: usize, machine: IndexedMachine) {
         let machine = Rc::new(machine);
-        self.pools[pool].put(&name, &machine);
+        self.pools[pool].insert(&name, &machine);
         self.machines.insert(name, Entry { pool, machine });
     }
 
@@ -219,7 +219,7 @@
                 continue;
             }
             if let Some(tier) = tier_for(requirements) {
-                pool.add_fits(requirements, tier, &mut fits);
+                pool.collect_fits(requirements, tier, &mut fits);
             }
         }
         fits.sort_unstable_by(|a, b| (a.rank, &a.name).cmp(&(b.rank, &b.name)));
--- a/crates/sched/src/config.rs
+++ b/crates/sched/src/config.rs
@@ -10,10 +10,10 @@
 const LEASE_MARGIN_S: Secs = 0.2;
 
 /// Part of a worker's lease for which an owner may be silent before it counts as lost.
-const SILENCE_PER_LEASE: f64 = 0.18;
+const OWNER_TIMEOUT_PER_LEASE: f64 = 0.18;
 
 /// The same as a part of the time after which workers drop an answer.
-const SILENCE_PER_DROPPED_ANSWER: f64 = 0.5;
+const OWNER_TIMEOUT_PER_RESPONSE_LIMIT: f64 = 0.5;
 
 /// A team's guarantee and limit.
 #[derive(Clone, Debug, PartialEq)]
@@ -59,7 +59,8 @@
 impl SchedulerConfig {
     /// After how long without a word an owner counts as lost.
     pub fn owner_timeout_s(&self) -> Secs {
-        (self.lease_s * SILENCE_PER_LEASE).min(wire::ANSWER_DROPPED_S * SILENCE_PER_DROPPED_ANSWER)
+        (self.lease_s * OWNER_TIMEOUT_PER_LEASE)
+            .min(wire::ANSWER_DROPPED_S * OWNER_TIMEOUT_PER_RESPONSE_LIMIT)
     }
 
     /// After how long without an answered heartbeat a worker's lease has certainly ended: the
--- a/crates/sched/src/dependencies.rs
+++ b/crates/sched/src/dependencies.rs
@@ -43,7 +43,7 @@
 }
 
 /// How many priorities there are.
-const PRIORITIES: usize = 4;
+const PRIORITY_COUNT: usize = 4;
 
 /// An open job that needs another one, or is needed by one.
 #[derive(Clone, Debug)]
@@ -53,29 +53,29 @@
     /// The most urgent of its own and its dependents'.
     effective: Priority,
     /// Whether its record was seen: a job may be named before this controller learns of it.
-    known: bool,
+    record_seen: bool,
     /// Dependencies that are not done.
     dependencies: BTreeSet<Rc<str>>,
     /// Open jobs that name this one.
     dependents: BTreeSet<Rc<str>>,
     /// How many of them are treated with each priority.
-    dependents_at: [usize; PRIORITIES],
+    dependents_by_priority: [usize; PRIORITY_COUNT],
 }
 
 impl Node {
-    fn new(own: Priority, known: bool) -> Node {
+    fn new(own: Priority, record_seen: bool) -> Node {
         Node {
             own,
             effective: own,
-            known,
+            record_seen,
             dependencies: BTreeSet::new(),
             dependents: BTreeSet::new(),
-            dependents_at: [0; PRIORITIES],
+            dependents_by_priority: [0; PRIORITY_COUNT],
         }
     }
 
     /// Computes the effective priority anew; says what it was.
-    fn refresh(&mut self) -> Priority {
+    fn recompute_effective(&mut self) -> Priority {
         let by_urgency = [
             Priority::Prod,
             Priority::High,
@@ -84,24 +84,24 @@
         ];
         let most_urgent = by_urgency
             .into_iter()
-            .find(|priority| self.dependents_at[*priority as usize] > 0);
+            .find(|priority| self.dependents_by_priority[*priority as usize] > 0);
         let effective = most_urgent.map_or(self.own, |priority| priority.min(self.own));
         std::mem::replace(&mut self.effective, effective)
     }
 
     /// What its dependencies are to learn: it was treated with the priority `before` until now.
-    fn shifts(&self, before: Priority) -> Vec<Shift> {
-        let shift = |dependency: &Rc<str>| Shift {
+    fn priority_changes(&self, before: Priority) -> Vec<PriorityChange> {
+        let change = |dependency: &Rc<str>| PriorityChange {
             dependency: dependency.clone(),
             before: Some(before),
             after: Some(self.effective),
         };
-        self.dependencies.iter().map(shift).collect()
+        self.dependencies.iter().map(change).collect()
     }
 }
 
 /// A dependent of a job is treated with another priority, is new, or is gone.
-struct Shift {
+struct PriorityChange {
     dependency: Rc<str>,
     before: Option<Priority>,
     after: Option<Priority>,
@@ -120,7 +120,7 @@
     pub fn is_blocked(&self, id: &str) -> bool {
         self.nodes
             .get(id)
-            .is_some_and(|node| !node.known || !node.dependencies.is_empty())
+            .is_some_and(|node| !node.record_seen || !node.dependencies.is_empty())
     }
 
     /// The priority with which a job is treated.
@@ -142,16 +142,16 @@
     pub fn on_accepted(
         &mut self,
         job: &Job,
-        record: impl Fn(&str) -> Option<DependencyState>,
+        state_of: impl Fn(&str) -> Option<DependencyState>,
     ) -> Vec<Effect> {
         let id: Rc<str> = job.id.as_str().into();
         if job.dependencies.is_empty() && !self.nodes.contains_key(&id) {
             return Vec::new();
         }
-        let (priority, mut shifts) = self.note_record(&id, job.priority);
+        let (priority, mut priority_changes) = self.set_own_priority(&id, job.priority);
         let mut is_cancelled = false;
         for name in &job.dependencies {
-            let needed = match record(name) {
+            let new_node = match state_of(name) {
                 Some(DependencyState::Done) => continue,
                 Some(DependencyState::Cancelled) => {
                     is_cancelled = true;
@@ -160,47 +160,52 @@
                 Some(DependencyState::Open(own)) => Node::new(own, true),
                 None => Node::new(Priority::BestEffort, false),
             };
-            if let Some(dependency) = self.connect(&id, name, needed) {
-                shifts.push(Shift {
+            if let Some(dependency) = self.add_edge(&id, name, new_node) {
+                priority_changes.push(PriorityChange {
                     dependency,
                     before: None,
                     after: Some(priority),
                 });
             }
         }
-        let mut effects = self.shift(shifts);
+        let mut effects = self.propagate(priority_changes);
         if is_cancelled {
             effects.push(Effect::Cancelled(job.id.clone()));
             effects.extend(self.on_cancelled(&job.id));
         }
-        self.drop_if_alone(&id);
+        self.remove_if_isolated(&id);
         effects
     }
 
     /// Notes that a job's record was seen, with its own priority. Returns the priority with which the
     /// job is treated, and the shifts for the dependencies known before.
-    fn note_record(&mut self, id: &Rc<str>, own: Priority) -> (Priority, Vec<Shift>) {
+    fn set_own_priority(&mut self, id: &Rc<str>, own: Priority) -> (Priority, Vec<PriorityChange>) {
         let node = self
             .nodes
             .entry(id.clone())
             .or_insert_with(|| Node::new(own, true));
-        node.known = true;
+        node.record_seen = true;
         node.own = own;
-        let before = node.refresh();
+        let before = node.recompute_effective();
         let after = node.effective;
-        (after, node.shifts(before))
+        (after, node.priority_changes(before))
     }
 
     /// Notes that a job waits for another, which gets `node` if it has none yet. Names the other if
     /// that was not known before.
-    fn connect(&mut self, dependent: &Rc<str>, dependency: &str, node: Node) -> Option<Rc<str>> {
+    fn add_edge(
+        &mut self,
+        dependent: &Rc<str>,
+        dependency: &str,
+        new_node: Node,
+    ) -> Option<Rc<str>> {
         let dependency: Rc<str> = dependency.into();
-        let needed = self.nodes.entry(dependency.clone()).or_insert(node);
-        if !needed.dependents.insert(dependent.clone()) {
+        let dependency_node = self.nodes.entry(dependency.clone()).or_insert(new_node);
+        if !dependency_node.dependents.insert(dependent.clone()) {
             return None;
         }
-        let waiting = self.nodes.get_mut(dependent)?;
-        waiting.dependencies.insert(dependency.clone());
+        let dependent_node = self.nodes.get_mut(dependent)?;
+        dependent_node.dependencies.insert(dependency.clone());
         Some(dependency)
     }
 
@@ -210,14 +215,14 @@
             return Vec::new();
         };
         for dependent in node.dependents {
-            let Some(waiting) = self.nodes.get_mut(&dependent) else {
+            let Some(dependent_node) = self.nodes.get_mut(&dependent) else {
                 continue;
             };
-            waiting.dependencies.remove(id);
-            if waiting.known && waiting.dependencies.is_empty() {
+            dependent_node.dependencies.remove(id);
+            if dependent_node.record_seen && dependent_node.dependencies.is_empty() {
                 effects.push(Effect::Unblocked(dependent.to_string()));
             }
-            self.drop_if_alone(&dependent);
+            self.remove_if_isolated(&dependent);
         }
         effects
     }
@@ -228,10 +233,10 @@
         let mut to_cancel: Vec<Rc<str>> = vec![id.into()];
         let mut seen: BTreeSet<Rc<str>> = to_cancel.iter().cloned().collect();
         while let Some(next) = to_cancel.pop() {
-            let Some((node, relieved)) = self.remove(&next) else {
+            let Some((node, removal_effects)) = self.remove(&next) else {
                 continue;
             };
-            effects.extend(relieved);
+            effects.extend(removal_effects);
             for dependent in node.dependents {
                 if seen.insert(dependent.clone()) {
                     effects.push(Effect::Cancelled(dependent.to_string()));
@@ -245,53 +250,53 @@
     /// Takes a node out of the graph, and out of what it waits for.
     fn remove(&mut self, id: &str) -> Option<(Node, Vec<Effect>)> {
         let node = self.nodes.remove(id)?;
-        let mut shifts = Vec::new();
+        let mut priority_changes = Vec::new();
         for dependency in &node.dependencies {
-            if let Some(needed) = self.nodes.get_mut(dependency) {
-                needed.dependents.remove(id);
+            if let Some(dependency_node) = self.nodes.get_mut(dependency) {
+                dependency_node.dependents.remove(id);
             }
-            shifts.push(Shift {
+            priority_changes.push(PriorityChange {
                 dependency: dependency.clone(),
                 before: Some(node.effective),
                 after: None,
             });
         }
-        let effects = self.shift(shifts);
+        let effects = self.propagate(priority_changes);
         for dependency in &node.dependencies {
-            self.drop_if_alone(dependency);
+            self.remove_if_isolated(dependency);
         }
         Some((node, effects))
     }
 
     /// Passes changes of priority on, towards the dependencies, for as far as they change anything.
-    fn shift(&mut self, mut shifts: Vec<Shift>) -> Vec<Effect> {
+    fn propagate(&mut self, mut changes: Vec<PriorityChange>) -> Vec<Effect> {
         let mut effects = Vec::new();
-        while let Some(shift) = shifts.pop() {
-            let Some(node) = self.nodes.get_mut(&shift.dependency) else {
+        while let Some(change) = changes.pop() {
+            let Some(node) = self.nodes.get_mut(&change.dependency) else {
                 continue;
             };
-            if let Some(before) = shift.before {
-                let count = &mut node.dependents_at[before as usize];
+            if let Some(before) = change.before {
+                let count = &mut node.dependents_by_priority[before as usize];
                 *count = count.saturating_sub(1);
             }
-            if let Some(after) = shift.after {
-                node.dependents_at[after as usize] += 1;
+            if let Some(after) = change.after {
+                node.dependents_by_priority[after as usize] += 1;
             }
-            let before = node.refresh();
+            let before = node.recompute_effective();
             let after = node.effective;
             if before == after {
                 continue;
             }
-            effects.push(Effect::Reprioritized(shift.dependency.to_string(), after));
-            shifts.extend(node.shifts(before));
+            effects.push(Effect::Reprioritized(change.dependency.to_string(), after));
+            changes.extend(node.priority_changes(before));
         }
         effects
     }
 
     /// Forgets the node of an open job that no open job needs and that needs none.
-    fn drop_if_alone(&mut self, id: &str) {
-        let is_alone = |node: &Node| node.dependencies.is_empty() && node.dependents.is_empty();
-        if self.nodes.get(id).is_some_and(is_alone) {
+    fn remove_if_isolated(&mut self, id: &str) {
+        let is_isolated = |node: &Node| node.dependencies.is_empty() && node.dependents.is_empty();
+        if self.nodes.get(id).is_some_and(is_isolated) {
             self.nodes.remove(id);
         }
     }
--- a/crates/sched/src/owner/assigned_jobs.rs
+++ b/crates/sched/src/owner/assigned_jobs.rs
@@ -22,7 +22,7 @@
 
 impl AssignedJobs {
     /// Takes what a job's tasks need, if that is new.
-    pub(super) fn learn(&mut self, job: &str, requirements: &TaskRequirements) {
+    pub(super) fn record(&mut self, job: &str, requirements: &TaskRequirements) {
         if !self.jobs.contains_key(job) {
             let assigned = AssignedJob {
                 resources: Resources::of(requirements),
@@ -41,8 +41,8 @@
     }
 
     /// Whether the last review of what is in use is `every` seconds ago; if so, one takes place now.
-    pub(super) fn begin_review(&mut self, now: Secs, every: Secs) -> bool {
-        let is_due = now - self.reviewed_at >= every;
+    pub(super) fn start_review_if_due(&mut self, now: Secs, interval_s: Secs) -> bool {
+        let is_due = now - self.reviewed_at >= interval_s;
         if is_due {
             self.reviewed_at = now;
         }
@@ -50,7 +50,7 @@
     }
 
     /// Forgets all other jobs.
-    pub(super) fn keep(&mut self, in_use: &BTreeSet<&str>) {
+    pub(super) fn retain_in_use(&mut self, in_use: &BTreeSet<&str>) {
         self.jobs.retain(|job, _| in_use.contains(job.as_str()));
     }
 }
--- a/crates/sched/src/owner/backlog.rs
+++ b/crates/sched/src/owner/backlog.rs
@@ -15,7 +15,7 @@
     pub(super) attempt: u64,
     pub(super) requirements: TaskRequirements,
     pub(super) indexes: VecDeque<u32>,
-    pub(super) until: Secs,
+    pub(super) expires_at: Secs,
 }
 
 /// Tasks that start on whichever machine shows free resources for them first.
@@ -52,17 +52,17 @@
 
     /// Hands back the tasks whose wait has ended.
     pub(super) fn hand_back_expired(&mut self, now: Secs, outbox: &mut Outbox) {
-        self.hand_back(|entry| now >= entry.until, outbox);
+        self.hand_back(|entry| now >= entry.expires_at, outbox);
     }
 
-    fn hand_back(&mut self, is_over: impl Fn(&BacklogEntry) -> bool, outbox: &mut Outbox) {
+    fn hand_back(&mut self, should_return: impl Fn(&BacklogEntry) -> bool, outbox: &mut Outbox) {
         self.entries.retain_mut(|entry| {
-            let over = is_over(entry);
-            if over {
+            let returned = should_return(entry);
+            if returned {
                 let tasks = to_runs(std::mem::take(&mut entry.indexes));
                 outbox.hand_back(std::mem::take(&mut entry.job), entry.attempt, tasks);
             }
-            !over
+            !returned
         });
     }
 
--- a/crates/sched/src/owner/epoch.rs
+++ b/crates/sched/src/owner/epoch.rs
@@ -52,7 +52,7 @@
         if epoch.token < self.epoch.token {
             return;
         }
-        self.drop_promises();
+        self.discard_epoch_state();
         if self.epoch.token != prev || prev == 0 {
             self.machines.clear();
         }
@@ -69,11 +69,11 @@
     }
 
     /// Drops what was agreed under the epoch that ends.
-    fn drop_promises(&mut self) {
+    fn discard_epoch_state(&mut self) {
         // Reservations end with the epoch: the leader releases its waiting gangs.
         self.reservations.clear();
         // The backlog is nowhere yet; the leader takes it back once all is reconciled.
         self.backlog.clear();
-        self.outbox.discard();
+        self.outbox.clear();
     }
 }
--- a/crates/sched/src/owner/heartbeats.rs
+++ b/crates/sched/src/owner/heartbeats.rs
@@ -13,21 +13,21 @@
         now: Secs,
         jobs: &dyn JobLookup,
     ) -> HeartbeatResponse {
-        if let Some(refusal) = self.refusal(heartbeat, now) {
-            return refusal;
+        if let Some(rejection) = self.rejection(heartbeat, now) {
+            return rejection;
         }
         let machine = self.machines.find_or_add(heartbeat, &self.epoch);
-        if machine.is_stale_copy(heartbeat) {
+        if machine.is_stale(heartbeat) {
             return HeartbeatResponse::Unavailable;
         }
         machine.renew_lease(heartbeat, now);
         let is_terminal = |job: &str| self.terminal_jobs.is_terminal(job, jobs);
-        if !machine.counts(heartbeat) {
-            return self.respond(stops_of_terminal_jobs(heartbeat, is_terminal));
+        if !machine.is_current(heartbeat) {
+            return self.respond(stop_orders_for_terminal_jobs(heartbeat, is_terminal));
         }
-        machine.take_status(heartbeat);
-        if machine.withdraw_lost_starts(&heartbeat.machine, &mut self.outbox) {
-            self.outbox.show_changes();
+        machine.apply_heartbeat(heartbeat);
+        if machine.withdraw_undelivered_starts(&heartbeat.machine, &mut self.outbox) {
+            self.outbox.mark_statuses_due();
         }
         machine.reconcile_orders(is_terminal, &mut self.outbox);
         let may_start = now < self.authority.starts_until();
@@ -38,7 +38,7 @@
     }
 
     /// Why this controller may not answer a heartbeat with orders; none if it may.
-    fn refusal(&self, heartbeat: &Heartbeat, now: Secs) -> Option<HeartbeatResponse> {
+    fn rejection(&self, heartbeat: &Heartbeat, now: Secs) -> Option<HeartbeatResponse> {
         if !self.has_authority(now) || self.epoch.token() == 0 {
             return Some(HeartbeatResponse::Unavailable);
         }
@@ -55,7 +55,7 @@
         if self.backlog.is_empty() {
             return;
         }
-        let Some(machine) = self.machines.get(name).filter(|m| m.is_open()) else {
+        let Some(machine) = self.machines.get(name).filter(|m| m.is_schedulable()) else {
             return;
         };
         let Some(free) = self.free_resources(name, machine, jobs) else {
@@ -74,7 +74,7 @@
         if machine.is_dirty() {
             self.dirty_machines.insert(name.to_string());
         }
-        self.respond(machine.orders(may_start))
+        self.respond(machine.next_orders(may_start))
     }
 
     fn respond(&self, orders: Vec<Order>) -> HeartbeatResponse {
@@ -87,7 +87,10 @@
 /// that shows that one will count. It prolongs the lease, though, and leaders may change faster than
 /// heartbeats come: tasks of terminal jobs are stopped all the same, for that is safe whenever the
 /// heartbeat was sent.
-fn stops_of_terminal_jobs(heartbeat: &Heartbeat, is_terminal: impl Fn(&str) -> bool) -> Vec<Order> {
+fn stop_orders_for_terminal_jobs(
+    heartbeat: &Heartbeat,
+    is_terminal: impl Fn(&str) -> bool,
+) -> Vec<Order> {
     let live = heartbeat
         .tasks
         .iter()
--- a/crates/sched/src/owner/lease.rs
+++ b/crates/sched/src/owner/lease.rs
@@ -10,7 +10,7 @@
     renewed_at: Secs,
     /// The newest incarnation that got an answer before the lease was over. A heartbeat of it that
     /// arrives after the lease's end is a late copy, even if no heartbeat had counted until then.
-    last_heard: u64,
+    last_incarnation: u64,
     has_expired: bool,
 }
 
@@ -19,7 +19,7 @@
     pub(super) fn new(renewed_at: Secs) -> WorkerLease {
         WorkerLease {
             renewed_at,
-            last_heard: 0,
+            last_incarnation: 0,
             has_expired: false,
         }
     }
@@ -29,24 +29,24 @@
     pub(super) fn renew(&mut self, incarnation: u64, now: Secs) {
         self.renewed_at = self.renewed_at.max(now);
         if !self.has_expired {
-            self.last_heard = self.last_heard.max(incarnation);
+            self.last_incarnation = self.last_incarnation.max(incarnation);
         }
     }
 
     /// A heartbeat that counts shows the worker alive.
     pub(super) fn revive(&mut self, incarnation: u64) {
         self.has_expired = false;
-        self.last_heard = self.last_heard.max(incarnation);
+        self.last_incarnation = self.last_incarnation.max(incarnation);
     }
 
     /// Whether the worker has certainly killed its tasks, whatever its clock says; `expiry_s` is the
     /// lease with all margins (`SchedulerConfig::lease_expiry_s`).
-    pub(super) fn is_certainly_over(&self, now: Secs, expiry_s: Secs) -> bool {
+    pub(super) fn is_past_expiry(&self, now: Secs, expiry_s: Secs) -> bool {
         now > self.renewed_at + expiry_s
     }
 
     /// Notes that the lease is over.
-    pub(super) fn expire(&mut self) {
+    pub(super) fn mark_expired(&mut self) {
         self.has_expired = true;
     }
 
@@ -57,7 +57,7 @@
 
     /// Whether a heartbeat of this incarnation was sent before the lease was over.
     pub(super) fn precedes_expiry(&self, incarnation: u64) -> bool {
-        self.has_expired && incarnation <= self.last_heard
+        self.has_expired && incarnation <= self.last_incarnation
     }
 
     /// The newest instant at which an answer may have prolonged the lease.
--- a/crates/sched/src/owner/machine.rs
+++ b/crates/sched/src/owner/machine.rs
@@ -5,7 +5,7 @@
 use super::orders::{is_live, OutstandingOrders};
 use super::outbox::Outbox;
 use super::pending_starts::{PendingStarts, StartGroup};
-use super::responses::{HeartbeatId, Responses};
+use super::responses::{HeartbeatId, ResponseTracker};
 use crate::placement::tier;
 use crate::Secs;
 use std::collections::{BTreeMap, VecDeque};
@@ -14,7 +14,7 @@
 use wire::workers::{Heartbeat, Order, ReportedTask};
 
 /// How many images are remembered for each machine.
-const IMAGES_REMEMBERED: usize = 8;
+const MAX_REMEMBERED_IMAGES: usize = 8;
 
 /// What does not change about a machine.
 pub(super) struct MachineIdentity {
@@ -32,11 +32,11 @@
     /// Whether the leader lets tasks be placed here.
     usable: bool,
     /// Token under which this controller became the owner.
-    owned_since: u64,
+    owned_since_token: u64,
     lease: WorkerLease,
-    responses: Responses,
+    responses: ResponseTracker,
     /// The newest heartbeat that counts.
-    newest: Option<HeartbeatId>,
+    newest_heartbeat: Option<HeartbeatId>,
     notice_s: Option<f64>,
     tasks: BTreeMap<TaskRef, TaskStatus>,
     orders: OutstandingOrders,
@@ -50,16 +50,16 @@
     /// lease until `renewed_at`.
     pub(super) fn new(
         identity: MachineIdentity,
-        owned_since: u64,
+        owned_since_token: u64,
         renewed_at: Secs,
     ) -> OwnedMachine {
         OwnedMachine {
             identity,
             usable: false,
-            owned_since,
+            owned_since_token,
             lease: WorkerLease::new(renewed_at),
-            responses: Responses::default(),
-            newest: None,
+            responses: ResponseTracker::default(),
+            newest_heartbeat: None,
             notice_s: None,
             tasks: BTreeMap::new(),
             orders: OutstandingOrders::default(),
@@ -73,12 +73,12 @@
     }
 
     /// Whether tasks may be placed here.
-    pub(super) fn is_open(&self) -> bool {
+    pub(super) fn is_schedulable(&self) -> bool {
         self.usable
-            && self.newest.is_some()
+            && self.newest_heartbeat.is_some()
             && !self.lease.has_expired()
             && self.notice_s.is_none()
-            && !self.responses.are_lost()
+            && !self.responses.is_unreachable()
     }
 
     pub(super) fn is_allowed_by(&self, requirements: &TaskRequirements) -> bool {
@@ -108,12 +108,12 @@
     }
 
     /// The tasks that the newest heartbeat shows, exited ones included.
-    pub(super) fn shown_tasks(&self) -> impl Iterator<Item = &TaskRef> {
+    pub(super) fn reported_tasks(&self) -> impl Iterator<Item = &TaskRef> {
         self.tasks.keys()
     }
 
     /// The newest instant at which an answer may have prolonged the worker's lease.
-    pub(super) fn answered_at(&self) -> Secs {
+    pub(super) fn last_response_at(&self) -> Secs {
         self.lease.renewed_at()
     }
 
@@ -132,8 +132,8 @@
     /// What the leader is to be shown, if something has changed and anything is known of the machine.
     pub(super) fn take_changed_status(&mut self, token: u64, name: &str) -> Option<MachineStatus> {
         let changed = std::mem::take(&mut self.is_dirty);
-        let has_news = self.newest.is_some() || self.lease.has_expired();
-        (changed && has_news).then(|| self.status(token, name))
+        let is_known = self.newest_heartbeat.is_some() || self.lease.has_expired();
+        (changed && is_known).then(|| self.status(token, name))
     }
 
     fn status(&self, token: u64, name: &str) -> MachineStatus {
@@ -143,24 +143,24 @@
             kind: self.identity.kind.clone(),
             zone: self.identity.zone.clone(),
             spot: self.identity.spot,
-            incarnation: self.newest.unwrap_or_default().incarnation,
+            incarnation: self.newest_heartbeat.unwrap_or_default().incarnation,
             lapsed: self.lease.has_expired(),
             notice_s: self.notice_s,
             tasks: self.tasks.values().cloned().collect(),
             pending: self.pending().tasks().cloned().collect(),
             usable: self.usable,
-            unreachable: self.responses.are_lost(),
+            unreachable: self.responses.is_unreachable(),
         }
     }
 
     /// One line for logs and failed tests.
     pub(super) fn explain(&self, name: &str) -> String {
-        let newest = self.newest.unwrap_or_default();
+        let newest = self.newest_heartbeat.unwrap_or_default();
         format!(
             "{name} usable={} since={} known={} incarnation={} seq={} answered={:.1} lapsed={} tasks={} pending={} stops={}",
             self.usable,
-            self.owned_since,
-            self.newest.is_some(),
+            self.owned_since_token,
+            self.newest_heartbeat.is_some(),
             newest.incarnation,
             newest.seq,
             self.lease.renewed_at(),
@@ -175,9 +175,9 @@
 /// Heartbeats and the worker's lease.
 impl OwnedMachine {
     /// Whether this is a copy that was held up; nobody waits for its answer any more.
-    pub(super) fn is_stale_copy(&self, heartbeat: &Heartbeat) -> bool {
+    pub(super) fn is_stale(&self, heartbeat: &Heartbeat) -> bool {
         let id = HeartbeatId::of(heartbeat);
-        self.newest.is_some_and(|newest| id <= newest)
+        self.newest_heartbeat.is_some_and(|newest| id <= newest)
             || self.lease.precedes_expiry(heartbeat.incarnation)
     }
 
@@ -187,21 +187,21 @@
     }
 
     /// Whether a heartbeat was certainly sent after the worker began to drop earlier owners' orders.
-    pub(super) fn counts(&self, heartbeat: &Heartbeat) -> bool {
-        heartbeat.token >= self.owned_since
+    pub(super) fn is_current(&self, heartbeat: &Heartbeat) -> bool {
+        heartbeat.token >= self.owned_since_token
     }
 
     /// Takes what a heartbeat that counts shows.
-    pub(super) fn take_status(&mut self, heartbeat: &Heartbeat) {
+    pub(super) fn apply_heartbeat(&mut self, heartbeat: &Heartbeat) {
         let id = HeartbeatId::of(heartbeat);
-        let were_lost = self.responses.are_lost();
-        self.responses.answer(id);
-        self.is_dirty |= self.responses.are_lost() != were_lost;
-        self.is_dirty |= self.lease.has_expired() || self.newest.is_none();
+        let was_unreachable = self.responses.is_unreachable();
+        self.responses.record_response(id);
+        self.is_dirty |= self.responses.is_unreachable() != was_unreachable;
+        self.is_dirty |= self.lease.has_expired() || self.newest_heartbeat.is_none();
         self.lease.revive(heartbeat.incarnation);
-        self.newest = Some(id);
+        self.newest_heartbeat = Some(id);
         let tasks: BTreeMap<TaskRef, TaskStatus> =
-            heartbeat.tasks.iter().filter_map(shown_task).collect();
+            heartbeat.tasks.iter().filter_map(parse_task).collect();
         self.is_dirty |=
             tasks != self.tasks || heartbeat.notice_s.is_some() != self.notice_s.is_some();
         self.tasks = tasks;
@@ -209,8 +209,8 @@
     }
 
     /// Whether the worker has certainly killed its tasks, and this was not noted before.
-    pub(super) fn lease_has_just_expired(&self, now: Secs, expiry_s: Secs) -> bool {
-        !self.lease.has_expired() && self.lease.is_certainly_over(now, expiry_s)
+    pub(super) fn has_newly_expired_lease(&self, now: Secs, expiry_s: Secs) -> bool {
+        !self.lease.has_expired() && self.lease.is_past_expiry(now, expiry_s)
     }
 
     /// The worker has killed and forgotten its tasks; only a later incarnation counts.
@@ -219,21 +219,21 @@
             "event=machine_lease_expired machine={name} tasks={}",
             self.tasks.len()
         );
-        self.lease.expire();
+        self.lease.mark_expired();
         self.tasks.clear();
         self.withdraw_all_starts(outbox);
-        self.orders.forget_stops_and_clears();
+        self.orders.discard_stops_and_clears();
         self.images.clear();
         self.is_dirty = true;
     }
 
     /// Whether the machine is closed, the leader knows all of it, and nothing was heard for
     /// `retention_s`. Should it send a heartbeat again, it is taken up as a new one.
-    pub(super) fn may_be_forgotten(&self, now: Secs, retention_s: Secs) -> bool {
+    pub(super) fn can_be_removed(&self, now: Secs, retention_s: Secs) -> bool {
         self.lease.has_expired()
             && !self.usable
             && !self.is_dirty
-            && self.lease.is_certainly_over(now, retention_s)
+            && self.lease.is_past_expiry(now, retention_s)
     }
 }
 
@@ -269,8 +269,8 @@
     }
 
     /// Takes back all starts if answers don't reach the worker; says whether there were any.
-    pub(super) fn withdraw_lost_starts(&mut self, name: &str, outbox: &mut Outbox) -> bool {
-        if !self.responses.are_lost() {
+    pub(super) fn withdraw_undelivered_starts(&mut self, name: &str, outbox: &mut Outbox) -> bool {
+        if !self.responses.is_unreachable() {
             return false;
         }
         log::info!(
@@ -296,36 +296,36 @@
         self.orders.stop_terminal(&self.tasks, &is_terminal);
         self.is_dirty |= self
             .orders
-            .settle_starts(&self.tasks, is_closed, &is_terminal, outbox);
-        self.orders.settle_stops_and_clears(&self.tasks);
+            .reconcile_starts(&self.tasks, is_closed, &is_terminal, outbox);
+        self.orders.reconcile_stops_and_clears(&self.tasks);
     }
 
     /// Orders for the answer to a heartbeat that was taken; without starts if these must wait until
     /// the controller's knowledge is fresh enough for them.
-    pub(super) fn orders(&self, may_start: bool) -> Vec<Order> {
-        self.orders.next_response(may_start)
+    pub(super) fn next_orders(&self, may_start: bool) -> Vec<Order> {
+        self.orders.next_orders(may_start)
     }
 
     fn remember_image(&mut self, image: &str) {
         self.images.retain(|known| known != image);
         self.images.push_front(image.to_string());
-        self.images.truncate(IMAGES_REMEMBERED);
+        self.images.truncate(MAX_REMEMBERED_IMAGES);
     }
 }
 
 /// A task that a heartbeat shows; none if its name is no task's.
-fn shown_task(shown: &ReportedTask) -> Option<(TaskRef, TaskStatus)> {
-    let (job, index) = split_task(&shown.task)?;
+fn parse_task(reported: &ReportedTask) -> Option<(TaskRef, TaskStatus)> {
+    let (job, index) = split_task(&reported.task)?;
     let task = TaskRef {
         job: job.into(),
         index,
-        attempt: shown.attempt,
+        attempt: reported.attempt,
     };
     let status = TaskStatus {
         task: task.clone(),
-        state: shown.state,
-        why: shown.why,
-        saved: shown.saved.unwrap_or(false),
+        state: reported.state,
+        why: reported.why,
+        saved: reported.saved.unwrap_or(false),
     };
     Some((task, status))
 }
--- a/crates/sched/src/owner/machines.rs
+++ b/crates/sched/src/owner/machines.rs
@@ -9,7 +9,7 @@
 use wire::workers::Heartbeat;
 
 /// A closed machine whose lease has ended is remembered for this many leases.
-const LEASES_RETAINED: f64 = 20.0;
+const RETENTION_LEASES: f64 = 20.0;
 
 /// Machines by name.
 ///
@@ -92,10 +92,10 @@
     }
 
     /// Forgets closed machines that were not heard for many leases.
-    pub(super) fn forget_lost(&mut self, now: Secs, lease_expiry_s: Secs) {
-        let retention_s = lease_expiry_s * LEASES_RETAINED;
+    pub(super) fn remove_expired(&mut self, now: Secs, lease_expiry_s: Secs) {
+        let retention_s = lease_expiry_s * RETENTION_LEASES;
         self.by_name
-            .retain(|_, machine| !machine.may_be_forgotten(now, retention_s));
+            .retain(|_, machine| !machine.can_be_removed(now, retention_s));
     }
 
     /// Ends the leases that are certainly over; names their machines to `expired`.
@@ -107,7 +107,7 @@
         expired: &mut impl Extend<String>,
     ) {
         for (name, machine) in &mut self.by_name {
-            if machine.lease_has_just_expired(now, lease_expiry_s) {
+            if machine.has_newly_expired_lease(now, lease_expiry_s) {
                 machine.expire_lease(name, outbox);
                 expired.extend([name.clone()]);
             }
--- a/crates/sched/src/owner/messages.rs
+++ b/crates/sched/src/owner/messages.rs
@@ -12,7 +12,7 @@
 impl Owner {
     /// Takes a message of the leader (its grants are the caller's business).
     pub fn on_leader_message(&mut self, message: ToOwner, now: Secs, jobs: &dyn JobLookup) {
-        self.outbox.show_changes();
+        self.outbox.mark_statuses_due();
         match message {
             ToOwner::Epoch {
                 token,
@@ -40,20 +40,20 @@
                     machine.add_clear(task);
                 }
             }
-            ToOwner::Terminal { jobs } => self.note_terminal(jobs, now),
+            ToOwner::Terminal { jobs } => self.mark_terminal(jobs, now),
             ToOwner::Bind { attempt } => self.bind(attempt, now),
             ToOwner::ReleaseReservation { attempt } => {
-                self.release(attempt);
+                self.remove_reservation(attempt);
             }
             ToOwner::Assign { .. } | ToOwner::AssignBacklog { .. } | ToOwner::Reserve { .. } => {
-                self.on_tasks(message, now, jobs);
+                self.on_task_message(message, now, jobs);
             }
             ToOwner::Grant { .. } | ToOwner::ViewAge { .. } | ToOwner::RunningCounts { .. } => {}
         }
     }
 
     /// Takes tasks that the leader sends to start, to wait or to be reserved for; no other message.
-    fn on_tasks(&mut self, message: ToOwner, now: Secs, jobs: &dyn JobLookup) {
+    fn on_task_message(&mut self, message: ToOwner, now: Secs, jobs: &dyn JobLookup) {
         match message {
             ToOwner::Assign {
                 job,
@@ -68,13 +68,13 @@
                 tasks,
                 wait_ms,
             } => {
-                self.assigned.learn(&job, &requirements);
+                self.assigned.record(&job, &requirements);
                 self.backlog.push(BacklogEntry {
                     job,
                     attempt,
                     requirements,
                     indexes: expand_runs(&tasks).collect(),
-                    until: after_ms(now, wait_ms),
+                    expires_at: after_ms(now, wait_ms),
                 });
             }
             ToOwner::Reserve {
@@ -84,8 +84,8 @@
                 places,
                 wait_ms,
             } => {
-                let until = after_ms(now, wait_ms);
-                let reservation = Reservation::new(job, &requirements, places, until);
+                let expires_at = after_ms(now, wait_ms);
+                let reservation = Reservation::new(job, &requirements, places, expires_at);
                 let reserved = self.reserve(attempt, &requirements, reservation, jobs);
                 self.outbox
                     .push(ToLeader::ReserveResult { attempt, reserved });
@@ -108,7 +108,7 @@
         }
     }
 
-    fn note_terminal(&mut self, jobs: Vec<String>, now: Secs) {
+    fn mark_terminal(&mut self, jobs: Vec<String>, now: Secs) {
         for job in jobs {
             self.backlog.hand_back_job(&job, &mut self.outbox);
             self.terminal_jobs.insert(job, now);
--- a/crates/sched/src/owner/mod.rs
+++ b/crates/sched/src/owner/mod.rs
@@ -134,15 +134,15 @@
     pub fn tick(&mut self, now: Secs) {
         self.backlog.hand_back_expired(now, &mut self.outbox);
         self.terminal_jobs
-            .forget_old(self.config.terminal_retention_s(), now);
-        if self.assigned.begin_review(now, self.config.lease_s) {
+            .remove_expired(self.config.terminal_retention_s(), now);
+        if self.assigned.start_review_if_due(now, self.config.lease_s) {
             self.forget_unused_jobs();
         }
         let status_interval_s = self.config.heartbeat_s / STATUS_UPDATES_PER_HEARTBEAT;
-        self.outbox.show_changes_every(status_interval_s, now);
+        self.outbox.mark_statuses_due_every(status_interval_s, now);
         self.reservations.expire(now, &mut self.dirty_machines);
         let lease_expiry_s = self.config.lease_expiry_s();
-        self.machines.forget_lost(now, lease_expiry_s);
+        self.machines.remove_expired(now, lease_expiry_s);
         self.machines.expire_leases(
             now,
             lease_expiry_s,
--- a/crates/sched/src/owner/orders.rs
+++ b/crates/sched/src/owner/orders.rs
@@ -40,8 +40,8 @@
 
     /// Adds a stop; the shortest grace that was asked for counts.
     pub(super) fn add_stop(&mut self, task: TaskRef, grace_s: f64) {
-        let asked_before = self.stops.get(&task);
-        let grace_s = asked_before.map_or(grace_s, |before| before.min(grace_s));
+        let existing = self.stops.get(&task);
+        let grace_s = existing.map_or(grace_s, |before| before.min(grace_s));
         self.stops.insert(task, grace_s);
     }
 
@@ -52,13 +52,13 @@
     /// Takes back all starts that no heartbeat shows; says whether there were any.
     pub(super) fn withdraw_all_starts(
         &mut self,
-        shown: &BTreeMap<TaskRef, TaskStatus>,
+        reported: &BTreeMap<TaskRef, TaskStatus>,
         outbox: &mut Outbox,
     ) -> bool {
-        self.starts.withdraw(shown, |_| true, outbox)
+        self.starts.withdraw(reported, |_| true, outbox)
     }
 
-    pub(super) fn forget_stops_and_clears(&mut self) {
+    pub(super) fn discard_stops_and_clears(&mut self) {
         self.stops.clear();
         self.clears.clear();
     }
@@ -67,10 +67,10 @@
     /// shows it gone, whoever owned the machine before and whether or not the leader has said so.
     pub(super) fn stop_terminal(
         &mut self,
-        shown: &BTreeMap<TaskRef, TaskStatus>,
+        reported: &BTreeMap<TaskRef, TaskStatus>,
         is_terminal: impl Fn(&str) -> bool,
     ) {
-        let live = shown.values().filter(|status| is_live(status));
+        let live = reported.values().filter(|status| is_live(status));
         let terminal = live.filter(|status| is_terminal(&status.task.job));
         self.stops
             .extend(terminal.map(|status| (status.task.clone(), 0.0)));
@@ -78,30 +78,30 @@
 
     /// Settles the starts by a heartbeat: one that it lacks did not take effect and never will, so that
     /// it is withdrawn if it is not wanted any more. Says whether anything changed.
-    pub(super) fn settle_starts(
+    pub(super) fn reconcile_starts(
         &mut self,
-        shown: &BTreeMap<TaskRef, TaskStatus>,
+        reported: &BTreeMap<TaskRef, TaskStatus>,
         is_closed: bool,
         is_terminal: impl Fn(&str) -> bool,
         outbox: &mut Outbox,
     ) -> bool {
         let stops = &self.stops;
-        let is_void =
+        let is_obsolete =
             |task: &TaskRef| is_closed || stops.contains_key(task) || is_terminal(&task.job);
-        let withdrawn = self.starts.withdraw(shown, is_void, outbox);
-        let started = self.starts.settle(shown);
+        let withdrawn = self.starts.withdraw(reported, is_obsolete, outbox);
+        let started = self.starts.remove_confirmed(reported);
         withdrawn || started
     }
 
     /// Drops the stops and clears that took effect, or that have lost their object.
-    pub(super) fn settle_stops_and_clears(&mut self, shown: &BTreeMap<TaskRef, TaskStatus>) {
-        let live = |task: &TaskRef| shown.get(task).map(is_live);
+    pub(super) fn reconcile_stops_and_clears(&mut self, reported: &BTreeMap<TaskRef, TaskStatus>) {
+        let live = |task: &TaskRef| reported.get(task).map(is_live);
         self.clears.retain(|task| live(task) == Some(false));
         self.stops.retain(|task, _| live(task) == Some(true));
     }
 
     /// The orders of the next answer; without starts if these must wait.
-    pub(super) fn next_response(&self, may_start: bool) -> Vec<Order> {
+    pub(super) fn next_orders(&self, may_start: bool) -> Vec<Order> {
         let clears = self.clears.iter().map(|task| Order::Clear {
             task: task_name(&task.job, task.index),
             attempt: task.attempt,
@@ -111,7 +111,7 @@
             attempt: task.attempt,
             grace_s: *grace_s,
         });
-        let allowed = may_start.then(|| self.starts.next_response());
+        let allowed = may_start.then(|| self.starts.next_batch());
         let starts = allowed.into_iter().flatten().map(|task| Order::Start {
             task: task_name(&task.job, task.index),
             attempt: task.attempt,
--- a/crates/sched/src/owner/outbox.rs
+++ b/crates/sched/src/owner/outbox.rs
@@ -14,7 +14,7 @@
 pub(super) struct Outbox {
     messages: Vec<ToLeader>,
     statuses_due: bool,
-    statuses_due_at: Secs,
+    last_due_at: Secs,
 }
 
 impl Outbox {
@@ -22,7 +22,7 @@
         Outbox {
             messages: Vec::new(),
             statuses_due: false,
-            statuses_due_at: f64::MIN,
+            last_due_at: f64::MIN,
         }
     }
 
@@ -40,20 +40,20 @@
     }
 
     /// Forgets messages that are void under a new epoch.
-    pub(super) fn discard(&mut self) {
+    pub(super) fn clear(&mut self) {
         self.messages.clear();
     }
 
     /// What has changed is shown to the leader with the next messages.
-    pub(super) fn show_changes(&mut self) {
+    pub(super) fn mark_statuses_due(&mut self) {
         self.statuses_due = true;
     }
 
     /// Shows changes if they were collected for `every` seconds.
-    pub(super) fn show_changes_every(&mut self, every: Secs, now: Secs) {
-        if now - self.statuses_due_at >= every {
-            self.statuses_due_at = now;
-            self.show_changes();
+    pub(super) fn mark_statuses_due_every(&mut self, interval_s: Secs, now: Secs) {
+        if now - self.last_due_at >= interval_s {
+            self.last_due_at = now;
+            self.mark_statuses_due();
         }
     }
 
--- a/crates/sched/src/owner/pending_starts.rs
+++ b/crates/sched/src/owner/pending_starts.rs
@@ -46,13 +46,13 @@
     /// Says whether there were any.
     pub(super) fn withdraw(
         &mut self,
-        shown: &BTreeMap<TaskRef, TaskStatus>,
-        is_void: impl Fn(&TaskRef) -> bool,
+        reported: &BTreeMap<TaskRef, TaskStatus>,
+        is_obsolete: impl Fn(&TaskRef) -> bool,
         outbox: &mut Outbox,
     ) -> bool {
         let before = self.starts.len();
         self.starts.retain(|task, _| {
-            let withdrawn = !shown.contains_key(task) && is_void(task);
+            let withdrawn = !reported.contains_key(task) && is_obsolete(task);
             if withdrawn {
                 outbox.hand_back(task.job.clone(), task.attempt, vec![(task.index, 1)]);
             }
@@ -62,14 +62,14 @@
     }
 
     /// Drops the starts that a heartbeat shows to have taken effect; says whether there were any.
-    pub(super) fn settle(&mut self, shown: &BTreeMap<TaskRef, TaskStatus>) -> bool {
+    pub(super) fn remove_confirmed(&mut self, reported: &BTreeMap<TaskRef, TaskStatus>) -> bool {
         let before = self.starts.len();
-        self.starts.retain(|task, _| !shown.contains_key(task));
+        self.starts.retain(|task, _| !reported.contains_key(task));
         self.starts.len() != before
     }
 
     /// The starts of the next answer.
-    pub(super) fn next_response(&self) -> impl Iterator<Item = &TaskRef> {
+    pub(super) fn next_batch(&self) -> impl Iterator<Item = &TaskRef> {
         self.starts.keys().take(STARTS_PER_RESPONSE)
     }
 
--- a/crates/sched/src/owner/placement.rs
+++ b/crates/sched/src/owner/placement.rs
@@ -13,7 +13,7 @@
 
 /// Machines that suit alike are told apart by their last answer's age, in this many steps of a
 /// heartbeat interval.
-const SILENCE_STEPS: f64 = 4.0;
+const RESPONSE_AGE_STEPS: f64 = 4.0;
 
 impl Owner {
     /// Starts array tasks, given as (first, count) runs, on the machines that suit them best; hands the
@@ -27,7 +27,7 @@
         now: Secs,
         jobs: &dyn JobLookup,
     ) {
-        self.assigned.learn(&job, requirements);
+        self.assigned.record(&job, requirements);
         self.refresh_index(jobs);
         let group = StartGroup {
             job: &job,
@@ -36,7 +36,7 @@
             image: &requirements.image,
         };
         let mut indexes = expand_runs(tasks).peekable();
-        for fit in self.suitable_machines(requirements, now) {
+        for fit in self.ranked_machines(requirements, now) {
             if indexes.peek().is_none() {
                 break;
             }
@@ -56,27 +56,27 @@
 
     /// The machines on which a task fits, the best first. A start goes with the answer to a heartbeat:
     /// of machines that suit alike, the one whose next heartbeat is due first starts first.
-    fn suitable_machines(&self, requirements: &TaskRequirements, now: Secs) -> Vec<MachineFit> {
-        let step_s = self.config.heartbeat_s / SILENCE_STEPS;
-        let silence = |name: &str| {
+    fn ranked_machines(&self, requirements: &TaskRequirements, now: Secs) -> Vec<MachineFit> {
+        let step_s = self.config.heartbeat_s / RESPONSE_AGE_STEPS;
+        let response_age = |name: &str| {
             self.machines.get(name).map_or(0, |machine| {
-                ((now - machine.answered_at()) / step_s).clamp(0.0, SILENCE_STEPS) as u32
+                ((now - machine.last_response_at()) / step_s).clamp(0.0, RESPONSE_AGE_STEPS) as u32
             })
         };
-        let mut found = self.index.fits(requirements);
-        found.sort_by_cached_key(|fit| {
+        let mut fits = self.index.fits(requirements);
+        fits.sort_by_cached_key(|fit| {
             let rank = fit.rank;
             (
                 rank.needs_slow_fetch,
                 rank.tier,
                 rank.is_empty,
                 rank.needs_fetch,
-                Reverse(silence(&fit.name)),
-                rank.cpus_left_thousandths,
+                Reverse(response_age(&fit.name)),
+                rank.remaining_millicpus,
                 fit.name.clone(),
             )
         });
-        found
+        fits
     }
 
     /// Reserves all places of a gang's part, or none of them; says whether it did.
@@ -88,7 +88,7 @@
         jobs: &dyn JobLookup,
     ) -> bool {
         let fits = |name: &str, count: u32| {
-            let machine = self.machines.get(name).filter(|m| m.is_open());
+            let machine = self.machines.get(name).filter(|m| m.is_schedulable());
             let free = machine.and_then(|machine| self.free_resources(name, machine, jobs));
             free.is_some_and(|free| free.count_fitting(reservation.resources) >= count)
         };
@@ -97,18 +97,23 @@
             return false;
         }
         self.dirty_machines.extend(reservation.machines().cloned());
-        self.assigned.learn(&reservation.job, requirements);
+        self.assigned.record(&reservation.job, requirements);
         self.reservations.insert(attempt, reservation);
         true
     }
 
     /// Starts the tasks of a reservation, or tells the leader that it no longer holds.
     pub(super) fn bind(&mut self, attempt: u64, now: Secs) {
-        let reservation = self.release(attempt);
+        let reservation = self.remove_reservation(attempt);
         // A machine that was lost while it was reserved would never start the task, nor show it gone.
-        let is_open = |name: &String| self.machines.get(name).is_some_and(OwnedMachine::is_open);
-        let holds = |held: &Reservation| now < held.until && held.machines().all(is_open);
-        match reservation.filter(holds) {
+        let is_schedulable = |name: &String| {
+            self.machines
+                .get(name)
+                .is_some_and(OwnedMachine::is_schedulable)
+        };
+        let is_valid =
+            |held: &Reservation| now < held.expires_at && held.machines().all(is_schedulable);
+        match reservation.filter(is_valid) {
             Some(reservation) => self.start_reserved(attempt, &reservation),
             None => self.outbox.push(ToLeader::ReserveResult {
                 attempt,
@@ -133,7 +138,7 @@
     }
 
     /// Ends a reservation and returns it.
-    pub(super) fn release(&mut self, attempt: u64) -> Option<Reservation> {
+    pub(super) fn remove_reservation(&mut self, attempt: u64) -> Option<Reservation> {
         let reservation = self.reservations.remove(attempt)?;
         self.dirty_machines.extend(reservation.machines().cloned());
         Some(reservation)
@@ -161,14 +166,15 @@
     /// Brings the index up to what has changed since it was last looked at.
     fn refresh_index(&mut self, jobs: &dyn JobLookup) {
         for name in std::mem::take(&mut self.dirty_machines) {
-            let open = self.machines.get(&name).filter(|m| m.is_open());
-            let found = open.and_then(|m| Some((m, self.types.get(&m.identity().kind)?)));
-            let Some((machine, machine_type)) = found else {
+            let schedulable = self.machines.get(&name).filter(|m| m.is_schedulable());
+            let indexable =
+                schedulable.and_then(|m| Some((m, self.types.get(&m.identity().kind)?)));
+            let Some((machine, machine_type)) = indexable else {
                 self.index.remove(&name);
                 continue;
             };
             let free = self.free_resources(&name, machine, jobs);
-            let entry = self.index_entry(machine, free.unwrap_or_default(), jobs);
+            let entry = self.indexed_machine(machine, free.unwrap_or_default(), jobs);
             let MachineIdentity { zone, spot, .. } = machine.identity();
             self.index.upsert(
                 &name,
@@ -185,7 +191,7 @@
         }
     }
 
-    fn index_entry(
+    fn indexed_machine(
         &self,
         machine: &OwnedMachine,
         free: Resources,
@@ -193,7 +199,7 @@
     ) -> IndexedMachine {
         let mut images: Vec<String> = machine.images().cloned().collect();
         for image in machine
-            .shown_tasks()
+            .reported_tasks()
             .filter_map(|task| self.image(&task.job, jobs))
         {
             if !images.contains(&image) {
@@ -223,11 +229,11 @@
         let tasks = self
             .machines
             .iter()
-            .flat_map(|(_, machine)| machine.shown_tasks().chain(machine.pending().tasks()));
+            .flat_map(|(_, machine)| machine.reported_tasks().chain(machine.pending().tasks()));
         let in_use = tasks
             .map(|task| task.job.as_str())
             .chain(self.reservations.jobs())
             .chain(self.backlog.jobs());
-        self.assigned.keep(&in_use.collect());
+        self.assigned.retain_in_use(&in_use.collect());
     }
 }
--- a/crates/sched/src/owner/reservations.rs
+++ b/crates/sched/src/owner/reservations.rs
@@ -19,7 +19,7 @@
     pub(super) resources: Resources,
     pub(super) image: String,
     pub(super) places: Vec<ReservedPlace>,
-    pub(super) until: Secs,
+    pub(super) expires_at: Secs,
 }
 
 impl Reservation {
@@ -28,7 +28,7 @@
         job: String,
         requirements: &TaskRequirements,
         places: Vec<(String, u32, u32)>,
-        until: Secs,
+        expires_at: Secs,
     ) -> Reservation {
         let place = |(machine, first_index, count)| ReservedPlace {
             machine,
@@ -40,7 +40,7 @@
             resources: Resources::of(requirements),
             image: requirements.image.clone(),
             places: places.into_iter().map(place).collect(),
-            until,
+            expires_at,
         }
     }
 
@@ -90,7 +90,7 @@
     /// Drops the reservations whose wait has ended; names their machines to `released`.
     pub(super) fn expire(&mut self, now: Secs, released: &mut impl Extend<String>) {
         self.by_attempt.retain(|_, reservation| {
-            let keep = now < reservation.until;
+            let keep = now < reservation.expires_at;
             if !keep {
                 released.extend(reservation.machines().cloned());
             }
--- a/crates/sched/src/owner/responses.rs
+++ b/crates/sched/src/owner/responses.rs
@@ -36,16 +36,16 @@
 /// not goes to the next controller first. What such a machine was to start it never will: this
 /// heartbeat lacks it, and no later answer repeats it.
 #[derive(Default)]
-pub(super) struct Responses {
+pub(super) struct ResponseTracker {
     /// The last heartbeat that was answered with orders; the default before there was any.
     last_answered: HeartbeatId,
     missed: u32,
 }
 
-impl Responses {
+impl ResponseTracker {
     /// A heartbeat is about to be answered with orders; its number tells whether the last answer
     /// arrived.
-    pub(super) fn answer(&mut self, id: HeartbeatId) {
+    pub(super) fn record_response(&mut self, id: HeartbeatId) {
         if self.last_answered != HeartbeatId::default() {
             self.missed = if id == self.last_answered.next() {
                 0
@@ -57,7 +57,7 @@
     }
 
     /// Whether answers don't reach the worker at present.
-    pub(super) fn are_lost(&self) -> bool {
+    pub(super) fn is_unreachable(&self) -> bool {
         self.missed >= MAX_MISSED_RESPONSES
     }
 }
--- a/crates/sched/src/owner/terminal_jobs.rs
+++ b/crates/sched/src/owner/terminal_jobs.rs
@@ -24,7 +24,7 @@
     }
 
     /// Forgets what was told `retention_s` ago or before.
-    pub(super) fn forget_old(&mut self, retention_s: Secs, now: Secs) {
+    pub(super) fn remove_expired(&mut self, retention_s: Secs, now: Secs) {
         self.notified_at.retain(|_, at| now - *at < retention_s);
     }
 }
--- a/crates/sched/src/placement.rs
+++ b/crates/sched/src/placement.rs
@@ -19,10 +19,10 @@
 pub const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 /// The most tasks that are counted on one machine: tasks that take nothing would fit without end.
-const MAX_FITTING: f64 = 1e6;
+const MAX_FITTING_TASKS: f64 = 1e6;
 
 /// Free CPUs are ranked in this many parts of one.
-const RANKED_PARTS_PER_CPU: f64 = 1000.0;
+const MILLICPUS_PER_CPU: f64 = 1000.0;
 
 /// An image is slow to fetch if that takes more than the time allowed for a start, divided by this.
 const SLOW_FETCH_DIVISOR: f64 = 2.0;
@@ -89,7 +89,7 @@
         fitting(self.cpus, needed.cpus)
             .min(fitting(self.gpus, needed.gpus))
             .min(fitting(self.memory_gb, needed.memory_gb))
-            .min(MAX_FITTING) as u32
+            .min(MAX_FITTING_TASKS) as u32
     }
 }
 
@@ -137,7 +137,7 @@
     /// The image is not there yet.
     pub needs_fetch: bool,
     /// Thousandths of CPUs that the task would leave free.
-    pub cpus_left_thousandths: u64,
+    pub remaining_millicpus: u64,
 }
 
 /// The rank of a machine for a task; none if the task does not fit.
@@ -145,18 +145,18 @@
     if !candidate.free.can_fit(Resources::of(requirements)) {
         return None;
     }
-    let cpus_left = (candidate.free.cpus - requirements.cpus).max(0.0);
+    let remaining_cpus = (candidate.free.cpus - requirements.cpus).max(0.0);
     Some(Rank {
         needs_slow_fetch: candidate.slow_fetch && !candidate.has_image,
         tier: candidate.tier,
         is_empty: candidate.empty,
         needs_fetch: !candidate.has_image,
-        cpus_left_thousandths: (cpus_left * RANKED_PARTS_PER_CPU) as u64,
+        remaining_millicpus: (remaining_cpus * MILLICPUS_PER_CPU) as u64,
     })
 }
 
 /// The size in gigabytes above which fetching an image takes more than half of `guarantee_s`, the time
 /// allowed for a guaranteed start.
-pub fn slow_above_gb(machine_type: &MachineType, guarantee_s: f64) -> f64 {
+pub fn slow_fetch_above_gb(machine_type: &MachineType, guarantee_s: f64) -> f64 {
     machine_type.fetch_gb_per_s * guarantee_s / SLOW_FETCH_DIVISOR
 }
--- a/crates/sched/src/ranges.rs
+++ b/crates/sched/src/ranges.rs
@@ -24,55 +24,55 @@
 
     /// Whether `number` is a member.
     pub fn contains(&self, number: u32) -> bool {
-        self.holds_before(self.position_after(number), number)
+        self.preceding_range_contains(self.first_range_after(number), number)
     }
 
     /// The position of the first range that begins after `number`.
-    fn position_after(&self, number: u32) -> usize {
+    fn first_range_after(&self, number: u32) -> usize {
         self.0.partition_point(|&(from, _)| from <= number)
     }
 
     /// Whether the range before position `at`, which begins no later than `number`, has it.
-    fn holds_before(&self, at: usize, number: u32) -> bool {
-        at > 0 && number < self.0[at - 1].1
+    fn preceding_range_contains(&self, position: usize, number: u32) -> bool {
+        position > 0 && number < self.0[position - 1].1
     }
 
     /// Adds a number; says whether it is new.
     pub fn insert(&mut self, number: u32) -> bool {
-        let at = self.position_after(number);
-        if self.holds_before(at, number) {
+        let position = self.first_range_after(number);
+        if self.preceding_range_contains(position, number) {
             return false;
         }
-        let joins_left = at > 0 && self.0[at - 1].1 == number;
-        let joins_right = at < self.0.len() && self.0[at].0 == number + 1;
+        let joins_left = position > 0 && self.0[position - 1].1 == number;
+        let joins_right = position < self.0.len() && self.0[position].0 == number + 1;
         match (joins_left, joins_right) {
             (true, true) => {
-                self.0[at - 1].1 = self.0[at].1;
-                self.0.remove(at);
+                self.0[position - 1].1 = self.0[position].1;
+                self.0.remove(position);
             }
-            (true, false) => self.0[at - 1].1 = number + 1,
-            (false, true) => self.0[at].0 = number,
-            (false, false) => self.0.insert(at, (number, number + 1)),
+            (true, false) => self.0[position - 1].1 = number + 1,
+            (false, true) => self.0[position].0 = number,
+            (false, false) => self.0.insert(position, (number, number + 1)),
         }
         true
     }
 
     /// Takes a number out; says whether it was a member.
     pub fn remove(&mut self, number: u32) -> bool {
-        let after = self.position_after(number);
-        if !self.holds_before(after, number) {
+        let after = self.first_range_after(number);
+        if !self.preceding_range_contains(after, number) {
             return false;
         }
-        let at = after - 1;
-        let (from, to) = self.0[at];
+        let position = after - 1;
+        let (from, to) = self.0[position];
         match (from == number, to == number + 1) {
             (true, true) => {
-                self.0.remove(at);
+                self.0.remove(position);
             }
-            (true, false) => self.0[at].0 = number + 1,
-            (false, true) => self.0[at].1 = number,
+            (true, false) => self.0[position].0 = number + 1,
+            (false, true) => self.0[position].1 = number,
             (false, false) => {
-                self.0[at].1 = number;
+                self.0[position].1 = number;
                 self.0.insert(after, (number + 1, to));
             }
         }
@@ -96,18 +96,18 @@
     pub fn to_hex_bitmap(&self, from: u32, to: u32) -> String {
         let mut bytes = vec![0u8; ((to - from) as usize).div_ceil(BITS_PER_BYTE)];
         for number in self.iter().filter(|number| (from..to).contains(number)) {
-            let at = (number - from) as usize;
-            bytes[at / BITS_PER_BYTE] |= 1 << (at % BITS_PER_BYTE);
+            let bit = (number - from) as usize;
+            bytes[bit / BITS_PER_BYTE] |= 1 << (bit % BITS_PER_BYTE);
         }
         bytes.iter().map(|byte| format!("{byte:02x}")).collect()
     }
 
     /// Adds the numbers of a bitmap that begins at `from`, except those from `below` on.
-    pub fn insert_bitmap(&mut self, from: u32, bits: &[u8], below: u32) {
-        for (at, byte) in bits.iter().enumerate() {
+    pub fn insert_bitmap(&mut self, from: u32, bits: &[u8], end: u32) {
+        for (byte_index, byte) in bits.iter().enumerate() {
             for bit in 0..BITS_PER_BYTE {
-                let number = from + (at * BITS_PER_BYTE + bit) as u32;
-                if byte >> bit & 1 == 1 && number < below {
+                let number = from + (byte_index * BITS_PER_BYTE + bit) as u32;
+                if byte >> bit & 1 == 1 && number < end {
                     self.insert(number);
                 }
             }
