--- a/crates/sched/src/authority.rs
+++ b/crates/sched/src/authority.rs
@@ -1,35 +1,40 @@
-//! How long a controller may answer workers' heartbeats and start tasks: until its authority ends,
-//! and no longer than its knowledge of the store is fresh enough.
+//! How long a controller may respond to workers' heartbeats and start tasks: until its authority
+//! expires, and only while its view of the store is fresh enough.
 //!
-//! A cancellation is confirmed by any controller on the store's word alone. What was confirmed
-//! after the last answered read was sent is not known here. An answer that prolongs a lease at `t`
-//! lets a task run until `t` + lease, so it is given only while that ends within `cancel_s` of the
-//! read (`SchedulerConfig::max_response_staleness_s`); starts need knowledge as fresh as the leadership itself
-//! (`SchedulerConfig::max_start_staleness_s`). An outage preserves the store's leases, so that a leader may come
-//! back with a view from before it: its authority then counts only with a read sent after the
-//! renewal was answered.
+//! Any controller confirms a cancellation as soon as the store has recorded it, without asking the
+//! others. Cancellations confirmed after this controller sent its last answered read are therefore
+//! unknown here. A response at time `t` renews a worker's lease and so lets its tasks run until
+//! `t` + lease. It is sent only while that ends within `cancel_s` of the read
+//! (`SchedulerConfig::max_response_staleness_s`). Starts require a view no older than the leader's
+//! lease (`SchedulerConfig::max_start_staleness_s`).
+//!
+//! Leases in the store survive an outage of the store, so a leader may resume with a view from
+//! before the outage. After its authority had expired, it is valid again only together with a read
+//! that was sent after the renewal was answered.
 
 use crate::config::SchedulerConfig;
 use crate::Secs;
 
-/// Authority and the age of what is known. Its instants are on the process's steady clock.
+/// When the authority of a controller expires, and when its view of the store was read. All
+/// instants are on the process's monotonic clock.
 ///
-/// Invariant: neither bound lies later than `until`, nor later than `read_at` plus its staleness.
+/// Invariant: neither `responses_until` nor `starts_until` is later than `until`, or later than
+/// `read_at` plus the staleness allowed for it.
 #[derive(Clone, Debug)]
 pub struct Authority {
     until: Secs,
-    /// When the last read of the store that was answered was sent, here or by the leader.
+    /// When the last answered read of the store was sent, by this controller or by the leader.
     read_at: Secs,
-    /// When authority that had run out came back: reads sent before do not count.
+    /// When expired authority was last renewed; reads sent before do not count.
     regained_at: Secs,
-    /// How old knowledge of the store may be for an answer to a heartbeat.
+    /// Maximum age of the view of the store for a response to a heartbeat.
     max_response_staleness_s: Secs,
-    /// How old knowledge of the store may be for a start.
+    /// Maximum age of the view of the store for a start.
     max_start_staleness_s: Secs,
 }
 
 impl Authority {
-    /// No authority, and nothing known of the store.
+    /// Returns an expired authority without a view of the store.
     pub fn new(config: &SchedulerConfig) -> Authority {
         Authority {
             until: f64::MIN,
@@ -40,12 +45,12 @@
         }
     }
 
-    /// Takes authority until an instant that the caller has proved.
+    /// Sets the end of the authority; the caller has to guarantee it.
     pub fn set_until(&mut self, until: Secs) {
         self.until = until;
     }
 
-    /// A renewal of the leadership was answered at `now`.
+    /// Extends the authority after a renewal of the leader's lease that was answered at `now`.
     pub fn renew(&mut self, until: Secs, now: Secs) {
         if now >= self.until {
             self.regained_at = now;
@@ -53,32 +58,33 @@
         self.until = self.until.max(until);
     }
 
-    /// All that the store held at `at` is known here.
+    /// Records that the view contains everything the store held at `at`.
     pub fn record_read(&mut self, at: Secs) {
         self.read_at = self.read_at.max(at);
     }
 
-    /// Until when authority lasts, whatever is known of the store.
+    /// Returns when the authority expires, regardless of the age of the view.
     pub fn until(&self) -> Secs {
         self.until
     }
 
-    /// When the last read of the store that counts was sent; `f64::MIN` before the first.
+    /// Returns when the newest answered read of the store was sent; `f64::MIN` before the first.
     pub fn read_at(&self) -> Secs {
         self.read_at
     }
 
-    /// Until when heartbeats may be answered.
+    /// Returns until when heartbeats may be responded to.
     pub fn responses_until(&self) -> Secs {
         self.limited_by_staleness(self.max_response_staleness_s)
     }
 
-    /// Until when tasks may be started.
+    /// Returns until when tasks may be started.
     pub fn starts_until(&self) -> Secs {
         self.limited_by_staleness(self.max_start_staleness_s)
     }
 
-    /// The end of authority, or of knowledge that may be `staleness_s` old.
+    /// Returns the end of the authority or of a view that may be `staleness_s` old, whichever is
+    /// first.
     fn limited_by_staleness(&self, staleness_s: Secs) -> Secs {
         if self.read_at < self.regained_at {
             return f64::MIN;
--- a/crates/sched/src/capacity_index.rs
+++ b/crates/sched/src/capacity_index.rs
@@ -1,6 +1,8 @@
-//! Machines that may take tasks, kept from one pass to the next and ordered by what placement
-//! ranks on: type, zone and kind as pools, and in each pool the free CPUs. A job looks only at
-//! the pools that it allows, and there only at machines with enough free CPUs.
+//! An index of the machines that accept tasks, updated incrementally between placement passes.
+//!
+//! Machines are grouped into pools by type, zone and whether they are spot machines, and sorted by
+//! free CPUs within a pool. A search visits only the pools that a job allows and, in these, only
+//! the machines with enough free CPUs.
 
 use crate::placement::{rank, slow_fetch_above_gb, tier, Candidate, Rank, Resources};
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,31 +10,31 @@
 use wire::cloud::MachineType;
 use wire::peers::TaskRequirements;
 
-/// Pools order their machines by free CPUs in this many parts of one.
+/// Resolution of the sort key of machines in a pool, in steps per CPU.
 const ORDERING_STEPS_PER_CPU: f64 = 1000.0;
 
-/// What placement needs to know of one machine.
+/// What placement has to know about a machine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct IndexedMachine {
-    /// The member that owns the machine; empty in an owner's own index.
+    /// Name of the controller that owns the machine; empty in an owner's own index.
     pub owner: String,
-    /// What new tasks may take.
+    /// Resources available to new tasks.
     pub free: Resources,
-    /// Images that are there or are being fetched.
+    /// Images that are on the machine or are being fetched.
     pub images: Vec<String>,
-    /// Nothing runs there, so it may soon be returned.
+    /// Whether the machine runs nothing and so may soon be deprovisioned.
     pub empty: bool,
 }
 
-/// Machines of one type, zone and kind.
+/// The machines of one type and zone that are either all spot machines or all not.
 #[derive(Debug)]
 struct Pool {
     kind: String,
     zone: Rc<str>,
     spot: bool,
-    /// Images above this size in gigabytes take long to fetch.
+    /// Size above which an image is slow to fetch, in gigabytes.
     slow_fetch_above_gb: f64,
-    /// Its machines by free CPUs and name.
+    /// The machines, by free CPUs (in steps of the sort key) and name.
     by_cpus: BTreeMap<(u64, Rc<str>), Rc<IndexedMachine>>,
 }
 
@@ -47,10 +49,10 @@
         self.by_cpus.remove(&key);
     }
 
-    /// Adds the machines on which a task fits, in the order of their free CPUs.
+    /// Appends the machines on which at least one task fits, in ascending order of their free CPUs.
     fn collect_fits(&self, requirements: &TaskRequirements, tier: u8, fits: &mut Vec<MachineFit>) {
         let resources = Resources::of(requirements);
-        // One part less: the pool's order is rounded, the comparison of a task with a machine is not.
+        // One step lower, as the sort key is rounded but the comparison in `rank` is not.
         let lower_bound = cpu_key(requirements.cpus).saturating_sub(1);
         for ((_, name), machine) in self.by_cpus.range((lower_bound, Rc::from(""))..) {
             let candidate = Candidate {
@@ -75,26 +77,26 @@
 /// A machine on which at least one task fits.
 #[derive(Clone, Debug, PartialEq, PartialOrd)]
 pub struct MachineFit {
-    /// How well it suits.
+    /// How well the machine suits the task.
     pub rank: Rank,
-    /// The machine's name.
+    /// Name of the machine.
     pub name: Rc<str>,
-    /// The machine's zone.
+    /// Zone of the machine.
     pub zone: Rc<str>,
-    /// How many tasks fit.
+    /// Number of tasks that fit.
     pub slots: u32,
 }
 
-/// A machine's entry: the position of its pool, and what is known of it.
+/// A machine and the position of its pool.
 #[derive(Debug)]
 struct Entry {
     pool: usize,
     machine: Rc<IndexedMachine>,
 }
 
-/// The machines that may take tasks.
+/// The machines that accept tasks, searchable by the requirements of a task.
 ///
-/// Invariant: each machine is in exactly one pool, under the free CPUs of its entry.
+/// Invariant: each machine is in exactly one pool, sorted by the free CPUs of its entry.
 #[derive(Debug, Default)]
 pub struct CapacityIndex {
     pools: Vec<Pool>,
@@ -106,7 +108,7 @@
 }
 
 impl CapacityIndex {
-    /// The position of a pool, which is added if it is new.
+    /// Returns the position of a pool, and adds the pool if it does not exist.
     fn find_or_add_pool(
         &mut self,
         machine_type: &MachineType,
@@ -129,8 +131,8 @@
         })
     }
 
-    /// Takes a machine in, or what has changed of it. `guarantee_s` is the time in seconds allowed for
-    /// a guaranteed start.
+    /// Inserts a machine or replaces its entry. `guarantee_s` is the time allowed for a guaranteed
+    /// start, in seconds.
     pub fn upsert(
         &mut self,
         name: &str,
@@ -158,24 +160,24 @@
         self.machines.insert(name, Entry { pool, machine });
     }
 
-    /// Takes a machine out, if it is there.
+    /// Removes a machine, if it is in the index.
     pub fn remove(&mut self, name: &str) {
         if let Some((name, entry)) = self.machines.remove_entry(name) {
             self.pools[entry.pool].remove(&name, &entry.machine);
         }
     }
 
-    /// Takes all machines out.
+    /// Removes all machines.
     pub fn clear(&mut self) {
         *self = CapacityIndex::default();
     }
 
-    /// What is known of a machine; none if it is not here.
+    /// Returns the entry of a machine, or `None` if it is not in the index.
     pub fn get(&self, name: &str) -> Option<&IndexedMachine> {
         self.machines.get(name).map(|entry| &*entry.machine)
     }
 
-    /// The zones in which there are machines.
+    /// Returns the zones that have machines.
     pub fn zones(&self) -> BTreeSet<Rc<str>> {
         self.pools
             .iter()
@@ -184,13 +186,14 @@
             .collect()
     }
 
-    /// Sets resources of a machine aside for `count` tasks that need an image.
+    /// Subtracts the resources of `count` tasks from a machine and records that it will have their
+    /// image.
     pub fn allocate(&mut self, name: &str, resources: Resources, count: u32, image: &str) {
         let Some((name, entry)) = self.machines.remove_entry(name) else {
             return;
         };
         self.pools[entry.pool].remove(&name, &entry.machine);
-        // The pool's share is gone, so that this takes the machine over rather than copying it.
+        // The pool's reference has been dropped, so this moves the entry instead of cloning it.
         let mut machine = Rc::unwrap_or_clone(entry.machine);
         machine.free.sub(resources.scaled(count));
         machine.empty = false;
@@ -200,13 +203,15 @@
         self.insert(name, entry.pool, machine);
     }
 
-    /// The machines on which a task fits, the best first. Whatever one takes makes it suit the
-    /// same job's next task even better, so a job may fill them one after the other.
+    /// Returns the machines on which a task fits, the best first. Placing a task on a machine only
+    /// improves its rank for the job's next task, so a job can fill the machines one after the
+    /// other.
     pub fn fits(&self, requirements: &TaskRequirements) -> Vec<MachineFit> {
         self.fits_outside_cordon(requirements, None)
     }
 
-    /// The same without the machines that are kept for tasks with the requirements `cordon`.
+    /// Like [`CapacityIndex::fits`], without the machines that are reserved for tasks with the
+    /// requirements `cordon`.
     pub fn fits_outside_cordon(
         &self,
         requirements: &TaskRequirements,
@@ -226,7 +231,8 @@
         fits
     }
 
-    /// Everything in it by name, as (type, zone, spot, machine), for comparison with a plain rebuild.
+    /// Returns all machines by name as (type, zone, spot, machine), for comparison with an index
+    /// that is built from scratch.
     pub fn contents(&self) -> BTreeMap<String, (String, String, bool, IndexedMachine)> {
         let describe = |(name, entry): (&Rc<str>, &Entry)| {
             let pool = &self.pools[entry.pool];
--- a/crates/sched/src/config.rs
+++ b/crates/sched/src/config.rs
@@ -1,92 +1,98 @@
-//! Figures from the settings that decisions depend on. All times are in seconds.
+//! The settings that scheduling decisions depend on. All durations are in seconds.
 
 use crate::Secs;
 use std::collections::BTreeMap;
 
-/// How far a worker's and a controller's clock may drift apart, as a factor on a lease.
+/// Factor on the length of a lease that allows for drift between a worker's and a controller's
+/// clock.
 const CLOCK_DRIFT: f64 = 1.002;
 
-/// Margin on the end of a worker's lease, in seconds.
+/// Safety margin after the end of a worker's lease, in seconds.
 const LEASE_MARGIN_S: Secs = 0.2;
 
-/// Part of a worker's lease for which an owner may be silent before it counts as lost.
+/// Time after which a silent owner counts as lost, as a fraction of a worker's lease.
 const OWNER_TIMEOUT_PER_LEASE: f64 = 0.18;
 
-/// The same as a part of the time after which workers drop an answer.
+/// The same time, as a fraction of the time after which workers discard a response
+/// ([`wire::ANSWER_DROPPED_S`]). The smaller of both applies.
 const OWNER_TIMEOUT_PER_RESPONSE_LIMIT: f64 = 0.5;
 
-/// A team's guarantee and limit.
+/// The guaranteed resources and the limits of a team.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Team {
-    /// CPUs that the team is guaranteed.
+    /// Guaranteed CPUs.
     pub cpus: f64,
-    /// The most CPUs that it may use, borrowed ones included.
+    /// Maximum CPUs that the team may use, borrowed ones included.
     pub cpus_max: f64,
-    /// GPUs that the team is guaranteed.
+    /// Guaranteed GPUs.
     pub gpus: f64,
-    /// The most GPUs that it may use, borrowed ones included.
+    /// Maximum GPUs that the team may use, borrowed ones included.
     pub gpus_max: f64,
 }
 
-/// The settings of the platform and of its operators that decisions depend on.
+/// The settings of the platform and of its operators that scheduling decisions depend on.
 #[derive(Clone, Debug)]
 pub struct SchedulerConfig {
     /// The teams by name.
     pub teams: BTreeMap<String, Team>,
     /// Interval between a worker's heartbeats.
     pub heartbeat_s: Secs,
-    /// How long a worker runs its tasks without an answer to a heartbeat.
+    /// Lease of a worker: how long it runs its tasks without a response to a heartbeat.
     pub lease_s: Secs,
-    /// Within what time of a confirmed cancellation the job's last task is gone.
+    /// Time after a confirmed cancellation within which the job's last task has to be gone.
     pub cancel_s: Secs,
-    /// How far the cloud's list of machines may be behind.
+    /// Maximum staleness of the cloud's list of machines.
     pub list_lag_s: Secs,
-    /// How long reserved resources wait for the rest of their gang.
+    /// How long resources stay reserved while the rest of their gang is reserved.
     pub reservation_s: Secs,
-    /// The leader's lease in the store.
+    /// Length of the leader's lease in the store.
     pub leader_lease_s: Secs,
-    /// Part of the time allowed for a guaranteed start after which borrowed resources are taken back.
+    /// Time within which a job within its team's guarantee should start. It determines when
+    /// borrowed resources are preempted for such a job.
     pub guarantee_s: Secs,
-    /// By class: within what time its gangs should start.
+    /// Time within which a gang should start, by class.
     pub wait_s: BTreeMap<String, Secs>,
-    /// Part of that time that a gang may wait for a machine in use rather than have one provisioned.
+    /// Fraction of that time for which a gang may wait for machines in use before new ones are
+    /// provisioned.
     pub max_wait_share: f64,
-    /// How long an idle machine is kept, as a multiple of its boot time (at least the cloud's
-    /// minimum charge).
+    /// How long an idle machine is kept, as a multiple of its boot time; at least the cloud's
+    /// minimum charge.
     pub idle_retention_boots: f64,
 }
 
 impl SchedulerConfig {
-    /// After how long without a word an owner counts as lost.
+    /// Returns the time without a message after which an owner counts as lost.
     pub fn owner_timeout_s(&self) -> Secs {
         (self.lease_s * OWNER_TIMEOUT_PER_LEASE)
             .min(wire::ANSWER_DROPPED_S * OWNER_TIMEOUT_PER_RESPONSE_LIMIT)
     }
 
-    /// After how long without an answered heartbeat a worker's lease has certainly ended: the
-    /// lease, what both clocks may drift, and a margin.
+    /// Returns the time after the last response by which a worker's lease has certainly expired:
+    /// the lease, the maximum clock drift and a safety margin.
     pub fn lease_expiry_s(&self) -> Secs {
         self.lease_s * CLOCK_DRIFT + LEASE_MARGIN_S
     }
 
-    /// How old knowledge of the store may be where an answer prolongs a worker's lease: what was
-    /// cancelled since then is gone in time. Where the settings leave no such time, what is as
-    /// fresh as the leadership has to do (see `cancels_in_time`).
+    /// Returns the maximum age of the view of the store for a response that renews a worker's
+    /// lease. Within it, tasks of jobs that were cancelled after the read are gone within
+    /// `cancel_s`. If the settings leave less time than `max_start_staleness_s`, that is returned
+    /// instead (see `cancels_in_time`).
     pub fn max_response_staleness_s(&self) -> Secs {
         (self.cancel_s - self.lease_expiry_s()).max(self.max_start_staleness_s())
     }
 
-    /// For how long a job that is over is remembered: by then its last task is gone.
+    /// Returns how long a terminal job is remembered; by then its last task is certainly gone.
     pub fn terminal_retention_s(&self) -> Secs {
         self.cancel_s + self.lease_expiry_s()
     }
 
-    /// How old knowledge of the store may be for a start.
+    /// Returns the maximum age of the view of the store for a start.
     pub fn max_start_staleness_s(&self) -> Secs {
         self.leader_lease_s
     }
 
-    /// Whether the settings leave time enough between a worker's lease and `cancel_s`.
+    /// Returns whether `cancel_s` exceeds a worker's lease by enough for cancelled tasks to be gone
+    /// in time even while the store is unavailable.
     pub fn cancels_in_time(&self) -> bool {
         self.cancel_s - self.lease_expiry_s() >= self.max_start_staleness_s()
     }
--- a/crates/sched/src/dependencies.rs
+++ b/crates/sched/src/dependencies.rs
@@ -1,64 +1,66 @@
-//! The dependencies between jobs: which jobs are blocked, which are cancelled because a job that they
-//! need is, and with which priority a job is treated.
+//! The graph of dependencies between jobs. It determines which jobs are blocked, which are
+//! cancelled because a job that they depend on is, and the effective priority of each job.
 //!
-//! A job's dependencies are fixed when it is submitted and name only jobs that were accepted before,
-//! so the graph has no cycle. Only open jobs that need another one, or are needed by one, have a node.
-//! Every controller keeps the graph from its replica of the store, so that all of them derive the same
-//! from the same records:
+//! A job's dependencies are fixed when it is submitted and name only jobs that were accepted
+//! before, so the graph is acyclic. Only open jobs that depend on another job, or on which one
+//! depends, have a node. Every controller builds the graph from its replica of the store, and all
+//! of them derive the same results from the same records:
 //!
-//! - A job is *blocked* until the store holds the `done` of each of its dependencies. Cancelling and
-//!   finishing a job are both compare-and-swap on its one record, so a job whose dependent may have
-//!   started can't be cancelled any more.
-//! - A job is *cancelled* when its own record says so or that of any ancestor. Nothing is copied into the
-//!   descendants' records: the one write cancels the whole chain, whatever fails next. A descendant of a
-//!   cancelled job was always blocked, so none of its tasks was ever started.
-//! - A job has the most urgent *priority* among itself and its open descendants.
+//! - A job is *blocked* until the store has recorded each of its dependencies as done. Cancelling
+//!   and finishing a job are both a compare-and-swap on the job's only record, so a job can't be
+//!   cancelled any more once a dependent may have started.
+//! - A job is *cancelled* if its own record or that of any ancestor says so. Nothing is copied into
+//!   the records of descendants: a single write cancels the whole chain, whatever fails afterwards.
+//!   A descendant of a cancelled job was always blocked, so none of its tasks was ever started.
+//! - The effective *priority* of a job is the most urgent one among its own and those of its open
+//!   descendants.
 //!
-//! The work of an update follows the edges that it touches, without recursion.
+//! An update visits only the edges that it affects, without recursion.
 
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
 use wire::users::{Job, Priority};
 
-/// What the store says of a job.
+/// State of a job that others may depend on, according to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DependencyState {
-    /// Accepted and not over, with its own priority.
+    /// Accepted and not terminal, with its own priority.
     Open(Priority),
-    /// All its tasks are done.
+    /// All tasks are done.
     Done,
-    /// Cancelled, by its own record or as a descendant.
+    /// Cancelled, by its own record or because an ancestor is cancelled.
     Cancelled,
 }
 
-/// What follows from an update for another job, or for the updated one.
+/// A consequence of an update, for the updated job or for another one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// The last dependency of a blocked job is done.
     Unblocked(String),
-    /// A job is cancelled because a job that it needs is.
+    /// A job is cancelled because a job that it depends on is.
     Cancelled(String),
-    /// A job is treated with another priority from now on.
+    /// The effective priority of a job has changed to this one.
     Reprioritized(String, Priority),
 }
 
-/// How many priorities there are.
+/// Number of values of [`Priority`].
 const PRIORITY_COUNT: usize = 4;
 
-/// An open job that needs another one, or is needed by one.
+/// An open job that depends on another one, or on which one depends.
 #[derive(Clone, Debug)]
 struct Node {
     /// The job's own priority.
     own: Priority,
-    /// The most urgent of its own and its dependents'.
+    /// The most urgent of its own priority and the effective ones of its dependents.
     effective: Priority,
-    /// Whether its record was seen: a job may be named before this controller learns of it.
+    /// Whether its record was read. A dependent may name a job before this controller has read the
+    /// job's record.
     record_seen: bool,
     /// Dependencies that are not done.
     dependencies: BTreeSet<Rc<str>>,
-    /// Open jobs that name this one.
+    /// Open jobs that name this one as a dependency.
     dependents: BTreeSet<Rc<str>>,
-    /// How many of them are treated with each priority.
+    /// Number of dependents by effective priority.
     dependents_by_priority: [usize; PRIORITY_COUNT],
 }
 
@@ -74,7 +76,7 @@
         }
     }
 
-    /// Computes the effective priority anew; says what it was.
+    /// Recomputes the effective priority. Returns the previous one.
     fn recompute_effective(&mut self) -> Priority {
         let by_urgency = [
             Priority::Prod,
@@ -89,7 +91,7 @@
         std::mem::replace(&mut self.effective, effective)
     }
 
-    /// What its dependencies are to learn: it was treated with the priority `before` until now.
+    /// Returns the changes for its dependencies after its effective priority was `before`.
     fn priority_changes(&self, before: Priority) -> Vec<PriorityChange> {
         let change = |dependency: &Rc<str>| PriorityChange {
             dependency: dependency.clone(),
@@ -100,7 +102,8 @@
     }
 }
 
-/// A dependent of a job is treated with another priority, is new, or is gone.
+/// A change of a dependent of the job `dependency`: its effective priority changed, or it was added
+/// (without `before`) or removed (without `after`).
 struct PriorityChange {
     dependency: Rc<str>,
     before: Option<Priority>,
@@ -109,36 +112,37 @@
 
 /// The graph of open jobs.
 ///
-/// Invariant: a node names another as a dependency if and only if that one names it as a dependent.
+/// Invariant: node A lists B as a dependency if and only if node B lists A as a dependent.
 #[derive(Clone, Debug, Default)]
 pub struct DependencyGraph {
     nodes: HashMap<Rc<str>, Node>,
 }
 
 impl DependencyGraph {
-    /// Whether a job that is open must wait for others.
+    /// Returns whether an open job has to wait for its dependencies.
     pub fn is_blocked(&self, id: &str) -> bool {
         self.nodes
             .get(id)
             .is_some_and(|node| !node.record_seen || !node.dependencies.is_empty())
     }
 
-    /// The priority with which a job is treated.
+    /// Returns the effective priority of a job, given its own one.
     pub fn priority(&self, id: &str, own: Priority) -> Priority {
         self.nodes.get(id).map_or(own, |node| node.effective)
     }
 
-    /// How many jobs have a node.
+    /// Returns the number of jobs that have a node.
     pub fn len(&self) -> usize {
         self.nodes.len()
     }
 
-    /// Whether no job needs another.
+    /// Returns whether no job has a node.
     pub fn is_empty(&self) -> bool {
         self.nodes.is_empty()
     }
 
-    /// Takes an open job in; `record` says what is known of other jobs. A repetition changes nothing.
+    /// Adds an open job; `state_of` returns the state of other jobs, as far as it is known. Adding
+    /// a job again changes nothing.
     pub fn on_accepted(
         &mut self,
         job: &Job,
@@ -177,8 +181,8 @@
         effects
     }
 
-    /// Notes that a job's record was seen, with its own priority. Returns the priority with which the
-    /// job is treated, and the shifts for the dependencies known before.
+    /// Sets a job's own priority from its record. Returns the job's effective priority, and the
+    /// changes for the dependencies that it already has.
     fn set_own_priority(&mut self, id: &Rc<str>, own: Priority) -> (Priority, Vec<PriorityChange>) {
         let node = self
             .nodes
@@ -191,8 +195,8 @@
         (after, node.priority_changes(before))
     }
 
-    /// Notes that a job waits for another, which gets `node` if it has none yet. Names the other if
-    /// that was not known before.
+    /// Adds the edge from a job to a dependency, which gets `new_node` if it has no node yet.
+    /// Returns the dependency if the edge is new.
     fn add_edge(
         &mut self,
         dependent: &Rc<str>,
@@ -209,7 +213,7 @@
         Some(dependency)
     }
 
-    /// The store holds that a job is done.
+    /// Updates the graph after the store has recorded a job as done.
     pub fn on_done(&mut self, id: &str) -> Vec<Effect> {
         let Some((node, mut effects)) = self.remove(id) else {
             return Vec::new();
@@ -227,7 +231,8 @@
         effects
     }
 
-    /// The store holds that a job is cancelled: so are all its descendants.
+    /// Updates the graph after the store has recorded a job as cancelled, which cancels all its
+    /// descendants.
     pub fn on_cancelled(&mut self, id: &str) -> Vec<Effect> {
         let mut effects = Vec::new();
         let mut to_cancel: Vec<Rc<str>> = vec![id.into()];
@@ -247,7 +252,7 @@
         effects
     }
 
-    /// Takes a node out of the graph, and out of what it waits for.
+    /// Removes a node and its edges to its dependencies. The edges from its dependents remain.
     fn remove(&mut self, id: &str) -> Option<(Node, Vec<Effect>)> {
         let node = self.nodes.remove(id)?;
         let mut priority_changes = Vec::new();
@@ -268,7 +273,7 @@
         Some((node, effects))
     }
 
-    /// Passes changes of priority on, towards the dependencies, for as far as they change anything.
+    /// Propagates changes of priority to dependencies, as far as effective priorities change.
     fn propagate(&mut self, mut changes: Vec<PriorityChange>) -> Vec<Effect> {
         let mut effects = Vec::new();
         while let Some(change) = changes.pop() {
@@ -293,7 +298,7 @@
         effects
     }
 
-    /// Forgets the node of an open job that no open job needs and that needs none.
+    /// Removes the node of an open job without dependencies and dependents.
     fn remove_if_isolated(&mut self, id: &str) {
         let is_isolated = |node: &Node| node.dependencies.is_empty() && node.dependents.is_empty();
         if self.nodes.get(id).is_some_and(is_isolated) {
--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -1,4 +1,5 @@
-//! Decisions of ladderroute, sans I/O: time, random numbers and events are arguments.
+//! The scheduling logic of ladderroute. It does no I/O: time, random numbers and events are
+//! arguments.
 
 pub mod authority;
 mod autoscaler;
@@ -12,5 +13,5 @@
 pub mod ranges;
 pub mod shard;
 
-/// A time on the process's steady clock, in seconds.
+/// An instant on the process's monotonic clock, or a duration, in seconds.
 pub type Secs = f64;
--- a/crates/sched/src/owner/assigned_jobs.rs
+++ b/crates/sched/src/owner/assigned_jobs.rs
@@ -1,4 +1,4 @@
-//! What the tasks of jobs take, as the leader says it with each task that it assigns to an owner.
+//! Resources and image of the jobs whose tasks the leader assigned, as given in its messages.
 
 use crate::placement::Resources;
 use crate::Secs;
@@ -10,10 +10,10 @@
     image: String,
 }
 
-/// The jobs of which tasks were assigned.
+/// The jobs of which tasks were assigned to this owner.
 ///
-/// Invariant: a job with a task on a machine, reserved or in the backlog that the leader assigned here
-/// is known, even if this controller's own replica of the store has stayed behind.
+/// Invariant: every job of which an assigned task is on a machine, in a reservation or in the
+/// backlog has an entry, even if this controller's own replica of the store lags behind.
 #[derive(Default)]
 pub(super) struct AssignedJobs {
     jobs: BTreeMap<String, AssignedJob>,
@@ -21,7 +21,7 @@
 }
 
 impl AssignedJobs {
-    /// Takes what a job's tasks need, if that is new.
+    /// Records the requirements of a job's tasks, unless the job has an entry.
     pub(super) fn record(&mut self, job: &str, requirements: &TaskRequirements) {
         if !self.jobs.contains_key(job) {
             let assigned = AssignedJob {
@@ -40,7 +40,8 @@
         self.jobs.get(job).map(|assigned| assigned.image.as_str())
     }
 
-    /// Whether the last review of what is in use is `every` seconds ago; if so, one takes place now.
+    /// Returns whether unused jobs are to be removed now, which is due `interval_s` seconds after
+    /// the last time; if so, `now` counts as the last time.
     pub(super) fn start_review_if_due(&mut self, now: Secs, interval_s: Secs) -> bool {
         let is_due = now - self.reviewed_at >= interval_s;
         if is_due {
@@ -49,7 +50,7 @@
         is_due
     }
 
-    /// Forgets all other jobs.
+    /// Removes all jobs that are not in `in_use`.
     pub(super) fn retain_in_use(&mut self, in_use: &BTreeSet<&str>) {
         self.jobs.retain(|job, _| in_use.contains(job.as_str()));
     }
--- a/crates/sched/src/owner/backlog.rs
+++ b/crates/sched/src/owner/backlog.rs
@@ -1,4 +1,4 @@
-//! Tasks that wait at their owner for resources to become free.
+//! The backlog: assigned tasks that wait for free resources on a machine of the shard.
 
 use super::machine::OwnedMachine;
 use super::outbox::Outbox;
@@ -9,7 +9,7 @@
 use std::collections::VecDeque;
 use wire::peers::TaskRequirements;
 
-/// Array tasks that wait until `until`.
+/// Tasks of an array that wait until `expires_at`.
 pub(super) struct BacklogEntry {
     pub(super) job: String,
     pub(super) attempt: u64,
@@ -18,10 +18,10 @@
     pub(super) expires_at: Secs,
 }
 
-/// Tasks that start on whichever machine shows free resources for them first.
+/// Tasks that start on the first machine whose heartbeat shows enough free resources.
 ///
-/// Invariant: a task leaves by being started on a machine or by being handed back, and only an epoch
-/// drops it otherwise; entries keep the order in which the leader sent them.
+/// Invariant: a task is removed only when it is started on a machine or handed back to the leader,
+/// or by a new epoch. Entries keep the order in which the leader sent them.
 #[derive(Default)]
 pub(super) struct Backlog {
     entries: VecDeque<BacklogEntry>,
@@ -40,7 +40,7 @@
         self.entries.clear();
     }
 
-    /// The jobs that have an entry.
+    /// Iterates over the jobs that have an entry.
     pub(super) fn jobs(&self) -> impl Iterator<Item = &str> {
         self.entries.iter().map(|entry| entry.job.as_str())
     }
@@ -50,7 +50,7 @@
         self.hand_back(|entry| entry.job == job, outbox);
     }
 
-    /// Hands back the tasks whose wait has ended.
+    /// Hands the tasks whose wait has ended back to the leader.
     pub(super) fn hand_back_expired(&mut self, now: Secs, outbox: &mut Outbox) {
         self.hand_back(|entry| now >= entry.expires_at, outbox);
     }
@@ -66,7 +66,7 @@
         });
     }
 
-    /// Moves as many tasks to a machine as its free resources and one answer allow.
+    /// Moves as many tasks to a machine as its free resources and the size of one response allow.
     pub(super) fn start_on(
         &mut self,
         machine: &mut OwnedMachine,
--- a/crates/sched/src/owner/epoch.rs
+++ b/crates/sched/src/owner/epoch.rs
@@ -1,13 +1,13 @@
-//! The change of owners under a new token.
+//! Epochs: a new fencing token, under which the shards may have other owners.
 
 use super::Owner;
 use crate::shard;
 use crate::Secs;
 use wire::peers::MachineDescriptor;
 
-/// The epoch under which an owner acts.
+/// The epoch of an owner.
 ///
-/// Invariant: no earlier owner of any machine answers a heartbeat from `sole_owner_from` on.
+/// Invariant: from `sole_owner_from` on, no earlier owner of any machine responds to a heartbeat.
 #[derive(Default)]
 pub(super) struct OwnerEpoch {
     token: u64,
@@ -16,7 +16,7 @@
 }
 
 impl OwnerEpoch {
-    /// An epoch before whose `sole_owner_from` earlier owners may still answer.
+    /// Creates an epoch. Earlier owners may still respond to heartbeats before `sole_owner_from`.
     pub(super) fn new(token: u64, members: Vec<String>, sole_owner_from: Secs) -> OwnerEpoch {
         OwnerEpoch {
             token,
@@ -25,7 +25,7 @@
         }
     }
 
-    /// The fencing token; 0 before the first epoch.
+    /// Returns the fencing token; 0 before the first epoch.
     pub(super) fn token(&self) -> u64 {
         self.token
     }
@@ -34,15 +34,15 @@
         self.sole_owner_from
     }
 
-    /// The member that owns a machine; none without members.
+    /// Returns the member that owns a machine, or `None` if there are no members.
     pub(super) fn owner_of(&self, machine: &str) -> Option<&str> {
         shard::owner(machine, &self.members)
     }
 }
 
 impl Owner {
-    /// Enters an epoch that follows the one with the token `prev`; machines are kept only if that is
-    /// the epoch known here. An older epoch than the present one is ignored.
+    /// Starts an epoch that follows the one with the token `prev`. The machines' records are kept
+    /// only if `prev` is the current epoch. Ignores an epoch older than the current one.
     pub(super) fn start_epoch(
         &mut self,
         epoch: OwnerEpoch,
@@ -68,11 +68,11 @@
         self.dirty_machines = self.machines.names().cloned().collect();
     }
 
-    /// Drops what was agreed under the epoch that ends.
+    /// Discards the reservations, backlog and messages of the epoch that ends.
     fn discard_epoch_state(&mut self) {
-        // Reservations end with the epoch: the leader releases its waiting gangs.
+        // Reservations end with the epoch; the leader releases the gangs that wait for them.
         self.reservations.clear();
-        // The backlog is nowhere yet; the leader takes it back once all is reconciled.
+        // No machine has the tasks of the backlog; the leader reclaims them after reconciliation.
         self.backlog.clear();
         self.outbox.clear();
     }
--- a/crates/sched/src/owner/heartbeats.rs
+++ b/crates/sched/src/owner/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of machines, and the answers to them. Tasks start in these answers only.
+//! Heartbeats of machines and the responses to them. Only these responses start tasks.
 
 use super::{HeartbeatResponse, JobLookup, Owner};
 use crate::Secs;
@@ -6,7 +6,8 @@
 use wire::workers::{Heartbeat, Order, Orders, TaskState};
 
 impl Owner {
-    /// Decides the answer to a heartbeat; `now` must be read just before.
+    /// Processes a heartbeat and returns the response. The caller must read `now` immediately
+    /// before.
     pub fn on_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
@@ -37,7 +38,8 @@
         self.respond_with_orders(&heartbeat.machine, may_start)
     }
 
-    /// Why this controller may not answer a heartbeat with orders; none if it may.
+    /// Returns the response if this controller may not give the machine orders, or `None` if it
+    /// may.
     fn rejection(&self, heartbeat: &Heartbeat, now: Secs) -> Option<HeartbeatResponse> {
         if !self.has_authority(now) || self.epoch.token() == 0 {
             return Some(HeartbeatResponse::Unavailable);
@@ -49,8 +51,9 @@
         }
     }
 
-    /// Fills what a machine's heartbeat shows to be free from the backlog, in the very answer:
-    /// otherwise the resources wait for the leader and then for the machine's next heartbeat.
+    /// Starts tasks of the backlog on the resources that a machine's heartbeat shows to be free, in
+    /// the response to this heartbeat. Otherwise the resources would stay idle until the leader
+    /// assigns tasks and the machine sends its next heartbeat.
     fn start_from_backlog(&mut self, name: &str, jobs: &dyn JobLookup) {
         if self.backlog.is_empty() {
             return;
@@ -83,10 +86,10 @@
     }
 }
 
-/// The answer to a heartbeat that shows an old token: it tells the worker the token, and the heartbeat
-/// that shows that one will count. It prolongs the lease, though, and leaders may change faster than
-/// heartbeats come: tasks of terminal jobs are stopped all the same, for that is safe whenever the
-/// heartbeat was sent.
+/// Returns the orders for a heartbeat with an old fencing token. The response tells the worker the
+/// new token, so that its next heartbeat is current. But the response also renews the lease, and
+/// epochs may change more often than heartbeats arrive. Tasks of terminal jobs are therefore
+/// stopped even now, which is safe no matter when the heartbeat was sent.
 fn stop_orders_for_terminal_jobs(
     heartbeat: &Heartbeat,
     is_terminal: impl Fn(&str) -> bool,
--- a/crates/sched/src/owner/machine.rs
+++ b/crates/sched/src/owner/machine.rs
@@ -1,5 +1,4 @@
-//! A machine as its owner sees it: what its newest heartbeat shows, and what it is to start, stop and
-//! clear.
+//! An owner's record of a machine: its status by the newest heartbeat, and the outstanding orders.
 
 use super::lease::WorkerLease;
 use super::orders::{is_live, OutstandingOrders};
@@ -13,10 +12,10 @@
 use wire::split_task;
 use wire::workers::{Heartbeat, Order, ReportedTask};
 
-/// How many images are remembered for each machine.
+/// Number of images remembered for each machine.
 const MAX_REMEMBERED_IMAGES: usize = 8;
 
-/// What does not change about a machine.
+/// The properties of a machine that do not change.
 pub(super) struct MachineIdentity {
     pub(super) kind: String,
     pub(super) zone: String,
@@ -25,29 +24,29 @@
 
 /// A machine of this owner's shard.
 ///
-/// Invariant: `tasks` is what the newest heartbeat that counts shows, every earlier order is settled by
-/// it, and `is_dirty` holds while the leader has not been shown what changed.
+/// Invariant: `tasks` is the content of the newest current heartbeat, and all earlier orders have
+/// been reconciled with it. `is_dirty` holds while the leader has not been sent a changed status.
 pub(super) struct OwnedMachine {
     identity: MachineIdentity,
-    /// Whether the leader lets tasks be placed here.
+    /// Whether the leader allows tasks to be placed here.
     usable: bool,
-    /// Token under which this controller became the owner.
+    /// Fencing token under which this controller became the owner.
     owned_since_token: u64,
     lease: WorkerLease,
     responses: ResponseTracker,
-    /// The newest heartbeat that counts.
+    /// The newest current heartbeat.
     newest_heartbeat: Option<HeartbeatId>,
     notice_s: Option<f64>,
     tasks: BTreeMap<TaskRef, TaskStatus>,
     orders: OutstandingOrders,
-    /// Images that were needed here, the latest first.
+    /// Images of tasks that were started here, the most recent first.
     images: VecDeque<String>,
     is_dirty: bool,
 }
 
 impl OwnedMachine {
-    /// A machine that becomes this owner's under `owned_since`; an earlier owner may have renewed its
-    /// lease until `renewed_at`.
+    /// Creates the record of a machine that this controller owns under the token
+    /// `owned_since_token`. An earlier owner may have renewed its lease as late as `renewed_at`.
     pub(super) fn new(
         identity: MachineIdentity,
         owned_since_token: u64,
@@ -72,7 +71,7 @@
         &self.identity
     }
 
-    /// Whether tasks may be placed here.
+    /// Returns whether tasks may be placed here.
     pub(super) fn is_schedulable(&self) -> bool {
         self.usable
             && self.newest_heartbeat.is_some()
@@ -86,33 +85,33 @@
         tier(requirements, kind, zone, *spot).is_some()
     }
 
-    /// Tasks that hold resources of the machine.
+    /// Iterates over the tasks that hold resources of the machine.
     pub(super) fn live_tasks(&self) -> impl Iterator<Item = &TaskRef> {
         let live = self.tasks.values().filter(|task| is_live(task));
         live.map(|status| &status.task)
     }
 
-    /// Starts that no heartbeat has settled yet.
+    /// Returns the starts that no heartbeat has confirmed or ruled out yet.
     pub(super) fn pending(&self) -> &PendingStarts {
         self.orders.starts()
     }
 
-    /// Whether nothing holds resources here, so that the machine may soon be returned.
+    /// Returns whether nothing holds resources here, so that the machine may soon be deprovisioned.
     pub(super) fn is_empty(&self) -> bool {
         self.pending().is_empty() && self.live_tasks().next().is_none()
     }
 
-    /// Images that were needed here, the latest first.
+    /// Iterates over the images of tasks that were started here, the most recent first.
     pub(super) fn images(&self) -> impl Iterator<Item = &String> {
         self.images.iter()
     }
 
-    /// The tasks that the newest heartbeat shows, exited ones included.
+    /// Iterates over the tasks in the newest heartbeat, exited ones included.
     pub(super) fn reported_tasks(&self) -> impl Iterator<Item = &TaskRef> {
         self.tasks.keys()
     }
 
-    /// The newest instant at which an answer may have prolonged the worker's lease.
+    /// Returns the latest instant at which a response may have renewed the worker's lease.
     pub(super) fn last_response_at(&self) -> Secs {
         self.lease.renewed_at()
     }
@@ -129,7 +128,8 @@
         self.usable = usable;
     }
 
-    /// What the leader is to be shown, if something has changed and anything is known of the machine.
+    /// Returns the status for the leader if it has changed, and clears the mark. Returns `None` if
+    /// nothing is known of the machine yet.
     pub(super) fn take_changed_status(&mut self, token: u64, name: &str) -> Option<MachineStatus> {
         let changed = std::mem::take(&mut self.is_dirty);
         let is_known = self.newest_heartbeat.is_some() || self.lease.has_expired();
@@ -153,7 +153,7 @@
         }
     }
 
-    /// One line for logs and failed tests.
+    /// Describes the machine in one line, for logs and failed tests.
     pub(super) fn explain(&self, name: &str) -> String {
         let newest = self.newest_heartbeat.unwrap_or_default();
         format!(
@@ -172,26 +172,29 @@
     }
 }
 
-/// Heartbeats and the worker's lease.
+/// Processing of heartbeats, and the worker's lease.
 impl OwnedMachine {
-    /// Whether this is a copy that was held up; nobody waits for its answer any more.
+    /// Returns whether the heartbeat is a duplicate or was delayed, so that the worker no longer
+    /// waits for the response.
     pub(super) fn is_stale(&self, heartbeat: &Heartbeat) -> bool {
         let id = HeartbeatId::of(heartbeat);
         self.newest_heartbeat.is_some_and(|newest| id <= newest)
             || self.lease.precedes_expiry(heartbeat.incarnation)
     }
 
-    /// A heartbeat is answered now: whatever the answer says, it prolongs the worker's lease.
+    /// Records that a heartbeat is responded to at `now`, which renews the worker's lease whatever
+    /// the response contains.
     pub(super) fn renew_lease(&mut self, heartbeat: &Heartbeat, now: Secs) {
         self.lease.renew(heartbeat.incarnation, now);
     }
 
-    /// Whether a heartbeat was certainly sent after the worker began to drop earlier owners' orders.
+    /// Returns whether the heartbeat was certainly sent after the worker had begun to discard the
+    /// orders of earlier owners.
     pub(super) fn is_current(&self, heartbeat: &Heartbeat) -> bool {
         heartbeat.token >= self.owned_since_token
     }
 
-    /// Takes what a heartbeat that counts shows.
+    /// Updates the machine's status from a current heartbeat.
     pub(super) fn apply_heartbeat(&mut self, heartbeat: &Heartbeat) {
         let id = HeartbeatId::of(heartbeat);
         let was_unreachable = self.responses.is_unreachable();
@@ -208,12 +211,14 @@
         self.notice_s = heartbeat.notice_s;
     }
 
-    /// Whether the worker has certainly killed its tasks, and this was not noted before.
+    /// Returns whether the worker has certainly killed its tasks, but the lease is not marked as
+    /// expired yet.
     pub(super) fn has_newly_expired_lease(&self, now: Secs, expiry_s: Secs) -> bool {
         !self.lease.has_expired() && self.lease.is_past_expiry(now, expiry_s)
     }
 
-    /// The worker has killed and forgotten its tasks; only a later incarnation counts.
+    /// Marks the lease as expired and discards all tasks and orders. The worker has killed and
+    /// removed its tasks, and only heartbeats of a later incarnation are accepted.
     pub(super) fn expire_lease(&mut self, name: &str, outbox: &mut Outbox) {
         log::info!(
             "event=machine_lease_expired machine={name} tasks={}",
@@ -227,8 +232,8 @@
         self.is_dirty = true;
     }
 
-    /// Whether the machine is closed, the leader knows all of it, and nothing was heard for
-    /// `retention_s`. Should it send a heartbeat again, it is taken up as a new one.
+    /// Returns whether the machine is closed, the leader has its latest status, and it got no
+    /// response for `retention_s`. If it sends a heartbeat again, it is added as a new machine.
     pub(super) fn can_be_removed(&self, now: Secs, retention_s: Secs) -> bool {
         self.lease.has_expired()
             && !self.usable
@@ -237,9 +242,10 @@
     }
 }
 
-/// Orders.
+/// Orders to the worker.
 impl OwnedMachine {
-    /// Adds tasks to start with the answers to the machine's heartbeats; says how many.
+    /// Adds tasks to start with the responses to the machine's heartbeats. Returns how many were
+    /// new.
     pub(super) fn add_starts(
         &mut self,
         group: &StartGroup,
@@ -253,22 +259,23 @@
         added
     }
 
-    /// How many more starts the next answer may carry.
+    /// Returns how many more starts the next response may contain.
     pub(super) fn starts_left_in_response(&self) -> usize {
         self.orders.starts().starts_left_in_response()
     }
 
-    /// A task is to be stopped, within the shortest grace (in seconds) that was asked for.
+    /// Adds an order to stop a task with a grace period in seconds; the shortest one requested
+    /// applies.
     pub(super) fn add_stop(&mut self, task: TaskRef, grace_s: f64) {
         self.orders.add_stop(task, grace_s);
     }
 
-    /// An exited task is to be forgotten by the worker.
+    /// Adds an order to clear an exited task from the worker.
     pub(super) fn add_clear(&mut self, task: TaskRef) {
         self.orders.add_clear(task);
     }
 
-    /// Takes back all starts if answers don't reach the worker; says whether there were any.
+    /// Withdraws all starts if responses don't reach the worker. Returns whether there were any.
     pub(super) fn withdraw_undelivered_starts(&mut self, name: &str, outbox: &mut Outbox) -> bool {
         if !self.responses.is_unreachable() {
             return false;
@@ -286,7 +293,7 @@
         withdrawn
     }
 
-    /// Settles every earlier order by the heartbeat that has just been taken.
+    /// Reconciles all outstanding orders with the heartbeat that was just applied.
     pub(super) fn reconcile_orders(
         &mut self,
         is_terminal: impl Fn(&str) -> bool,
@@ -300,8 +307,8 @@
         self.orders.reconcile_stops_and_clears(&self.tasks);
     }
 
-    /// Orders for the answer to a heartbeat that was taken; without starts if these must wait until
-    /// the controller's knowledge is fresh enough for them.
+    /// Returns the orders for the response to the heartbeat that was just applied; without starts
+    /// while the controller's view of the store is too old for them.
     pub(super) fn next_orders(&self, may_start: bool) -> Vec<Order> {
         self.orders.next_orders(may_start)
     }
@@ -313,7 +320,7 @@
     }
 }
 
-/// A task that a heartbeat shows; none if its name is no task's.
+/// Converts a task in a heartbeat. Returns `None` if its name is not a valid task name.
 fn parse_task(reported: &ReportedTask) -> Option<(TaskRef, TaskStatus)> {
     let (job, index) = split_task(&reported.task)?;
     let task = TaskRef {
--- a/crates/sched/src/owner/machines.rs
+++ b/crates/sched/src/owner/machines.rs
@@ -1,4 +1,4 @@
-//! The machines of an owner's shard.
+//! The set of machines in an owner's shard.
 
 use super::epoch::OwnerEpoch;
 use super::machine::{MachineIdentity, OwnedMachine};
@@ -8,12 +8,13 @@
 use wire::peers::{MachineDescriptor, MachineStatus};
 use wire::workers::Heartbeat;
 
-/// A closed machine whose lease has ended is remembered for this many leases.
+/// How long a closed machine is kept after its last response, in lengths of a lease with all
+/// margins.
 const RETENTION_LEASES: f64 = 20.0;
 
-/// Machines by name.
+/// The machines of the shard, by name.
 ///
-/// Invariant: each of them belongs to this owner under the present epoch.
+/// Invariant: each machine belongs to this owner in the current epoch.
 #[derive(Default)]
 pub(super) struct Machines {
     by_name: BTreeMap<String, OwnedMachine>,
@@ -36,7 +37,7 @@
         self.by_name.keys()
     }
 
-    /// The machine that sent a heartbeat, which is taken up if it is new.
+    /// Returns the machine that sent a heartbeat, and adds it if it is new.
     pub(super) fn find_or_add(
         &mut self,
         heartbeat: &Heartbeat,
@@ -55,7 +56,7 @@
             .or_insert_with(new)
     }
 
-    /// Takes a machine that the leader hands to this owner.
+    /// Adds a machine that the leader assigned to this owner, or updates whether it is usable.
     pub(super) fn adopt(&mut self, descriptor: MachineDescriptor, epoch: &OwnerEpoch) {
         let identity = MachineIdentity {
             kind: descriptor.kind,
@@ -72,18 +73,18 @@
         self.by_name.clear();
     }
 
-    /// Drops what an epoch gives to other owners.
+    /// Removes the machines that other members own in the epoch.
     pub(super) fn retain_owned(&mut self, epoch: &OwnerEpoch, member: &str) {
         self.by_name
             .retain(|name, _| epoch.owner_of(name) == Some(member));
     }
 
-    /// All machines are to be shown to the leader.
+    /// Marks the statuses of all machines as not yet sent to the leader.
     pub(super) fn mark_all_dirty(&mut self) {
         self.by_name.values_mut().for_each(OwnedMachine::mark_dirty);
     }
 
-    /// The statuses that the leader has not been shown.
+    /// Returns the changed statuses that the leader has not been sent, and clears their marks.
     pub(super) fn changed_statuses(&mut self, token: u64) -> Vec<MachineStatus> {
         self.by_name
             .iter_mut()
@@ -91,14 +92,15 @@
             .collect()
     }
 
-    /// Forgets closed machines that were not heard for many leases.
+    /// Removes closed machines that got no response for `RETENTION_LEASES` leases.
     pub(super) fn remove_expired(&mut self, now: Secs, lease_expiry_s: Secs) {
         let retention_s = lease_expiry_s * RETENTION_LEASES;
         self.by_name
             .retain(|_, machine| !machine.can_be_removed(now, retention_s));
     }
 
-    /// Ends the leases that are certainly over; names their machines to `expired`.
+    /// Expires the leases that have certainly ended, and adds the names of their machines to
+    /// `expired`.
     pub(super) fn expire_leases(
         &mut self,
         now: Secs,
--- a/crates/sched/src/owner/messages.rs
+++ b/crates/sched/src/owner/messages.rs
@@ -1,4 +1,4 @@
-//! Messages of the leader to an owner.
+//! Processing of the leader's messages to an owner.
 
 use super::backlog::BacklogEntry;
 use super::epoch::OwnerEpoch;
@@ -10,7 +10,7 @@
 use wire::peers::{ToLeader, ToOwner};
 
 impl Owner {
-    /// Takes a message of the leader (its grants are the caller's business).
+    /// Processes a message of the leader. The caller handles grants, view ages and running counts.
     pub fn on_leader_message(&mut self, message: ToOwner, now: Secs, jobs: &dyn JobLookup) {
         self.outbox.mark_statuses_due();
         match message {
@@ -52,7 +52,8 @@
         }
     }
 
-    /// Takes tasks that the leader sends to start, to wait or to be reserved for; no other message.
+    /// Processes a message with tasks to assign, to queue in the backlog or to reserve resources
+    /// for; ignores all others.
     fn on_task_message(&mut self, message: ToOwner, now: Secs, jobs: &dyn JobLookup) {
         match message {
             ToOwner::Assign {
@@ -116,7 +117,7 @@
     }
 }
 
-/// The instant `wait_ms` milliseconds after `now`.
+/// Returns the instant `wait_ms` milliseconds after `now`.
 fn after_ms(now: Secs, wait_ms: u64) -> Secs {
     now + wait_ms as f64 / 1000.0
 }
--- a/crates/sched/src/owner/mod.rs
+++ b/crates/sched/src/owner/mod.rs
@@ -1,14 +1,15 @@
-//! A shard's owner: answers the heartbeats of its machines and alone starts tasks there.
+//! The owner of a shard: responds to the heartbeats of the shard's machines, and is the only
+//! controller that starts tasks on them.
 //!
-//! A heartbeat counts only if it shows a token at least as high as the one under which this
-//! controller became the machine's owner: it was then sent after the worker had begun to drop
-//! the orders of every earlier owner, and later ones are ordered by (incarnation, seq). So a
-//! heartbeat that was held up in the network is never taken for the present.
+//! A heartbeat is current only if its fencing token is at least the one under which this controller
+//! became the machine's owner. The worker then sent it after it had begun to discard the orders of
+//! all earlier owners. Current heartbeats are ordered by (incarnation, seq). A heartbeat that was
+//! delayed in the network is therefore never taken for the machine's present status.
 //!
-//! - What may start a task: `Owner::on_heartbeat`, with starts decided by `Owner::assign`,
+//! - Tasks are started by `Owner::on_heartbeat`; the starts are decided by `Owner::assign`,
 //!   `Owner::bind` and `Owner::start_from_backlog`.
-//! - What renews a worker's lease: `OwnedMachine::renew_lease`.
-//! - What decides that a lease has certainly expired: `WorkerLease::is_certainly_over`.
+//! - A worker's lease is renewed by `OwnedMachine::renew_lease`.
+//! - `WorkerLease::is_past_expiry` decides whether a lease has certainly expired.
 
 mod assigned_jobs;
 mod backlog;
@@ -43,35 +44,37 @@
 use wire::peers::ToLeader;
 use wire::workers::Orders;
 
-/// What a controller's own replica of the store knows of jobs.
+/// Access to the jobs in a controller's own replica of the store.
 pub trait JobLookup {
-    /// What one task of the job takes; none if the job is not known here.
+    /// Returns the resources that one task of the job takes, or `None` if the replica lacks the
+    /// job.
     fn resources(&self, job: &str) -> Option<Resources>;
-    /// The image of the job's tasks; none if the job is not known here.
+    /// Returns the image of the job's tasks, or `None` if the replica lacks the job.
     fn image(&self, job: &str) -> Option<String>;
-    /// Whether the job is known to be done or cancelled.
+    /// Returns whether the replica has the job as done or cancelled.
     fn is_terminal(&self, job: &str) -> bool;
 }
 
-/// The answer to a heartbeat.
+/// The response to a heartbeat.
 #[derive(Debug, PartialEq)]
 pub enum HeartbeatResponse {
-    /// Orders for the worker, which prolong its lease.
+    /// Orders for the worker; receiving them renews its lease.
     Orders(Orders),
-    /// The member that owns the machine: the worker sends its heartbeats there instead.
+    /// Name of the controller that owns the machine, to which the worker is to send its heartbeats.
     Redirect(String),
-    /// Not entitled to act at present.
+    /// This controller must not give orders to the machine, or the heartbeat is stale.
     Unavailable,
 }
 
-/// Parts of a heartbeat interval for which changes that heartbeats bring are collected.
+/// Status updates to the leader per heartbeat interval; changes from heartbeats are batched in
+/// between.
 pub(crate) const STATUS_UPDATES_PER_HEARTBEAT: f64 = 20.0;
 
-/// The owner of a shard of the machines.
+/// The owner of a shard of the cluster's machines.
 pub struct Owner {
     member: String,
     config: SchedulerConfig,
-    /// How long this controller may answer heartbeats and start tasks.
+    /// How long this controller may respond to heartbeats and start tasks.
     pub authority: Authority,
     epoch: OwnerEpoch,
     types: BTreeMap<String, MachineType>,
@@ -81,14 +84,14 @@
     assigned: AssignedJobs,
     terminal_jobs: TerminalJobs,
     outbox: Outbox,
-    /// Open machines as placement looks at them.
+    /// The schedulable machines, for placement.
     index: CapacityIndex,
-    /// Machines that changed since the index was last brought up to date.
+    /// Machines that changed since the index was last refreshed.
     dirty_machines: BTreeSet<String>,
 }
 
 impl Owner {
-    /// An owner that waits for its first epoch, on the controller named `member`.
+    /// Creates the owner of the controller named `member`, without an epoch.
     pub fn new(member: &str, config: SchedulerConfig) -> Owner {
         Owner {
             member: member.into(),
@@ -107,30 +110,32 @@
         }
     }
 
-    /// The machines in words, one a line, for logs and failed tests.
+    /// Describes each machine in one line, for logs and failed tests.
     pub fn explain(&self) -> String {
         let lines = self.machines.iter();
         let lines: Vec<String> = lines.map(|(name, machine)| machine.explain(name)).collect();
         lines.join("\n")
     }
 
-    /// The fencing token of the present epoch; 0 before the first.
+    /// Returns the fencing token of the current epoch; 0 before the first.
     pub fn token(&self) -> u64 {
         self.epoch.token()
     }
 
-    /// Whether heartbeats may be answered now.
+    /// Returns whether heartbeats may be responded to at `now`.
     pub fn has_authority(&self, now: Secs) -> bool {
         now < self.authority.responses_until()
     }
 
-    /// What is to be told to the leader. What heartbeats change is collected for a short while;
-    /// what the leader's own messages change is shown at once, before any later heartbeat.
+    /// Removes and returns the pending messages to the leader. Status changes from heartbeats are
+    /// batched for a short time. Those from the leader's own messages are included at once, before
+    /// any later heartbeat.
     pub fn drain(&mut self) -> Vec<ToLeader> {
         self.outbox.drain(self.epoch.token(), &mut self.machines)
     }
 
-    /// Lets the backlog's waits, reservations and leases run out.
+    /// Expires waits in the backlog, reservations and leases, and removes records that are no
+    /// longer needed.
     pub fn tick(&mut self, now: Secs) {
         self.backlog.hand_back_expired(now, &mut self.outbox);
         self.terminal_jobs
--- a/crates/sched/src/owner/orders.rs
+++ b/crates/sched/src/owner/orders.rs
@@ -1,4 +1,4 @@
-//! What a machine is to start, stop and clear.
+//! Orders to a machine's worker to start, stop and clear tasks.
 
 use super::outbox::Outbox;
 use super::pending_starts::{PendingStarts, StartGroup};
@@ -7,16 +7,16 @@
 use wire::task_name;
 use wire::workers::{Order, TaskState};
 
-/// Orders for a machine that no heartbeat has settled.
+/// Orders to a worker that no heartbeat has confirmed or ruled out yet.
 ///
-/// Invariant: an order stays until a heartbeat that counts shows that it took effect, or never will, or
-/// until the worker's lease is over.
+/// Invariant: an order is kept until a current heartbeat shows that it took effect or never will,
+/// or until the worker's lease has expired.
 #[derive(Default)]
 pub(super) struct OutstandingOrders {
     starts: PendingStarts,
-    /// Tasks to stop, with their grace in seconds.
+    /// Tasks to stop, with their grace periods in seconds.
     stops: BTreeMap<TaskRef, f64>,
-    /// Exited tasks that the worker is to forget.
+    /// Exited tasks that the worker is to clear.
     clears: BTreeSet<TaskRef>,
 }
 
@@ -29,7 +29,7 @@
         self.stops.len()
     }
 
-    /// Adds starts; says how many were not there before.
+    /// Adds starts. Returns how many were new.
     pub(super) fn add_starts(
         &mut self,
         group: &StartGroup,
@@ -38,7 +38,7 @@
         self.starts.add(group, indexes)
     }
 
-    /// Adds a stop; the shortest grace that was asked for counts.
+    /// Adds a stop; the shortest grace period requested for the task applies.
     pub(super) fn add_stop(&mut self, task: TaskRef, grace_s: f64) {
         let existing = self.stops.get(&task);
         let grace_s = existing.map_or(grace_s, |before| before.min(grace_s));
@@ -49,7 +49,7 @@
         self.clears.insert(task);
     }
 
-    /// Takes back all starts that no heartbeat shows; says whether there were any.
+    /// Withdraws all starts that are not in `reported`. Returns whether there were any.
     pub(super) fn withdraw_all_starts(
         &mut self,
         reported: &BTreeMap<TaskRef, TaskStatus>,
@@ -63,8 +63,9 @@
         self.clears.clear();
     }
 
-    /// What a heartbeat shows of terminal jobs is to be stopped, in every answer until a heartbeat
-    /// shows it gone, whoever owned the machine before and whether or not the leader has said so.
+    /// Adds stops for all reported tasks of terminal jobs. They are repeated in every response
+    /// until a heartbeat shows the tasks gone. This does not depend on earlier owners of the
+    /// machine or on a stop from the leader.
     pub(super) fn stop_terminal(
         &mut self,
         reported: &BTreeMap<TaskRef, TaskStatus>,
@@ -76,8 +77,9 @@
             .extend(terminal.map(|status| (status.task.clone(), 0.0)));
     }
 
-    /// Settles the starts by a heartbeat: one that it lacks did not take effect and never will, so that
-    /// it is withdrawn if it is not wanted any more. Says whether anything changed.
+    /// Reconciles the starts with a heartbeat. A start that the heartbeat lacks has not taken
+    /// effect and never will by an earlier response, so it can be withdrawn if it has become
+    /// obsolete. Returns whether anything changed.
     pub(super) fn reconcile_starts(
         &mut self,
         reported: &BTreeMap<TaskRef, TaskStatus>,
@@ -93,14 +95,14 @@
         withdrawn || started
     }
 
-    /// Drops the stops and clears that took effect, or that have lost their object.
+    /// Removes the stops and clears that took effect, and those whose task is gone.
     pub(super) fn reconcile_stops_and_clears(&mut self, reported: &BTreeMap<TaskRef, TaskStatus>) {
         let live = |task: &TaskRef| reported.get(task).map(is_live);
         self.clears.retain(|task| live(task) == Some(false));
         self.stops.retain(|task, _| live(task) == Some(true));
     }
 
-    /// The orders of the next answer; without starts if these must wait.
+    /// Returns the orders for the next response; without starts unless `may_start`.
     pub(super) fn next_orders(&self, may_start: bool) -> Vec<Order> {
         let clears = self.clears.iter().map(|task| Order::Clear {
             task: task_name(&task.job, task.index),
@@ -120,7 +122,7 @@
     }
 }
 
-/// Whether a task holds resources of its machine.
+/// Returns whether a task holds resources of its machine.
 pub(super) fn is_live(status: &TaskStatus) -> bool {
     status.state != TaskState::Exited
 }
--- a/crates/sched/src/owner/outbox.rs
+++ b/crates/sched/src/owner/outbox.rs
@@ -1,16 +1,16 @@
-//! What an owner tells the leader, and when it shows the statuses of its machines.
+//! Messages from an owner to the leader, and when the statuses of machines are sent.
 
 use super::machines::Machines;
 use crate::Secs;
 use wire::peers::ToLeader;
 
-/// Most machines in one message to the leader, so that it stays small.
+/// Maximum number of machines in one message to the leader, which keeps messages small.
 const STATUSES_PER_MESSAGE: usize = 64;
 
-/// Messages to the leader.
+/// Messages to the leader that have not been sent.
 ///
-/// Invariant: messages leave in the order in which they were pushed, and statuses leave after all
-/// messages that were pushed before they were due.
+/// Invariant: messages are sent in the order in which they were pushed, and statuses after all
+/// messages that were pushed before they became due.
 pub(super) struct Outbox {
     messages: Vec<ToLeader>,
     statuses_due: bool,
@@ -30,7 +30,7 @@
         self.messages.push(message);
     }
 
-    /// Returns tasks, as (first, count) runs, that will not start here.
+    /// Hands back tasks, as (first, count) runs, that will not start on this shard.
     pub(super) fn hand_back(&mut self, job: String, attempt: u64, tasks: Vec<(u32, u32)>) {
         self.push(ToLeader::HandBack {
             job,
@@ -39,17 +39,17 @@
         });
     }
 
-    /// Forgets messages that are void under a new epoch.
+    /// Discards the messages, which are not valid in a new epoch.
     pub(super) fn clear(&mut self) {
         self.messages.clear();
     }
 
-    /// What has changed is shown to the leader with the next messages.
+    /// Includes changed statuses in the next messages to the leader.
     pub(super) fn mark_statuses_due(&mut self) {
         self.statuses_due = true;
     }
 
-    /// Shows changes if they were collected for `every` seconds.
+    /// Marks the statuses as due if `interval_s` seconds have passed since this was last done here.
     pub(super) fn mark_statuses_due_every(&mut self, interval_s: Secs, now: Secs) {
         if now - self.last_due_at >= interval_s {
             self.last_due_at = now;
@@ -57,7 +57,8 @@
         }
     }
 
-    /// Takes all messages, with the statuses of changed machines if these are due.
+    /// Removes and returns all messages, followed by the statuses of changed machines if these are
+    /// due.
     pub(super) fn drain(&mut self, token: u64, machines: &mut Machines) -> Vec<ToLeader> {
         if std::mem::take(&mut self.statuses_due) {
             let mut statuses = machines.changed_statuses(token).into_iter().peekable();
--- a/crates/sched/src/owner/pending_starts.rs
+++ b/crates/sched/src/owner/pending_starts.rs
@@ -1,33 +1,33 @@
-//! Starts that were decided for a machine and that no heartbeat has settled yet.
+//! Starts decided for a machine that no heartbeat has confirmed or ruled out yet.
 
 use super::outbox::Outbox;
 use crate::placement::Resources;
 use std::collections::BTreeMap;
 use wire::peers::{TaskRef, TaskStatus};
 
-/// Most starts in one answer, so that it stays below the protocol's limit.
+/// Maximum number of starts in one response, which keeps it below the protocol's size limit.
 const STARTS_PER_RESPONSE: usize = 400;
 
-/// Tasks of one attempt of a job that are to be started alike.
+/// What tasks of one attempt of a job that are started together have in common.
 pub(super) struct StartGroup<'a> {
     pub(super) job: &'a str,
     pub(super) attempt: u64,
-    /// What one task takes.
+    /// Resources that one task takes.
     pub(super) resources: Resources,
     pub(super) image: &'a str,
 }
 
-/// The starts decided for a machine.
+/// The pending starts of a machine.
 ///
-/// Invariant: each of them occupies its resources until the machine's heartbeat shows the task, or
-/// until it is handed back to the leader.
+/// Invariant: each start holds its resources until a heartbeat of the machine shows the task, or
+/// until the task is handed back to the leader.
 #[derive(Default)]
 pub(super) struct PendingStarts {
     starts: BTreeMap<TaskRef, Resources>,
 }
 
 impl PendingStarts {
-    /// Adds tasks of a group; says how many were not there before.
+    /// Adds tasks of a group. Returns how many were new.
     pub(super) fn add(&mut self, group: &StartGroup, indexes: impl Iterator<Item = u32>) -> u32 {
         let before = self.starts.len();
         self.starts.extend(indexes.map(|index| {
@@ -41,9 +41,9 @@
         (self.starts.len() - before) as u32
     }
 
-    /// Takes back starts that certainly did not take effect and never will, and tells the leader. A
-    /// status alone does not: the leader may never have been shown that this machine took them on.
-    /// Says whether there were any.
+    /// Withdraws obsolete starts that have certainly not taken effect and never will, and hands
+    /// their tasks back to the leader. A machine status without them would not be enough, since the
+    /// leader may never have received a status with them. Returns whether there were any.
     pub(super) fn withdraw(
         &mut self,
         reported: &BTreeMap<TaskRef, TaskStatus>,
@@ -61,19 +61,20 @@
         self.starts.len() != before
     }
 
-    /// Drops the starts that a heartbeat shows to have taken effect; says whether there were any.
+    /// Removes the starts that a heartbeat shows to have taken effect. Returns whether there were
+    /// any.
     pub(super) fn remove_confirmed(&mut self, reported: &BTreeMap<TaskRef, TaskStatus>) -> bool {
         let before = self.starts.len();
         self.starts.retain(|task, _| !reported.contains_key(task));
         self.starts.len() != before
     }
 
-    /// The starts of the next answer.
+    /// Iterates over the starts for the next response.
     pub(super) fn next_batch(&self) -> impl Iterator<Item = &TaskRef> {
         self.starts.keys().take(STARTS_PER_RESPONSE)
     }
 
-    /// How many more starts the next answer may carry.
+    /// Returns how many more starts the next response may contain.
     pub(super) fn starts_left_in_response(&self) -> usize {
         STARTS_PER_RESPONSE.saturating_sub(self.starts.len())
     }
@@ -82,7 +83,7 @@
         self.starts.keys()
     }
 
-    /// What each start takes, in the order of the tasks.
+    /// Iterates over the resources of each start, in the order of the tasks.
     pub(super) fn resources(&self) -> impl Iterator<Item = Resources> + '_ {
         self.starts.values().copied()
     }
--- a/crates/sched/src/owner/placement.rs
+++ b/crates/sched/src/owner/placement.rs
@@ -1,4 +1,4 @@
-//! Placing tasks on machines: starts at once, and reservations for gangs.
+//! Placement of tasks on machines: immediate starts, and reservations for gangs.
 
 use super::machine::{MachineIdentity, OwnedMachine};
 use super::pending_starts::StartGroup;
@@ -11,13 +11,13 @@
 use std::cmp::Reverse;
 use wire::peers::{TaskRequirements, ToLeader};
 
-/// Machines that suit alike are told apart by their last answer's age, in this many steps of a
+/// Resolution at which the age of the last response breaks ties between machines, in steps per
 /// heartbeat interval.
 const RESPONSE_AGE_STEPS: f64 = 4.0;
 
 impl Owner {
-    /// Starts array tasks, given as (first, count) runs, on the machines that suit them best; hands the
-    /// rest back.
+    /// Starts tasks of an array, given as (first, count) runs, on the machines that suit them best.
+    /// Hands the tasks that do not fit back to the leader.
     pub(super) fn assign(
         &mut self,
         job: String,
@@ -54,8 +54,9 @@
         }
     }
 
-    /// The machines on which a task fits, the best first. A start goes with the answer to a heartbeat:
-    /// of machines that suit alike, the one whose next heartbeat is due first starts first.
+    /// Returns the machines on which a task fits, the best first. A start is sent in the response
+    /// to a heartbeat, so among machines that suit equally well but for the CPUs that remain, the
+    /// one whose next heartbeat is due first is preferred.
     fn ranked_machines(&self, requirements: &TaskRequirements, now: Secs) -> Vec<MachineFit> {
         let step_s = self.config.heartbeat_s / RESPONSE_AGE_STEPS;
         let response_age = |name: &str| {
@@ -79,7 +80,7 @@
         fits
     }
 
-    /// Reserves all places of a gang's part, or none of them; says whether it did.
+    /// Reserves all places of a reservation, or none of them. Returns whether it did.
     pub(super) fn reserve(
         &mut self,
         attempt: u64,
@@ -102,10 +103,10 @@
         true
     }
 
-    /// Starts the tasks of a reservation, or tells the leader that it no longer holds.
+    /// Starts the tasks of a reservation, or tells the leader that it is no longer valid.
     pub(super) fn bind(&mut self, attempt: u64, now: Secs) {
         let reservation = self.remove_reservation(attempt);
-        // A machine that was lost while it was reserved would never start the task, nor show it gone.
+        // A machine lost while it was reserved would never start the task, nor report it as gone.
         let is_schedulable = |name: &String| {
             self.machines
                 .get(name)
@@ -137,14 +138,15 @@
         }
     }
 
-    /// Ends a reservation and returns it.
+    /// Removes a reservation and returns it.
     pub(super) fn remove_reservation(&mut self, attempt: u64) -> Option<Reservation> {
         let reservation = self.reservations.remove(attempt)?;
         self.dirty_machines.extend(reservation.machines().cloned());
         Some(reservation)
     }
 
-    /// What is left of a machine's resources; none while what a task takes there is not known.
+    /// Returns the free resources of a machine, or `None` while its machine type or the resources
+    /// of a task on it are not known.
     pub(super) fn free_resources(
         &self,
         name: &str,
@@ -163,7 +165,7 @@
         Some(free)
     }
 
-    /// Brings the index up to what has changed since it was last looked at.
+    /// Updates the index entries of the machines that changed since the last refresh.
     fn refresh_index(&mut self, jobs: &dyn JobLookup) {
         for name in std::mem::take(&mut self.dirty_machines) {
             let schedulable = self.machines.get(&name).filter(|m| m.is_schedulable());
@@ -185,7 +187,8 @@
                 entry,
             );
             if free.is_none() {
-                // A job that is not known here yet: look again next time.
+                // The resources of a job on the machine are not known yet; retry at the next
+                // refresh.
                 self.dirty_machines.insert(name);
             }
         }
@@ -214,7 +217,8 @@
         }
     }
 
-    /// What a task of a job takes, by this controller's replica or by the leader's word.
+    /// Returns the resources that a task of a job takes, from this controller's replica or else
+    /// from the leader's assignments.
     fn resources(&self, job: &str, jobs: &dyn JobLookup) -> Option<Resources> {
         jobs.resources(job).or_else(|| self.assigned.resources(job))
     }
@@ -224,7 +228,8 @@
         jobs.image(job).or_else(assigned)
     }
 
-    /// Forgets what was assigned and is neither on a machine nor on its way to one.
+    /// Forgets assigned jobs without a task on a machine, in a pending start, in a reservation or
+    /// in the backlog.
     pub(super) fn forget_unused_jobs(&mut self) {
         let tasks = self
             .machines
--- a/crates/sched/src/owner/reservations.rs
+++ b/crates/sched/src/owner/reservations.rs
@@ -1,21 +1,21 @@
-//! Resources reserved for gangs, of which every task must have its place before any may start.
+//! Resources reserved for gangs. All tasks of a gang need a place before any of them may start.
 
 use crate::placement::Resources;
 use crate::Secs;
 use std::collections::BTreeMap;
 use wire::peers::TaskRequirements;
 
-/// Where some tasks of a gang are to run.
+/// The place of some tasks of a gang on one machine.
 pub(super) struct ReservedPlace {
     pub(super) machine: String,
     pub(super) first_index: u32,
     pub(super) count: u32,
 }
 
-/// Resources on machines for a gang until it is bound, or until the wait ends.
+/// Resources on machines that are held for a gang until it is bound, or until `expires_at`.
 pub(super) struct Reservation {
     pub(super) job: String,
-    /// What one task takes.
+    /// Resources that one task takes.
     pub(super) resources: Resources,
     pub(super) image: String,
     pub(super) places: Vec<ReservedPlace>,
@@ -23,7 +23,8 @@
 }
 
 impl Reservation {
-    /// The places are (machine, first index, count), as the leader sends them.
+    /// Creates a reservation for places given as (machine, first index, count), as in the leader's
+    /// message.
     pub(super) fn new(
         job: String,
         requirements: &TaskRequirements,
@@ -44,15 +45,15 @@
         }
     }
 
-    /// The names of its machines.
+    /// Iterates over the names of its machines.
     pub(super) fn machines(&self) -> impl Iterator<Item = &String> {
         self.places.iter().map(|place| &place.machine)
     }
 }
 
-/// Reservations by the gang's attempt.
+/// Reservations by the attempt of their gang.
 ///
-/// Invariant: what a reservation holds is nobody else's until it is removed.
+/// Invariant: the resources of a reservation are not given to other tasks until it is removed.
 #[derive(Default)]
 pub(super) struct Reservations {
     by_attempt: BTreeMap<u64, Reservation>,
@@ -71,12 +72,12 @@
         self.by_attempt.clear();
     }
 
-    /// The jobs that hold a reservation.
+    /// Iterates over the jobs that hold a reservation.
     pub(super) fn jobs(&self) -> impl Iterator<Item = &str> {
         self.by_attempt.values().map(|held| held.job.as_str())
     }
 
-    /// Takes what is reserved on a machine off its free resources.
+    /// Subtracts the resources reserved on a machine from its free resources.
     pub(super) fn subtract_from(&self, free: &mut Resources, machine: &str) {
         for reservation in self.by_attempt.values() {
             for place in &reservation.places {
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Drops the reservations whose wait has ended; names their machines to `released`.
+    /// Removes the expired reservations, and adds the names of their machines to `released`.
     pub(super) fn expire(&mut self, now: Secs, released: &mut impl Extend<String>) {
         self.by_attempt.retain(|_, reservation| {
             let keep = now < reservation.expires_at;
--- a/crates/sched/src/owner/responses.rs
+++ b/crates/sched/src/owner/responses.rs
@@ -1,11 +1,12 @@
-//! Whether a worker receives the answers to its heartbeats.
+//! Detection of workers that don't receive the responses to their heartbeats.
 
 use wire::workers::Heartbeat;
 
-/// A machine that lost this many answers in a row gets no more tasks until it is seen to get one.
+/// A machine that missed this many consecutive responses gets no more tasks until it has received
+/// one.
 const MAX_MISSED_RESPONSES: u32 = 2;
 
-/// The place of a heartbeat in the order in which its worker sent it.
+/// Position of a heartbeat in the order in which its worker sent them.
 #[derive(Clone, Copy, Default, PartialEq, PartialOrd)]
 pub(super) struct HeartbeatId {
     pub(super) incarnation: u64,
@@ -28,23 +29,24 @@
     }
 }
 
-/// Counts the answers that did not reach a worker.
+/// Counts the responses that did not reach a worker.
 ///
-/// Invariant: `missed` answers in a row, up to that of `last_answered`, were lost.
+/// A worker that receives a response sends its next heartbeat to this controller too; one that does
+/// not tries another controller first, so this controller sees a gap in the sequence numbers. Such
+/// a machine never starts what the lost responses told it to, as its heartbeat lacks these tasks
+/// and no later response repeats them.
 ///
-/// A worker that gets its answer stays, so that its next heartbeat comes here as well; one that does
-/// not goes to the next controller first. What such a machine was to start it never will: this
-/// heartbeat lacks it, and no later answer repeats it.
+/// Invariant: the last `missed` responses before the one to `last_answered` were lost.
 #[derive(Default)]
 pub(super) struct ResponseTracker {
-    /// The last heartbeat that was answered with orders; the default before there was any.
+    /// The last heartbeat that got a response with orders; the default value before the first.
     last_answered: HeartbeatId,
     missed: u32,
 }
 
 impl ResponseTracker {
-    /// A heartbeat is about to be answered with orders; its number tells whether the last answer
-    /// arrived.
+    /// Records that a heartbeat is about to get a response with orders. The heartbeat's sequence
+    /// number shows whether the previous response arrived.
     pub(super) fn record_response(&mut self, id: HeartbeatId) {
         if self.last_answered != HeartbeatId::default() {
             self.missed = if id == self.last_answered.next() {
@@ -56,7 +58,7 @@
         self.last_answered = id;
     }
 
-    /// Whether answers don't reach the worker at present.
+    /// Returns whether responses currently don't reach the worker.
     pub(super) fn is_unreachable(&self) -> bool {
         self.missed >= MAX_MISSED_RESPONSES
     }
--- a/crates/sched/src/owner/terminal_jobs.rs
+++ b/crates/sched/src/owner/terminal_jobs.rs
@@ -1,13 +1,13 @@
-//! Jobs that the leader said are over.
+//! Jobs that the leader reported as terminal.
 
 use super::JobLookup;
 use crate::Secs;
 use std::collections::BTreeMap;
 
-/// Jobs that the leader said are done or cancelled, and when it did.
+/// Jobs that the leader reported as done or cancelled, with the time of the report.
 ///
-/// Invariant: a job stays here until its last task is certainly gone, so that its tasks are stopped
-/// and never started, whether or not this controller's own replica knows that it is over.
+/// Invariant: a job is kept until its last task is certainly gone. Its tasks are thus stopped and
+/// never started, even if this controller's own replica does not have the job as terminal yet.
 #[derive(Default)]
 pub(super) struct TerminalJobs {
     notified_at: BTreeMap<String, Secs>,
@@ -18,12 +18,13 @@
         self.notified_at.insert(job, now);
     }
 
-    /// Whether a job is over by the leader's word or by this controller's own replica.
+    /// Returns whether a job is terminal according to the leader or to this controller's own
+    /// replica.
     pub(super) fn is_terminal(&self, job: &str, jobs: &dyn JobLookup) -> bool {
         self.notified_at.contains_key(job) || jobs.is_terminal(job)
     }
 
-    /// Forgets what was told `retention_s` ago or before.
+    /// Removes the jobs that were reported at least `retention_s` ago.
     pub(super) fn remove_expired(&mut self, retention_s: Secs, now: Secs) {
         self.notified_at.retain(|_, at| now - *at < retention_s);
     }
--- a/crates/sched/src/placement.rs
+++ b/crates/sched/src/placement.rs
@@ -1,34 +1,35 @@
-//! Choosing a machine for a task: used by the leader to foresee and by owners to decide, so
-//! that both mostly come to the same answer.
+//! Ranking of machines for a task. The leader uses it to predict placements and the owners use it
+//! to decide them, so that both mostly agree.
 
 use wire::cloud::MachineType;
 use wire::peers::TaskRequirements;
 
-/// Amounts that a machine has or that a task takes.
+/// Amounts of resources that a machine has or that a task takes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Resources {
-    /// CPUs; a task may take a fraction of one.
+    /// CPUs, possibly fractional.
     pub cpus: f64,
     /// GPUs.
     pub gpus: f64,
-    /// Memory in gigabytes.
+    /// Memory, in gigabytes.
     pub memory_gb: f64,
 }
 
-/// Sums of decimals are compared with this slack.
+/// Tolerance for comparing sums of decimal fractions, which floating-point arithmetic rounds.
 pub const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// The most tasks that are counted on one machine: tasks that take nothing would fit without end.
+/// Maximum number of tasks counted on one machine, since any number of tasks without requirements
+/// fit.
 const MAX_FITTING_TASKS: f64 = 1e6;
 
-/// Free CPUs are ranked in this many parts of one.
+/// Resolution at which machines are ranked by their remaining CPUs.
 const MILLICPUS_PER_CPU: f64 = 1000.0;
 
-/// An image is slow to fetch if that takes more than the time allowed for a start, divided by this.
+/// An image is slow to fetch if this takes more than the time allowed for a start, divided by this.
 const SLOW_FETCH_DIVISOR: f64 = 2.0;
 
 impl Resources {
-    /// What a machine of this type has.
+    /// Returns the resources of a machine of this type.
     pub fn of_type(machine_type: &MachineType) -> Resources {
         Resources {
             cpus: machine_type.cpus,
@@ -37,7 +38,7 @@
         }
     }
 
-    /// What one task takes.
+    /// Returns the resources that one task takes.
     pub fn of(requirements: &TaskRequirements) -> Resources {
         Resources {
             cpus: requirements.cpus,
@@ -60,7 +61,7 @@
         self.memory_gb -= other.memory_gb;
     }
 
-    /// The same for `count` tasks.
+    /// Returns these amounts multiplied by `count`.
     pub fn scaled(&self, count: u32) -> Resources {
         let count = f64::from(count);
         Resources {
@@ -70,14 +71,14 @@
         }
     }
 
-    /// Whether `needed` fits into these amounts, up to `ROUNDING_TOLERANCE`.
+    /// Returns whether `needed` fits into these amounts, within `ROUNDING_TOLERANCE`.
     pub fn can_fit(&self, needed: Resources) -> bool {
         needed.cpus <= self.cpus + ROUNDING_TOLERANCE
             && needed.gpus <= self.gpus + ROUNDING_TOLERANCE
             && needed.memory_gb <= self.memory_gb + ROUNDING_TOLERANCE
     }
 
-    /// How many tasks that each take `needed` fit, up to a million.
+    /// Returns how many tasks that each take `needed` fit, at most a million.
     pub fn count_fitting(&self, needed: Resources) -> u32 {
         let fitting = |free: f64, needed: f64| {
             if needed <= 0.0 {
@@ -93,21 +94,22 @@
     }
 }
 
-/// A machine that might take a task.
+/// A machine that is considered for a task.
 pub struct Candidate {
-    /// The tier of its type, zone and kind for the task.
+    /// Preference of the task for the machine's type and for spot or not; a lower tier is
+    /// preferred.
     pub tier: u8,
-    /// What is free there.
+    /// Free resources of the machine.
     pub free: Resources,
-    /// The image is there, or is being fetched for another task.
+    /// Whether the image is on the machine or is being fetched for another task.
     pub has_image: bool,
-    /// Fetching the image would take a good part of the time allowed for a start.
+    /// Whether fetching the image would take a large part of the time allowed for a start.
     pub slow_fetch: bool,
-    /// Nothing runs there, so it may soon be returned.
+    /// Whether the machine runs nothing and so may soon be deprovisioned.
     pub empty: bool,
 }
 
-/// The tier of a machine for a task; none if the task may not run there at all.
+/// Returns the tier of a machine for a task, or `None` if the task may not run there.
 pub fn tier(requirements: &TaskRequirements, kind: &str, zone: &str, spot: bool) -> Option<u8> {
     if requirements
         .zone
@@ -123,24 +125,27 @@
         .map(|allowed| allowed.tier)
 }
 
-/// How well a machine suits; the smaller, the better. The fields are compared in their order: not one
-/// that would fetch for long; the cheaper tier; one that is in use; one that has the image; then the
-/// one with the least left, so that others become empty and can be returned.
+/// How well a machine suits a task; smaller is better. The fields are compared in their order,
+/// which prefers a machine that needs no slow fetch, then a lower tier, then a machine in use, then
+/// one that has the image. The last criterion is best-fit bin packing: the fewest CPUs remain free,
+/// so that other machines become empty and can be deprovisioned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rank {
-    /// Fetching the image would take a good part of the time allowed for a start.
+    /// Whether the image is missing and fetching it would take a large part of the time allowed for
+    /// a start.
     pub needs_slow_fetch: bool,
-    /// The tier of its type, zone and kind for the task.
+    /// Preference of the task for the machine's type and for spot or not; a lower tier is
+    /// preferred.
     pub tier: u8,
-    /// Nothing runs there, so it may soon be returned.
+    /// Whether the machine runs nothing and so may soon be deprovisioned.
     pub is_empty: bool,
-    /// The image is not there yet.
+    /// Whether the image is missing.
     pub needs_fetch: bool,
-    /// Thousandths of CPUs that the task would leave free.
+    /// CPUs that the task would leave free, in thousandths.
     pub remaining_millicpus: u64,
 }
 
-/// The rank of a machine for a task; none if the task does not fit.
+/// Returns the rank of a machine for a task, or `None` if the task does not fit.
 pub fn rank(requirements: &TaskRequirements, candidate: &Candidate) -> Option<Rank> {
     if !candidate.free.can_fit(Resources::of(requirements)) {
         return None;
@@ -155,8 +160,8 @@
     })
 }
 
-/// The size in gigabytes above which fetching an image takes more than half of `guarantee_s`, the time
-/// allowed for a guaranteed start.
+/// Returns the size above which fetching an image takes more than half of `guarantee_s`, the time
+/// allowed for a guaranteed start; in gigabytes.
 pub fn slow_fetch_above_gb(machine_type: &MachineType, guarantee_s: f64) -> f64 {
     machine_type.fetch_gb_per_s * guarantee_s / SLOW_FETCH_DIVISOR
 }
--- a/crates/sched/src/ranges.rs
+++ b/crates/sched/src/ranges.rs
@@ -1,43 +1,45 @@
-//! Sets of task indexes as sorted ranges, so that a job of 100,000 tasks costs a few words.
+//! Sets of task indexes as sorted ranges, so that the set of a job of 100,000 tasks takes only a
+//! few machine words.
 
 const BITS_PER_BYTE: usize = 8;
 
-/// A set of numbers, kept as sorted ranges `[from, to)` that don't touch.
+/// A set of numbers, stored as sorted ranges `[from, to)` that neither overlap nor adjoin.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RangeSet(Vec<(u32, u32)>);
 
 impl RangeSet {
-    /// The numbers below `n`.
+    /// Returns the set of the numbers below `n`.
     pub fn full(n: u32) -> RangeSet {
         RangeSet(if n == 0 { Vec::new() } else { vec![(0, n)] })
     }
 
-    /// Whether it has no member.
+    /// Returns whether the set has no members.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// How many members it has.
+    /// Returns the number of members.
     pub fn len(&self) -> u32 {
         self.0.iter().map(|(from, to)| to - from).sum()
     }
 
-    /// Whether `number` is a member.
+    /// Returns whether `number` is a member.
     pub fn contains(&self, number: u32) -> bool {
         self.preceding_range_contains(self.first_range_after(number), number)
     }
 
-    /// The position of the first range that begins after `number`.
+    /// Returns the position of the first range that begins after `number`.
     fn first_range_after(&self, number: u32) -> usize {
         self.0.partition_point(|&(from, _)| from <= number)
     }
 
-    /// Whether the range before position `at`, which begins no later than `number`, has it.
+    /// Returns whether the range before `position`, which begins no later than `number`, contains
+    /// it.
     fn preceding_range_contains(&self, position: usize, number: u32) -> bool {
         position > 0 && number < self.0[position - 1].1
     }
 
-    /// Adds a number; says whether it is new.
+    /// Adds a number. Returns whether it was not a member before.
     pub fn insert(&mut self, number: u32) -> bool {
         let position = self.first_range_after(number);
         if self.preceding_range_contains(position, number) {
@@ -57,7 +59,7 @@
         true
     }
 
-    /// Takes a number out; says whether it was a member.
+    /// Removes a number. Returns whether it was a member.
     pub fn remove(&mut self, number: u32) -> bool {
         let after = self.first_range_after(number);
         if !self.preceding_range_contains(after, number) {
@@ -79,20 +81,20 @@
         true
     }
 
-    /// Takes the lowest member out.
+    /// Removes and returns the lowest member.
     pub fn pop_first(&mut self) -> Option<u32> {
         let first = self.0.first()?.0;
         self.remove(first);
         Some(first)
     }
 
-    /// The members in ascending order.
+    /// Iterates over the members in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = u32> + '_ {
         self.0.iter().flat_map(|&(from, to)| from..to)
     }
 
-    /// The set as a bitmap in hexadecimal for the numbers `[from, to)`: in each byte the lowest bit
-    /// stands for the lowest number.
+    /// Encodes the members in `[from, to)` as a hexadecimal bitmap. In each byte, the least
+    /// significant bit stands for the lowest number.
     pub fn to_hex_bitmap(&self, from: u32, to: u32) -> String {
         let mut bytes = vec![0u8; ((to - from) as usize).div_ceil(BITS_PER_BYTE)];
         for number in self.iter().filter(|number| (from..to).contains(number)) {
@@ -102,7 +104,7 @@
         bytes.iter().map(|byte| format!("{byte:02x}")).collect()
     }
 
-    /// Adds the numbers of a bitmap that begins at `from`, except those from `below` on.
+    /// Adds the numbers of a bitmap whose first bit stands for `from`, except those from `end` on.
     pub fn insert_bitmap(&mut self, from: u32, bits: &[u8], end: u32) {
         for (byte_index, byte) in bits.iter().enumerate() {
             for bit in 0..BITS_PER_BYTE {
@@ -115,13 +117,13 @@
     }
 }
 
-/// The indexes of (first, count) runs, in their order.
+/// Iterates over the indexes in (first, count) runs, in the order of the runs.
 pub fn expand_runs(runs: &[(u32, u32)]) -> impl Iterator<Item = u32> + '_ {
     runs.iter()
         .flat_map(|&(first, count)| first..first.saturating_add(count))
 }
 
-/// Joins sorted indexes into (first, count) runs.
+/// Combines sorted indexes into (first, count) runs.
 pub fn to_runs(indexes: impl IntoIterator<Item = u32>) -> Vec<(u32, u32)> {
     let mut joined: Vec<(u32, u32)> = Vec::new();
     for index in indexes {
--- a/crates/sched/src/shard.rs
+++ b/crates/sched/src/shard.rs
@@ -1,5 +1,5 @@
-//! Shards: machines are mapped to controllers by rendezvous hashing, so that a change of the
-//! members moves only the machines of the member that came or went.
+//! Shards: rendezvous hashing assigns machines to controllers, so that a change of the membership
+//! moves only machines of the controller that joined or left.
 
 /// FNV-1a's 64-bit offset basis and prime.
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
@@ -9,8 +9,8 @@
 const MIX_MULTIPLIER: u64 = 0xff51_afd7_ed55_8ccd;
 const MIX_SHIFT: u32 = 33;
 
-/// FNV-1a of both names, with a final mix: FNV's high bits alone depend too little on the last bytes.
-/// All controllers must agree on it.
+/// Returns the FNV-1a hash of both names with a finalizer, as the high bits of plain FNV depend too
+/// little on the last bytes. All controllers must compute the same values.
 fn hash(machine: &str, member: &str) -> u64 {
     let mut hash = FNV_OFFSET;
     for byte in machine.bytes().chain([0]).chain(member.bytes()) {
@@ -21,7 +21,7 @@
     hash ^ (hash >> MIX_SHIFT)
 }
 
-/// The member that owns a machine; none without members.
+/// Returns the member that owns a machine, or `None` if there are no members.
 pub fn owner<'a>(machine: &str, members: &'a [String]) -> Option<&'a str> {
     members
         .iter()
--- a/crates/sched/tests/shard.rs
+++ b/crates/sched/tests/shard.rs
@@ -1,4 +1,4 @@
-//! Which controller a machine belongs to.
+//! The assignment of machines to controllers when a controller is lost.
 
 use sched::shard::owner;
 
@@ -8,13 +8,19 @@
     let rest = vec![all[0].clone(), all[2].clone()];
     let mut moved = 0;
     for i in 0..300 {
-        let m = format!("host-{i:06}");
-        let (before, after) = (owner(&m, &all).unwrap(), owner(&m, &rest).unwrap());
+        let machine = format!("host-{i:06}");
+        let (before, after) = (
+            owner(&machine, &all).unwrap(),
+            owner(&machine, &rest).unwrap(),
+        );
         if before == "rung-1" {
             moved += 1;
         } else {
             assert_eq!(before, after);
         }
     }
-    assert!((60..140).contains(&moved), "parts are uneven: {moved}");
+    assert!(
+        (60..140).contains(&moved),
+        "shards are uneven: {moved} of 300 machines"
+    );
 }
