--- a/crates/sched/src/capacity_index.rs
+++ b/crates/sched/src/capacity_index.rs
@@ -1,8 +1,8 @@
 //! An index of the machines that accept tasks, updated incrementally between placement passes.
 //!
 //! Machines are grouped into pools by type, zone and whether they are spot machines, and sorted by
-//! free CPUs within a pool. A search visits only the pools that a job allows and, in these, only
-//! the machines with enough free CPUs.
+//! free CPUs within a pool; placement ranks machines by these properties, among others. A search
+//! visits only the pools that a job allows and, in these, only the machines with enough free CPUs.
 
 use crate::placement::{rank, slow_fetch_above_gb, tier, Candidate, Rank, Resources};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/sched/src/config.rs
+++ b/crates/sched/src/config.rs
@@ -48,7 +48,8 @@
     /// Length of the leader's lease in the store.
     pub leader_lease_s: Secs,
     /// Time within which a job within its team's guarantee should start. It determines when
-    /// borrowed resources are preempted for such a job.
+    /// borrowed resources are preempted for such a job: after a part of this time, or at once for
+    /// gangs of several tasks.
     pub guarantee_s: Secs,
     /// Time within which a gang should start, by class.
     pub wait_s: BTreeMap<String, Secs>,
--- a/crates/sched/src/owner/lease.rs
+++ b/crates/sched/src/owner/lease.rs
@@ -49,7 +49,8 @@
         self.has_expired = true;
     }
 
-    /// Returns whether the lease was marked as expired and not revived since.
+    /// Returns whether the lease was marked as expired and not revived since. Only a heartbeat of a
+    /// later incarnation revives it; all others are stale (see `precedes_expiry`).
     pub(super) fn has_expired(&self) -> bool {
         self.has_expired
     }
--- a/crates/sched/src/owner/machine.rs
+++ b/crates/sched/src/owner/machine.rs
@@ -39,7 +39,8 @@
     notice_s: Option<f64>,
     tasks: BTreeMap<TaskRef, TaskStatus>,
     orders: OutstandingOrders,
-    /// Images of tasks that were started here, the most recent first.
+    /// Images of tasks that were to be started here, the most recent first. An image is remembered
+    /// as soon as the start is decided.
     images: VecDeque<String>,
     is_dirty: bool,
 }
@@ -101,7 +102,7 @@
         self.pending().is_empty() && self.live_tasks().next().is_none()
     }
 
-    /// Iterates over the images of tasks that were started here, the most recent first.
+    /// Iterates over the images of tasks that were to be started here, the most recent first.
     pub(super) fn images(&self) -> impl Iterator<Item = &String> {
         self.images.iter()
     }
--- a/crates/sched/src/owner/mod.rs
+++ b/crates/sched/src/owner/mod.rs
@@ -62,7 +62,7 @@
     Orders(Orders),
     /// Name of the controller that owns the machine, to which the worker is to send its heartbeats.
     Redirect(String),
-    /// This controller must not give orders to the machine, or the heartbeat is stale.
+    /// This controller must not give orders to the machine at present, or the heartbeat is stale.
     Unavailable,
 }
 
--- a/crates/sched/src/owner/placement.rs
+++ b/crates/sched/src/owner/placement.rs
@@ -80,7 +80,8 @@
         fits
     }
 
-    /// Reserves all places of a reservation, or none of them. Returns whether it did.
+    /// Reserves all places of a reservation, or none of them. Returns whether it did. A
+    /// reservation covers only the part of its gang that is placed on this shard.
     pub(super) fn reserve(
         &mut self,
         attempt: u64,
--- a/crates/sched/src/placement.rs
+++ b/crates/sched/src/placement.rs
@@ -129,6 +129,8 @@
 /// which prefers a machine that needs no slow fetch, then a lower tier, then a machine in use, then
 /// one that has the image. The last criterion is best-fit bin packing: the fewest CPUs remain free,
 /// so that other machines become empty and can be deprovisioned.
+///
+/// A lower tier is cheaper: spot machines come before ordinary ones, except those of scarce types.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rank {
     /// Whether the image is missing and fetching it would take a large part of the time allowed for
