--- a/crates/sched/src/owner/backlog.rs
+++ b/crates/sched/src/owner/backlog.rs
@@ -1,4 +1,4 @@
-//! Tasks that wait at their owner for resources to become free.
+//! The backlog: assigned tasks that wait for free resources on a machine of the shard.
 
 use super::machine::OwnedMachine;
 use super::outbox::Outbox;
@@ -9,19 +9,19 @@
 use std::collections::VecDeque;
 use wire::peers::TaskRequirements;
 
-/// Array tasks that wait until `until`.
+/// Tasks of an array that wait until `expires_at`.
 pub(super) struct BacklogEntry {
     pub(super) job: String,
     pub(super) attempt: u64,
     pub(super) requirements: TaskRequirements,
     pub(super) indexes: VecDeque<u32>,
-    pub(super) until: Secs,
+    pub(super) expires_at: Secs,
 }
 
-/// Tasks that start on whichever machine shows free resources for them first.
+/// Tasks that start on the first machine whose heartbeat shows enough free resources.
 ///
-/// Invariant: a task leaves by being started on a machine or by being handed back, and only an epoch
-/// drops it otherwise; entries keep the order in which the leader sent them.
+/// Invariant: a task is removed only when it is started on a machine or handed back to the leader,
+/// or by a new epoch. Entries keep the order in which the leader sent them.
 #[derive(Default)]
 pub(super) struct Backlog {
     entries: VecDeque<BacklogEntry>,
@@ -40,7 +40,7 @@
         self.entries.clear();
     }
 
-    /// The jobs that have an entry.
+    /// Iterates over the jobs that have an entry.
     pub(super) fn jobs(&self) -> impl Iterator<Item = &str> {
         self.entries.iter().map(|entry| entry.job.as_str())
     }
@@ -50,23 +50,23 @@
         self.hand_back(|entry| entry.job == job, outbox);
     }
 
-    /// Hands back the tasks whose wait has ended.
+    /// Hands the tasks whose wait has ended back to the leader.
     pub(super) fn hand_back_expired(&mut self, now: Secs, outbox: &mut Outbox) {
-        self.hand_back(|entry| now >= entry.until, outbox);
+        self.hand_back(|entry| now >= entry.expires_at, outbox);
     }
 
-    fn hand_back(&mut self, is_over: impl Fn(&BacklogEntry) -> bool, outbox: &mut Outbox) {
+    fn hand_back(&mut self, should_return: impl Fn(&BacklogEntry) -> bool, outbox: &mut Outbox) {
         self.entries.retain_mut(|entry| {
-            let over = is_over(entry);
-            if over {
+            let returned = should_return(entry);
+            if returned {
                 let tasks = to_runs(std::mem::take(&mut entry.indexes));
                 outbox.hand_back(std::mem::take(&mut entry.job), entry.attempt, tasks);
             }
-            !over
+            !returned
         });
     }
 
-    /// Moves as many tasks to a machine as its free resources and one answer allow.
+    /// Moves as many tasks to a machine as its free resources and the size of one response allow.
     pub(super) fn start_on(
         &mut self,
         machine: &mut OwnedMachine,
--- a/crates/sched/src/owner/heartbeats.rs
+++ b/crates/sched/src/owner/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of machines, and the answers to them. Tasks start in these answers only.
+//! Heartbeats of machines and the responses to them. Only these responses start tasks.
 
 use super::{HeartbeatResponse, JobLookup, Owner};
 use crate::Secs;
@@ -6,28 +6,29 @@
 use wire::workers::{Heartbeat, Order, Orders, TaskState};
 
 impl Owner {
-    /// Decides the answer to a heartbeat; `now` must be read just before.
+    /// Processes a heartbeat and returns the response. The caller must read `now` immediately
+    /// before.
     pub fn on_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
         now: Secs,
         jobs: &dyn JobLookup,
     ) -> HeartbeatResponse {
-        if let Some(refusal) = self.refusal(heartbeat, now) {
-            return refusal;
+        if let Some(rejection) = self.rejection(heartbeat, now) {
+            return rejection;
         }
         let machine = self.machines.find_or_add(heartbeat, &self.epoch);
-        if machine.is_stale_copy(heartbeat) {
+        if machine.is_stale(heartbeat) {
             return HeartbeatResponse::Unavailable;
         }
         machine.renew_lease(heartbeat, now);
         let is_terminal = |job: &str| self.terminal_jobs.is_terminal(job, jobs);
-        if !machine.counts(heartbeat) {
-            return self.respond(stops_of_terminal_jobs(heartbeat, is_terminal));
+        if !machine.is_current(heartbeat) {
+            return self.respond(stop_orders_for_terminal_jobs(heartbeat, is_terminal));
         }
-        machine.take_status(heartbeat);
-        if machine.withdraw_lost_starts(&heartbeat.machine, &mut self.outbox) {
-            self.outbox.show_changes();
+        machine.apply_heartbeat(heartbeat);
+        if machine.withdraw_undelivered_starts(&heartbeat.machine, &mut self.outbox) {
+            self.outbox.mark_statuses_due();
         }
         machine.reconcile_orders(is_terminal, &mut self.outbox);
         let may_start = now < self.authority.starts_until();
@@ -37,8 +38,9 @@
         self.respond_with_orders(&heartbeat.machine, may_start)
     }
 
-    /// Why this controller may not answer a heartbeat with orders; none if it may.
-    fn refusal(&self, heartbeat: &Heartbeat, now: Secs) -> Option<HeartbeatResponse> {
+    /// Returns the response if this controller may not give the machine orders, or `None` if it
+    /// may.
+    fn rejection(&self, heartbeat: &Heartbeat, now: Secs) -> Option<HeartbeatResponse> {
         if !self.has_authority(now) || self.epoch.token() == 0 {
             return Some(HeartbeatResponse::Unavailable);
         }
@@ -49,13 +51,14 @@
         }
     }
 
-    /// Fills what a machine's heartbeat shows to be free from the backlog, in the very answer:
-    /// otherwise the resources wait for the leader and then for the machine's next heartbeat.
+    /// Starts tasks of the backlog on the resources that a machine's heartbeat shows to be free, in
+    /// the response to this heartbeat. Otherwise the resources would stay idle until the leader
+    /// assigns tasks and the machine sends its next heartbeat.
     fn start_from_backlog(&mut self, name: &str, jobs: &dyn JobLookup) {
         if self.backlog.is_empty() {
             return;
         }
-        let Some(machine) = self.machines.get(name).filter(|m| m.is_open()) else {
+        let Some(machine) = self.machines.get(name).filter(|m| m.is_schedulable()) else {
             return;
         };
         let Some(free) = self.free_resources(name, machine, jobs) else {
@@ -74,7 +77,7 @@
         if machine.is_dirty() {
             self.dirty_machines.insert(name.to_string());
         }
-        self.respond(machine.orders(may_start))
+        self.respond(machine.next_orders(may_start))
     }
 
     fn respond(&self, orders: Vec<Order>) -> HeartbeatResponse {
@@ -83,11 +86,14 @@
     }
 }
 
-/// The answer to a heartbeat that shows an old token: it tells the worker the token, and the heartbeat
-/// that shows that one will count. It prolongs the lease, though, and leaders may change faster than
-/// heartbeats come: tasks of terminal jobs are stopped all the same, for that is safe whenever the
-/// heartbeat was sent.
-fn stops_of_terminal_jobs(heartbeat: &Heartbeat, is_terminal: impl Fn(&str) -> bool) -> Vec<Order> {
+/// Returns the orders for a heartbeat with an old fencing token. The response tells the worker the
+/// new token, so that its next heartbeat is current. But the response also renews the lease, and
+/// epochs may change more often than heartbeats arrive. Tasks of terminal jobs are therefore
+/// stopped even now, which is safe no matter when the heartbeat was sent.
+fn stop_orders_for_terminal_jobs(
+    heartbeat: &Heartbeat,
+    is_terminal: impl Fn(&str) -> bool,
+) -> Vec<Order> {
     let live = heartbeat
         .tasks
         .iter()
