--- a/crates/sched/src/autoscaler/arrivals.rs
+++ b/crates/sched/src/autoscaler/arrivals.rs
@@ -2,10 +2,10 @@
 
 use crate::Secs;
 use std::collections::VecDeque;
-use wire::users::Job as Spec;
+use wire::users::Job as JobSpec;
 
 /// Idle capacity of up to so many times what the jobs need that came lately is worth keeping.
-const DEMAND_COVER: f64 = 4.0;
+const DEMAND_FACTOR: f64 = 4.0;
 
 /// Part of the time that idle machines are kept where no jobs came lately: they may come again.
 const MIN_RETENTION_SHARE: f64 = 0.25;
@@ -27,17 +27,17 @@
 
 impl Arrivals {
     /// A job came.
-    pub fn record(&mut self, job: &Spec, now: Secs) {
+    pub fn record(&mut self, job: &JobSpec, now: Secs) {
         let cpus = job.cpus * f64::from(job.tasks);
         self.jobs.push_back(Arrival { at: now, cpus });
     }
 
     /// Which part of its time idle capacity is kept, as the jobs that came after an instant make it worth. It
     /// waits for jobs still to come: when hardly any came for as long as it is kept, it is returned sooner.
-    pub fn demand_share(&self, since: Secs, idle_cpus: f64) -> f64 {
+    pub fn retention_share(&self, since: Secs, idle_cpus: f64) -> f64 {
         let arrived = self.jobs.iter().rev().take_while(|job| job.at >= since);
         let cpus: f64 = arrived.map(|job| job.cpus).sum();
-        (cpus * DEMAND_COVER / idle_cpus.max(1.0)).clamp(MIN_RETENTION_SHARE, 1.0)
+        (cpus * DEMAND_FACTOR / idle_cpus.max(1.0)).clamp(MIN_RETENTION_SHARE, 1.0)
     }
 
     /// CPUs of the tasks that came in a second, over the last `over_s` seconds.
--- a/crates/sched/src/autoscaler/gang.rs
+++ b/crates/sched/src/autoscaler/gang.rs
@@ -9,11 +9,11 @@
 
 /// How a zone suits a gang that wants one zone. The better it suits, the smaller: the order of the fields counts.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct ZoneOutlook {
+struct ZoneScore {
     /// It lacks machines, and the cloud refused every offer there lately.
-    hopeless: bool,
+    exhausted: bool,
     /// How many tasks find neither free capacity nor capacity on its way.
-    lacking: u32,
+    missing_slots: u32,
 }
 
 impl ScaleOut<'_> {
@@ -38,7 +38,7 @@
         let mut zones: Vec<TaskRequirements> =
             zones.map(|zone| in_zone(requirements, &zone)).collect();
         zones.sort_by_cached_key(|zone| {
-            let slots = self.slots(zone).min(half);
+            let slots = self.available_slots(zone).min(half);
             (!self.has_available_offer(zone), Reverse(slots))
         });
         let mut left = tasks;
@@ -54,10 +54,10 @@
     /// in any case, since machines are cordoned for it there.
     fn choose_zone(&self, id: &str, requirements: &TaskRequirements, tasks: u32) -> Option<String> {
         let zones = self.zones(requirements);
-        let outlook = |zone: &String| self.outlook(&in_zone(requirements, zone), tasks);
+        let outlook = |zone: &String| self.score_zone(&in_zone(requirements, zone), tasks);
         let suits = |zone: &&String| {
             let keeps_zone = || self.cluster.has_waited_long(id, self.now);
-            zones.contains(*zone) && (keeps_zone() || !outlook(zone).hopeless)
+            zones.contains(*zone) && (keeps_zone() || !outlook(zone).exhausted)
         };
         let kept = self.autoscaler.gang_zones.get(id).filter(suits);
         kept.or_else(|| zones.iter().min_by_key(|zone| outlook(zone)))
@@ -65,16 +65,16 @@
     }
 
     /// How a zone, given by requirements, suits a gang of so many tasks.
-    fn outlook(&self, requirements: &TaskRequirements, tasks: u32) -> ZoneOutlook {
-        let lacking = tasks.saturating_sub(self.slots(requirements));
-        ZoneOutlook {
-            hopeless: lacking > 0 && !self.has_available_offer(requirements),
-            lacking,
+    fn score_zone(&self, requirements: &TaskRequirements, tasks: u32) -> ZoneScore {
+        let lacking = tasks.saturating_sub(self.available_slots(requirements));
+        ZoneScore {
+            exhausted: lacking > 0 && !self.has_available_offer(requirements),
+            missing_slots: lacking,
         }
     }
 
     /// How many tasks find free capacity or capacity on its way.
-    fn slots(&self, requirements: &TaskRequirements) -> u32 {
+    fn available_slots(&self, requirements: &TaskRequirements) -> u32 {
         let fits = self.cluster.machines.index().fits(requirements);
         let free: u32 = fits.iter().map(|fit| fit.slots).sum();
         free.saturating_add(self.incoming.count_fitting(requirements))
--- a/crates/sched/src/autoscaler/incoming.rs
+++ b/crates/sched/src/autoscaler/incoming.rs
@@ -18,7 +18,7 @@
 
 impl IncomingMachines {
     /// Takes some of the machines out and gives capacity of each away.
-    fn split_off(&mut self, count: u32, used: Resources) -> IncomingMachines {
+    fn allocate(&mut self, count: u32, used: Resources) -> IncomingMachines {
         let mut free = self.free;
         free.sub(used);
         self.count -= count;
@@ -57,7 +57,7 @@
     }
 
     /// Takes capacity for up to `left` tasks; says how many remain.
-    pub fn take(
+    pub fn allocate(
         &mut self,
         allowed: impl Fn(&Offer) -> bool,
         resources: Resources,
@@ -77,7 +77,7 @@
             };
             for (count, tasks) in [(full, slots), (u32::from(rest > 0), rest)] {
                 if count > 0 {
-                    used.push(machines.split_off(count, resources.scaled(tasks)));
+                    used.push(machines.allocate(count, resources.scaled(tasks)));
                     left -= count * tasks;
                 }
             }
--- a/crates/sched/src/autoscaler/mod.rs
+++ b/crates/sched/src/autoscaler/mod.rs
@@ -20,7 +20,7 @@
 use offer::{BootingMachine, Offer, Refusal};
 use std::collections::{BTreeMap, BTreeSet};
 use wire::cloud::{Listed, ListedMachine, ProvisionRequest};
-use wire::users::Job as Spec;
+use wire::users::Job as JobSpec;
 
 /// The cloud charges for at least this many seconds of a machine (a figure of the protocol).
 const MIN_CHARGE_S: f64 = 60.0;
@@ -65,13 +65,13 @@
     /// The zone that each waiting gang's machines are provisioned in, by job.
     gang_zones: BTreeMap<String, String>,
     /// Machines that wait for the rest of a gang's: not returned meanwhile.
-    retained: BTreeSet<String>,
+    retained_for_gangs: BTreeSet<String>,
     /// Machines that the cloud has taken back.
     released: BTreeSet<String>,
     /// Machines whose release the cloud has not confirmed.
     releasing: BTreeSet<String>,
     /// Number of the last request under this leader.
-    counter: u64,
+    last_request_number: u64,
     /// When the work was last reviewed.
     reviewed_at: Secs,
     /// Jobs that came lately.
@@ -90,7 +90,7 @@
     }
 
     /// A job came.
-    pub fn record_arrival(&mut self, job: &Spec, now: Secs) {
+    pub fn record_arrival(&mut self, job: &JobSpec, now: Secs) {
         self.arrivals.record(job, now);
     }
 
@@ -140,7 +140,7 @@
         let returns = self.scale_in(cluster, &scarce, epoch, now);
         ScalingDecision {
             provision,
-            cordon: returns.close,
+            cordon: returns.cordon,
             deprovision: self.begin_release(returns.release),
         }
     }
@@ -168,7 +168,7 @@
         }
         for machine in machines.unwrap_or_default() {
             if !cluster.machines.contains_key(&machine) {
-                self.add_booting(machine, offer.clone(), now);
+                self.track_booting(machine, offer.clone(), now);
             }
         }
     }
@@ -220,7 +220,7 @@
             let machine_type = cluster.machine_types.get(&listed.kind);
             machine_type.map_or(0.0, |machine_type| machine_type.boot_s)
         };
-        self.add_booting(
+        self.track_booting(
             listed.name.clone(),
             Offer::of_listed(listed),
             now - since_request_s,
@@ -228,7 +228,7 @@
     }
 
     /// Expects the first heartbeat of a machine.
-    fn add_booting(&mut self, name: String, offer: Offer, requested_at: Secs) {
+    fn track_booting(&mut self, name: String, offer: Offer, requested_at: Secs) {
         let machine = BootingMachine {
             offer,
             requested_at,
--- a/crates/sched/src/autoscaler/offer.rs
+++ b/crates/sched/src/autoscaler/offer.rs
@@ -17,7 +17,7 @@
 const MAX_DOUBLINGS: u32 = 2;
 
 /// A wait is drawn between this part of its length and that part plus `JITTER_SPAN`.
-const MIN_JITTER: f64 = 0.75;
+const MIN_JITTER_FACTOR: f64 = 0.75;
 
 /// Width of the range that the part is drawn from.
 const JITTER_SPAN: f64 = 0.5;
@@ -100,7 +100,7 @@
         let base_s = list_lag_s * REFUSAL_LAG_SHARE;
         let wait_s = if answered {
             let doublings = earlier.min(MAX_DOUBLINGS);
-            base_s * f64::from(1u32 << doublings) * (MIN_JITTER + JITTER_SPAN * rng.f64())
+            base_s * f64::from(1u32 << doublings) * (MIN_JITTER_FACTOR + JITTER_SPAN * rng.f64())
         } else {
             base_s * UNKNOWN_OUTCOME_SHARE
         };
--- a/crates/sched/src/autoscaler/plan.rs
+++ b/crates/sched/src/autoscaler/plan.rs
@@ -42,9 +42,9 @@
 
     /// A request under a name that was never used before.
     fn request(&mut self, offer: &Offer, count: u32, token: u64) -> ProvisionRequest {
-        self.counter += 1;
+        self.last_request_number += 1;
         let request = ProvisionRequest {
-            name: format!("lr-{token}-{}", self.counter),
+            name: format!("lr-{token}-{}", self.last_request_number),
             kind: offer.kind.clone(),
             zone: offer.zone.clone(),
             spot: offer.spot,
--- a/crates/sched/src/autoscaler/pricing.rs
+++ b/crates/sched/src/autoscaler/pricing.rs
@@ -84,12 +84,12 @@
     /// How many more machines of an offer may be asked for at present: what is refused shows only in the
     /// answers, and requests are few.
     pub fn request_limit(&self, offer: &Offer) -> u32 {
-        let most = if self.autoscaler.is_exhausted(offer) {
+        let limit = if self.autoscaler.is_exhausted(offer) {
             MAX_UNANSWERED_PROBES
         } else {
             MAX_UNANSWERED
         };
-        most.saturating_sub(self.autoscaler.unanswered(offer) + self.plan.count(offer))
+        limit.saturating_sub(self.autoscaler.unanswered(offer) + self.plan.count(offer))
     }
 
     /// The offer with the lowest price per task that fits, preferring one that is not too big. None if what
@@ -126,7 +126,8 @@
             for zone in machine_type.zones.iter().filter(wanted) {
                 let offer = Offer::new(&allowed.kind, zone, allowed.spot);
                 let price = price * (1.0 + PRICE_NOISE * self.rng.f64());
-                if self.autoscaler.is_available(&offer, self.now) && !self.is_probed(&offer) {
+                if self.autoscaler.is_available(&offer, self.now) && !self.is_probe_pending(&offer)
+                {
                     priced.push(PricedOffer {
                         offer,
                         capacity,
@@ -140,7 +141,7 @@
     }
 
     /// Whether an offer was refused and is being asked for again: it may have no machines at any price.
-    fn is_probed(&self, offer: &Offer) -> bool {
+    fn is_probe_pending(&self, offer: &Offer) -> bool {
         self.autoscaler.is_exhausted(offer) && self.request_limit(offer) == 0
     }
 }
--- a/crates/sched/src/autoscaler/retention.rs
+++ b/crates/sched/src/autoscaler/retention.rs
@@ -44,13 +44,13 @@
     /// For the types that the cloud lists.
     by_type: BTreeMap<String, IdleRetention>,
     /// For machines whose type the cloud does not list.
-    unknown_type: IdleRetention,
+    for_unknown_type: IdleRetention,
 }
 
 impl RetentionByType {
     /// How long idle machines of a type are kept.
-    pub fn of(&self, kind: &str) -> &IdleRetention {
-        self.by_type.get(kind).unwrap_or(&self.unknown_type)
+    pub fn for_type(&self, kind: &str) -> &IdleRetention {
+        self.by_type.get(kind).unwrap_or(&self.for_unknown_type)
     }
 }
 
@@ -83,17 +83,18 @@
             now,
         };
         let types = cluster.machine_types.iter();
-        let by_type = types.map(|(kind, of_kind)| (kind.clone(), policy.of_type(of_kind, scarce)));
+        let by_type =
+            types.map(|(kind, of_kind)| (kind.clone(), policy.retention_for(of_kind, scarce)));
         RetentionByType {
             by_type: by_type.collect(),
-            unknown_type: policy.of_unknown_type(),
+            for_unknown_type: policy.retention_for_unknown_type(),
         }
     }
 }
 
 impl RetentionPolicy<'_> {
     /// How long idle machines of a type that the cloud lists are kept.
-    fn of_type(
+    fn retention_for(
         &self,
         machine_type: &MachineType,
         scarce: &BTreeSet<(String, bool)>,
@@ -115,7 +116,7 @@
     }
 
     /// How long idle machines of any other type are kept: as if they booted within the least charge.
-    fn of_unknown_type(&self) -> IdleRetention {
+    fn retention_for_unknown_type(&self) -> IdleRetention {
         let retention_s = self.retention_s(MIN_CHARGE_S, 1.0, 0.0);
         IdleRetention {
             boot_s: MIN_CHARGE_S,
@@ -131,7 +132,7 @@
         let full_s = boot_s * config.idle_retention_boots * price_advantage;
         let demand_share = self
             .arrivals
-            .demand_share(self.now - full_s, self.idle_cpus);
+            .retention_share(self.now - full_s, self.idle_cpus);
         (full_s * demand_share)
             .max(for_gangs_s)
             .max(config.heartbeat_s * MIN_RETENTION_HEARTBEATS)
--- a/crates/sched/src/autoscaler/scale_out.rs
+++ b/crates/sched/src/autoscaler/scale_out.rs
@@ -17,22 +17,22 @@
 
 /// Capacity that running tasks of arrays free again and again while a machine boots. What one job counts on is
 /// no longer there for the next.
-struct Turnover {
+struct ExpectedTurnover {
     /// CPUs that become free in a second.
     cpus_per_s: f64,
     /// CPUs that jobs count on already.
-    taken_cpus: f64,
+    claimed_cpus: f64,
 }
 
-impl Turnover {
+impl ExpectedTurnover {
     /// How many of `tasks` will find capacity by the time a machine has booted. Jobs that come meanwhile take
     /// `arriving_cpus_per_s` of what becomes free.
-    fn serve(&mut self, tasks: u32, cpus: f64, boot_s: Secs, arriving_cpus_per_s: f64) -> u32 {
+    fn claim(&mut self, tasks: u32, cpus: f64, boot_s: Secs, arriving_cpus_per_s: f64) -> u32 {
         let net_cpus_per_s = (self.cpus_per_s - arriving_cpus_per_s).max(0.0);
-        let served = ((net_cpus_per_s * boot_s - self.taken_cpus) / cpus.max(MIN_TASK_CPUS))
+        let served = ((net_cpus_per_s * boot_s - self.claimed_cpus) / cpus.max(MIN_TASK_CPUS))
             .floor()
             .clamp(0.0, f64::from(tasks));
-        self.taken_cpus += served * cpus;
+        self.claimed_cpus += served * cpus;
         served as u32
     }
 }
@@ -55,7 +55,7 @@
     /// What the review asks for.
     pub plan: Plan,
     /// Capacity that becomes free while machines boot.
-    turnover: Turnover,
+    turnover: ExpectedTurnover,
     /// Whether a gang waits for scarce machine types.
     gang_waits_for_scarce: bool,
     /// When machines in use become empty; looked up for the first gang.
@@ -72,7 +72,7 @@
         rng: &mut fastrand::Rng,
         now: Secs,
     ) -> Vec<ProvisionRequest> {
-        self.retained.clear();
+        self.retained_for_gangs.clear();
         let review = ScaleOut {
             incoming: self.incoming(cluster),
             autoscaler: self,
@@ -81,9 +81,9 @@
             rng,
             now,
             plan: Plan::default(),
-            turnover: Turnover {
+            turnover: ExpectedTurnover {
                 cpus_per_s: cluster.turnover_cpus_per_s(),
-                taken_cpus: 0.0,
+                claimed_cpus: 0.0,
             },
             gang_waits_for_scarce: cluster.gang_waits_for_scarce_types(scarce),
             busy_machines: None,
@@ -126,17 +126,18 @@
 
     /// Plans machines for tasks of an array that will find neither capacity on its way nor capacity that
     /// running tasks free.
-    fn plan_for_array(&mut self, job: &Job, sparing: &TaskRequirements, tasks: u32) {
+    fn plan_for_array(&mut self, job: &Job, avoiding_scarce: &TaskRequirements, tasks: u32) {
         let resources = job.resources();
-        let all = self.cluster.requirements(job, None);
-        let mut left = self
-            .incoming
-            .take(|offer| offer.is_allowed_by(&all), resources, tasks);
+        let unrestricted = self.cluster.requirements(job, None);
+        let mut left =
+            self.incoming
+                .allocate(|offer| offer.is_allowed_by(&unrestricted), resources, tasks);
         while left > 0 {
-            let Some(choice) = self.cheapest_sparing(sparing, &all, left) else {
+            let Some(choice) = self.cheapest_avoiding_scarce(avoiding_scarce, &unrestricted, left)
+            else {
                 break;
             };
-            left -= self.serve_by_turnover(left, resources.cpus, choice.boot_s);
+            left -= self.claim_turnover(left, resources.cpus, choice.boot_s);
             if left > 0 {
                 left = self.provision(choice, resources, left);
             }
@@ -145,26 +146,28 @@
 
     /// The cheapest offer without scarce machine types; with them while no gang waits for them and the others
     /// are used up.
-    fn cheapest_sparing(
+    fn cheapest_avoiding_scarce(
         &mut self,
-        sparing: &TaskRequirements,
-        all: &TaskRequirements,
+        avoiding_scarce: &TaskRequirements,
+        unrestricted: &TaskRequirements,
         tasks: u32,
     ) -> Option<PricedOffer> {
-        let found = self.cheapest(sparing, tasks);
-        if found.is_none() && !self.gang_waits_for_scarce && self.has_only_exhausted_offers(sparing)
+        let found = self.cheapest(avoiding_scarce, tasks);
+        if found.is_none()
+            && !self.gang_waits_for_scarce
+            && self.has_only_exhausted_offers(avoiding_scarce)
         {
-            return self.cheapest(all, tasks);
+            return self.cheapest(unrestricted, tasks);
         }
         found
     }
 
     /// How many tasks need no machine that boots: running tasks make way for them as soon.
-    fn serve_by_turnover(&mut self, tasks: u32, cpus: f64, boot_s: Secs) -> u32 {
+    fn claim_turnover(&mut self, tasks: u32, cpus: f64, boot_s: Secs) -> u32 {
         let arrivals = &self.autoscaler.arrivals;
         let arriving_cpus_per_s = arrivals.cpus_per_s(self.now, boot_s.max(MIN_CHARGE_S));
         self.turnover
-            .serve(tasks, cpus, boot_s, arriving_cpus_per_s)
+            .claim(tasks, cpus, boot_s, arriving_cpus_per_s)
     }
 
     /// Plans machines of an offer for `left` tasks, as many as may be asked for at present but at least one; says
@@ -173,10 +176,12 @@
         let PricedOffer {
             offer, capacity, ..
         } = choice;
-        let most = self.request_limit(&offer).max(1);
-        let count = (left / capacity.count_fitting(resources)).clamp(1, most);
+        let max_count = self.request_limit(&offer).max(1);
+        let count = (left / capacity.count_fitting(resources)).clamp(1, max_count);
         self.incoming.add(offer.clone(), capacity, count);
-        let left = self.incoming.take(|other| *other == offer, resources, left);
+        let left = self
+            .incoming
+            .allocate(|other| *other == offer, resources, left);
         self.plan.add(offer, count);
         left
     }
@@ -190,11 +195,13 @@
                 break;
             }
             left -= fit.slots.min(left);
-            self.autoscaler.retained.insert(fit.name.to_string());
+            self.autoscaler
+                .retained_for_gangs
+                .insert(fit.name.to_string());
         }
         left = self
             .incoming
-            .take(|offer| offer.is_allowed_by(requirements), resources, left);
+            .allocate(|offer| offer.is_allowed_by(requirements), resources, left);
         while left > 0 {
             let Some(choice) = self.cheapest(requirements, left) else {
                 break;
--- a/crates/sched/src/cluster/active_tasks.rs
+++ b/crates/sched/src/cluster/active_tasks.rs
@@ -1,7 +1,7 @@
 //! Which tasks may be running where: a task is charged to its team and its machine from the decision to
 //! start it until it is certainly not running.
 
-use super::job::waits_at;
+use super::job::waiting_owner;
 use super::{ActiveTask, Cluster, TaskLocation};
 
 impl Cluster {
@@ -13,10 +13,10 @@
         };
         let resources = job.resources();
         job.ready_tasks.remove(index);
-        if let Some(owner) = waits_at(&active.location) {
+        if let Some(owner) = waiting_owner(&active.location) {
             self.backlogs.add(owner, resources.cpus);
         }
-        if let Some(name) = machine_of(&active.location) {
+        if let Some(name) = charged_machine(&active.location) {
             if let Some(machine) = self.machines.get_mut(name) {
                 machine.charge((id.into(), index), active.attempt, resources);
                 self.machines.mark_dirty(name);
@@ -31,10 +31,10 @@
         let job = self.jobs.get_mut(id)?;
         let active = job.active.remove(&index)?;
         let resources = job.resources();
-        if let Some(owner) = waits_at(&active.location) {
+        if let Some(owner) = waiting_owner(&active.location) {
             self.backlogs.remove(owner, resources.cpus);
         }
-        if let Some(name) = machine_of(&active.location) {
+        if let Some(name) = charged_machine(&active.location) {
             if let Some(machine) = self.machines.get_mut(name) {
                 machine.uncharge(&(id.to_string(), index), resources);
                 self.machines.mark_dirty(name);
@@ -46,7 +46,7 @@
 }
 
 /// The machine that a task at a place is charged to.
-fn machine_of(location: &TaskLocation) -> Option<&str> {
+fn charged_machine(location: &TaskLocation) -> Option<&str> {
     match location {
         TaskLocation::Assigned(_, machine) | TaskLocation::OnMachine(machine) => Some(machine),
         TaskLocation::Unresolved(_) => None,
--- a/crates/sched/src/cluster/job.rs
+++ b/crates/sched/src/cluster/job.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use wire::peers::TaskRef;
-use wire::users::{Job as Spec, Priority, Shape};
+use wire::users::{Job as JobSpec, Priority, Shape};
 
 /// Where an active task may be running.
 #[derive(Clone, Debug, PartialEq)]
@@ -83,7 +83,7 @@
 /// An open job, or a terminal one of which tasks may still be running.
 pub(crate) struct Job {
     /// What its user submitted.
-    pub spec: Rc<Spec>,
+    pub spec: Rc<JobSpec>,
     /// The most urgent priority among its own and that of the open jobs that need it.
     pub priority: Priority,
     /// The store's revision at its creation: the order of creation.
@@ -128,7 +128,7 @@
 }
 
 /// A job that failed on so many machines, and was done on none, is taken to fail on any.
-const MACHINES_TO_BLAME_JOB: usize = 3;
+const MIN_FAILED_MACHINES: usize = 3;
 
 impl Job {
     /// A job that this leader learns of at `now`.
@@ -137,13 +137,13 @@
         for index in open.done.iter() {
             ready.remove(index);
         }
-        let is_untouched = open.prior_runs == PriorRuns::None;
-        let start_record = if is_untouched {
+        let never_started = open.prior_runs == PriorRuns::None;
+        let start_record = if never_started {
             StartRecord::None
         } else {
             StartRecord::Written
         };
-        let suspects = match open.prior_runs {
+        let possible_machines = match open.prior_runs {
             PriorRuns::Bound(machines) => Some(machines),
             PriorRuns::None | PriorRuns::Anywhere => None,
         };
@@ -158,8 +158,8 @@
             dirty_chunks: BTreeSet::new(),
             ready_tasks: ready,
             active: BTreeMap::new(),
-            awaits_reconciliation: !is_untouched,
-            possible_machines: suspects,
+            awaits_reconciliation: !never_started,
+            possible_machines,
             start_record,
             backoff_until: 0.0,
             failures: 0,
@@ -180,7 +180,7 @@
 
     /// Notes that a task is done, and with it all of a gang: its tasks complete together. Progress is
     /// recorded in chunks of so many tasks.
-    pub(crate) fn mark_done(&mut self, index: u32, chunk_tasks: u32) {
+    pub(crate) fn mark_done(&mut self, index: u32, tasks_per_chunk: u32) {
         let indexes = if self.is_gang() {
             0..self.spec.tasks
         } else {
@@ -189,7 +189,7 @@
         for index in indexes {
             if self.done.insert(index) {
                 self.ready_tasks.remove(index);
-                self.dirty_chunks.insert(index / chunk_tasks);
+                self.dirty_chunks.insert(index / tasks_per_chunk);
             }
         }
     }
@@ -220,7 +220,7 @@
 
     /// Whether it fails wherever it is tried, so that the fault is its own and not the machines'.
     pub(crate) fn fails_everywhere(&self) -> bool {
-        self.failed_machines.len() >= MACHINES_TO_BLAME_JOB
+        self.failed_machines.len() >= MIN_FAILED_MACHINES
     }
 
     /// The smallest number of tasks that may run: all of a gang, one of an array.
@@ -234,7 +234,7 @@
 }
 
 /// The owner at which a task waits for the first capacity that becomes free.
-pub(crate) fn waits_at(location: &TaskLocation) -> Option<&str> {
+pub(crate) fn waiting_owner(location: &TaskLocation) -> Option<&str> {
     match location {
         TaskLocation::Assigned(owner, machine) if machine.is_empty() => Some(owner),
         _ => None,
@@ -244,7 +244,7 @@
 /// An open job as the store holds it.
 pub struct OpenJob {
     /// What its user submitted.
-    pub spec: Rc<Spec>,
+    pub spec: Rc<JobSpec>,
     /// The store's revision at its creation.
     pub revision: u64,
     /// Tasks that are done.
@@ -255,7 +255,7 @@
 
 impl OpenJob {
     /// A job of which no task is done.
-    pub fn new(spec: Rc<Spec>, revision: u64, prior_runs: PriorRuns) -> OpenJob {
+    pub fn new(spec: Rc<JobSpec>, revision: u64, prior_runs: PriorRuns) -> OpenJob {
         OpenJob {
             spec,
             revision,
--- a/crates/sched/src/cluster/machine.rs
+++ b/crates/sched/src/cluster/machine.rs
@@ -137,10 +137,12 @@
     }
 
     /// What is left of its capacity beside what may be running there and what is reserved.
-    pub fn free(&self, whole: Resources) -> Resources {
-        let mut free = whole;
+    pub fn free(&self, capacity: Resources) -> Resources {
+        let mut free = capacity;
         free.sub(self.used);
-        self.reserved.values().for_each(|h| free.sub(*h));
+        self.reserved
+            .values()
+            .for_each(|reserved| free.sub(*reserved));
         free
     }
 }
--- a/crates/sched/src/cluster/mod.rs
+++ b/crates/sched/src/cluster/mod.rs
@@ -27,7 +27,7 @@
 use crate::Secs;
 use std::collections::BTreeMap;
 use wire::cloud::MachineType;
-use wire::users::{Job as Spec, Shape};
+use wire::users::{Job as JobSpec, Shape};
 
 /// What one task of a class takes, to know which machine types it needs.
 #[derive(Clone, Debug)]
@@ -58,12 +58,12 @@
 }
 
 /// The least weight of a new run in the mean, so that it follows what changes.
-const MIN_RUN_WEIGHT: f64 = 0.05;
+const MIN_SAMPLE_WEIGHT: f64 = 0.05;
 
 impl RunTime {
     fn observe(&mut self, run_s: Secs) {
         self.count += 1;
-        let weight = (1.0 / f64::from(self.count)).max(MIN_RUN_WEIGHT);
+        let weight = (1.0 / f64::from(self.count)).max(MIN_SAMPLE_WEIGHT);
         self.mean_s += (run_s - self.mean_s) * weight;
     }
 }
@@ -99,7 +99,7 @@
 
     /// Takes in a job that is not known yet.
     pub(crate) fn insert_job(&mut self, job: Job) {
-        self.learn_class(&job.spec);
+        self.update_class_profile(&job.spec);
         self.jobs.insert(job);
     }
 
@@ -142,7 +142,7 @@
     }
 
     /// Learns from a new job what tasks of its class take.
-    fn learn_class(&mut self, job: &Spec) {
+    fn update_class_profile(&mut self, job: &JobSpec) {
         let resources = Resources {
             cpus: job.cpus,
             gpus: job.gpus,
--- a/crates/sched/src/cluster/quota.rs
+++ b/crates/sched/src/cluster/quota.rs
@@ -7,25 +7,25 @@
 
 /// What a team's jobs want together, as far as its limit goes.
 #[derive(Default)]
-struct Wanted {
+struct TeamDemand {
     cpus: f64,
     gpus: f64,
 }
 
-impl Wanted {
+impl TeamDemand {
     fn add(&mut self, job: &Job, team: &Team) {
         let tasks = f64::from(job.unfinished_tasks());
-        self.cpus += bounded_sum(tasks, job.spec.cpus, team.cpus_max);
-        self.gpus += bounded_sum(tasks, job.spec.gpus, team.gpus_max);
+        self.cpus += capped_usage(tasks, job.spec.cpus, team.cpus_max);
+        self.gpus += capped_usage(tasks, job.spec.gpus, team.gpus_max);
     }
 
-    fn is_guaranteed(&self, team: &Team) -> bool {
+    fn fits_guarantee(&self, team: &Team) -> bool {
         self.cpus <= team.cpus + ROUNDING_TOLERANCE && self.gpus <= team.gpus + ROUNDING_TOLERANCE
     }
 }
 
 /// What so many tasks use together, as many as a limit allows.
-fn bounded_sum(tasks: f64, each: f64, limit: f64) -> f64 {
+fn capped_usage(tasks: f64, each: f64, limit: f64) -> f64 {
     if each > 0.0 {
         tasks.min((limit / each).floor()) * each
     } else {
@@ -35,7 +35,7 @@
 
 /// Capacity that may be used by tasks which the leader does not know.
 #[derive(Clone, Copy, Default, PartialEq)]
-struct Unseen {
+struct UnobservedCapacity {
     /// Of machines with tasks of unknown jobs.
     unknown_jobs: Resources,
     /// Of machines of unknown content.
@@ -46,7 +46,7 @@
     /// Marks the jobs that fit into their team's guarantee together with its earlier ones.
     pub(crate) fn mark_within_guarantee(&mut self) {
         let teams = &self.config.teams;
-        let mut wanted_by: BTreeMap<&str, Wanted> = BTreeMap::new();
+        let mut demand_by_team: BTreeMap<&str, TeamDemand> = BTreeMap::new();
         self.jobs.for_each_by_creation(|job| {
             let Some((name, team)) = teams.get_key_value(&job.spec.team) else {
                 return;
@@ -54,46 +54,46 @@
             if job.terminal {
                 return;
             }
-            let wanted = wanted_by.entry(name).or_default();
-            wanted.add(job, team);
-            job.within_guarantee = wanted.is_guaranteed(team);
+            let demand = demand_by_team.entry(name).or_default();
+            demand.add(job, team);
+            job.within_guarantee = demand.fits_guarantee(team);
         });
     }
 
-    fn unseen_capacity(&self) -> Unseen {
-        let mut unseen = Unseen::default();
+    fn unobserved_capacity(&self) -> UnobservedCapacity {
+        let mut unobserved = UnobservedCapacity::default();
         for machine in self.machines.values() {
             let sum = match (machine.content_unknown, machine.has_unknown_jobs) {
-                (true, _) => &mut unseen.unknown_content,
-                (false, true) => &mut unseen.unknown_jobs,
+                (true, _) => &mut unobserved.unknown_content,
+                (false, true) => &mut unobserved.unknown_jobs,
                 (false, false) => continue,
             };
             sum.add(self.capacity(&machine.kind).unwrap_or_default());
         }
-        unseen
+        unobserved
     }
 
     /// What tasks that are not known may take from a team's limit: all that their machines have, but of
     /// unknown content no more than the team's jobs that may be there could use.
-    fn unseen_usage(&self, team: &str, unseen: Unseen) -> Resources {
-        let mut most = self.usage.recently_cancelled(team);
+    fn possible_unobserved_usage(&self, team: &str, unobserved: UnobservedCapacity) -> Resources {
+        let mut max_usage = self.usage.recently_cancelled(team);
         let jobs = self.jobs.values();
         for job in jobs.filter(|job| job.awaits_reconciliation && job.spec.team == team) {
             let tasks = f64::from(job.unfinished_tasks()) - job.active.len() as f64;
-            most.cpus += tasks.max(0.0) * job.spec.cpus;
-            most.gpus += tasks.max(0.0) * job.spec.gpus;
+            max_usage.cpus += tasks.max(0.0) * job.spec.cpus;
+            max_usage.gpus += tasks.max(0.0) * job.spec.gpus;
         }
-        let mut unknown_content = unseen.unknown_content;
-        unknown_content.cpus = unknown_content.cpus.min(most.cpus);
-        unknown_content.gpus = unknown_content.gpus.min(most.gpus);
-        let mut usage = unseen.unknown_jobs;
+        let mut unknown_content = unobserved.unknown_content;
+        unknown_content.cpus = unknown_content.cpus.min(max_usage.cpus);
+        unknown_content.gpus = unknown_content.gpus.min(max_usage.gpus);
+        let mut usage = unobserved.unknown_jobs;
         usage.add(unknown_content);
         usage
     }
 
-    /// What each team may still use, beside what its tasks use, have reserved, or may use unseen.
+    /// What each team may still use, beside what its tasks use, have reserved, or may use unobserved.
     pub(crate) fn quota_headroom(&self) -> BTreeMap<String, Resources> {
-        let unseen = self.unseen_capacity();
+        let unobserved = self.unobserved_capacity();
         let mut limits: BTreeMap<String, Resources> = BTreeMap::new();
         for (name, team) in &self.config.teams {
             let mut free = Resources {
@@ -101,8 +101,10 @@
                 gpus: team.gpus_max,
                 memory_gb: f64::MAX,
             };
-            if unseen != Unseen::default() {
-                free.sub(without_memory(self.unseen_usage(name, unseen)));
+            if unobserved != UnobservedCapacity::default() {
+                free.sub(without_memory(
+                    self.possible_unobserved_usage(name, unobserved),
+                ));
             }
             free.sub(without_memory(self.usage.used_by(name)));
             limits.insert(name.clone(), free);
@@ -128,10 +130,10 @@
         let Some(job) = job.filter(|job| job.awaits_reconciliation) else {
             return;
         };
-        let unseen = job
+        let unobserved = job
             .unfinished_tasks()
             .saturating_sub(job.active.len() as u32);
-        let resources = job.resources().scaled(unseen);
+        let resources = job.resources().scaled(unobserved);
         self.usage.add_cancelled(&job.spec.team, resources);
     }
 }
--- a/crates/sched/src/cluster/requirements.rs
+++ b/crates/sched/src/cluster/requirements.rs
@@ -36,17 +36,18 @@
     pub(crate) fn requirements(
         &self,
         job: &Job,
-        without: Option<&ScarceTypes>,
+        excluded: Option<&ScarceTypes>,
     ) -> TaskRequirements {
         let spec = &job.spec;
-        let is_spared = |kind: &(String, bool)| without.is_some_and(|spared| spared.contains(kind));
+        let is_excluded =
+            |kind: &(String, bool)| excluded.is_some_and(|excluded| excluded.contains(kind));
         let mut kinds = Vec::new();
         let types = self.machine_types.values();
         for machine_type in types.filter(|machine_type| can_run(job, machine_type)) {
             // Spot machines first, so that ordinary ones become empty and can be released.
             for spot in [true, false] {
                 let kind = (machine_type.name.clone(), spot);
-                if (!spot || spec.spot) && !is_spared(&kind) {
+                if (!spot || spec.spot) && !is_excluded(&kind) {
                     kinds.push(AllowedMachineType {
                         kind: kind.0,
                         spot,
@@ -68,8 +69,9 @@
 
     /// Whether a gang that fits no other machine types waits for these.
     pub(crate) fn gang_waits_for_scarce_types(&self, scarce: &ScarceTypes) -> bool {
-        let unmet = self.unplaced.iter();
-        let mut gangs = unmet.filter_map(|(id, _)| self.jobs.get(id).filter(|job| job.is_gang()));
+        let unplaced = self.unplaced.iter();
+        let mut gangs =
+            unplaced.filter_map(|(id, _)| self.jobs.get(id).filter(|job| job.is_gang()));
         gangs.any(|job| self.requirements(job, Some(scarce)).kinds.is_empty())
     }
 
--- a/crates/sched/src/cluster/wait_estimates.rs
+++ b/crates/sched/src/cluster/wait_estimates.rs
@@ -12,10 +12,10 @@
 
 /// Within what time gangs of a class without an objective should start, as a multiple of the time allowed for a
 /// guaranteed start.
-const DEFAULT_WAIT_GUARANTEES: f64 = 4.0;
+const DEFAULT_WAIT_FACTOR: f64 = 4.0;
 
 /// A task is expected to run for at least this part of its run time from now on, however long it has run.
-const MIN_REST_SHARE: f64 = 0.25;
+const MIN_REMAINING_SHARE: f64 = 0.25;
 
 /// Least run time of a task in seconds, so that what is learned of empty tasks gives no endless turnover.
 const MIN_RUN_S: f64 = 1.0;
@@ -33,7 +33,7 @@
 
 /// Busy machines that a gang may wait for.
 #[derive(Default)]
-struct Gathered {
+struct CandidateMachines {
     /// How many of its tasks fit on them.
     slots: u32,
     /// Their positions among all busy machines.
@@ -47,7 +47,7 @@
             return false;
         };
         let objective_s = self.config.wait_s.get(&job.spec.class).copied();
-        let within_s = objective_s.unwrap_or(self.config.guarantee_s * DEFAULT_WAIT_GUARANTEES);
+        let within_s = objective_s.unwrap_or(self.config.guarantee_s * DEFAULT_WAIT_FACTOR);
         now - job.first_seen_at > within_s * self.config.max_wait_share
     }
 
@@ -58,28 +58,28 @@
             .iter()
             .filter(|(_, machine)| machine.accepts_tasks() && allows(requirements, machine));
         let busy = usable.map(|(name, machine)| BusyMachine {
-            empty_at: self.empty_at(machine, now),
+            empty_at: self.expected_empty_at(machine, now),
             name: name.clone(),
         });
         let mut busy: BusyMachines = busy.collect();
-        sort_by_end(&mut busy);
+        sort_by_empty_at(&mut busy);
         busy
     }
 
     /// When the last task of a machine is expected to end.
-    fn empty_at(&self, machine: &Machine, now: Secs) -> Secs {
+    fn expected_empty_at(&self, machine: &Machine, now: Secs) -> Secs {
         let ends = machine.tasks.keys().filter_map(|(id, index)| {
             let job = self.jobs.get(id)?;
-            Some(self.end_of(job, job.active.get(index)?, now))
+            Some(self.expected_end(job, job.active.get(index)?, now))
         });
         ends.fold(now, f64::max)
     }
 
     /// When a task is expected to end.
-    fn end_of(&self, job: &Job, task: &ActiveTask, now: Secs) -> Secs {
+    fn expected_end(&self, job: &Job, task: &ActiveTask, now: Secs) -> Secs {
         let run_s = self.expected_run_s(job);
         if task.running {
-            (task.since + run_s).max(now + run_s * MIN_REST_SHARE)
+            (task.since + run_s).max(now + run_s * MIN_REMAINING_SHARE)
         } else {
             now + run_s
         }
@@ -105,17 +105,19 @@
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
-        let Some(latest) = self.latest_start(job, requirements) else {
+        let Some(latest_start) = self.latest_start(job, requirements) else {
             return false;
         };
-        let Some(positions) = self.gather(job, requirements, busy_machines, latest, now) else {
+        let Some(positions) =
+            self.find_busy_machines(job, requirements, busy_machines, latest_start, now)
+        else {
             return false;
         };
         let run_s = self.expected_run_s(job);
         for position in positions {
             busy_machines[position].empty_at += run_s;
         }
-        sort_by_end(busy_machines);
+        sort_by_empty_at(busy_machines);
         true
     }
 
@@ -134,31 +136,31 @@
 
     /// Positions of busy machines on which a whole gang fits and that are empty in time, all in one zone if it
     /// wants that.
-    fn gather(
+    fn find_busy_machines(
         &self,
         job: &Job,
         requirements: &TaskRequirements,
         busy_machines: &BusyMachines,
-        latest: Secs,
+        latest_start: Secs,
         now: Secs,
     ) -> Option<Vec<usize>> {
-        let mut by_zone: BTreeMap<&str, Gathered> = BTreeMap::new();
+        let mut by_zone: BTreeMap<&str, CandidateMachines> = BTreeMap::new();
         for (position, busy) in busy_machines.iter().enumerate() {
             let machine = self.machines.get(&busy.name);
             let Some(machine) = machine.filter(|machine| allows(requirements, machine)) else {
                 continue;
             };
-            if busy.empty_at.max(now) > latest {
+            if busy.empty_at.max(now) > latest_start {
                 return None;
             }
             let zone = if job.spec.one_zone { &machine.zone } else { "" };
-            let gathered = by_zone.entry(zone).or_default();
+            let candidates = by_zone.entry(zone).or_default();
             let capacity = self.capacity(&machine.kind);
-            gathered.slots +=
+            candidates.slots +=
                 capacity.map_or(0, |capacity| capacity.count_fitting(job.resources()));
-            gathered.positions.push(position);
-            if gathered.slots >= job.spec.tasks {
-                return Some(std::mem::take(&mut gathered.positions));
+            candidates.positions.push(position);
+            if candidates.slots >= job.spec.tasks {
+                return Some(std::mem::take(&mut candidates.positions));
             }
         }
         None
@@ -181,6 +183,6 @@
     tier(requirements, &machine.kind, &machine.zone, machine.spot).is_some()
 }
 
-fn sort_by_end(busy_machines: &mut BusyMachines) {
+fn sort_by_empty_at(busy_machines: &mut BusyMachines) {
     busy_machines.sort_by(|one, other| one.empty_at.total_cmp(&other.empty_at));
 }
--- a/crates/sched/src/cluster/zones.rs
+++ b/crates/sched/src/cluster/zones.rs
@@ -27,7 +27,7 @@
     pub(crate) fn zone_limits(
         &self,
         job: &Job,
-        found: &[MachineFit],
+        fits: &[MachineFit],
     ) -> Option<BTreeMap<Rc<str>, u32>> {
         let used = self.zones_in_use(job)?;
         let half = job.spec.tasks.div_ceil(2);
@@ -38,11 +38,12 @@
                 u32::MAX
             }
         };
-        let only = job.spec.one_zone.then(|| only_zone(&used, found));
-        let zones: BTreeSet<&Rc<str>> = found.iter().map(|fit| &fit.zone).collect();
+        let single_zone = job.spec.one_zone.then(|| choose_single_zone(&used, fits));
+        let zones: BTreeSet<&Rc<str>> = fits.iter().map(|fit| &fit.zone).collect();
         let zones = zones.into_iter();
         let zones = zones.filter(|zone| {
-            only.as_ref()
+            single_zone
+                .as_ref()
                 .is_none_or(|only| only.as_ref() == Some(*zone))
         });
         Some(zones.map(|zone| (zone.clone(), limit(zone))).collect())
@@ -50,12 +51,12 @@
 }
 
 /// The zone of a job that wants one: that of its active tasks, else the one in which most tasks fit.
-fn only_zone(used: &BTreeMap<String, u32>, found: &[MachineFit]) -> Option<Rc<str>> {
+fn choose_single_zone(used: &BTreeMap<String, u32>, fits: &[MachineFit]) -> Option<Rc<str>> {
     if let Some(zone) = used.keys().next() {
         return Some(zone.as_str().into());
     }
     let mut slots_by_zone: BTreeMap<&Rc<str>, u32> = BTreeMap::new();
-    for fit in found {
+    for fit in fits {
         *slots_by_zone.entry(&fit.zone).or_default() += fit.slots;
     }
     let best = slots_by_zone.into_iter().max_by_key(|(_, slots)| *slots);
