--- a/crates/sched/src/cluster/active_tasks.rs
+++ b/crates/sched/src/cluster/active_tasks.rs
@@ -1,11 +1,11 @@
-//! Which tasks may be running where: a task is charged to its team and its machine from the decision to
-//! start it until it is certainly not running.
+//! Tracks which tasks may be running where. A task is charged to its team and its machine from the
+//! decision to start it until it is certain not to be running.
 
 use super::job::waiting_owner;
 use super::{ActiveTask, Cluster, TaskLocation};
 
 impl Cluster {
-    /// A task may be running from now on, or at another place than before.
+    /// Records that a task may be running, or that its location or state changed.
     pub(crate) fn set_active(&mut self, id: &str, index: u32, active: ActiveTask) {
         self.remove_active(id, index);
         let Some(job) = self.jobs.get_mut(id) else {
@@ -26,7 +26,8 @@
         job.active.insert(index, active);
     }
 
-    /// A task is certainly not running any more, or is about to be charged elsewhere.
+    /// Removes a task that is certainly not running any more, or is about to be charged elsewhere.
+    /// Returns its previous state.
     pub(crate) fn remove_active(&mut self, id: &str, index: u32) -> Option<ActiveTask> {
         let job = self.jobs.get_mut(id)?;
         let active = job.active.remove(&index)?;
@@ -45,7 +46,7 @@
     }
 }
 
-/// The machine that a task at a place is charged to.
+/// Returns the machine that a task at a location is charged to, if any.
 fn charged_machine(location: &TaskLocation) -> Option<&str> {
     match location {
         TaskLocation::Assigned(_, machine) | TaskLocation::OnMachine(machine) => Some(machine),
--- a/crates/sched/src/cluster/job.rs
+++ b/crates/sched/src/cluster/job.rs
@@ -1,4 +1,4 @@
-//! A job as the leader knows it, and where its tasks may be running.
+//! The leader's state of a job and the possible locations of its tasks.
 
 use crate::placement::Resources;
 use crate::ranges::RangeSet;
@@ -8,15 +8,16 @@
 use wire::peers::TaskRef;
 use wire::users::{Job as JobSpec, Priority, Shape};
 
-/// Where an active task may be running.
+/// Possible location of an active task.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum TaskLocation {
-    /// Assigned to an owner, which is expected to choose that machine; where no machine is named, the
-    /// first of its shard with capacity.
+    /// Assigned to an owner (first field), which is expected to choose the machine (second field).
+    /// If the machine name is empty, the owner chooses the first machine of its shard with capacity.
     Assigned(String, String),
-    /// Shown on a machine by its owner.
+    /// Reported on this machine by the machine's owner.
     OnMachine(String),
-    /// Assigned to an owner that was lost; reconciled with a group of its machines.
+    /// Assigned to an owner that was lost; resolved together with a group of that owner's machines,
+    /// whose number this is.
     Unresolved(u64),
 }
 
@@ -25,33 +26,33 @@
 pub(crate) struct ActiveTask {
     /// The attempt that may be running.
     pub attempt: u64,
-    /// Where.
+    /// The location where it may be running.
     pub location: TaskLocation,
-    /// Whether it was shown to run.
+    /// Whether an owner reported it as running.
     pub running: bool,
-    /// Whether its owner was sent a stop in this epoch.
+    /// Whether its owner was sent a stop request in this epoch.
     pub stop_sent: bool,
-    /// When it was shown to run; before that, when it was assigned.
+    /// Time at which it was first reported running; before that, time of its assignment.
     pub since: Secs,
 }
 
-/// How far a gang is on its way to running.
+/// State of a gang between queueing and running.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum GangPhase {
-    /// It waits in the queue. So does every array.
+    /// Waiting in the queue. Arrays are always in this phase.
     Idle,
-    /// Owners were asked to reserve resources.
+    /// Owners were asked to reserve resources for it.
     Reserving {
         /// The attempt.
         attempt: u64,
-        /// Owners whose answer is missing.
+        /// Owners that have not answered yet.
         waiting: BTreeSet<String>,
         /// When the reservations end.
         until: Secs,
         /// Machine, first task and number of tasks.
         places: Vec<(String, u32, u32)>,
     },
-    /// All is reserved, and the binding is being written.
+    /// All resources are reserved, and the binding is being written to the store.
     Binding {
         /// The attempt.
         attempt: u64,
@@ -60,78 +61,79 @@
         /// Machine, first task and number of tasks.
         places: Vec<(String, u32, u32)>,
     },
-    /// The binding is durable: its tasks may be running.
+    /// The binding is durable, so its tasks may be running.
     Running {
         /// The attempt.
         attempt: u64,
     },
-    /// A task is gone, or the binding did not come about: the rest has to go as well.
+    /// A task ended early or the binding failed, so the remaining tasks must be stopped.
     Ending,
 }
 
-/// Whether the store says that tasks of an array may have been started.
+/// Whether the store has a record that tasks of an array may have been started.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum StartRecord {
-    /// It does not.
+    /// No record exists.
     None,
-    /// There is capacity for the array, so that a record is due, or being written.
+    /// Capacity for the array was found; the record is requested or being written.
     Requested,
-    /// It does.
+    /// The record is durable.
     Written,
 }
 
-/// An open job, or a terminal one of which tasks may still be running.
+/// A job that is open, or that is terminal while some of its tasks may still be running.
 pub(crate) struct Job {
-    /// What its user submitted.
+    /// The specification submitted by the user.
     pub spec: Rc<JobSpec>,
-    /// The most urgent priority among its own and that of the open jobs that need it.
+    /// The highest of its own priority and the priorities of the open jobs that depend on it.
     pub priority: Priority,
-    /// The store's revision at its creation: the order of creation.
+    /// Store revision at which it was created; defines the order of creation.
     pub revision: u64,
-    /// When this leader learned of it.
+    /// Time at which this leader first saw it.
     pub first_seen_at: Secs,
-    /// Done or cancelled.
+    /// Whether it is done or cancelled.
     pub terminal: bool,
-    /// Its end is being written.
+    /// Whether its completion is being written to the store.
     pub finishing: bool,
     /// Tasks that are done.
     pub done: RangeSet,
-    /// Those of which the store knows.
+    /// Done tasks whose progress is durable in the store.
     pub durable_done: RangeSet,
-    /// Chunks of progress that have to be written.
+    /// Progress chunks that must be written to the store.
     pub dirty_chunks: BTreeSet<u32>,
     /// Tasks that may be started.
     pub ready_tasks: RangeSet,
     /// Tasks that may be running.
     pub active: BTreeMap<u32, ActiveTask>,
-    /// Started by an earlier leader perhaps; not to be started until the suspects are known.
+    /// Whether an earlier leader may have started it. No task is started until the content of
+    /// `possible_machines` is known.
     pub awaits_reconciliation: bool,
-    /// Machines on which it may be running, if it was started; none stands for any.
+    /// Machines on which an earlier leader may have started it; `None` means any machine.
     pub possible_machines: Option<BTreeSet<String>>,
-    /// Of an array: whether it is recorded that it may have been started.
+    /// For an array: whether the store records that it may have been started.
     pub start_record: StartRecord,
-    /// No task is started before this.
+    /// No task is started before this time.
     pub backoff_until: Secs,
-    /// Failures since a task was last done or a gang last bound.
+    /// Number of failures since a task was last done or a gang was last bound.
     pub failures: u32,
-    /// Machines on which its tasks failed since one of them was last done, a few.
+    /// Machines on which its tasks failed since one of them was last done; at most a few.
     pub failed_machines: BTreeSet<String>,
-    /// Of a gang: how far it is on its way to running.
+    /// For a gang: its state between queueing and running.
     pub phase: GangPhase,
-    /// Done tasks that their workers keep until that is durable, with the machine.
+    /// Done tasks, with their machines, whose workers keep them until the progress is durable.
     pub pending_clears: Vec<(String, TaskRef)>,
-    /// Whether it fits into its team's guarantee together with the team's earlier jobs.
+    /// Whether it fits within its team's guaranteed quota together with the team's earlier jobs.
     pub within_guarantee: bool,
-    /// Tasks of others are being stopped so that this whole gang has capacity. Until then that capacity is
-    /// kept for it and no machine is provisioned.
+    /// Time until which tasks of other jobs are being preempted to make room for this whole gang.
+    /// Until then that capacity is held for it and no machines are provisioned for it.
     pub preempting_until: Secs,
 }
 
-/// A job that failed on so many machines, and was done on none, is taken to fail on any.
+/// A job that failed on this many machines without completing a task is assumed to fail everywhere.
 const MIN_FAILED_MACHINES: usize = 3;
 
 impl Job {
-    /// A job that this leader learns of at `now`.
+    /// Creates the state of a job that this leader first sees at `now`.
     pub(crate) fn new(open: OpenJob, now: Secs) -> Job {
         let mut ready = RangeSet::full(open.spec.tasks);
         for index in open.done.iter() {
@@ -172,14 +174,14 @@
         }
     }
 
-    /// Whether this attempt of a task may be running.
+    /// Returns whether this attempt of the task may be running.
     pub(crate) fn is_active(&self, task: &TaskRef) -> bool {
         let active = self.active.get(&task.index);
         active.is_some_and(|active| active.attempt == task.attempt)
     }
 
-    /// Notes that a task is done, and with it all of a gang: its tasks complete together. Progress is
-    /// recorded in chunks of so many tasks.
+    /// Marks a task as done; for a gang marks all tasks, because they complete together. Progress is
+    /// recorded in chunks of `tasks_per_chunk` tasks.
     pub(crate) fn mark_done(&mut self, index: u32, tasks_per_chunk: u32) {
         let indexes = if self.is_gang() {
             0..self.spec.tasks
@@ -194,12 +196,12 @@
         }
     }
 
-    /// How many tasks are not done.
+    /// Returns the number of tasks that are not done.
     pub(crate) fn unfinished_tasks(&self) -> u32 {
         self.spec.tasks - self.done.len().min(self.spec.tasks)
     }
 
-    /// What a task takes.
+    /// Returns the resources that one task requires.
     pub fn resources(&self) -> Resources {
         Resources {
             cpus: self.spec.cpus,
@@ -208,22 +210,23 @@
         }
     }
 
-    /// Whether its tasks run at the same time or not at all.
+    /// Returns whether all tasks must run at the same time.
     pub fn is_gang(&self) -> bool {
         self.spec.shape == Shape::Gang
     }
 
-    /// Whether several tasks can only start together.
+    /// Returns whether it is a gang of more than one task.
     pub(crate) fn is_multi_task_gang(&self) -> bool {
         self.is_gang() && self.spec.tasks > 1
     }
 
-    /// Whether it fails wherever it is tried, so that the fault is its own and not the machines'.
+    /// Returns whether it failed on so many machines that the fault is assumed to be in the job
+    /// rather than in the machines.
     pub(crate) fn fails_everywhere(&self) -> bool {
         self.failed_machines.len() >= MIN_FAILED_MACHINES
     }
 
-    /// The smallest number of tasks that may run: all of a gang, one of an array.
+    /// Returns the minimum number of tasks that may run: all tasks of a gang, one task of an array.
     pub(crate) fn min_tasks(&self) -> u32 {
         if self.is_gang() {
             self.spec.tasks
@@ -233,7 +236,7 @@
     }
 }
 
-/// The owner at which a task waits for the first capacity that becomes free.
+/// Returns the owner at which a task waits for capacity, if it was assigned without a machine.
 pub(crate) fn waiting_owner(location: &TaskLocation) -> Option<&str> {
     match location {
         TaskLocation::Assigned(owner, machine) if machine.is_empty() => Some(owner),
@@ -241,20 +244,20 @@
     }
 }
 
-/// An open job as the store holds it.
+/// An open job as loaded from the store.
 pub struct OpenJob {
     /// What its user submitted.
     pub spec: Rc<JobSpec>,
-    /// The store's revision at its creation.
+    /// Store revision at which it was created.
     pub revision: u64,
     /// Tasks that are done.
     pub done: RangeSet,
-    /// What earlier leaders may have started of it.
+    /// Which of its tasks earlier leaders may have started.
     pub prior_runs: PriorRuns,
 }
 
 impl OpenJob {
-    /// A job of which no task is done.
+    /// Creates a job with no done tasks.
     pub fn new(spec: Rc<JobSpec>, revision: u64, prior_runs: PriorRuns) -> OpenJob {
         OpenJob {
             spec,
@@ -265,14 +268,14 @@
     }
 }
 
-/// What earlier leaders may have done with a job, as the store shows it.
+/// What earlier leaders may have started of a job, according to the store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PriorRuns {
-    /// Nothing: no record says that any of its tasks was given out.
+    /// Nothing: no record says that any of its tasks was assigned.
     None,
-    /// Its tasks may be on any machine of the roster.
+    /// Its tasks may be running on any machine of the roster.
     Anywhere,
-    /// A gang: its tasks may be on the machines of its newest binding. Every earlier attempt
-    /// was certainly gone before that was written.
+    /// A gang whose tasks may be running on the machines of its newest binding. Every earlier
+    /// attempt had certainly ended before that binding was written.
     Bound(BTreeSet<String>),
 }
--- a/crates/sched/src/cluster/machine.rs
+++ b/crates/sched/src/cluster/machine.rs
@@ -1,77 +1,78 @@
-//! A machine as the leader sees it.
+//! The leader's state of a machine.
 
 use crate::placement::Resources;
 use crate::Secs;
 use std::collections::{BTreeMap, BTreeSet};
 use wire::peers::TaskRef;
 
-/// Whether a machine is on the durable roster; nothing is started on one that is not.
+/// Whether a machine is on the durable roster. No task is started on a machine that is not.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Rostered {
-    /// It is not, or the store did not take the record.
+    /// No record exists, or the store rejected it.
     No,
-    /// Its record is being written.
+    /// The record is being written.
     Writing,
-    /// Its record is durable.
+    /// The record is durable.
     Yes,
 }
 
-/// A machine, what is charged to it, and what its owner has shown.
+/// A machine, the tasks charged to it, and the state reported by its owner.
 pub(crate) struct Machine {
-    /// Its type.
+    /// Name of its machine type.
     pub kind: String,
     /// Its zone.
     pub zone: String,
     /// Whether it is a spot machine.
     pub spot: bool,
-    /// Its shard owner.
+    /// Owner of the shard that it belongs to.
     pub owner: String,
-    /// The token under which that became the owner.
+    /// Leader token under which that owner was assigned.
     pub owner_token: u64,
-    /// Its owner has shown what is on it in this epoch.
+    /// Whether its owner has reported its content in this epoch.
     pub reconciled: bool,
-    /// Not reconciled since this leader began: what is on it is not known at all.
+    /// Whether its content is unknown because no owner has reported it since this leader started.
     pub content_unknown: bool,
-    /// Since when its worker's lease has certainly expired, and nothing newer was heard.
+    /// Time since which its worker's lease has certainly expired without a newer heartbeat.
     pub lease_expired_at: Option<Secs>,
-    /// When the cloud takes it back, once that was announced.
+    /// Time at which the cloud reclaims it, once the cloud has given notice.
     pub notice_expires_at: Option<Secs>,
     /// Whether it is on the durable roster.
     pub rostered: Rostered,
-    /// Whether its owner may place tasks there, as it was last sent.
+    /// Whether the owner may place tasks on it, as last sent to the owner.
     pub usable_sent: bool,
-    /// The owner has shown that it places nothing there any more.
+    /// Whether the owner has confirmed that it no longer places tasks on it.
     pub confirmed_unusable: bool,
-    /// Its owner has shown nothing that runs or is to start there.
+    /// Whether its owner reports no tasks that are running on it or about to start there.
     pub is_idle: bool,
-    /// Its heartbeats arrive, but responses don't reach it.
+    /// Whether its heartbeats arrive while responses do not reach it.
     pub unreachable: bool,
-    /// Tasks of terminal jobs that are not known here any more: nothing is placed beside them.
+    /// Whether it runs tasks of terminal jobs that the leader no longer tracks; nothing is placed
+    /// next to them.
     pub has_unknown_jobs: bool,
-    /// No more tasks are placed there, and it is released once it is empty.
+    /// Whether it is being drained: it gets no new tasks and is released once it is empty.
     pub draining: bool,
-    /// The cloud is being asked to take it back.
+    /// Whether its release to the cloud has been requested.
     pub releasing: bool,
-    /// Attempts of tasks that may be running there, by job and index.
+    /// Attempt numbers of the tasks that may be running on it, by job id and task index.
     pub tasks: BTreeMap<(String, u32), u64>,
-    /// What those tasks use.
+    /// Resources that those tasks use.
     pub used: Resources,
-    /// What is reserved for gangs, by attempt.
+    /// Resources reserved for gangs, by attempt.
     pub reserved: BTreeMap<u64, Resources>,
-    /// Since when nothing is charged to it.
+    /// Time since which it has been idle.
     pub idle_since: Secs,
-    /// When its owner last sent its status.
+    /// Time at which its owner last sent its status.
     pub last_status_at: Secs,
-    /// Images that it has, or is fetching, the newest first.
+    /// Images that it has or is fetching, newest first.
     pub images: Vec<String>,
-    /// Jobs that failed there, and not everywhere.
+    /// Jobs that failed on it but do not fail everywhere.
     pub failed_jobs: BTreeSet<String>,
-    /// Exited tasks that its worker was told to forget in this epoch.
+    /// Exited tasks that its worker was told to clear in this epoch.
     pub cleared_tasks: BTreeSet<TaskRef>,
 }
 
 impl Machine {
-    /// A machine of which nothing is known but what it is; `token` is that of its first owner.
+    /// Creates a machine without tasks; `token` is the leader token of its first owner assignment.
     pub fn new(kind: &str, zone: &str, spot: bool, token: u64, now: Secs) -> Machine {
         Machine {
             kind: kind.into(),
@@ -102,30 +103,31 @@
         }
     }
 
-    /// Charges a task that may be running here, by job and index.
+    /// Charges the machine for a task, given by job id and index, that may be running on it.
     pub fn charge(&mut self, task: (String, u32), attempt: u64, resources: Resources) {
         if self.tasks.insert(task, attempt).is_none() {
             self.used.add(resources);
         }
     }
 
-    /// A task is not running here any more.
+    /// Removes the charge for a task that no longer runs on the machine.
     pub fn uncharge(&mut self, task: &(String, u32), resources: Resources) {
         if self.tasks.remove(task).is_some() {
             self.used.sub(resources);
         }
         if self.tasks.is_empty() {
-            // Sums of decimals drift; an empty machine is empty.
+            // Reset the sum, since floating-point rounding errors accumulate.
             self.used = Resources::default();
         }
     }
 
-    /// Whether its owner may place tasks there: it is rostered, and is not about to be released.
+    /// Returns whether its owner may place tasks on it: it is on the roster and neither draining
+    /// nor being released.
     pub fn is_usable(&self) -> bool {
         self.rostered == Rostered::Yes && !self.draining && !self.releasing
     }
 
-    /// Whether tasks may be placed there now, as far as the leader knows.
+    /// Returns whether the leader may place tasks on it now.
     pub fn accepts_tasks(&self) -> bool {
         let present =
             self.reconciled && self.lease_expired_at.is_none() && self.notice_expires_at.is_none();
@@ -136,7 +138,7 @@
             && !self.unreachable
     }
 
-    /// What is left of its capacity beside what may be running there and what is reserved.
+    /// Returns the part of `capacity` that is neither used by tasks nor reserved.
     pub fn free(&self, capacity: Resources) -> Resources {
         let mut free = capacity;
         free.sub(self.used);
--- a/crates/sched/src/cluster/mod.rs
+++ b/crates/sched/src/cluster/mod.rs
@@ -1,5 +1,6 @@
-//! The leader's view of the cluster: jobs and where their tasks may be, machines, what teams use, and what was
-//! learned of classes of jobs. Placement, preemption and the autoscaler decide on it.
+//! The leader's view of the cluster: jobs and the possible locations of their tasks, machines,
+//! resource usage by team, and statistics by job class. Placement, preemption and the autoscaler
+//! base their decisions on it.
 
 mod active_tasks;
 mod job;
@@ -29,20 +30,20 @@
 use wire::cloud::MachineType;
 use wire::users::{Job as JobSpec, Shape};
 
-/// What one task of a class takes, to know which machine types it needs.
+/// The requirements of one task of a job class, which determine the machine types that fit it.
 #[derive(Clone, Debug)]
 pub(crate) struct ClassProfile {
     resources: Resources,
-    /// The machine types that its jobs allow; none stands for all.
+    /// Machine types that jobs of the class allow; `None` means all.
     types: Option<Vec<String>>,
-    /// Whether its jobs allow spot machines.
+    /// Whether jobs of the class allow spot machines.
     pub spot: bool,
-    /// Whether its jobs are gangs.
+    /// Whether jobs of the class are gangs.
     pub gang: bool,
 }
 
 impl ClassProfile {
-    /// Whether a task of the class may run on an empty machine of a type.
+    /// Returns whether a task of the class may run on an empty machine of a type.
     pub fn fits(&self, machine_type: &MachineType) -> bool {
         let allowed = self.types.as_ref();
         allowed.is_none_or(|allowed| allowed.contains(&machine_type.name))
@@ -50,14 +51,14 @@
     }
 }
 
-/// The running mean of how long the tasks of a class run.
+/// Moving average of the run time of a class's tasks.
 #[derive(Clone, Debug, Default)]
 struct RunTime {
     mean_s: Secs,
     count: u32,
 }
 
-/// The least weight of a new run in the mean, so that it follows what changes.
+/// Minimum weight of a new sample in the average, so that the average follows changes.
 const MIN_SAMPLE_WEIGHT: f64 = 0.05;
 
 impl RunTime {
@@ -68,7 +69,7 @@
     }
 }
 
-/// The state that decisions are made on.
+/// The state that scheduling decisions are based on.
 pub(crate) struct Cluster {
     pub(crate) config: SchedulerConfig,
     pub(crate) machine_types: MachineTypes,
@@ -78,7 +79,7 @@
     pub(crate) backlogs: Backlogs,
     run_times: BTreeMap<String, RunTime>,
     class_profiles: BTreeMap<String, ClassProfile>,
-    /// Entries that the last pass could not place: the job, and how many of its tasks.
+    /// Work that the last scheduling pass could not place: job id and number of tasks.
     pub(crate) unplaced: Vec<(String, u32)>,
 }
 
@@ -97,30 +98,31 @@
         }
     }
 
-    /// Takes in a job that is not known yet.
+    /// Adds a new job and updates the profile of its class.
     pub(crate) fn insert_job(&mut self, job: Job) {
         self.update_class_profile(&job.spec);
         self.jobs.insert(job);
     }
 
-    /// What is known of each class of jobs.
+    /// Returns the profile of each job class, by class name.
     pub(crate) fn class_profiles(&self) -> &BTreeMap<String, ClassProfile> {
         &self.class_profiles
     }
 
-    /// Brings the index of free capacity up to what has changed since the last pass.
+    /// Applies all changes since the last pass to the index of free capacity.
     pub(crate) fn refresh_index(&mut self) {
         self.machines
             .refresh_index(&self.machine_types, self.config.guarantee_s);
     }
 
-    /// Whether the index of free capacity is what a plain rebuild gives; for tests.
+    /// Returns whether the index of free capacity equals a full rebuild; for tests.
     pub(crate) fn index_is_consistent(&mut self) -> bool {
         self.refresh_index();
         self.machines.index_is_consistent(&self.machine_types)
     }
 
-    /// Takes the cloud's machine types; says whether there are others than before.
+    /// Replaces the cloud's machine types; returns whether their number changed, in which case the
+    /// index of free capacity is rebuilt.
     pub(crate) fn set_machine_types(&mut self, types: Vec<MachineType>) -> bool {
         let is_same = self.machine_types.len() == types.len();
         let by_name = types.into_iter().map(|kind| (kind.name.clone(), kind));
@@ -131,17 +133,17 @@
         !is_same
     }
 
-    /// A task of a class has run for so many seconds.
+    /// Adds the run time of a finished task to the statistics of its class.
     pub(crate) fn record_run_time(&mut self, class: String, run_s: Secs) {
         self.run_times.entry(class).or_default().observe(run_s);
     }
 
-    /// What a machine of a type has; none if the cloud does not list the type.
+    /// Returns the resources of a machine of a type, or `None` if the cloud does not list the type.
     pub(crate) fn capacity(&self, kind: &str) -> Option<Resources> {
         self.machine_types.get(kind).map(Resources::of_type)
     }
 
-    /// Learns from a new job what tasks of its class take.
+    /// Updates the profile of a job's class.
     fn update_class_profile(&mut self, job: &JobSpec) {
         let resources = Resources {
             cpus: job.cpus,
@@ -157,7 +159,7 @@
                 spot: job.spot,
                 gang: job.shape == Shape::Gang,
             });
-        // The largest task seen stands for its class.
+        // The task with the most CPUs so far represents its class.
         if resources.cpus > profile.resources.cpus {
             profile.resources = resources;
         }
