--- a/crates/sched/src/cluster/machine_inventory.rs
+++ b/crates/sched/src/cluster/machine_inventory.rs
@@ -1,6 +1,6 @@
-//! The machines that the leader knows, and the index of their free capacity.
+//! All machines that the leader tracks, with an index of their free capacity.
 //!
-//! Invariant: a machine of which the index may hold something else than its present state is marked dirty.
+//! Invariant: a machine whose index entry may be out of date is marked dirty.
 
 use super::{Machine, UnknownMachines};
 use crate::capacity_index::{CapacityIndex, IndexedMachine};
@@ -12,18 +12,18 @@
 /// The cloud's machine types by name.
 pub(crate) type MachineTypes = BTreeMap<String, MachineType>;
 
-/// Machines by name.
+/// The machines by name, the index of their free capacity, and the machines of unknown content.
 pub(crate) struct MachineInventory {
     machines: BTreeMap<String, Machine>,
     unknown: UnknownMachines,
-    /// Machines with free capacity, as a pass looks at them.
+    /// Machines with free capacity, as used by a scheduling pass.
     index: CapacityIndex,
-    /// Machines that changed since the index was last brought up to date.
+    /// Machines that changed since the index was last refreshed.
     dirty: BTreeSet<String>,
 }
 
 impl MachineInventory {
-    /// No machines.
+    /// Creates an empty inventory for a leader that starts at `now`.
     pub(crate) fn new(now: Secs) -> MachineInventory {
         MachineInventory {
             machines: BTreeMap::new(),
@@ -33,75 +33,78 @@
         }
     }
 
-    /// Takes in a machine that has come up.
+    /// Inserts a machine.
     pub(crate) fn insert(&mut self, name: &str, machine: Machine) {
         self.machines.insert(name.to_string(), machine);
     }
 
-    /// Takes in a machine of the roster, of which nothing else is known yet.
+    /// Inserts a machine from the roster whose content is unknown.
     pub(crate) fn insert_unknown(&mut self, name: &str, machine: Machine) {
         self.unknown.insert(name);
         self.insert(name, machine);
     }
 
-    /// Forgets a machine on which nothing may be running.
+    /// Removes a machine on which nothing may be running.
     pub(crate) fn remove(&mut self, name: &str) {
         self.machines.remove(name);
         self.unknown.remove(name);
         self.mark_dirty(name);
     }
 
-    /// How many machines are known.
+    /// Returns the number of machines.
     pub(crate) fn len(&self) -> usize {
         self.machines.len()
     }
 
-    /// Whether a machine is known.
+    /// Returns whether the inventory contains the machine.
     pub(crate) fn contains_key(&self, name: &str) -> bool {
         self.machines.contains_key(name)
     }
 
-    /// A machine by its name.
+    /// Returns a machine by name.
     pub(crate) fn get(&self, name: &str) -> Option<&Machine> {
         self.machines.get(name)
     }
 
-    /// The same, to change it. Whoever changes what the index holds marks it dirty.
+    /// Returns a mutable reference to a machine by name. A caller that changes indexed state must
+    /// mark the machine dirty.
     pub(crate) fn get_mut(&mut self, name: &str) -> Option<&mut Machine> {
         self.machines.get_mut(name)
     }
 
-    /// All machines, by name.
+    /// Iterates over all machines and their names, in order of name.
     pub(crate) fn iter(&self) -> btree_map::Iter<'_, String, Machine> {
         self.machines.iter()
     }
 
-    /// The same, to change them. Whoever changes what the index holds marks it dirty.
+    /// Iterates mutably over all machines and their names, in order of name. A caller that changes
+    /// indexed state must mark the machine dirty.
     pub(crate) fn iter_mut(&mut self) -> btree_map::IterMut<'_, String, Machine> {
         self.machines.iter_mut()
     }
 
-    /// All machines, in the order of their names.
+    /// Iterates over all machines, in order of name.
     pub(crate) fn values(&self) -> btree_map::Values<'_, String, Machine> {
         self.machines.values()
     }
 
-    /// Machines of unknown content.
+    /// Returns the machines of unknown content.
     pub(crate) fn unknown(&self) -> &UnknownMachines {
         &self.unknown
     }
 
-    /// The content of a machine is known from now on.
+    /// Records that the content of a machine became known at `now`.
     pub(crate) fn mark_known(&mut self, name: &str, now: Secs) {
         self.unknown.mark_known(name, now);
     }
 
-    /// Machines with free capacity, as of the last time the index was brought up to date.
+    /// Returns the index of free capacity as of its last refresh.
     pub(crate) fn index(&self) -> &CapacityIndex {
         &self.index
     }
 
-    /// Takes capacity of a machine for so many tasks, for the rest of the pass.
+    /// Deducts the capacity for `tasks` tasks from a machine's index entry. The deduction lasts until
+    /// the entry is next refreshed.
     pub(crate) fn take_capacity(
         &mut self,
         name: &str,
@@ -112,24 +115,24 @@
         self.index.allocate(name, resources, tasks, image);
     }
 
-    /// What the index holds of a machine may not hold any more.
+    /// Marks the index entry of a machine as out of date.
     pub(crate) fn mark_dirty(&mut self, name: &str) {
         self.dirty.insert(name.to_string());
     }
 
-    /// The same of all machines.
+    /// Marks the index entries of all machines as out of date.
     pub(crate) fn mark_all_dirty(&mut self) {
         self.dirty.extend(self.machines.keys().cloned());
     }
 
-    /// There are other machine types than before: the index is made anew.
+    /// Clears the index after a change of machine types, so that the next refresh rebuilds it.
     pub(crate) fn clear_index(&mut self) {
         self.index.clear();
         self.mark_all_dirty();
     }
 
-    /// Brings the index up to what has changed since the last pass. Images that take longer to fetch than a
-    /// part of `guarantee_s` count as slow.
+    /// Refreshes the index entries of all dirty machines. Images whose fetch takes longer than a
+    /// fraction of `guarantee_s` count as slow.
     pub(crate) fn refresh_index(&mut self, types: &MachineTypes, guarantee_s: Secs) {
         for name in std::mem::take(&mut self.dirty) {
             let machine = self
@@ -151,7 +154,7 @@
         }
     }
 
-    /// Whether the index is what a plain rebuild from the machines gives; for tests.
+    /// Returns whether the index equals a full rebuild from the machines; for tests.
     pub(crate) fn index_is_consistent(&self, types: &MachineTypes) -> bool {
         let entry = |(name, machine): (&String, &Machine)| {
             let machine_type = types.get(&machine.kind)?;
--- a/crates/sched/src/cluster/quota.rs
+++ b/crates/sched/src/cluster/quota.rs
@@ -1,11 +1,12 @@
-//! Teams: their guarantees and limits, with what machines of unknown content may hold of them.
+//! Team quotas: guarantees and limits, including usage that may be hidden on machines of unknown
+//! content.
 
 use super::{Cluster, GangPhase, Job};
 use crate::config::Team;
 use crate::placement::{Resources, ROUNDING_TOLERANCE};
 use std::collections::BTreeMap;
 
-/// What a team's jobs want together, as far as its limit goes.
+/// Total demand of a team's jobs, capped per job by the team's limit.
 #[derive(Default)]
 struct TeamDemand {
     cpus: f64,
@@ -24,7 +25,7 @@
     }
 }
 
-/// What so many tasks use together, as many as a limit allows.
+/// Returns the total usage of `tasks` tasks, counting no more whole tasks than `limit` allows.
 fn capped_usage(tasks: f64, each: f64, limit: f64) -> f64 {
     if each > 0.0 {
         tasks.min((limit / each).floor()) * each
@@ -33,17 +34,17 @@
     }
 }
 
-/// Capacity that may be used by tasks which the leader does not know.
+/// Capacity of machines that may be used by tasks unknown to the leader.
 #[derive(Clone, Copy, Default, PartialEq)]
 struct UnobservedCapacity {
-    /// Of machines with tasks of unknown jobs.
+    /// Capacity of machines with tasks of unknown jobs.
     unknown_jobs: Resources,
-    /// Of machines of unknown content.
+    /// Capacity of machines of unknown content.
     unknown_content: Resources,
 }
 
 impl Cluster {
-    /// Marks the jobs that fit into their team's guarantee together with its earlier ones.
+    /// Marks the jobs that fit within their team's guarantee together with the team's earlier jobs.
     pub(crate) fn mark_within_guarantee(&mut self) {
         let teams = &self.config.teams;
         let mut demand_by_team: BTreeMap<&str, TeamDemand> = BTreeMap::new();
@@ -73,8 +74,9 @@
         unobserved
     }
 
-    /// What tasks that are not known may take from a team's limit: all that their machines have, but of
-    /// unknown content no more than the team's jobs that may be there could use.
+    /// Returns the maximum usage by unknown tasks that may count against a team's limit: the full
+    /// capacity of machines with unknown jobs, plus that of machines of unknown content up to what the
+    /// team's jobs that may be running there could use.
     fn possible_unobserved_usage(&self, team: &str, unobserved: UnobservedCapacity) -> Resources {
         let mut max_usage = self.usage.recently_cancelled(team);
         let jobs = self.jobs.values();
@@ -91,7 +93,8 @@
         usage
     }
 
-    /// What each team may still use, beside what its tasks use, have reserved, or may use unobserved.
+    /// Returns how much each team may still use within its limit, after subtracting the usage of its
+    /// active tasks, gang reservations, and possible usage by unknown tasks.
     pub(crate) fn quota_headroom(&self) -> BTreeMap<String, Resources> {
         let unobserved = self.unobserved_capacity();
         let mut limits: BTreeMap<String, Resources> = BTreeMap::new();
@@ -124,7 +127,8 @@
         limits
     }
 
-    /// A job became terminal before all machines were known: what was not seen of it may still be running.
+    /// Charges the team of a job that became terminal before it was reconciled for the tasks that no
+    /// owner has reported: they may still be running.
     pub(crate) fn charge_unobserved_tasks(&mut self, id: &str) {
         let job = self.jobs.get(id);
         let Some(job) = job.filter(|job| job.awaits_reconciliation) else {
@@ -138,7 +142,7 @@
     }
 }
 
-/// Quotas do not count memory.
+/// Returns the resources with memory set to zero, since quotas do not cover memory.
 fn without_memory(resources: Resources) -> Resources {
     Resources {
         memory_gb: 0.0,
--- a/crates/sched/src/cluster/requirements.rs
+++ b/crates/sched/src/cluster/requirements.rs
@@ -1,4 +1,5 @@
-//! What tasks require of their machines, and which machine types are spared for jobs that fit nothing else.
+//! Machine requirements of tasks, and the scarce machine types that are kept for jobs that fit no
+//! other type.
 
 use super::{Cluster, Job};
 use crate::placement::Resources;
@@ -6,11 +7,12 @@
 use wire::cloud::MachineType;
 use wire::peers::{AllowedMachineType, TaskRequirements};
 
-/// Machine types by name, as spot machines (true) or ordinary ones.
+/// Scarce machine types: the type's name, and whether spot (`true`) or on-demand machines of it.
 pub(crate) type ScarceTypes = BTreeSet<(String, bool)>;
 
 impl Cluster {
-    /// Machine types that are the only ones on which some class's tasks fit: kept for those.
+    /// Returns the machine types that are the only ones to fit the tasks of some job class. They are
+    /// kept for jobs of such classes.
     pub(crate) fn scarce_types(&self) -> ScarceTypes {
         let mut scarce = ScarceTypes::new();
         for profile in self.class_profiles.values() {
@@ -32,7 +34,7 @@
         scarce
     }
 
-    /// What tasks of a job require, on any machine type but those in `without`.
+    /// Returns the requirements of a job's tasks, leaving out the machine types in `excluded`.
     pub(crate) fn requirements(
         &self,
         job: &Job,
@@ -44,7 +46,7 @@
         let mut kinds = Vec::new();
         let types = self.machine_types.values();
         for machine_type in types.filter(|machine_type| can_run(job, machine_type)) {
-            // Spot machines first, so that ordinary ones become empty and can be released.
+            // Prefer spot machines, so that on-demand machines become empty and can be released.
             for spot in [true, false] {
                 let kind = (machine_type.name.clone(), spot);
                 if (!spot || spec.spot) && !is_excluded(&kind) {
@@ -67,7 +69,7 @@
         }
     }
 
-    /// Whether a gang that fits no other machine types waits for these.
+    /// Returns whether an unplaced gang fits only scarce machine types.
     pub(crate) fn gang_waits_for_scarce_types(&self, scarce: &ScarceTypes) -> bool {
         let unplaced = self.unplaced.iter();
         let mut gangs =
@@ -75,7 +77,8 @@
         gangs.any(|job| self.requirements(job, Some(scarce)).kinds.is_empty())
     }
 
-    /// What tasks of a job require without scarce machine types, unless the job has no other.
+    /// Returns the requirements of a job's tasks without scarce machine types, or with them if the job
+    /// fits no other type.
     pub(crate) fn requirements_avoiding_scarce(
         &self,
         job: &Job,
@@ -89,7 +92,7 @@
     }
 }
 
-/// Whether a task of a job may run on an empty machine of a type.
+/// Returns whether a task of a job may run on an empty machine of a type.
 fn can_run(job: &Job, machine_type: &MachineType) -> bool {
     let allowed = job.spec.types.as_ref();
     allowed.is_none_or(|allowed| allowed.contains(&machine_type.name))
--- a/crates/sched/src/cluster/unknown_machines.rs
+++ b/crates/sched/src/cluster/unknown_machines.rs
@@ -1,18 +1,18 @@
-//! Machines of the roster whose content no owner has shown since this leader began.
+//! Roster machines whose content no owner has reported since this leader started.
 //!
-//! Invariant: a machine is here exactly as long as its `Machine::content_unknown` is set.
+//! Invariant: the set contains a machine exactly while its `Machine::content_unknown` is set.
 
 use crate::Secs;
 use std::collections::BTreeSet;
 
-/// The machines of unknown content.
+/// The set of machines of unknown content, and the time at which one last became known.
 pub(crate) struct UnknownMachines {
     names: BTreeSet<String>,
     last_known_at: Secs,
 }
 
 impl UnknownMachines {
-    /// None so far.
+    /// Creates an empty set for a leader that starts at `now`.
     pub(crate) fn new(now: Secs) -> UnknownMachines {
         UnknownMachines {
             names: BTreeSet::new(),
@@ -24,33 +24,34 @@
         self.names.insert(name.to_string());
     }
 
-    /// The content of a machine is known from now on.
+    /// Records that the content of a machine became known at `now`.
     pub(super) fn mark_known(&mut self, name: &str, now: Secs) {
         self.names.remove(name);
         self.last_known_at = now;
     }
 
-    /// A machine is gone.
+    /// Removes a machine that no longer exists.
     pub(super) fn remove(&mut self, name: &str) {
         self.names.remove(name);
     }
 
-    /// Whether there is no such machine.
+    /// Returns whether the content of every machine is known.
     pub(crate) fn is_empty(&self) -> bool {
         self.names.is_empty()
     }
 
-    /// How many there are.
+    /// Returns the number of machines of unknown content.
     pub(crate) fn len(&self) -> usize {
         self.names.len()
     }
 
-    /// Whether the content of a machine is unknown.
+    /// Returns whether the content of a machine is unknown.
     pub(crate) fn contains(&self, name: &str) -> bool {
         self.names.contains(name)
     }
 
-    /// When the content of a machine last became known; before that, when this leader began.
+    /// Returns the time at which the content of a machine last became known; before that, the start
+    /// time of this leader.
     pub(crate) fn last_known_at(&self) -> Secs {
         self.last_known_at
     }
--- a/crates/sched/src/cluster/usage.rs
+++ b/crates/sched/src/cluster/usage.rs
@@ -1,17 +1,17 @@
-//! What the teams' tasks use, as it is charged to their quotas, and what waits at the owners.
+//! Resource usage charged to team quotas, and the backlog of tasks that wait at each owner.
 //!
-//! Invariant: every active task is charged once to its team; a task that waits for capacity is charged once to
-//! its owner's backlog.
+//! Invariant: every active task is charged exactly once to its team; a task that waits for capacity
+//! is counted exactly once in its owner's backlog.
 
 use crate::placement::Resources;
 use std::collections::BTreeMap;
 
-/// What teams are charged for.
+/// Usage charged to each team.
 #[derive(Default)]
 pub(crate) struct QuotaUsage {
     active: BTreeMap<String, Resources>,
-    /// What jobs that were cancelled lately could use together: their tasks may still be running on machines
-    /// of unknown content.
+    /// Maximum usage of recently cancelled jobs, by team: their tasks may still be running on
+    /// machines of unknown content.
     recently_cancelled: BTreeMap<String, Resources>,
 }
 
@@ -22,66 +22,67 @@
         used.add(resources);
     }
 
-    /// Takes the charge for an active task back.
+    /// Removes the charge for an active task.
     pub(crate) fn uncharge(&mut self, team: &str, resources: Resources) {
         if let Some(used) = self.active.get_mut(team) {
             used.sub(resources);
         }
     }
 
-    /// What a team's active tasks use.
+    /// Returns the usage of a team's active tasks.
     pub(crate) fn used_by(&self, team: &str) -> Resources {
         self.active.get(team).copied().unwrap_or_default()
     }
 
-    /// What the active tasks of each team use.
+    /// Returns the usage of active tasks by team.
     pub(crate) fn by_team(&self) -> &BTreeMap<String, Resources> {
         &self.active
     }
 
-    /// What a team's recently cancelled jobs could use.
+    /// Returns the maximum usage of a team's recently cancelled jobs.
     pub(crate) fn recently_cancelled(&self, team: &str) -> Resources {
         let cancelled = self.recently_cancelled.get(team);
         cancelled.copied().unwrap_or_default()
     }
 
-    /// A job was cancelled whose tasks may still be running on machines of unknown content.
+    /// Adds the maximum usage of a cancelled job whose tasks may still be running on machines of
+    /// unknown content.
     pub(crate) fn add_cancelled(&mut self, team: &str, resources: Resources) {
         let cancelled = self.recently_cancelled.entry(team.to_string());
         cancelled.or_default().add(resources);
     }
 
-    /// Forgets what cancelled jobs could use.
+    /// Clears the usage of recently cancelled jobs for all teams.
     pub(crate) fn clear_cancelled(&mut self) {
         self.recently_cancelled.clear();
     }
 }
 
-/// CPUs of tasks that wait for capacity, by owner.
+/// CPUs of the tasks that wait for capacity, by owner.
 #[derive(Default)]
 pub(crate) struct Backlogs {
     cpus: BTreeMap<String, f64>,
 }
 
 impl Backlogs {
-    /// A task begins to wait at an owner.
+    /// Adds a task that starts to wait at an owner.
     pub(crate) fn add(&mut self, owner: &str, cpus: f64) {
         *self.cpus.entry(owner.to_string()).or_default() += cpus;
     }
 
-    /// A task does not wait at an owner any more.
+    /// Removes a task that no longer waits at an owner.
     pub(crate) fn remove(&mut self, owner: &str, cpus: f64) {
         if let Some(waiting) = self.cpus.get_mut(owner) {
             *waiting -= cpus;
         }
     }
 
-    /// CPUs that wait at an owner.
+    /// Returns the CPUs of the tasks that wait at an owner.
     pub(crate) fn waiting_at(&self, owner: &str) -> f64 {
         self.cpus.get(owner).copied().unwrap_or(0.0)
     }
 
-    /// CPUs that wait at all owners.
+    /// Returns the CPUs of the tasks that wait at all owners together.
     pub(crate) fn total(&self) -> f64 {
         self.cpus.values().sum()
     }
--- a/crates/sched/src/cluster/wait_estimates.rs
+++ b/crates/sched/src/cluster/wait_estimates.rs
@@ -1,4 +1,5 @@
-//! Whether work may wait for a machine in use rather than have one provisioned, and how long tasks run.
+//! Run time estimates, and whether work can wait for a busy machine instead of a new one being
+//! provisioned.
 
 use super::{ActiveTask, Cluster, Job, Machine};
 use crate::placement::tier;
@@ -7,41 +8,44 @@
 use wire::peers::TaskRequirements;
 use wire::users::Shape;
 
-/// What a slow boot takes of the nominal time, with the start of the gang's tasks.
+/// Duration of a slow boot, including the start of a gang's tasks, as a multiple of the nominal
+/// boot time.
 pub(crate) const SLOW_BOOT_FACTOR: f64 = 1.25;
 
-/// Within what time gangs of a class without an objective should start, as a multiple of the time allowed for a
-/// guaranteed start.
+/// Target start time for gangs of a class without an objective, as a multiple of the time allowed
+/// for a guaranteed start.
 const DEFAULT_WAIT_FACTOR: f64 = 4.0;
 
-/// A task is expected to run for at least this part of its run time from now on, however long it has run.
+/// Minimum expected remaining run time of a task, as a fraction of its expected run time, however
+/// long it has already run.
 const MIN_REMAINING_SHARE: f64 = 0.25;
 
-/// Least run time of a task in seconds, so that what is learned of empty tasks gives no endless turnover.
+/// Minimum expected run time of a task in seconds: tasks that end at once must not lead to an
+/// unbounded turnover estimate.
 const MIN_RUN_S: f64 = 1.0;
 
-/// A machine in use.
+/// A machine that is open for tasks, and the time at which it is expected to be empty.
 pub(crate) struct BusyMachine {
-    /// When it is expected to be empty.
+    /// Time at which it is expected to be empty.
     empty_at: Secs,
     /// Its name.
     name: String,
 }
 
-/// Machines in use, those first that are expected to be empty first.
+/// Machines sorted by the time at which they are expected to be empty, earliest first.
 pub(crate) type BusyMachines = Vec<BusyMachine>;
 
-/// Busy machines that a gang may wait for.
+/// Busy machines that a gang may wait for, of one zone if the gang requires one.
 #[derive(Default)]
 struct CandidateMachines {
-    /// How many of its tasks fit on them.
+    /// Number of the gang's tasks that fit on them together.
     slots: u32,
-    /// Their positions among all busy machines.
+    /// Their positions in the list of busy machines.
     positions: Vec<usize>,
 }
 
 impl Cluster {
-    /// Whether a gang has waited so long that machines are cordoned for it.
+    /// Returns whether a gang has waited so long that machines are cordoned for it.
     pub(crate) fn has_waited_long(&self, id: &str, now: Secs) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
@@ -51,7 +55,8 @@
         now - job.first_seen_at > within_s * self.config.max_wait_share
     }
 
-    /// When machines on which these tasks may run are expected to be empty, the earliest first.
+    /// Returns the machines on which the tasks may run, sorted by the time at which they are expected
+    /// to be empty.
     pub(crate) fn busy_machines(&self, requirements: &TaskRequirements, now: Secs) -> BusyMachines {
         let usable = self
             .machines
@@ -66,7 +71,7 @@
         busy
     }
 
-    /// When the last task of a machine is expected to end.
+    /// Returns the time at which the last task of a machine is expected to end.
     fn expected_empty_at(&self, machine: &Machine, now: Secs) -> Secs {
         let ends = machine.tasks.keys().filter_map(|(id, index)| {
             let job = self.jobs.get(id)?;
@@ -75,7 +80,7 @@
         ends.fold(now, f64::max)
     }
 
-    /// When a task is expected to end.
+    /// Returns the time at which a task is expected to end.
     fn expected_end(&self, job: &Job, task: &ActiveTask, now: Secs) -> Secs {
         let run_s = self.expected_run_s(job);
         if task.running {
@@ -85,7 +90,8 @@
         }
     }
 
-    /// How long a task of a job runs, as far as was learned of its class.
+    /// Returns the expected run time of a job's tasks in seconds: the observed average of its class,
+    /// or the job's own estimate if none was observed yet.
     pub(crate) fn expected_run_s(&self, job: &Job) -> f64 {
         self.run_times
             .get(&job.spec.class)
@@ -93,8 +99,8 @@
             .max(MIN_RUN_S)
     }
 
-    /// Whether a gang is expected to get machines that are in use early enough for its class's objective; those
-    /// machines are then taken for as long as its tasks run.
+    /// Returns whether a gang can meet its class's objective by waiting for busy machines. If so, it
+    /// claims them: their expected empty times move back by the gang's expected run time.
     pub(crate) fn claim_busy_machines(
         &self,
         id: &str,
@@ -121,7 +127,8 @@
         true
     }
 
-    /// Until when a gang may wait for machines in use; none if its class has no objective.
+    /// Returns the latest time until which a gang may wait for busy machines, or `None` if its class
+    /// has no objective.
     fn latest_start(&self, job: &Job, requirements: &TaskRequirements) -> Option<Secs> {
         let within_s = self.config.wait_s.get(&job.spec.class)?;
         let kinds = requirements.kinds.iter();
@@ -129,13 +136,14 @@
             .filter_map(|allowed| self.machine_types.get(&allowed.kind))
             .map(|machine_type| machine_type.boot_s)
             .fold(f64::MAX, f64::min);
-        // What is provisioned once the wait is given up must still be up in time, slow boots included.
+        // Machines that are provisioned when the wait ends must still be up in time, even if they boot
+        // slowly.
         let time_to_boot_s = within_s - shortest_boot_s * SLOW_BOOT_FACTOR;
         Some(job.first_seen_at + (within_s * self.config.max_wait_share).min(time_to_boot_s))
     }
 
-    /// Positions of busy machines on which a whole gang fits and that are empty in time, all in one zone if it
-    /// wants that.
+    /// Returns the positions of busy machines that fit a whole gang and are expected to be empty by
+    /// `latest_start`, all in one zone if the gang requires that.
     fn find_busy_machines(
         &self,
         job: &Job,
@@ -166,7 +174,7 @@
         None
     }
 
-    /// CPUs per second that running array tasks free for others.
+    /// Returns the CPUs per second that running array tasks are expected to free.
     pub(crate) fn turnover_cpus_per_s(&self) -> f64 {
         let arrays = self
             .jobs
@@ -178,7 +186,7 @@
     }
 }
 
-/// Whether tasks may run on a machine.
+/// Returns whether tasks with these requirements may run on a machine.
 fn allows(requirements: &TaskRequirements, machine: &Machine) -> bool {
     tier(requirements, &machine.kind, &machine.zone, machine.spot).is_some()
 }
--- a/crates/sched/src/cluster/zones.rs
+++ b/crates/sched/src/cluster/zones.rs
@@ -1,4 +1,4 @@
-//! The zones that an array may use.
+//! Zone constraints of arrays.
 
 use super::{Cluster, Job, TaskLocation};
 use crate::capacity_index::MachineFit;
@@ -6,8 +6,8 @@
 use std::rc::Rc;
 
 impl Cluster {
-    /// Active tasks of a job by zone, those of earlier attempts included; none while it is not known where
-    /// one of them is.
+    /// Returns the number of a job's active tasks by zone, including those of earlier attempts, or
+    /// `None` while the zone of any of them is unknown.
     fn zones_in_use(&self, job: &Job) -> Option<BTreeMap<String, u32>> {
         let mut zones = BTreeMap::new();
         for active in job.active.values() {
@@ -22,8 +22,8 @@
         Some(zones)
     }
 
-    /// How many more tasks of an array each zone may take, when zones matter to its job; none while it is not
-    /// known which zones are in use.
+    /// Returns how many more tasks of an array may run in each zone with fitting machines, given the
+    /// job's zone constraints, or `None` while it is unknown which zones are in use.
     pub(crate) fn zone_limits(
         &self,
         job: &Job,
@@ -50,7 +50,8 @@
     }
 }
 
-/// The zone of a job that wants one: that of its active tasks, else the one in which most tasks fit.
+/// Returns the zone for a job restricted to one zone: that of its active tasks, otherwise the one
+/// in which the most tasks fit.
 fn choose_single_zone(used: &BTreeMap<String, u32>, fits: &[MachineFit]) -> Option<Rc<str>> {
     if let Some(zone) = used.keys().next() {
         return Some(zone.as_str().into());
