--- a/crates/sched/src/autoscaler/gang.rs
+++ b/crates/sched/src/autoscaler/gang.rs
@@ -1,5 +1,5 @@
-//! Provisioning for whole gangs. A gang that wants one zone gets all its machines there: half a gang's machines in
-//! each of two zones serve nobody.
+//! Provisioning for whole gangs. For a gang that requires a single zone, all machines are provisioned
+//! in one zone: half of the machines in each of two zones would be useless to it.
 
 use super::scale_out::ScaleOut;
 use crate::cluster::Job;
@@ -7,17 +7,19 @@
 use std::collections::BTreeSet;
 use wire::peers::TaskRequirements;
 
-/// How a zone suits a gang that wants one zone. The better it suits, the smaller: the order of the fields counts.
+/// Score of a zone for a gang that requires a single zone. Lower is better; the order of the fields
+/// defines the comparison.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct ZoneScore {
-    /// It lacks machines, and the cloud refused every offer there lately.
+    /// Whether it lacks capacity while the cloud recently refused every offer there.
     exhausted: bool,
-    /// How many tasks find neither free capacity nor capacity on its way.
+    /// Number of tasks that fit neither free nor incoming capacity.
     missing_slots: u32,
 }
 
 impl ScaleOut<'_> {
-    /// Plans what a whole gang lacks. What is there for it already is not returned.
+    /// Plans the machines that a whole gang lacks, and keeps the ones it can already use from being
+    /// released.
     pub fn plan_for_gang(&mut self, id: &str, job: &Job, requirements: &TaskRequirements) {
         let (tasks, spread) = (job.spec.tasks, job.spec.spread);
         if requirements.zone.is_some() || !job.spec.one_zone && !spread {
@@ -30,9 +32,10 @@
         }
     }
 
-    /// Plans machines in two zones or more, first where the most capacity is to be had.
+    /// Plans machines in at least two zones, starting with the zones that have an available offer, and
+    /// among these with the ones that have the most capacity.
     fn provision_spread(&mut self, requirements: &TaskRequirements, tasks: u32) {
-        // No zone may have more than half: what is above that in one is of no use.
+        // No zone may run more than half of the tasks, so more capacity than that is useless.
         let half = tasks.div_ceil(2);
         let zones = self.zones(requirements).into_iter();
         let mut zones: Vec<TaskRequirements> =
@@ -49,9 +52,9 @@
         }
     }
 
-    /// The zone for a gang's machines: the one that it has, unless no machines are to be had there; else the one
-    /// that lacks least of those that are said to have machines. A gang that has waited for long keeps its zone
-    /// in any case, since machines are cordoned for it there.
+    /// Returns the zone for a gang's machines: its present zone, unless that is exhausted; otherwise the
+    /// zone that lacks the least, preferring zones that are not exhausted. A gang that has waited long
+    /// keeps its zone even if it is exhausted, since machines are cordoned for it there.
     fn choose_zone(&self, id: &str, requirements: &TaskRequirements, tasks: u32) -> Option<String> {
         let zones = self.zones(requirements);
         let outlook = |zone: &String| self.score_zone(&in_zone(requirements, zone), tasks);
@@ -64,7 +67,7 @@
             .cloned()
     }
 
-    /// How a zone, given by requirements, suits a gang of so many tasks.
+    /// Returns the score of a zone, given by `requirements`, for a gang of `tasks` tasks.
     fn score_zone(&self, requirements: &TaskRequirements, tasks: u32) -> ZoneScore {
         let lacking = tasks.saturating_sub(self.available_slots(requirements));
         ZoneScore {
@@ -73,14 +76,14 @@
         }
     }
 
-    /// How many tasks find free capacity or capacity on its way.
+    /// Returns the number of tasks that fit free or incoming capacity.
     fn available_slots(&self, requirements: &TaskRequirements) -> u32 {
         let fits = self.cluster.machines.index().fits(requirements);
         let free: u32 = fits.iter().map(|fit| fit.slots).sum();
         free.saturating_add(self.incoming.count_fitting(requirements))
     }
 
-    /// The zones of the machine types that tasks may use.
+    /// Returns the zones of the machine types that the tasks may use.
     fn zones(&self, requirements: &TaskRequirements) -> BTreeSet<String> {
         let kinds = requirements.kinds.iter();
         kinds
@@ -90,7 +93,7 @@
     }
 }
 
-/// The same requirements in one zone.
+/// Returns the requirements restricted to a zone.
 fn in_zone(requirements: &TaskRequirements, zone: &str) -> TaskRequirements {
     TaskRequirements {
         zone: Some(zone.to_string()),
--- a/crates/sched/src/autoscaler/incoming.rs
+++ b/crates/sched/src/autoscaler/incoming.rs
@@ -1,4 +1,4 @@
-//! Machines on their way, as capacity that waiting work may count on.
+//! Incoming machines, as capacity that waiting work can rely on.
 
 use super::{Autoscaler, Offer};
 use crate::cluster::{Cluster, Rostered};
@@ -6,18 +6,18 @@
 use std::collections::BTreeMap;
 use wire::peers::TaskRequirements;
 
-/// Machines on their way that come from one offer and have the same capacity left.
+/// Incoming machines of one offer with the same remaining capacity.
 struct IncomingMachines {
-    /// What they come from.
+    /// The offer that they come from.
     offer: Offer,
-    /// What is left of each machine's capacity.
+    /// Remaining capacity of each machine.
     free: Resources,
-    /// How many machines; at least one.
+    /// Number of machines; at least one.
     count: u32,
 }
 
 impl IncomingMachines {
-    /// Takes some of the machines out and gives capacity of each away.
+    /// Splits off `count` of the machines and returns them with `used` deducted from each.
     fn allocate(&mut self, count: u32, used: Resources) -> IncomingMachines {
         let mut free = self.free;
         free.sub(used);
@@ -30,9 +30,9 @@
     }
 }
 
-/// All machines on their way. Capacity that one job counts on is no longer there for the next.
+/// All incoming machines. Capacity allocated to one job is not available to the next.
 pub(super) struct Incoming {
-    /// Taken from in this order; one offer may appear more than once.
+    /// In the order of allocation; an offer may appear more than once.
     machines: Vec<IncomingMachines>,
 }
 
@@ -46,7 +46,7 @@
         });
     }
 
-    /// How many tasks fit on the machines on which they may run.
+    /// Returns the number of tasks that fit on the machines on which they may run.
     pub fn count_fitting(&self, requirements: &TaskRequirements) -> u32 {
         let resources = Resources::of(requirements);
         self.machines
@@ -56,7 +56,8 @@
             .sum()
     }
 
-    /// Takes capacity for up to `left` tasks; says how many remain.
+    /// Allocates capacity of the allowed offers for up to `left` tasks; returns the number of tasks that
+    /// remain.
     pub fn allocate(
         &mut self,
         allowed: impl Fn(&Offer) -> bool,
@@ -89,7 +90,7 @@
 }
 
 impl Autoscaler {
-    /// Machines that boot, that the cloud was asked for, and that are not on the roster yet.
+    /// Returns the machines that are requested, booting, or not on the roster yet.
     pub(super) fn incoming(&self, cluster: &Cluster) -> Incoming {
         let booting = self.booting.values().map(|b| (b.offer.clone(), 1));
         let requested = self
--- a/crates/sched/src/autoscaler/mod.rs
+++ b/crates/sched/src/autoscaler/mod.rs
@@ -1,8 +1,9 @@
-//! The autoscaler: which machines to provision for work that finds none, and which machines to return.
+//! The autoscaler: decides which machines to provision for work that could not be placed, and which
+//! machines to release.
 //!
-//! It decides on the [`Cluster`] and keeps to itself only what passes between the controller and the cloud:
-//! requests in flight, machines that boot, offers that were refused, and releases. It does no I/O: the leader
-//! carries out each [`ScalingDecision`] and hands the cloud's answers back.
+//! It bases its decisions on the [`Cluster`] and itself keeps only the state of its exchange with the
+//! cloud: pending requests, booting machines, refused offers, and releases. It does no I/O: the leader
+//! carries out each [`ScalingDecision`] and passes the cloud's answers back.
 
 mod arrivals;
 mod gang;
@@ -22,79 +23,79 @@
 use wire::cloud::{Listed, ListedMachine, ProvisionRequest};
 use wire::users::Job as JobSpec;
 
-/// The cloud charges for at least this many seconds of a machine (a figure of the protocol).
+/// Minimum time in seconds that the cloud charges for a machine (defined by the cloud's protocol).
 const MIN_CHARGE_S: f64 = 60.0;
 
-/// Longest time between two reviews, in seconds, however long the heartbeat interval is.
+/// Maximum time between two reviews in seconds, regardless of the heartbeat interval.
 const MAX_REVIEW_INTERVAL_S: f64 = 1.0;
 
-/// Part of that interval after which work is reviewed again once the cloud has answered every request: the
-/// next request can go out at once.
+/// Fraction of the review interval after which the next review may run early. It applies once the
+/// cloud has answered every request, since the next request can then be sent at once.
 const EARLY_REVIEW_SHARE: f64 = 0.25;
 
-/// What the autoscaler has to know of the leader's present epoch.
+/// The properties of the leader's current epoch that the autoscaler depends on.
 pub(crate) struct EpochContext {
-    /// The leader's token; part of the names of requests, which are never used twice.
+    /// The leader's token; part of every request name, so that no name is used twice.
     pub token: u64,
-    /// When the epoch began.
+    /// Time at which the epoch began.
     pub began_at: Secs,
-    /// Whether work waits until the content of all machines is known.
+    /// Whether work is blocked until the content of all machines is known.
     pub waits_for_unknown_machines: bool,
 }
 
-/// What the leader has to carry out, in the order of the fields.
+/// Scaling actions for the leader to carry out, in the order of the fields.
 pub(crate) struct ScalingDecision {
     /// Requests to send to the cloud.
     pub provision: Vec<ProvisionRequest>,
-    /// Machines on which nothing may be placed any more: their owners have to be told.
+    /// Machines on which nothing may be placed any more; their owners must be notified.
     pub cordon: Vec<String>,
-    /// Machines to return, in batches of which each fits one release.
+    /// Machines to release, in batches that each fit one release request.
     pub deprovision: Vec<Vec<String>>,
 }
 
-/// What is under way between the controller and the cloud. A machine that the cloud has taken back never comes
-/// back into `booting`: the cloud's lists and late heartbeats may still name it.
+/// The state of the exchange between the controller and the cloud. A released machine never returns
+/// to `booting`, although the cloud's lists and late heartbeats may still name it.
 #[derive(Default)]
 pub(crate) struct Autoscaler {
-    /// Machines that the cloud has granted and that have not sent a heartbeat yet, by name.
+    /// Machines granted by the cloud that have not sent a heartbeat yet, by name.
     booting: BTreeMap<String, BootingMachine>,
-    /// Requests that the cloud has not answered, by name.
+    /// Provision requests that the cloud has not answered, by name.
     requested: BTreeMap<String, ProvisionRequest>,
-    /// Offers of which the cloud had fewer machines than were last asked for.
+    /// Offers for which the last request was not fully granted.
     refused: BTreeMap<Offer, Refusal>,
-    /// The zone that each waiting gang's machines are provisioned in, by job.
+    /// The zone in which machines for each waiting gang are provisioned, by job id.
     gang_zones: BTreeMap<String, String>,
-    /// Machines that wait for the rest of a gang's: not returned meanwhile.
+    /// Machines held for a gang that still lacks others; they are not released meanwhile.
     retained_for_gangs: BTreeSet<String>,
-    /// Machines that the cloud has taken back.
+    /// Machines whose release the cloud has confirmed.
     released: BTreeSet<String>,
-    /// Machines whose release the cloud has not confirmed.
+    /// Machines whose release was requested but is not confirmed.
     releasing: BTreeSet<String>,
-    /// Number of the last request under this leader.
+    /// Number of the last provision request of this leader.
     last_request_number: u64,
-    /// When the work was last reviewed.
+    /// Time of the last review.
     reviewed_at: Secs,
-    /// Jobs that came lately.
+    /// Recent job arrivals.
     arrivals: Arrivals,
 }
 
 impl Autoscaler {
-    /// The zone that a waiting gang's machines are provisioned in.
+    /// Returns the zone in which machines for a waiting gang are provisioned.
     pub fn gang_zone(&self, id: &str) -> Option<&String> {
         self.gang_zones.get(id)
     }
 
-    /// Drops what is kept of a job that is over.
+    /// Drops the state kept for a job that has ended.
     pub fn forget_job(&mut self, id: &str) {
         self.gang_zones.remove(id);
     }
 
-    /// A job came.
+    /// Records the arrival of a job.
     pub fn record_arrival(&mut self, job: &JobSpec, now: Secs) {
         self.arrivals.record(job, now);
     }
 
-    /// A machine has sent its first heartbeat.
+    /// Records the first heartbeat of a machine.
     pub fn record_boot(&mut self, name: &str, now: Secs) {
         if let Some(machine) = self.booting.remove(name) {
             log::info!(
@@ -105,18 +106,18 @@
         }
     }
 
-    /// How many machines boot.
+    /// Returns the number of booting machines.
     pub fn booting_count(&self) -> usize {
         self.booting.len()
     }
 
-    /// Whether the cloud has taken a machine back.
+    /// Returns whether the cloud has confirmed the release of a machine.
     pub fn is_released(&self, name: &str) -> bool {
         self.released.contains(name)
     }
 
-    /// Whether it is time to look at the work again: once a heartbeat interval, but sooner when the cloud has
-    /// answered all that was asked and work still finds no machine.
+    /// Returns whether a review is due: once per heartbeat interval (at most `MAX_REVIEW_INTERVAL_S`),
+    /// and earlier if the cloud has answered all requests and some work is still unplaced.
     pub fn is_due(&self, cluster: &Cluster, now: Secs) -> bool {
         let interval_s = cluster.config.heartbeat_s.min(MAX_REVIEW_INTERVAL_S);
         let since_s = now - self.reviewed_at;
@@ -126,7 +127,8 @@
         (since_s >= interval_s || early) && !cluster.machine_types.is_empty()
     }
 
-    /// Provisions for work that found no machine, and returns machines that are not worth their price.
+    /// Runs a review: provisions machines for unplaced work, and releases machines that are idle for
+    /// too long, faulty or lost.
     pub fn decide(
         &mut self,
         cluster: &mut Cluster,
@@ -145,8 +147,9 @@
         }
     }
 
-    /// The cloud's answer to a provision request: the names of machines, or none for no capacity. `None`: it
-    /// was not carried out, or its outcome stays unknown; what came of it will be listed or send heartbeats.
+    /// Handles the outcome of a provision request. `machines` holds the names of the granted machines,
+    /// empty if there was no capacity. `None` means that the request was not carried out or its outcome is
+    /// unknown; any machines that it did create will show up in a list or send heartbeats.
     pub fn provision_answered(
         &mut self,
         cluster: &Cluster,
@@ -173,20 +176,20 @@
         }
     }
 
-    /// The cloud has taken a machine back.
+    /// Records that the cloud has released a machine.
     pub fn release_confirmed(&mut self, name: &str) {
         self.releasing.remove(name);
         self.released.insert(name.to_string());
         self.booting.remove(name);
     }
 
-    /// The cloud has not taken a machine back: it has to be asked again.
+    /// Records that the cloud has not released a machine, so that the release is requested again.
     pub fn release_failed(&mut self, name: &str) {
         self.releasing.remove(name);
     }
 
-    /// Takes in a list of the cloud's machines: adopts those that are not known, and gives batches of failed
-    /// ones to return.
+    /// Processes a list of the cloud's machines: adopts unknown ones, and returns the failed ones in
+    /// batches to release.
     pub fn process_machine_list(
         &mut self,
         cluster: &Cluster,
@@ -207,7 +210,7 @@
         self.begin_release(failed)
     }
 
-    /// Expects heartbeats of a machine that an earlier leader provisioned, or whose grant was not heard.
+    /// Adopts a machine that an earlier leader provisioned, or whose grant did not arrive, as booting.
     fn adopt(&mut self, cluster: &Cluster, listed: &ListedMachine, now: Secs) {
         log::info!(
             "event=machine_adopted machine={} kind={}",
@@ -227,7 +230,7 @@
         );
     }
 
-    /// Expects the first heartbeat of a machine.
+    /// Adds a booting machine, whose first heartbeat is awaited.
     fn track_booting(&mut self, name: String, offer: Offer, requested_at: Secs) {
         let machine = BootingMachine {
             offer,
--- a/crates/sched/src/autoscaler/pricing.rs
+++ b/crates/sched/src/autoscaler/pricing.rs
@@ -1,4 +1,4 @@
-//! Which offers of the cloud may be asked for at present, and which of them is the cheapest.
+//! Selection of the cheapest cloud offer that may currently be requested.
 
 use super::plan::MAX_MACHINES_PER_REQUEST;
 use super::scale_out::ScaleOut;
@@ -8,44 +8,46 @@
 use wire::cloud::{MachineType, ProvisionRequest};
 use wire::peers::TaskRequirements;
 
-/// An offer is not taken at this many times the price of one whose answer is still to come.
+/// Maximum price of an offer, as a multiple of the lowest price. If only dearer offers may be
+/// requested, it is better to wait for the answer on the cheapest one.
 const MAX_PRICE_RATIO: f64 = 1.3;
 
-/// Prices are raised by up to this part at random: it spreads machines over zones of the same price.
+/// Maximum random fraction added to each price, to spread machines over zones of equal price.
 const PRICE_NOISE: f64 = 0.01;
 
-/// Most machines of one offer that may be asked for before an answer comes.
+/// Maximum number of machines of one offer in unanswered requests.
 const MAX_UNANSWERED: u32 = MAX_MACHINES_PER_REQUEST * 2;
 
-/// Most machines of an offer that may be asked for after a refusal: one shows whether there are some again.
+/// Maximum number of machines of an offer in unanswered requests after a refusal: a single machine
+/// is enough to probe for capacity.
 const MAX_UNANSWERED_PROBES: u32 = 1;
 
-/// An offer at its price for some tasks.
+/// An offer with its price per task for given requirements.
 pub(super) struct PricedOffer {
-    /// What is offered.
+    /// The offer.
     pub offer: Offer,
-    /// Resources of one machine; at least one task fits.
+    /// Resources of one machine, which fit at least one task.
     pub capacity: Resources,
-    /// How long a machine boots, in seconds.
+    /// Nominal boot time of a machine in seconds.
     pub boot_s: Secs,
-    /// Price of a task, in a unit that is good for comparison only.
+    /// Price per task, in a unit that is only meaningful for comparison.
     price: f64,
 }
 
 impl Autoscaler {
-    /// Whether an offer may be asked for, as far as refusals go.
+    /// Returns whether an offer is outside the backoff after a refusal.
     fn is_available(&self, offer: &Offer, now: Secs) -> bool {
         self.refused
             .get(offer)
             .is_none_or(|refusal| now >= refusal.until)
     }
 
-    /// Whether the cloud had fewer machines of an offer than were last asked for.
+    /// Returns whether the last request for an offer was not fully granted.
     fn is_exhausted(&self, offer: &Offer) -> bool {
         self.refused.contains_key(offer)
     }
 
-    /// How many machines of an offer the cloud was asked for and has not answered.
+    /// Returns the number of machines of an offer in unanswered requests.
     fn unanswered(&self, offer: &Offer) -> u32 {
         let of_offer = |request: &&ProvisionRequest| offer.is_asked_by(request);
         let requests = self.requested.values().filter(of_offer);
@@ -54,7 +56,7 @@
 }
 
 impl ScaleOut<'_> {
-    /// The offers on which tasks may run.
+    /// Returns the offers on which tasks may run.
     fn offers<'r>(
         &'r self,
         requirements: &'r TaskRequirements,
@@ -69,20 +71,20 @@
         offers.filter(|offer| offer.is_allowed_by(requirements))
     }
 
-    /// Whether any offer on which tasks may run was not refused lately.
+    /// Returns whether any offer on which tasks may run is outside the backoff after a refusal.
     pub fn has_available_offer(&self, requirements: &TaskRequirements) -> bool {
         self.offers(requirements)
             .any(|offer| self.autoscaler.is_available(&offer, self.now))
     }
 
-    /// Whether the cloud refused every offer on which tasks may run when it was last asked for.
+    /// Returns whether the last request for each offer on which tasks may run was not fully granted.
     pub fn has_only_exhausted_offers(&self, requirements: &TaskRequirements) -> bool {
         self.offers(requirements)
             .all(|offer| self.autoscaler.is_exhausted(&offer))
     }
 
-    /// How many more machines of an offer may be asked for at present: what is refused shows only in the
-    /// answers, and requests are few.
+    /// Returns how many more machines of an offer may be requested now. The number is limited because
+    /// refusals only show in the answers, and the number of requests is limited too.
     pub fn request_limit(&self, offer: &Offer) -> u32 {
         let limit = if self.autoscaler.is_exhausted(offer) {
             MAX_UNANSWERED_PROBES
@@ -92,8 +94,9 @@
         limit.saturating_sub(self.autoscaler.unanswered(offer) + self.plan.count(offer))
     }
 
-    /// The offer with the lowest price per task that fits, preferring one that is not too big. None if what
-    /// costs much less than the rest is being asked for to the limit: its answer comes soon.
+    /// Returns the offer with the lowest price per task. A machine that fits more than `tasks` tasks is
+    /// priced for `tasks` tasks, so oversized machines cost more. Returns `None` if an offer that is much
+    /// cheaper than the others is already requested up to its limit: its answer will arrive soon.
     pub fn cheapest(&mut self, requirements: &TaskRequirements, tasks: u32) -> Option<PricedOffer> {
         let offers = self.priced_offers(requirements, tasks);
         let lowest = offers
@@ -107,8 +110,8 @@
             .filter(|best| best.price <= lowest * MAX_PRICE_RATIO)
     }
 
-    /// The offers on which tasks may run and that were not refused lately, at their prices. Every offer of a
-    /// type on which a task fits takes one random draw, whether it is available or not.
+    /// Returns the available offers on which tasks may run, with their prices. Every offer of a machine
+    /// type that fits a task consumes one random number, whether or not the offer is available.
     fn priced_offers(&mut self, requirements: &TaskRequirements, tasks: u32) -> Vec<PricedOffer> {
         let resources = Resources::of(requirements);
         let mut priced = Vec::new();
@@ -140,14 +143,16 @@
         priced
     }
 
-    /// Whether an offer was refused and is being asked for again: it may have no machines at any price.
+    /// Returns whether an exhausted offer is being probed, in which case it may have no machines at any
+    /// price.
     fn is_probe_pending(&self, offer: &Offer) -> bool {
         self.autoscaler.is_exhausted(offer) && self.request_limit(offer) == 0
     }
 }
 
-/// Price of each of the tasks that run on a machine together. Boot time is paid as well, and a peak pays for
-/// little more than the least charge.
+/// Returns the price per task for `tasks` tasks that share a machine. The cost covers the boot time,
+/// which is charged as well, plus the minimum charge: during a demand peak a machine runs for little
+/// longer.
 fn price_per_task(machine_type: &MachineType, spot: bool, tasks: u32) -> f64 {
     let hourly = if spot {
         machine_type.spot_price
--- a/crates/sched/src/autoscaler/retention.rs
+++ b/crates/sched/src/autoscaler/retention.rs
@@ -23,7 +23,7 @@
     /// How long such a machine boots, in seconds.
     pub boot_s: f64,
     /// How long an ordinary machine is kept, in seconds.
-    ordinary_s: f64,
+    on_demand_s: f64,
     /// How long a spot machine is kept, in seconds.
     spot_s: f64,
 }
@@ -34,7 +34,7 @@
         if spot {
             self.spot_s
         } else {
-            self.ordinary_s
+            self.on_demand_s
         }
     }
 }
@@ -110,7 +110,7 @@
         };
         IdleRetention {
             boot_s: machine_type.boot_s,
-            ordinary_s: retention_s(false),
+            on_demand_s: retention_s(false),
             spot_s: retention_s(true),
         }
     }
@@ -120,7 +120,7 @@
         let retention_s = self.retention_s(MIN_CHARGE_S, 1.0, 0.0);
         IdleRetention {
             boot_s: MIN_CHARGE_S,
-            ordinary_s: retention_s,
+            on_demand_s: retention_s,
             spot_s: retention_s,
         }
     }
