--- a/crates/sched/src/autoscaler/offer.rs
+++ b/crates/sched/src/autoscaler/offer.rs
@@ -1,4 +1,4 @@
-//! What the cloud offers: machines of a type in a zone, spot or ordinary.
+//! Offers of the cloud: spot or on-demand machines of a type in a zone.
 
 use crate::cluster::Machine;
 use crate::placement::tier;
@@ -6,24 +6,25 @@
 use wire::cloud::{ListedMachine, ProvisionRequest};
 use wire::peers::TaskRequirements;
 
-/// After a refusal an offer is left alone for this part of the cloud's list lag: about as long as freed capacity
-/// takes to show.
+/// Backoff after a refusal, as a fraction of the cloud's list lag: about the time until freed capacity
+/// becomes visible.
 const REFUSAL_LAG_SHARE: f64 = 0.5;
 
-/// Part of that time after a request whose outcome is unknown: it says nothing of the cloud's capacity.
+/// Fraction of that backoff that applies after a request whose outcome is unknown, since such a request
+/// says nothing about the cloud's capacity.
 const UNKNOWN_OUTCOME_SHARE: f64 = 0.25;
 
-/// The wait doubles with each refusal in a row, so many times at most.
+/// Maximum number of times that the backoff doubles; it doubles with each consecutive refusal.
 const MAX_DOUBLINGS: u32 = 2;
 
-/// A wait is drawn between this part of its length and that part plus `JITTER_SPAN`.
+/// Minimum random factor of a backoff; the maximum is this plus `JITTER_SPAN`.
 const MIN_JITTER_FACTOR: f64 = 0.75;
 
-/// Width of the range that the part is drawn from.
+/// Width of the range of the random factor.
 const JITTER_SPAN: f64 = 0.5;
 
-/// Machines of one type, zone and kind (spot or ordinary). The order of the fields is the order in which
-/// requests are sent.
+/// Spot or on-demand machines of one type in one zone. The order of the fields defines the order in
+/// which requests are sent.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Offer {
     /// Name of the machine type.
@@ -35,7 +36,7 @@
 }
 
 impl Offer {
-    /// Machines of a type in a zone.
+    /// Creates the offer of a machine type in a zone.
     pub fn new(kind: &str, zone: &str, spot: bool) -> Offer {
         Offer {
             kind: kind.to_string(),
@@ -44,51 +45,52 @@
         }
     }
 
-    /// What a request asks for.
+    /// Returns the offer that a request is for.
     pub fn of_request(request: &ProvisionRequest) -> Offer {
         Offer::new(&request.kind, &request.zone, request.spot)
     }
 
-    /// What a machine of the cloud's list came from.
+    /// Returns the offer that a machine of the cloud's list comes from.
     pub fn of_listed(listed: &ListedMachine) -> Offer {
         Offer::new(&listed.kind, &listed.zone, listed.spot)
     }
 
-    /// What a machine of the cluster came from.
+    /// Returns the offer that a machine of the cluster comes from.
     pub fn of_machine(machine: &Machine) -> Offer {
         Offer::new(&machine.kind, &machine.zone, machine.spot)
     }
 
-    /// Whether a request asks for this.
+    /// Returns whether a request is for this offer.
     pub fn is_asked_by(&self, request: &ProvisionRequest) -> bool {
         self.kind == request.kind && self.zone == request.zone && self.spot == request.spot
     }
 
-    /// Whether tasks may run on such machines.
+    /// Returns whether tasks with these requirements may run on machines of this offer.
     pub fn is_allowed_by(&self, requirements: &TaskRequirements) -> bool {
         tier(requirements, &self.kind, &self.zone, self.spot).is_some()
     }
 }
 
-/// A machine that the cloud has granted and that has not sent a heartbeat yet.
+/// A machine that was granted by the cloud and has not sent a heartbeat yet.
 pub(super) struct BootingMachine {
-    /// What it came from.
+    /// The offer that it comes from.
     pub offer: Offer,
-    /// When it began to boot, as far as is known.
+    /// Estimated time at which it started to boot.
     pub requested_at: Secs,
 }
 
-/// The cloud had fewer machines of an offer than were asked for.
+/// Record that the cloud did not fully grant requests for an offer.
 pub(super) struct Refusal {
-    /// When the offer may be asked for again.
+    /// Time from which the offer may be requested again.
     pub until: Secs,
-    /// How many requests in a row were refused.
+    /// Number of consecutive refusals.
     count: u32,
 }
 
 impl Refusal {
-    /// A refusal that follows `earlier` ones. `answered` tells an answer from an unknown outcome; only an answer
-    /// takes a random draw, which keeps offers that were refused together from being asked for together.
+    /// Returns the record of a refusal that follows `earlier` ones. `answered` distinguishes an answer from
+    /// an unknown outcome. Only an answer consumes a random number: the jitter prevents offers that were
+    /// refused together from being requested together again.
     pub fn after(
         earlier: Option<Refusal>,
         answered: bool,
--- a/crates/sched/src/autoscaler/plan.rs
+++ b/crates/sched/src/autoscaler/plan.rs
@@ -1,33 +1,33 @@
-//! What a review asks the cloud for, and the requests that come of it.
+//! The provisioning plan of a review and the resulting requests to the cloud.
 
 use super::{Autoscaler, Offer};
 use std::collections::BTreeMap;
 use wire::cloud::ProvisionRequest;
 
-/// Most machines of one request (a figure of the protocol).
+/// Maximum number of machines in one provision request (defined by the cloud's protocol).
 pub(super) const MAX_MACHINES_PER_REQUEST: u32 = 50;
 
-/// How many machines of each offer a review asks for.
+/// The number of machines of each offer that a review requests.
 #[derive(Default)]
 pub(super) struct Plan {
-    /// By offer; requests are sent in its order.
+    /// Machine counts by offer; requests are sent in this order.
     counts: BTreeMap<Offer, u32>,
 }
 
 impl Plan {
-    /// Asks for more machines of an offer.
+    /// Adds machines of an offer to the plan.
     pub fn add(&mut self, offer: Offer, count: u32) {
         *self.counts.entry(offer).or_default() += count;
     }
 
-    /// How many machines of an offer are asked for.
+    /// Returns the number of machines of an offer in the plan.
     pub fn count(&self, offer: &Offer) -> u32 {
         self.counts.get(offer).copied().unwrap_or(0)
     }
 }
 
 impl Autoscaler {
-    /// Splits a plan into requests that the protocol allows, and expects their answers.
+    /// Splits a plan into requests of a size that the protocol allows, and records them as unanswered.
     pub(super) fn requests(&mut self, plan: Plan, token: u64) -> Vec<ProvisionRequest> {
         let mut requests = Vec::new();
         for (offer, mut left) in plan.counts {
@@ -40,7 +40,7 @@
         requests
     }
 
-    /// A request under a name that was never used before.
+    /// Creates a request with a unique name and records it as unanswered.
     fn request(&mut self, offer: &Offer, count: u32, token: u64) -> ProvisionRequest {
         self.last_request_number += 1;
         let request = ProvisionRequest {
--- a/crates/sched/src/autoscaler/retention.rs
+++ b/crates/sched/src/autoscaler/retention.rs
@@ -1,4 +1,4 @@
-//! How long idle machines are kept.
+//! How long idle machines are kept before they are released.
 
 use super::arrivals::Arrivals;
 use super::{Autoscaler, MIN_CHARGE_S};
@@ -7,29 +7,29 @@
 use std::collections::{BTreeMap, BTreeSet};
 use wire::cloud::MachineType;
 
-/// Heartbeat intervals for which an idle machine is kept at least: work that was given to it may show only
-/// then.
+/// Minimum retention in heartbeat intervals: work that was assigned to a machine may not be visible
+/// earlier.
 const MIN_RETENTION_HEARTBEATS: f64 = 1.25;
 
-/// Where a boot takes more than this part of the time that a gang should start in, it could hardly start in time
-/// on a machine that must boot first.
+/// Maximum boot time as a fraction of a gang's target start time. If a machine type takes longer to
+/// boot, the gang can hardly start in time on a machine that must boot first.
 const MAX_BOOT_SHARE: f64 = 0.5;
 
-/// Least price that a spot machine counts for: prices are compared by division.
+/// Minimum spot price used in the price ratio, to avoid a division by zero.
 const MIN_SPOT_PRICE: f64 = 1e-9;
 
-/// How long idle machines of a type are kept, and its boot time.
+/// The retention of idle machines of a type, and the type's boot time.
 pub(super) struct IdleRetention {
-    /// How long such a machine boots, in seconds.
+    /// Nominal boot time in seconds.
     pub boot_s: f64,
-    /// How long an ordinary machine is kept, in seconds.
+    /// Retention of an on-demand machine in seconds.
     on_demand_s: f64,
-    /// How long a spot machine is kept, in seconds.
+    /// Retention of a spot machine in seconds.
     spot_s: f64,
 }
 
 impl IdleRetention {
-    /// How long a machine is kept, in seconds.
+    /// Returns the retention of a spot or on-demand machine in seconds.
     pub fn retention_s(&self, spot: bool) -> f64 {
         if spot {
             self.spot_s
@@ -39,35 +39,35 @@
     }
 }
 
-/// How long idle machines of all types are kept.
+/// The retention of idle machines by machine type.
 pub(super) struct RetentionByType {
-    /// For the types that the cloud lists.
+    /// Retention for the types that the cloud lists.
     by_type: BTreeMap<String, IdleRetention>,
-    /// For machines whose type the cloud does not list.
+    /// Retention for machines whose type the cloud does not list.
     for_unknown_type: IdleRetention,
 }
 
 impl RetentionByType {
-    /// How long idle machines of a type are kept.
+    /// Returns the retention for a machine type.
     pub fn for_type(&self, kind: &str) -> &IdleRetention {
         self.by_type.get(kind).unwrap_or(&self.for_unknown_type)
     }
 }
 
-/// What the retention of every type depends on.
+/// The inputs that the retention of every type depends on.
 struct RetentionPolicy<'a> {
-    /// What is decided on.
+    /// The cluster state.
     cluster: &'a Cluster,
-    /// Jobs that came lately.
+    /// Recent job arrivals.
     arrivals: &'a Arrivals,
-    /// CPUs of all idle machines together.
+    /// Total CPUs of all idle machines.
     idle_cpus: f64,
-    /// The time of the review.
+    /// Time of the review.
     now: Secs,
 }
 
 impl Autoscaler {
-    /// How long idle machines of each type are kept.
+    /// Returns the retention of idle machines for each machine type.
     pub(super) fn retention(
         &mut self,
         cluster: &Cluster,
@@ -93,7 +93,7 @@
 }
 
 impl RetentionPolicy<'_> {
-    /// How long idle machines of a type that the cloud lists are kept.
+    /// Returns the retention for a type that the cloud lists.
     fn retention_for(
         &self,
         machine_type: &MachineType,
@@ -115,7 +115,7 @@
         }
     }
 
-    /// How long idle machines of any other type are kept: as if they booted within the least charge.
+    /// Returns the retention for any other type, as if its boot time were the minimum charge time.
     fn retention_for_unknown_type(&self) -> IdleRetention {
         let retention_s = self.retention_s(MIN_CHARGE_S, 1.0, 0.0);
         IdleRetention {
@@ -125,8 +125,9 @@
         }
     }
 
-    /// As long as a boot and the price make worth, less where few jobs came in that time; but as long as gangs
-    /// need it, and as heartbeats take.
+    /// Returns the retention in seconds: proportional to the boot time and the price advantage, reduced
+    /// when few jobs arrived within that time, but at least `for_gangs_s` and the minimum number of
+    /// heartbeat intervals.
     fn retention_s(&self, boot_s: f64, price_advantage: f64, for_gangs_s: f64) -> f64 {
         let config = &self.cluster.config;
         let full_s = boot_s * config.idle_retention_boots * price_advantage;
@@ -139,7 +140,7 @@
     }
 }
 
-/// How many times cheaper than an ordinary machine one of this type and kind is.
+/// Returns the price of an on-demand machine of a type divided by the price of a spot or on-demand one.
 fn price_advantage(machine_type: &MachineType, spot: bool) -> f64 {
     if spot {
         machine_type.price / machine_type.spot_price.max(MIN_SPOT_PRICE)
@@ -148,7 +149,7 @@
     }
 }
 
-/// CPUs of all idle machines together.
+/// Returns the total CPUs of all idle machines.
 fn idle_cpus(cluster: &Cluster) -> f64 {
     cluster
         .machines
@@ -159,7 +160,7 @@
         .sum()
 }
 
-/// The longest that demand may have any machine kept: arrivals before that count for nothing.
+/// Returns the longest retention that demand can lead to, in seconds. Older arrivals have no effect.
 fn longest_retention_s(cluster: &Cluster) -> f64 {
     let types = cluster.machine_types.values();
     let longest = types
@@ -168,8 +169,9 @@
     longest * cluster.config.idle_retention_boots
 }
 
-/// How long machines of a type are kept for the next gang of a class that has no other type, and that could
-/// hardly start in time on a machine that must boot first.
+/// Returns how long machines of a scarce type are kept for the next gang of a class that fits the type,
+/// in seconds. Only classes whose gangs could hardly start in time on a machine that must boot first
+/// count; the longest of their target start times is used.
 fn gang_retention_s(cluster: &Cluster, machine_type: &MachineType) -> f64 {
     let slow_boot_s = machine_type.boot_s * SLOW_BOOT_FACTOR;
     cluster
--- a/crates/sched/src/autoscaler/scale_in.rs
+++ b/crates/sched/src/autoscaler/scale_in.rs
@@ -1,4 +1,4 @@
-//! Returning machines: idle ones, faulty ones, lost ones, and those that never came up.
+//! Scale-in: releases machines that are idle for too long, faulty or lost, or that never came up.
 
 use super::retention::{IdleRetention, RetentionByType};
 use super::{Autoscaler, EpochContext, MIN_CHARGE_S};
@@ -6,61 +6,63 @@
 use crate::Secs;
 use std::collections::BTreeSet;
 
-/// A machine that takes this many times its nominal boot time is given up.
+/// Maximum boot time, as a multiple of the nominal boot time, before a machine is given up.
 const MAX_BOOT_FACTOR: f64 = 3.5;
 
-/// A machine on which so many jobs failed that run elsewhere is taken to be faulty.
+/// Number of jobs that failed on a machine, but do not fail everywhere, from which on it is considered
+/// faulty.
 const MIN_FAILED_JOBS: usize = 2;
 
-/// Part of all machines that a new leader returns soon if they are the only ones not heard.
+/// Maximum fraction of machines that a new leader releases early if they are the only ones that it has
+/// not heard from.
 const MAX_UNKNOWN_SHARE: f64 = 0.02;
 
-/// Times that a worker waits for an answer: within that, one whose heartbeat was lost has tried again.
+/// Multiple of a worker's response timeout within which a worker whose heartbeat was lost has retried.
 const RETRY_TIMEOUT_FACTOR: f64 = 1.25;
 
-/// Times that a worker waits for an answer: within that and `HEARTBEATS_TO_GIVE_UP` it has given up twice on a
-/// controller that does not answer.
+/// Multiple of a worker's response timeout. Within that and `GIVE_UP_HEARTBEATS` heartbeat intervals, a
+/// worker has twice given up on a controller that does not answer.
 const GIVE_UP_TIMEOUT_FACTOR: f64 = 2.0;
 
-/// Heartbeat intervals that this takes beside the answers that are waited for.
+/// Heartbeat intervals that giving up twice takes, in addition to the response timeouts.
 const GIVE_UP_HEARTBEATS: f64 = 1.5;
 
-/// Most names of one release (a figure of the protocol).
+/// Maximum number of machines in one release request (defined by the cloud's protocol).
 const MAX_MACHINES_PER_RELEASE: usize = 100;
 
-/// What a review takes out of use.
+/// The machines that a review takes out of use.
 #[derive(Default)]
 pub(super) struct ScaleInPlan {
-    /// Machines on which nothing may be placed any more, in the order in which their owners are told.
+    /// Machines on which nothing may be placed any more, in the order in which their owners are notified.
     pub cordon: Vec<String>,
-    /// Machines to return.
+    /// Machines to release.
     pub release: Vec<String>,
 }
 
-/// What is to be done with a machine.
+/// The action to take on a machine.
 enum MachineAction {
-    /// It stays as it is.
+    /// Leave it as it is.
     Keep,
-    /// Its owner is to place nothing more there.
+    /// Stop placing tasks on it.
     Drain,
-    /// Nothing is there any more, nor will be: it can be returned.
+    /// Release it: it is empty, and nothing will be placed on it.
     Release,
 }
 
-/// Why a machine may have to go.
+/// The properties of a machine that decide whether it is drained.
 struct MachineCondition {
-    /// How long it has been idle, in seconds.
+    /// Time for which it has been idle, in seconds.
     idle_s: f64,
-    /// It has been idle for longer than it is worth.
+    /// Whether it has been idle for longer than its retention time.
     expired: bool,
-    /// Jobs fail there that run elsewhere.
+    /// Whether jobs that do not fail everywhere fail on it.
     faulty: bool,
-    /// It has been silent for longer than another one takes to boot.
+    /// Whether its lease expired longer ago than a replacement takes to boot.
     lost: bool,
 }
 
 impl MachineCondition {
-    /// What speaks against a machine at an instant.
+    /// Returns the condition of a machine at `now`.
     fn of(machine: &Machine, retention: &IdleRetention, now: Secs) -> MachineCondition {
         let idle_s = now - machine.idle_since;
         let silent_s = machine.lease_expired_at.map(|expired_at| now - expired_at);
@@ -72,15 +74,15 @@
         }
     }
 
-    /// Whether nothing more is to be placed on a machine. Idleness and faults count only once it is on the roster:
-    /// before, nothing can be placed there.
+    /// Returns whether the machine must be drained. Idleness and faults count only once it is on the roster,
+    /// since nothing can be placed on it before.
     fn requires_drain(&self, rostered: Rostered) -> bool {
         self.lost || rostered == Rostered::Yes && (self.expired || self.faulty)
     }
 }
 
 impl Autoscaler {
-    /// Takes out of use what is not worth its price or does not work.
+    /// Decides which machines to drain and release, and marks them as such.
     pub(super) fn scale_in(
         &mut self,
         cluster: &mut Cluster,
@@ -93,7 +95,7 @@
         let mut returns = self.review_machines(cluster, &retention, work_is_blocked, now);
         if work_is_blocked && should_release_unknown(cluster, epoch, now) {
             let unknown = release_unknown(cluster);
-            // A silent machine may be heard after all before it is gone; nothing is to be placed on it.
+            // A silent machine may send heartbeats again before its release; nothing may be placed on it.
             returns.cordon.extend_from_slice(&unknown);
             returns.release.extend(unknown);
         }
@@ -101,16 +103,16 @@
         returns
     }
 
-    /// Marks machines as being released, those that are not yet, and makes batches of them that each fit one
-    /// release.
+    /// Marks machines as being released, drops those that already are, and returns the rest in batches that
+    /// each fit one release request.
     pub(super) fn begin_release(&mut self, mut names: Vec<String>) -> Vec<Vec<String>> {
         names.retain(|name| self.releasing.insert(name.clone()));
         let batches = names.chunks(MAX_MACHINES_PER_RELEASE);
         batches.map(<[String]>::to_vec).collect()
     }
 
-    /// Drains machines that were idle for too long, are faulty or lost, and releases those that were drained
-    /// before and are empty.
+    /// Drains machines that are idle for too long, faulty or lost, and releases drained machines that are
+    /// empty.
     fn review_machines(
         &self,
         cluster: &mut Cluster,
@@ -121,7 +123,7 @@
         let mut returns = ScaleInPlan::default();
         let machines = cluster.machines.iter_mut();
         for (name, machine) in machines.filter(|(_, machine)| !machine.releasing) {
-            // While work waits until all machines are known, idle ones are not idle for lack of work.
+            // While work is blocked until all machines are known, idle machines do not indicate a lack of work.
             if is_in_use(machine) || work_is_blocked || self.retained_for_gangs.contains(name) {
                 machine.idle_since = now;
             }
@@ -140,7 +142,7 @@
         returns
     }
 
-    /// Machines that should have come up long ago.
+    /// Returns the booting machines that have exceeded the maximum boot time.
     fn boot_timeouts(&self, cluster: &Cluster, now: Secs) -> Vec<String> {
         let max_boot_s = |kind: &str| {
             let machine_type = cluster.machine_types.get(kind);
@@ -158,12 +160,13 @@
     }
 }
 
-/// Whether anything runs on a machine, or is to, as far as the leader and the machine's owner know.
+/// Returns whether anything runs, is reserved or is about to start on a machine, as far as the leader
+/// and the machine's owner know.
 fn is_in_use(machine: &Machine) -> bool {
     !machine.tasks.is_empty() || !machine.reserved.is_empty() || !machine.is_idle
 }
 
-/// Decides on one machine that is not being released.
+/// Returns the action for a machine that is not being released yet.
 fn review_machine(
     name: &str,
     machine: &Machine,
@@ -180,8 +183,8 @@
         );
         return MachineAction::Drain;
     }
-    // Also of a lost machine its owner must show first that it places nothing there: it may have come back
-    // meanwhile, and what is placed on a returned machine is lost.
+    // Even for a lost machine, its owner must first confirm that it places nothing there: the machine may
+    // have come back meanwhile, and tasks placed on a released machine are lost.
     let is_closed = machine.draining && machine.confirmed_unusable && machine.reconciled;
     if is_closed && !is_in_use(machine) {
         MachineAction::Release
@@ -190,10 +193,11 @@
     }
 }
 
-/// Whether machines that were not heard under this leader are given up. Either it is long enough for a worker to
-/// give up twice on a controller that does not answer; or nearly all were heard, and the last of them a while
-/// ago, long enough for a worker whose heartbeat was lost to try again: the few that are left are dead, and all
-/// work would wait for them.
+/// Returns whether to give up machines that have not been heard under this leader. This is the case if
+/// the epoch has lasted long enough for a worker to give up twice on a controller that does not answer.
+/// It is also the case if nearly all machines were heard, the last of them long enough ago for a worker
+/// whose heartbeat was lost to have retried: the remaining few are dead, and all work would wait for
+/// them.
 fn should_release_unknown(cluster: &Cluster, epoch: &EpochContext, now: Secs) -> bool {
     let few_left = cluster.machines.unknown().len() as f64
         <= cluster.machines.len() as f64 * MAX_UNKNOWN_SHARE;
@@ -209,8 +213,8 @@
     now - epoch.began_at > give_up_after_s || few_left && !heard_recently
 }
 
-/// Releases the machines that were not heard under this leader: work waits for what they show, and once
-/// returned they hold nothing.
+/// Marks the machines that have not been heard under this leader as being released, and returns their
+/// names. Work is blocked until their content is known, and a released machine has none.
 fn release_unknown(cluster: &mut Cluster) -> Vec<String> {
     let machines = cluster.machines.iter_mut();
     let silent = machines.filter(|(_, machine)| machine.content_unknown && !machine.releasing);
--- a/crates/sched/src/autoscaler/scale_out.rs
+++ b/crates/sched/src/autoscaler/scale_out.rs
@@ -1,4 +1,4 @@
-//! Provisioning machines for work that finds none, beside those that are on their way already.
+//! Scale-out: provisions machines for unplaced work, in addition to those already incoming.
 
 use super::incoming::Incoming;
 use super::plan::Plan;
@@ -11,22 +11,22 @@
 use wire::cloud::ProvisionRequest;
 use wire::peers::TaskRequirements;
 
-/// CPUs that a task counts for at least where CPUs that become free are counted in tasks: one that takes no CPUs
-/// would be found capacity without end.
+/// Minimum CPUs counted per task when freed CPUs are converted to a number of tasks. Otherwise a task
+/// that requires no CPUs would find unlimited capacity.
 const MIN_TASK_CPUS: f64 = 0.01;
 
-/// Capacity that running tasks of arrays free again and again while a machine boots. What one job counts on is
-/// no longer there for the next.
+/// Capacity that running array tasks are expected to free while a machine boots. Capacity claimed by one
+/// job is not available to the next.
 struct ExpectedTurnover {
-    /// CPUs that become free in a second.
+    /// CPUs that are freed per second.
     cpus_per_s: f64,
-    /// CPUs that jobs count on already.
+    /// CPUs already claimed by jobs.
     claimed_cpus: f64,
 }
 
 impl ExpectedTurnover {
-    /// How many of `tasks` will find capacity by the time a machine has booted. Jobs that come meanwhile take
-    /// `arriving_cpus_per_s` of what becomes free.
+    /// Claims freed capacity for up to `tasks` tasks; returns how many will find capacity by the time a
+    /// machine has booted. Jobs that arrive meanwhile use `arriving_cpus_per_s` of the freed capacity.
     fn claim(&mut self, tasks: u32, cpus: f64, boot_s: Secs, arriving_cpus_per_s: f64) -> u32 {
         let net_cpus_per_s = (self.cpus_per_s - arriving_cpus_per_s).max(0.0);
         let served = ((net_cpus_per_s * boot_s - self.claimed_cpus) / cpus.max(MIN_TASK_CPUS))
@@ -37,33 +37,33 @@
     }
 }
 
-/// One review of the work that found no machine. It changes nothing of the cluster; what it plans counts as
+/// One review of the unplaced work. It does not change the cluster; machines that it plans count as
 /// incoming for the rest of the work.
 pub(super) struct ScaleOut<'a> {
-    /// What is under way, and which machines and zones are kept for gangs.
+    /// Requests in flight, and the machines and zones kept for gangs.
     pub autoscaler: &'a mut Autoscaler,
-    /// What is decided on.
+    /// The cluster state.
     pub cluster: &'a Cluster,
-    /// Machine types that are the only ones for some class: spared for its jobs.
+    /// Machine types that are the only ones to fit some class, kept for its jobs.
     scarce: &'a BTreeSet<(String, bool)>,
-    /// Source of the noise on prices.
+    /// Source of the random noise on prices.
     pub rng: &'a mut fastrand::Rng,
-    /// The time of the review.
+    /// Time of the review.
     pub now: Secs,
-    /// Capacity on its way that no job counts on yet.
+    /// Incoming capacity that is not allocated to a job yet.
     pub incoming: Incoming,
-    /// What the review asks for.
+    /// Machines to request.
     pub plan: Plan,
-    /// Capacity that becomes free while machines boot.
+    /// Capacity that is expected to be freed while machines boot.
     turnover: ExpectedTurnover,
-    /// Whether a gang waits for scarce machine types.
+    /// Whether a gang that fits only scarce machine types is unplaced.
     gang_waits_for_scarce: bool,
-    /// When machines in use become empty; looked up for the first gang.
+    /// Busy machines by the time at which they are expected to be empty; computed for the first gang.
     busy_machines: Option<BusyMachines>,
 }
 
 impl Autoscaler {
-    /// Requests for what the work lacks that found no machine, beside what is on its way.
+    /// Returns the requests for the machines that unplaced work needs in addition to those incoming.
     pub(super) fn scale_out(
         &mut self,
         cluster: &Cluster,
@@ -94,14 +94,14 @@
 }
 
 impl ScaleOut<'_> {
-    /// Plans machines for each job that found none, in the order of the queue.
+    /// Plans machines for each unplaced job, in queue order.
     fn run(mut self) -> Plan {
         let cluster = self.cluster;
         for (id, tasks) in &cluster.unplaced {
             let Some(job) = cluster.jobs.get(id) else {
                 continue;
             };
-            // Capacity is being taken back for it.
+            // Other tasks are being preempted to make room for it.
             if self.now < job.preempting_until {
                 continue;
             }
@@ -115,7 +115,7 @@
         self.plan
     }
 
-    /// Whether a gang gets machines that are in use early enough; it then counts on them.
+    /// Returns whether a gang can wait for busy machines, and claims them if so.
     fn can_wait_for_busy_machines(&mut self, id: &str, requirements: &TaskRequirements) -> bool {
         let (cluster, now) = (self.cluster, self.now);
         let busy_machines = self
@@ -124,8 +124,8 @@
         cluster.claim_busy_machines(id, requirements, busy_machines, now)
     }
 
-    /// Plans machines for tasks of an array that will find neither capacity on its way nor capacity that
-    /// running tasks free.
+    /// Plans machines for the tasks of an array that fit neither incoming capacity nor capacity that running
+    /// tasks are expected to free.
     fn plan_for_array(&mut self, job: &Job, avoiding_scarce: &TaskRequirements, tasks: u32) {
         let resources = job.resources();
         let unrestricted = self.cluster.requirements(job, None);
@@ -144,8 +144,8 @@
         }
     }
 
-    /// The cheapest offer without scarce machine types; with them while no gang waits for them and the others
-    /// are used up.
+    /// Returns the cheapest offer without scarce machine types. Scarce types are included only if all other
+    /// offers are exhausted and no gang waits for scarce types.
     fn cheapest_avoiding_scarce(
         &mut self,
         avoiding_scarce: &TaskRequirements,
@@ -162,7 +162,8 @@
         found
     }
 
-    /// How many tasks need no machine that boots: running tasks make way for them as soon.
+    /// Claims expected turnover for up to `tasks` tasks; returns how many of them need no new machine,
+    /// because running tasks free capacity for them before it would boot.
     fn claim_turnover(&mut self, tasks: u32, cpus: f64, boot_s: Secs) -> u32 {
         let arrivals = &self.autoscaler.arrivals;
         let arriving_cpus_per_s = arrivals.cpus_per_s(self.now, boot_s.max(MIN_CHARGE_S));
@@ -170,8 +171,8 @@
             .claim(tasks, cpus, boot_s, arriving_cpus_per_s)
     }
 
-    /// Plans machines of an offer for `left` tasks, as many as may be asked for at present but at least one; says
-    /// how many tasks remain, always fewer.
+    /// Plans machines of an offer for `left` tasks: as many as may currently be requested, but at least one.
+    /// Returns the number of tasks that remain, which is always lower than `left`.
     fn provision(&mut self, choice: PricedOffer, resources: Resources, left: u32) -> u32 {
         let PricedOffer {
             offer, capacity, ..
@@ -186,7 +187,8 @@
         left
     }
 
-    /// Keeps what is free for `tasks`, and plans machines for what they lack beside what is on its way.
+    /// Keeps free machines that fit `tasks` tasks from being released, and plans machines for the tasks that
+    /// fit neither those nor incoming capacity.
     pub fn provision_in_zone(&mut self, requirements: &TaskRequirements, tasks: u32) {
         let resources = Resources::of(requirements);
         let mut left = tasks;
