--- a/crates/sched/src/autoscaler/mod.rs
+++ b/crates/sched/src/autoscaler/mod.rs
@@ -139,11 +139,11 @@
         self.reviewed_at = now;
         let scarce = cluster.scarce_types();
         let provision = self.scale_out(cluster, &scarce, epoch.token, rng, now);
-        let returns = self.scale_in(cluster, &scarce, epoch, now);
+        let scale_in = self.scale_in(cluster, &scarce, epoch, now);
         ScalingDecision {
             provision,
-            cordon: returns.cordon,
-            deprovision: self.begin_release(returns.release),
+            cordon: scale_in.cordon,
+            deprovision: self.begin_release(scale_in.release),
         }
     }
 
--- a/crates/sched/src/autoscaler/offer.rs
+++ b/crates/sched/src/autoscaler/offer.rs
@@ -61,7 +61,7 @@
     }
 
     /// Returns whether a request is for this offer.
-    pub fn is_asked_by(&self, request: &ProvisionRequest) -> bool {
+    pub fn matches_request(&self, request: &ProvisionRequest) -> bool {
         self.kind == request.kind && self.zone == request.zone && self.spot == request.spot
     }
 
--- a/crates/sched/src/autoscaler/pricing.rs
+++ b/crates/sched/src/autoscaler/pricing.rs
@@ -49,7 +49,7 @@
 
     /// Returns the number of machines of an offer in unanswered requests.
     fn unanswered(&self, offer: &Offer) -> u32 {
-        let of_offer = |request: &&ProvisionRequest| offer.is_asked_by(request);
+        let of_offer = |request: &&ProvisionRequest| offer.matches_request(request);
         let requests = self.requested.values().filter(of_offer);
         requests.map(|request| request.count).sum()
     }
--- a/crates/sched/src/autoscaler/scale_in.rs
+++ b/crates/sched/src/autoscaler/scale_in.rs
@@ -54,7 +54,7 @@
     /// Time for which it has been idle, in seconds.
     idle_s: f64,
     /// Whether it has been idle for longer than its retention time.
-    expired: bool,
+    idle_too_long: bool,
     /// Whether jobs that do not fail everywhere fail on it.
     faulty: bool,
     /// Whether its lease expired longer ago than a replacement takes to boot.
@@ -68,7 +68,7 @@
         let silent_s = machine.lease_expired_at.map(|expired_at| now - expired_at);
         MachineCondition {
             idle_s,
-            expired: idle_s > retention.retention_s(machine.spot),
+            idle_too_long: idle_s > retention.retention_s(machine.spot),
             faulty: machine.failed_jobs.len() >= MIN_FAILED_JOBS,
             lost: silent_s.is_some_and(|silent_s| silent_s > retention.boot_s),
         }
@@ -77,7 +77,7 @@
     /// Returns whether the machine must be drained. Idleness and faults count only once it is on the roster,
     /// since nothing can be placed on it before.
     fn requires_drain(&self, rostered: Rostered) -> bool {
-        self.lost || rostered == Rostered::Yes && (self.expired || self.faulty)
+        self.lost || rostered == Rostered::Yes && (self.idle_too_long || self.faulty)
     }
 }
 
@@ -92,15 +92,15 @@
     ) -> ScaleInPlan {
         let work_is_blocked = epoch.waits_for_unknown_machines;
         let retention = self.retention(cluster, scarce, now);
-        let mut returns = self.review_machines(cluster, &retention, work_is_blocked, now);
+        let mut plan = self.review_machines(cluster, &retention, work_is_blocked, now);
         if work_is_blocked && should_release_unknown(cluster, epoch, now) {
             let unknown = release_unknown(cluster);
             // A silent machine may send heartbeats again before its release; nothing may be placed on it.
-            returns.cordon.extend_from_slice(&unknown);
-            returns.release.extend(unknown);
+            plan.cordon.extend_from_slice(&unknown);
+            plan.release.extend(unknown);
         }
-        returns.release.extend(self.boot_timeouts(cluster, now));
-        returns
+        plan.release.extend(self.boot_timeouts(cluster, now));
+        plan
     }
 
     /// Marks machines as being released, drops those that already are, and returns the rest in batches that
@@ -120,7 +120,7 @@
         work_is_blocked: bool,
         now: Secs,
     ) -> ScaleInPlan {
-        let mut returns = ScaleInPlan::default();
+        let mut plan = ScaleInPlan::default();
         let machines = cluster.machines.iter_mut();
         for (name, machine) in machines.filter(|(_, machine)| !machine.releasing) {
             // While work is blocked until all machines are known, idle machines do not indicate a lack of work.
@@ -131,15 +131,15 @@
                 MachineAction::Keep => {}
                 MachineAction::Drain => {
                     machine.draining = true;
-                    returns.cordon.push(name.clone());
+                    plan.cordon.push(name.clone());
                 }
                 MachineAction::Release => {
                     machine.releasing = true;
-                    returns.release.push(name.clone());
+                    plan.release.push(name.clone());
                 }
             }
         }
-        returns
+        plan
     }
 
     /// Returns the booting machines that have exceeded the maximum boot time.
@@ -185,8 +185,8 @@
     }
     // Even for a lost machine, its owner must first confirm that it places nothing there: the machine may
     // have come back meanwhile, and tasks placed on a released machine are lost.
-    let is_closed = machine.draining && machine.confirmed_unusable && machine.reconciled;
-    if is_closed && !is_in_use(machine) {
+    let is_cordoned = machine.draining && machine.confirmed_unusable && machine.reconciled;
+    if is_cordoned && !is_in_use(machine) {
         MachineAction::Release
     } else {
         MachineAction::Keep
--- a/crates/sched/src/cluster/machine_inventory.rs
+++ b/crates/sched/src/cluster/machine_inventory.rs
@@ -162,11 +162,11 @@
             let (kind, zone) = (machine.kind.clone(), machine.zone.clone());
             Some((name.clone(), (kind, zone, machine.spot, indexed)))
         };
-        let open = self
+        let accepting = self
             .machines
             .iter()
             .filter(|(_, machine)| machine.accepts_tasks());
-        let rebuilt: BTreeMap<_, _> = open.filter_map(entry).collect();
+        let rebuilt: BTreeMap<_, _> = accepting.filter_map(entry).collect();
         rebuilt == self.index.contents()
     }
 }
--- a/crates/sched/src/cluster/mod.rs
+++ b/crates/sched/src/cluster/mod.rs
@@ -124,13 +124,15 @@
     /// Replaces the cloud's machine types; returns whether their number changed, in which case the
     /// index of free capacity is rebuilt.
     pub(crate) fn set_machine_types(&mut self, types: Vec<MachineType>) -> bool {
-        let is_same = self.machine_types.len() == types.len();
-        let by_name = types.into_iter().map(|kind| (kind.name.clone(), kind));
+        let same_count = self.machine_types.len() == types.len();
+        let by_name = types
+            .into_iter()
+            .map(|machine_type| (machine_type.name.clone(), machine_type));
         self.machine_types = by_name.collect();
-        if !is_same {
+        if !same_count {
             self.machines.clear_index();
         }
-        !is_same
+        !same_count
     }
 
     /// Adds the run time of a finished task to the statistics of its class.
--- a/crates/sched/src/cluster/wait_estimates.rs
+++ b/crates/sched/src/cluster/wait_estimates.rs
@@ -58,11 +58,11 @@
     /// Returns the machines on which the tasks may run, sorted by the time at which they are expected
     /// to be empty.
     pub(crate) fn busy_machines(&self, requirements: &TaskRequirements, now: Secs) -> BusyMachines {
-        let usable = self
+        let accepting = self
             .machines
             .iter()
-            .filter(|(_, machine)| machine.accepts_tasks() && allows(requirements, machine));
-        let busy = usable.map(|(name, machine)| BusyMachine {
+            .filter(|(_, machine)| machine.accepts_tasks() && may_run_on(requirements, machine));
+        let busy = accepting.map(|(name, machine)| BusyMachine {
             empty_at: self.expected_empty_at(machine, now),
             name: name.clone(),
         });
@@ -155,7 +155,7 @@
         let mut by_zone: BTreeMap<&str, CandidateMachines> = BTreeMap::new();
         for (position, busy) in busy_machines.iter().enumerate() {
             let machine = self.machines.get(&busy.name);
-            let Some(machine) = machine.filter(|machine| allows(requirements, machine)) else {
+            let Some(machine) = machine.filter(|machine| may_run_on(requirements, machine)) else {
                 continue;
             };
             if busy.empty_at.max(now) > latest_start {
@@ -187,7 +187,7 @@
 }
 
 /// Returns whether tasks with these requirements may run on a machine.
-fn allows(requirements: &TaskRequirements, machine: &Machine) -> bool {
+fn may_run_on(requirements: &TaskRequirements, machine: &Machine) -> bool {
     tier(requirements, &machine.kind, &machine.zone, machine.spot).is_some()
 }
 
