--- a/crates/sched/src/autoscaler/arrivals.rs
+++ b/crates/sched/src/autoscaler/arrivals.rs
@@ -34,16 +34,17 @@
         self.jobs.push_back(Arrival { at: now, cpus });
     }
 
-    /// Returns the fraction of the retention time for which idle capacity is kept, based on the demand
-    /// of the jobs that arrived since `since`. Idle capacity is kept for future jobs, so it is released
-    /// earlier when few jobs arrived within the retention time.
+    /// Returns the fraction of the retention time for which idle capacity is kept, based on the
+    /// demand of the jobs that arrived since `since`. Idle capacity is kept for future jobs, so it
+    /// is released earlier when few jobs arrived within the retention time.
     pub fn retention_share(&self, since: Secs, idle_cpus: f64) -> f64 {
         let arrived = self.jobs.iter().rev().take_while(|job| job.at >= since);
         let cpus: f64 = arrived.map(|job| job.cpus).sum();
         (cpus * DEMAND_FACTOR / idle_cpus.max(1.0)).clamp(MIN_RETENTION_SHARE, 1.0)
     }
 
-    /// Returns the CPUs of the tasks that arrived per second, averaged over the last `over_s` seconds.
+    /// Returns the CPUs of the tasks that arrived per second, averaged over the last `over_s`
+    /// seconds.
     pub fn cpus_per_s(&self, now: Secs, over_s: Secs) -> f64 {
         let latest_first = self.jobs.iter().rev();
         let recent = latest_first.take_while(|job| now - job.at <= over_s);
--- a/crates/sched/src/autoscaler/gang.rs
+++ b/crates/sched/src/autoscaler/gang.rs
@@ -1,5 +1,5 @@
-//! Provisioning for whole gangs. For a gang that requires a single zone, all machines are provisioned
-//! in one zone: half of the machines in each of two zones would be useless to it.
+//! Provisioning for whole gangs. For a gang that requires a single zone, all machines are
+//! provisioned in one zone: half of the machines in each of two zones would be useless to it.
 
 use super::scale_out::ScaleOut;
 use crate::cluster::Job;
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Plans machines in at least two zones, starting with the zones that have an available offer, and
-    /// among these with the ones that have the most capacity.
+    /// Plans machines in at least two zones, starting with the zones that have an available offer,
+    /// and among these with the ones that have the most capacity.
     fn provision_spread(&mut self, requirements: &TaskRequirements, tasks: u32) {
         // No zone may run more than half of the tasks, so more capacity than that is useless.
         let half = tasks.div_ceil(2);
@@ -52,9 +52,10 @@
         }
     }
 
-    /// Returns the zone for a gang's machines: its present zone, unless that is exhausted; otherwise the
-    /// zone that lacks the least, preferring zones that are not exhausted. A gang that has waited long
-    /// keeps its zone even if it is exhausted, since machines are cordoned for it there.
+    /// Returns the zone for a gang's machines: its present zone, unless that is exhausted;
+    /// otherwise the zone that lacks the least, preferring zones that are not exhausted. A gang
+    /// that has waited long keeps its zone even if it is exhausted, since machines are cordoned for
+    /// it there.
     fn choose_zone(&self, id: &str, requirements: &TaskRequirements, tasks: u32) -> Option<String> {
         let zones = self.zones(requirements);
         let outlook = |zone: &String| self.score_zone(&in_zone(requirements, zone), tasks);
--- a/crates/sched/src/autoscaler/incoming.rs
+++ b/crates/sched/src/autoscaler/incoming.rs
@@ -56,8 +56,8 @@
             .sum()
     }
 
-    /// Allocates capacity of the allowed offers for up to `left` tasks; returns the number of tasks that
-    /// remain.
+    /// Allocates capacity of the allowed offers for up to `left` tasks; returns the number of tasks
+    /// that remain.
     pub fn allocate(
         &mut self,
         allowed: impl Fn(&Offer) -> bool,
--- a/crates/sched/src/autoscaler/mod.rs
+++ b/crates/sched/src/autoscaler/mod.rs
@@ -1,9 +1,9 @@
 //! The autoscaler: decides which machines to provision for work that could not be placed, and which
 //! machines to release.
 //!
-//! It bases its decisions on the [`Cluster`] and itself keeps only the state of its exchange with the
-//! cloud: pending requests, booting machines, refused offers, and releases. It does no I/O: the leader
-//! carries out each [`ScalingDecision`] and passes the cloud's answers back.
+//! It bases its decisions on the [`Cluster`] and itself keeps only the state of its exchange with
+//! the cloud: pending requests, booting machines, refused offers, and releases. It does no I/O: the
+//! leader carries out each [`ScalingDecision`] and passes the cloud's answers back.
 
 mod arrivals;
 mod gang;
@@ -116,8 +116,9 @@
         self.released.contains(name)
     }
 
-    /// Returns whether a review is due: once per heartbeat interval (at most `MAX_REVIEW_INTERVAL_S`),
-    /// and earlier if the cloud has answered all requests and some work is still unplaced.
+    /// Returns whether a review is due: once per heartbeat interval (at most
+    /// `MAX_REVIEW_INTERVAL_S`), and earlier if the cloud has answered all requests and some work
+    /// is still unplaced.
     pub fn is_due(&self, cluster: &Cluster, now: Secs) -> bool {
         let interval_s = cluster.config.heartbeat_s.min(MAX_REVIEW_INTERVAL_S);
         let since_s = now - self.reviewed_at;
@@ -127,8 +128,8 @@
         (since_s >= interval_s || early) && !cluster.machine_types.is_empty()
     }
 
-    /// Runs a review: provisions machines for unplaced work, and releases machines that are idle for
-    /// too long, faulty or lost.
+    /// Runs a review: provisions machines for unplaced work, and releases machines that are idle
+    /// for too long, faulty or lost.
     pub fn decide(
         &mut self,
         cluster: &mut Cluster,
@@ -147,9 +148,10 @@
         }
     }
 
-    /// Handles the outcome of a provision request. `machines` holds the names of the granted machines,
-    /// empty if there was no capacity. `None` means that the request was not carried out or its outcome is
-    /// unknown; any machines that it did create will show up in a list or send heartbeats.
+    /// Handles the outcome of a provision request. `machines` holds the names of the granted
+    /// machines, empty if there was no capacity. `None` means that the request was not carried out
+    /// or its outcome is unknown; any machines that it did create will show up in a list or send
+    /// heartbeats.
     pub fn provision_answered(
         &mut self,
         cluster: &Cluster,
@@ -188,8 +190,8 @@
         self.releasing.remove(name);
     }
 
-    /// Processes a list of the cloud's machines: adopts unknown ones, and returns the failed ones in
-    /// batches to release.
+    /// Processes a list of the cloud's machines: adopts unknown ones, and returns the failed ones
+    /// in batches to release.
     pub fn process_machine_list(
         &mut self,
         cluster: &Cluster,
@@ -210,7 +212,8 @@
         self.begin_release(failed)
     }
 
-    /// Adopts a machine that an earlier leader provisioned, or whose grant did not arrive, as booting.
+    /// Adopts a machine that an earlier leader provisioned, or whose grant did not arrive, as
+    /// booting.
     fn adopt(&mut self, cluster: &Cluster, listed: &ListedMachine, now: Secs) {
         log::info!(
             "event=machine_adopted machine={} kind={}",
--- a/crates/sched/src/autoscaler/offer.rs
+++ b/crates/sched/src/autoscaler/offer.rs
@@ -6,12 +6,12 @@
 use wire::cloud::{ListedMachine, ProvisionRequest};
 use wire::peers::TaskRequirements;
 
-/// Backoff after a refusal, as a fraction of the cloud's list lag: about the time until freed capacity
-/// becomes visible.
+/// Backoff after a refusal, as a fraction of the cloud's list lag: about the time until freed
+/// capacity becomes visible.
 const REFUSAL_LAG_SHARE: f64 = 0.5;
 
-/// Fraction of that backoff that applies after a request whose outcome is unknown, since such a request
-/// says nothing about the cloud's capacity.
+/// Fraction of that backoff that applies after a request whose outcome is unknown, since such a
+/// request says nothing about the cloud's capacity.
 const UNKNOWN_OUTCOME_SHARE: f64 = 0.25;
 
 /// Maximum number of times that the backoff doubles; it doubles with each consecutive refusal.
@@ -88,9 +88,9 @@
 }
 
 impl Refusal {
-    /// Returns the record of a refusal that follows `earlier` ones. `answered` distinguishes an answer from
-    /// an unknown outcome. Only an answer consumes a random number: the jitter prevents offers that were
-    /// refused together from being requested together again.
+    /// Returns the record of a refusal that follows `earlier` ones. `answered` distinguishes an
+    /// answer from an unknown outcome. Only an answer consumes a random number: the jitter prevents
+    /// offers that were refused together from being requested together again.
     pub fn after(
         earlier: Option<Refusal>,
         answered: bool,
--- a/crates/sched/src/autoscaler/plan.rs
+++ b/crates/sched/src/autoscaler/plan.rs
@@ -27,7 +27,8 @@
 }
 
 impl Autoscaler {
-    /// Splits a plan into requests of a size that the protocol allows, and records them as unanswered.
+    /// Splits a plan into requests of a size that the protocol allows, and records them as
+    /// unanswered.
     pub(super) fn requests(&mut self, plan: Plan, token: u64) -> Vec<ProvisionRequest> {
         let mut requests = Vec::new();
         for (offer, mut left) in plan.counts {
--- a/crates/sched/src/autoscaler/pricing.rs
+++ b/crates/sched/src/autoscaler/pricing.rs
@@ -77,14 +77,15 @@
             .any(|offer| self.autoscaler.is_available(&offer, self.now))
     }
 
-    /// Returns whether the last request for each offer on which tasks may run was not fully granted.
+    /// Returns whether the last request for each offer on which tasks may run was not fully
+    /// granted.
     pub fn has_only_exhausted_offers(&self, requirements: &TaskRequirements) -> bool {
         self.offers(requirements)
             .all(|offer| self.autoscaler.is_exhausted(&offer))
     }
 
-    /// Returns how many more machines of an offer may be requested now. The number is limited because
-    /// refusals only show in the answers, and the number of requests is limited too.
+    /// Returns how many more machines of an offer may be requested now. The number is limited
+    /// because refusals only show in the answers, and the number of requests is limited too.
     pub fn request_limit(&self, offer: &Offer) -> u32 {
         let limit = if self.autoscaler.is_exhausted(offer) {
             MAX_UNANSWERED_PROBES
@@ -94,9 +95,10 @@
         limit.saturating_sub(self.autoscaler.unanswered(offer) + self.plan.count(offer))
     }
 
-    /// Returns the offer with the lowest price per task. A machine that fits more than `tasks` tasks is
-    /// priced for `tasks` tasks, so oversized machines cost more. Returns `None` if an offer that is much
-    /// cheaper than the others is already requested up to its limit: its answer will arrive soon.
+    /// Returns the offer with the lowest price per task. A machine that fits more than `tasks`
+    /// tasks is priced for `tasks` tasks, so oversized machines cost more. Returns `None` if an
+    /// offer that is much cheaper than the others is already requested up to its limit: its answer
+    /// will arrive soon.
     pub fn cheapest(&mut self, requirements: &TaskRequirements, tasks: u32) -> Option<PricedOffer> {
         let offers = self.priced_offers(requirements, tasks);
         let lowest = offers
@@ -110,8 +112,9 @@
             .filter(|best| best.price <= lowest * MAX_PRICE_RATIO)
     }
 
-    /// Returns the available offers on which tasks may run, with their prices. Every offer of a machine
-    /// type that fits a task consumes one random number, whether or not the offer is available.
+    /// Returns the available offers on which tasks may run, with their prices. Every offer of a
+    /// machine type that fits a task consumes one random number, whether or not the offer is
+    /// available.
     fn priced_offers(&mut self, requirements: &TaskRequirements, tasks: u32) -> Vec<PricedOffer> {
         let resources = Resources::of(requirements);
         let mut priced = Vec::new();
@@ -143,16 +146,16 @@
         priced
     }
 
-    /// Returns whether an exhausted offer is being probed, in which case it may have no machines at any
-    /// price.
+    /// Returns whether an exhausted offer is being probed, in which case it may have no machines at
+    /// any price.
     fn is_probe_pending(&self, offer: &Offer) -> bool {
         self.autoscaler.is_exhausted(offer) && self.request_limit(offer) == 0
     }
 }
 
-/// Returns the price per task for `tasks` tasks that share a machine. The cost covers the boot time,
-/// which is charged as well, plus the minimum charge: during a demand peak a machine runs for little
-/// longer.
+/// Returns the price per task for `tasks` tasks that share a machine. The cost covers the boot
+/// time, which is charged as well, plus the minimum charge: during a demand peak a machine runs for
+/// little longer.
 fn price_per_task(machine_type: &MachineType, spot: bool, tasks: u32) -> f64 {
     let hourly = if spot {
         machine_type.spot_price
--- a/crates/sched/src/autoscaler/retention.rs
+++ b/crates/sched/src/autoscaler/retention.rs
@@ -125,9 +125,9 @@
         }
     }
 
-    /// Returns the retention in seconds: proportional to the boot time and the price advantage, reduced
-    /// when few jobs arrived within that time, but at least `for_gangs_s` and the minimum number of
-    /// heartbeat intervals.
+    /// Returns the retention in seconds: proportional to the boot time and the price advantage,
+    /// reduced when few jobs arrived within that time, but at least `for_gangs_s` and the minimum
+    /// number of heartbeat intervals.
     fn retention_s(&self, boot_s: f64, price_advantage: f64, for_gangs_s: f64) -> f64 {
         let config = &self.cluster.config;
         let full_s = boot_s * config.idle_retention_boots * price_advantage;
@@ -140,7 +140,8 @@
     }
 }
 
-/// Returns the price of an on-demand machine of a type divided by the price of a spot or on-demand one.
+/// Returns the price of an on-demand machine of a type divided by the price of a spot or on-demand
+/// one.
 fn price_advantage(machine_type: &MachineType, spot: bool) -> f64 {
     if spot {
         machine_type.price / machine_type.spot_price.max(MIN_SPOT_PRICE)
@@ -160,7 +161,8 @@
         .sum()
 }
 
-/// Returns the longest retention that demand can lead to, in seconds. Older arrivals have no effect.
+/// Returns the longest retention that demand can lead to, in seconds. Older arrivals have no
+/// effect.
 fn longest_retention_s(cluster: &Cluster) -> f64 {
     let types = cluster.machine_types.values();
     let longest = types
@@ -169,9 +171,9 @@
     longest * cluster.config.idle_retention_boots
 }
 
-/// Returns how long machines of a scarce type are kept for the next gang of a class that fits the type,
-/// in seconds. Only classes whose gangs could hardly start in time on a machine that must boot first
-/// count; the longest of their target start times is used.
+/// Returns how long machines of a scarce type are kept for the next gang of a class that fits the
+/// type, in seconds. Only classes whose gangs could hardly start in time on a machine that must
+/// boot first count; the longest of their target start times is used.
 fn gang_retention_s(cluster: &Cluster, machine_type: &MachineType) -> f64 {
     let slow_boot_s = machine_type.boot_s * SLOW_BOOT_FACTOR;
     cluster
--- a/crates/sched/src/autoscaler/scale_in.rs
+++ b/crates/sched/src/autoscaler/scale_in.rs
@@ -9,19 +9,20 @@
 /// Maximum boot time, as a multiple of the nominal boot time, before a machine is given up.
 const MAX_BOOT_FACTOR: f64 = 3.5;
 
-/// Number of jobs that failed on a machine, but do not fail everywhere, from which on it is considered
-/// faulty.
+/// Number of jobs that failed on a machine, but do not fail everywhere, from which on it is
+/// considered faulty.
 const MIN_FAILED_JOBS: usize = 2;
 
-/// Maximum fraction of machines that a new leader releases early if they are the only ones that it has
-/// not heard from.
+/// Maximum fraction of machines that a new leader releases early if they are the only ones that it
+/// has not heard from.
 const MAX_UNKNOWN_SHARE: f64 = 0.02;
 
-/// Multiple of a worker's response timeout within which a worker whose heartbeat was lost has retried.
+/// Multiple of `wire::ANSWER_DROPPED_S` (the response timeout of a heartbeat) within which a worker
+/// whose heartbeat was lost has retried.
 const RETRY_TIMEOUT_FACTOR: f64 = 1.25;
 
-/// Multiple of a worker's response timeout. Within that and `GIVE_UP_HEARTBEATS` heartbeat intervals, a
-/// worker has twice given up on a controller that does not answer.
+/// Multiple of `wire::ANSWER_DROPPED_S`. Within that time and `GIVE_UP_HEARTBEATS` heartbeat
+/// intervals, a worker has twice given up on a controller that does not answer.
 const GIVE_UP_TIMEOUT_FACTOR: f64 = 2.0;
 
 /// Heartbeat intervals that giving up twice takes, in addition to the response timeouts.
@@ -33,7 +34,8 @@
 /// The machines that a review takes out of use.
 #[derive(Default)]
 pub(super) struct ScaleInPlan {
-    /// Machines on which nothing may be placed any more, in the order in which their owners are notified.
+    /// Machines on which nothing may be placed any more, in the order in which their owners are
+    /// notified.
     pub cordon: Vec<String>,
     /// Machines to release.
     pub release: Vec<String>,
@@ -74,8 +76,8 @@
         }
     }
 
-    /// Returns whether the machine must be drained. Idleness and faults count only once it is on the roster,
-    /// since nothing can be placed on it before.
+    /// Returns whether the machine must be drained. Idleness and faults count only once it is on
+    /// the roster, since nothing can be placed on it before.
     fn requires_drain(&self, rostered: Rostered) -> bool {
         self.lost || rostered == Rostered::Yes && (self.idle_too_long || self.faulty)
     }
@@ -95,7 +97,8 @@
         let mut plan = self.review_machines(cluster, &retention, work_is_blocked, now);
         if work_is_blocked && should_release_unknown(cluster, epoch, now) {
             let unknown = release_unknown(cluster);
-            // A silent machine may send heartbeats again before its release; nothing may be placed on it.
+            // A silent machine may send heartbeats again before its release; nothing may be placed
+            // on it.
             plan.cordon.extend_from_slice(&unknown);
             plan.release.extend(unknown);
         }
@@ -103,16 +106,16 @@
         plan
     }
 
-    /// Marks machines as being released, drops those that already are, and returns the rest in batches that
-    /// each fit one release request.
+    /// Marks machines as being released, drops those that already are, and returns the rest in
+    /// batches that each fit one release request.
     pub(super) fn begin_release(&mut self, mut names: Vec<String>) -> Vec<Vec<String>> {
         names.retain(|name| self.releasing.insert(name.clone()));
         let batches = names.chunks(MAX_MACHINES_PER_RELEASE);
         batches.map(<[String]>::to_vec).collect()
     }
 
-    /// Drains machines that are idle for too long, faulty or lost, and releases drained machines that are
-    /// empty.
+    /// Drains machines that are idle for too long, faulty or lost, and releases drained machines
+    /// that are empty.
     fn review_machines(
         &self,
         cluster: &mut Cluster,
@@ -123,7 +126,8 @@
         let mut plan = ScaleInPlan::default();
         let machines = cluster.machines.iter_mut();
         for (name, machine) in machines.filter(|(_, machine)| !machine.releasing) {
-            // While work is blocked until all machines are known, idle machines do not indicate a lack of work.
+            // While work is blocked until all machines are known, idle machines do not indicate a
+            // lack of work.
             if is_in_use(machine) || work_is_blocked || self.retained_for_gangs.contains(name) {
                 machine.idle_since = now;
             }
@@ -160,8 +164,8 @@
     }
 }
 
-/// Returns whether anything runs, is reserved or is about to start on a machine, as far as the leader
-/// and the machine's owner know.
+/// Returns whether anything runs, is reserved or is about to start on a machine, as far as the
+/// leader and the machine's owner know.
 fn is_in_use(machine: &Machine) -> bool {
     !machine.tasks.is_empty() || !machine.reserved.is_empty() || !machine.is_idle
 }
@@ -183,8 +187,8 @@
         );
         return MachineAction::Drain;
     }
-    // Even for a lost machine, its owner must first confirm that it places nothing there: the machine may
-    // have come back meanwhile, and tasks placed on a released machine are lost.
+    // Even for a lost machine, its owner must first confirm that it places nothing there: the
+    // machine may have come back meanwhile, and tasks placed on a released machine are lost.
     let is_cordoned = machine.draining && machine.confirmed_unusable && machine.reconciled;
     if is_cordoned && !is_in_use(machine) {
         MachineAction::Release
@@ -193,11 +197,11 @@
     }
 }
 
-/// Returns whether to give up machines that have not been heard under this leader. This is the case if
-/// the epoch has lasted long enough for a worker to give up twice on a controller that does not answer.
-/// It is also the case if nearly all machines were heard, the last of them long enough ago for a worker
-/// whose heartbeat was lost to have retried: the remaining few are dead, and all work would wait for
-/// them.
+/// Returns whether to give up machines that have not been heard under this leader. This is the case
+/// if the epoch has lasted long enough for a worker to give up twice on a controller that does not
+/// answer. It is also the case if nearly all machines were heard, the last of them long enough ago
+/// for a worker whose heartbeat was lost to have retried: the remaining few are dead, and all work
+/// would wait for them.
 fn should_release_unknown(cluster: &Cluster, epoch: &EpochContext, now: Secs) -> bool {
     let few_left = cluster.machines.unknown().len() as f64
         <= cluster.machines.len() as f64 * MAX_UNKNOWN_SHARE;
@@ -213,8 +217,8 @@
     now - epoch.began_at > give_up_after_s || few_left && !heard_recently
 }
 
-/// Marks the machines that have not been heard under this leader as being released, and returns their
-/// names. Work is blocked until their content is known, and a released machine has none.
+/// Marks the machines that have not been heard under this leader as being released, and returns
+/// their names. Work is blocked until their content is known, and a released machine has none.
 fn release_unknown(cluster: &mut Cluster) -> Vec<String> {
     let machines = cluster.machines.iter_mut();
     let silent = machines.filter(|(_, machine)| machine.content_unknown && !machine.releasing);
--- a/crates/sched/src/autoscaler/scale_out.rs
+++ b/crates/sched/src/autoscaler/scale_out.rs
@@ -11,12 +11,12 @@
 use wire::cloud::ProvisionRequest;
 use wire::peers::TaskRequirements;
 
-/// Minimum CPUs counted per task when freed CPUs are converted to a number of tasks. Otherwise a task
-/// that requires no CPUs would find unlimited capacity.
+/// Minimum CPUs counted per task when freed CPUs are converted to a number of tasks. Otherwise a
+/// task that requires no CPUs would find unlimited capacity.
 const MIN_TASK_CPUS: f64 = 0.01;
 
-/// Capacity that running array tasks are expected to free while a machine boots. Capacity claimed by one
-/// job is not available to the next.
+/// Capacity that running array tasks are expected to free while a machine boots. Capacity claimed
+/// by one job is not available to the next.
 struct ExpectedTurnover {
     /// CPUs that are freed per second.
     cpus_per_s: f64,
@@ -25,8 +25,9 @@
 }
 
 impl ExpectedTurnover {
-    /// Claims freed capacity for up to `tasks` tasks; returns how many will find capacity by the time a
-    /// machine has booted. Jobs that arrive meanwhile use `arriving_cpus_per_s` of the freed capacity.
+    /// Claims freed capacity for up to `tasks` tasks; returns how many will find capacity by the
+    /// time a machine has booted. Jobs that arrive meanwhile use `arriving_cpus_per_s` of the freed
+    /// capacity.
     fn claim(&mut self, tasks: u32, cpus: f64, boot_s: Secs, arriving_cpus_per_s: f64) -> u32 {
         let net_cpus_per_s = (self.cpus_per_s - arriving_cpus_per_s).max(0.0);
         let served = ((net_cpus_per_s * boot_s - self.claimed_cpus) / cpus.max(MIN_TASK_CPUS))
@@ -58,12 +59,14 @@
     turnover: ExpectedTurnover,
     /// Whether a gang that fits only scarce machine types is unplaced.
     gang_waits_for_scarce: bool,
-    /// Busy machines by the time at which they are expected to be empty; computed for the first gang.
+    /// Busy machines by the time at which they are expected to be empty; computed for the first
+    /// gang.
     busy_machines: Option<BusyMachines>,
 }
 
 impl Autoscaler {
-    /// Returns the requests for the machines that unplaced work needs in addition to those incoming.
+    /// Returns the requests for the machines that unplaced work needs in addition to those
+    /// incoming.
     pub(super) fn scale_out(
         &mut self,
         cluster: &Cluster,
@@ -124,8 +127,8 @@
         cluster.claim_busy_machines(id, requirements, busy_machines, now)
     }
 
-    /// Plans machines for the tasks of an array that fit neither incoming capacity nor capacity that running
-    /// tasks are expected to free.
+    /// Plans machines for the tasks of an array that fit neither incoming capacity nor capacity
+    /// that running tasks are expected to free.
     fn plan_for_array(&mut self, job: &Job, avoiding_scarce: &TaskRequirements, tasks: u32) {
         let resources = job.resources();
         let unrestricted = self.cluster.requirements(job, None);
@@ -144,8 +147,8 @@
         }
     }
 
-    /// Returns the cheapest offer without scarce machine types. Scarce types are included only if all other
-    /// offers are exhausted and no gang waits for scarce types.
+    /// Returns the cheapest offer without scarce machine types. Scarce types are included only if
+    /// all other offers are exhausted and no gang waits for scarce types.
     fn cheapest_avoiding_scarce(
         &mut self,
         avoiding_scarce: &TaskRequirements,
@@ -162,8 +165,8 @@
         found
     }
 
-    /// Claims expected turnover for up to `tasks` tasks; returns how many of them need no new machine,
-    /// because running tasks free capacity for them before it would boot.
+    /// Claims expected turnover for up to `tasks` tasks; returns how many of them need no new
+    /// machine, because running tasks free capacity for them before it would boot.
     fn claim_turnover(&mut self, tasks: u32, cpus: f64, boot_s: Secs) -> u32 {
         let arrivals = &self.autoscaler.arrivals;
         let arriving_cpus_per_s = arrivals.cpus_per_s(self.now, boot_s.max(MIN_CHARGE_S));
@@ -171,8 +174,8 @@
             .claim(tasks, cpus, boot_s, arriving_cpus_per_s)
     }
 
-    /// Plans machines of an offer for `left` tasks: as many as may currently be requested, but at least one.
-    /// Returns the number of tasks that remain, which is always lower than `left`.
+    /// Plans machines of an offer for `left` tasks: as many as may currently be requested, but at
+    /// least one. Returns the number of tasks that remain, which is always lower than `left`.
     fn provision(&mut self, choice: PricedOffer, resources: Resources, left: u32) -> u32 {
         let PricedOffer {
             offer, capacity, ..
@@ -187,8 +190,8 @@
         left
     }
 
-    /// Keeps free machines that fit `tasks` tasks from being released, and plans machines for the tasks that
-    /// fit neither those nor incoming capacity.
+    /// Keeps free machines that fit `tasks` tasks from being released, and plans machines for the
+    /// tasks that fit neither those nor incoming capacity.
     pub fn provision_in_zone(&mut self, requirements: &TaskRequirements, tasks: u32) {
         let resources = Resources::of(requirements);
         let mut left = tasks;
--- a/crates/sched/src/cluster/job.rs
+++ b/crates/sched/src/cluster/job.rs
@@ -12,7 +12,8 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum TaskLocation {
     /// Assigned to an owner (first field), which is expected to choose the machine (second field).
-    /// If the machine name is empty, the owner chooses the first machine of its shard with capacity.
+    /// If the machine name is empty, the owner chooses the first machine of its shard with
+    /// capacity.
     Assigned(String, String),
     /// Reported on this machine by the machine's owner.
     OnMachine(String),
@@ -180,8 +181,8 @@
         active.is_some_and(|active| active.attempt == task.attempt)
     }
 
-    /// Marks a task as done; for a gang marks all tasks, because they complete together. Progress is
-    /// recorded in chunks of `tasks_per_chunk` tasks.
+    /// Marks a task as done; for a gang marks all tasks, because they complete together. Progress
+    /// is recorded in chunks of `tasks_per_chunk` tasks.
     pub(crate) fn mark_done(&mut self, index: u32, tasks_per_chunk: u32) {
         let indexes = if self.is_gang() {
             0..self.spec.tasks
--- a/crates/sched/src/cluster/machine_inventory.rs
+++ b/crates/sched/src/cluster/machine_inventory.rs
@@ -103,8 +103,8 @@
         &self.index
     }
 
-    /// Deducts the capacity for `tasks` tasks from a machine's index entry. The deduction lasts until
-    /// the entry is next refreshed.
+    /// Deducts the capacity for `tasks` tasks from a machine's index entry. The deduction lasts
+    /// until the entry is next refreshed.
     pub(crate) fn take_capacity(
         &mut self,
         name: &str,
--- a/crates/sched/src/cluster/quota.rs
+++ b/crates/sched/src/cluster/quota.rs
@@ -75,8 +75,8 @@
     }
 
     /// Returns the maximum usage by unknown tasks that may count against a team's limit: the full
-    /// capacity of machines with unknown jobs, plus that of machines of unknown content up to what the
-    /// team's jobs that may be running there could use.
+    /// capacity of machines with unknown jobs, plus that of machines of unknown content up to what
+    /// the team's jobs that may be running there could use.
     fn possible_unobserved_usage(&self, team: &str, unobserved: UnobservedCapacity) -> Resources {
         let mut max_usage = self.usage.recently_cancelled(team);
         let jobs = self.jobs.values();
@@ -93,8 +93,8 @@
         usage
     }
 
-    /// Returns how much each team may still use within its limit, after subtracting the usage of its
-    /// active tasks, gang reservations, and possible usage by unknown tasks.
+    /// Returns how much each team may still use within its limit, after subtracting the usage of
+    /// its active tasks, gang reservations, and possible usage by unknown tasks.
     pub(crate) fn quota_headroom(&self) -> BTreeMap<String, Resources> {
         let unobserved = self.unobserved_capacity();
         let mut limits: BTreeMap<String, Resources> = BTreeMap::new();
@@ -127,8 +127,8 @@
         limits
     }
 
-    /// Charges the team of a job that became terminal before it was reconciled for the tasks that no
-    /// owner has reported: they may still be running.
+    /// Charges the team of a job that became terminal before it was reconciled for the tasks that
+    /// no owner has reported: they may still be running.
     pub(crate) fn charge_unobserved_tasks(&mut self, id: &str) {
         let job = self.jobs.get(id);
         let Some(job) = job.filter(|job| job.awaits_reconciliation) else {
--- a/crates/sched/src/cluster/requirements.rs
+++ b/crates/sched/src/cluster/requirements.rs
@@ -11,8 +11,8 @@
 pub(crate) type ScarceTypes = BTreeSet<(String, bool)>;
 
 impl Cluster {
-    /// Returns the machine types that are the only ones to fit the tasks of some job class. They are
-    /// kept for jobs of such classes.
+    /// Returns the machine types that are the only ones to fit the tasks of some job class. They
+    /// are kept for jobs of such classes.
     pub(crate) fn scarce_types(&self) -> ScarceTypes {
         let mut scarce = ScarceTypes::new();
         for profile in self.class_profiles.values() {
@@ -77,8 +77,8 @@
         gangs.any(|job| self.requirements(job, Some(scarce)).kinds.is_empty())
     }
 
-    /// Returns the requirements of a job's tasks without scarce machine types, or with them if the job
-    /// fits no other type.
+    /// Returns the requirements of a job's tasks without scarce machine types, or with them if the
+    /// job fits no other type.
     pub(crate) fn requirements_avoiding_scarce(
         &self,
         job: &Job,
--- a/crates/sched/src/cluster/wait_estimates.rs
+++ b/crates/sched/src/cluster/wait_estimates.rs
@@ -55,8 +55,8 @@
         now - job.first_seen_at > within_s * self.config.max_wait_share
     }
 
-    /// Returns the machines on which the tasks may run, sorted by the time at which they are expected
-    /// to be empty.
+    /// Returns the machines on which the tasks may run, sorted by the time at which they are
+    /// expected to be empty.
     pub(crate) fn busy_machines(&self, requirements: &TaskRequirements, now: Secs) -> BusyMachines {
         let accepting = self
             .machines
@@ -90,8 +90,8 @@
         }
     }
 
-    /// Returns the expected run time of a job's tasks in seconds: the observed average of its class,
-    /// or the job's own estimate if none was observed yet.
+    /// Returns the expected run time of a job's tasks in seconds: the observed average of its
+    /// class, or the job's own estimate if none was observed yet.
     pub(crate) fn expected_run_s(&self, job: &Job) -> f64 {
         self.run_times
             .get(&job.spec.class)
@@ -99,8 +99,8 @@
             .max(MIN_RUN_S)
     }
 
-    /// Returns whether a gang can meet its class's objective by waiting for busy machines. If so, it
-    /// claims them: their expected empty times move back by the gang's expected run time.
+    /// Returns whether a gang can meet its class's objective by waiting for busy machines. If so,
+    /// it claims them: their expected empty times move back by the gang's expected run time.
     pub(crate) fn claim_busy_machines(
         &self,
         id: &str,
@@ -127,8 +127,8 @@
         true
     }
 
-    /// Returns the latest time until which a gang may wait for busy machines, or `None` if its class
-    /// has no objective.
+    /// Returns the latest time until which a gang may wait for busy machines, or `None` if its
+    /// class has no objective.
     fn latest_start(&self, job: &Job, requirements: &TaskRequirements) -> Option<Secs> {
         let within_s = self.config.wait_s.get(&job.spec.class)?;
         let kinds = requirements.kinds.iter();
@@ -136,8 +136,8 @@
             .filter_map(|allowed| self.machine_types.get(&allowed.kind))
             .map(|machine_type| machine_type.boot_s)
             .fold(f64::MAX, f64::min);
-        // Machines that are provisioned when the wait ends must still be up in time, even if they boot
-        // slowly.
+        // Machines that are provisioned when the wait ends must still be up in time, even if they
+        // boot slowly.
         let time_to_boot_s = within_s - shortest_boot_s * SLOW_BOOT_FACTOR;
         Some(job.first_seen_at + (within_s * self.config.max_wait_share).min(time_to_boot_s))
     }
--- a/crates/sched/src/cluster/zones.rs
+++ b/crates/sched/src/cluster/zones.rs
@@ -22,8 +22,8 @@
         Some(zones)
     }
 
-    /// Returns how many more tasks of an array may run in each zone with fitting machines, given the
-    /// job's zone constraints, or `None` while it is unknown which zones are in use.
+    /// Returns how many more tasks of an array may run in each zone with fitting machines, given
+    /// the job's zone constraints, or `None` while it is unknown which zones are in use.
     pub(crate) fn zone_limits(
         &self,
         job: &Job,
