--- a/crates/sched/src/autoscaler/pricing.rs
+++ b/crates/sched/src/autoscaler/pricing.rs
@@ -85,7 +85,7 @@
     }
 
     /// Returns how many more machines of an offer may be requested now. The number is limited
-    /// because refusals only show in the answers, and the number of requests is limited too.
+    /// because refusals only show in the answers, and requests are few.
     pub fn request_limit(&self, offer: &Offer) -> u32 {
         let limit = if self.autoscaler.is_exhausted(offer) {
             MAX_UNANSWERED_PROBES
--- a/crates/sched/src/cluster/job.rs
+++ b/crates/sched/src/cluster/job.rs
@@ -17,8 +17,8 @@
     Assigned(String, String),
     /// Reported on this machine by the machine's owner.
     OnMachine(String),
-    /// Assigned to an owner that was lost; resolved together with a group of that owner's machines,
-    /// whose number this is.
+    /// Assigned to an owner that was lost; reconciled together with a group of that owner's
+    /// machines. The value is the id of that group.
     Unresolved(u64),
 }
 
@@ -67,7 +67,8 @@
         /// The attempt.
         attempt: u64,
     },
-    /// A task ended early or the binding failed, so the remaining tasks must be stopped.
+    /// A task is gone (ended early or lost) or the binding failed, so the remaining tasks must be
+    /// stopped.
     Ending,
 }
 
--- a/crates/sched/src/cluster/machine.rs
+++ b/crates/sched/src/cluster/machine.rs
@@ -8,7 +8,7 @@
 /// Whether a machine is on the durable roster. No task is started on a machine that is not.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Rostered {
-    /// No record exists, or the store rejected it.
+    /// No record exists, or the store did not take it.
     No,
     /// The record is being written.
     Writing,
@@ -59,7 +59,7 @@
     pub used: Resources,
     /// Resources reserved for gangs, by attempt.
     pub reserved: BTreeMap<u64, Resources>,
-    /// Time since which it has been idle.
+    /// Time since which it has been idle, with nothing charged to it.
     pub idle_since: Secs,
     /// Time at which its owner last sent its status.
     pub last_status_at: Secs,
@@ -72,7 +72,9 @@
 }
 
 impl Machine {
-    /// Creates a machine without tasks; `token` is the leader token of its first owner assignment.
+    /// Creates a machine of which nothing is known yet but its type, its zone and whether it is a
+    /// spot machine; tasks may be running on it. `token` is the leader token of its first owner
+    /// assignment.
     pub fn new(kind: &str, zone: &str, spot: bool, token: u64, now: Secs) -> Machine {
         Machine {
             kind: kind.into(),
@@ -127,7 +129,7 @@
         self.rostered == Rostered::Yes && !self.draining && !self.releasing
     }
 
-    /// Returns whether the leader may place tasks on it now.
+    /// Returns whether tasks may be placed on it now, as far as the leader knows.
     pub fn accepts_tasks(&self) -> bool {
         let present =
             self.reconciled && self.lease_expired_at.is_none() && self.notice_expires_at.is_none();
--- a/crates/sched/src/cluster/machine_inventory.rs
+++ b/crates/sched/src/cluster/machine_inventory.rs
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Inserts a machine.
+    /// Inserts a machine that has come up.
     pub(crate) fn insert(&mut self, name: &str, machine: Machine) {
         self.machines.insert(name.to_string(), machine);
     }
@@ -103,8 +103,8 @@
         &self.index
     }
 
-    /// Deducts the capacity for `tasks` tasks from a machine's index entry. The deduction lasts
-    /// until the entry is next refreshed.
+    /// Deducts the capacity for `tasks` tasks from a machine's index entry. The deduction is meant
+    /// for the rest of the pass; it lasts until the entry is next refreshed.
     pub(crate) fn take_capacity(
         &mut self,
         name: &str,
