--- a/crates/sched/src/cluster/active_tasks.rs
+++ b/crates/sched/src/cluster/active_tasks.rs
@@ -1,11 +1,11 @@
-//! Which tasks may be running where: a task is charged to its team and its machine from the decision to
-//! start it until it is certainly not running.
+//! Tracks which tasks may be running where. A task is charged to its team and its machine from the
+//! decision to start it until it is certain not to be running.
 
-use super::job::waits_at;
+use super::job::waiting_owner;
 use super::{ActiveTask, Cluster, TaskLocation};
 
 impl Cluster {
-    /// A task may be running from now on, or at another place than before.
+    /// Records that a task may be running, or that its location or state changed.
     pub(crate) fn set_active(&mut self, id: &str, index: u32, active: ActiveTask) {
         self.remove_active(id, index);
         let Some(job) = self.jobs.get_mut(id) else {
@@ -13,10 +13,10 @@
         };
         let resources = job.resources();
         job.ready_tasks.remove(index);
-        if let Some(owner) = waits_at(&active.location) {
+        if let Some(owner) = waiting_owner(&active.location) {
             self.backlogs.add(owner, resources.cpus);
         }
-        if let Some(name) = machine_of(&active.location) {
+        if let Some(name) = charged_machine(&active.location) {
             if let Some(machine) = self.machines.get_mut(name) {
                 machine.charge((id.into(), index), active.attempt, resources);
                 self.machines.mark_dirty(name);
@@ -26,15 +26,16 @@
         job.active.insert(index, active);
     }
 
-    /// A task is certainly not running any more, or is about to be charged elsewhere.
+    /// Removes a task that is certainly not running any more, or is about to be charged elsewhere.
+    /// Returns its previous state.
     pub(crate) fn remove_active(&mut self, id: &str, index: u32) -> Option<ActiveTask> {
         let job = self.jobs.get_mut(id)?;
         let active = job.active.remove(&index)?;
         let resources = job.resources();
-        if let Some(owner) = waits_at(&active.location) {
+        if let Some(owner) = waiting_owner(&active.location) {
             self.backlogs.remove(owner, resources.cpus);
         }
-        if let Some(name) = machine_of(&active.location) {
+        if let Some(name) = charged_machine(&active.location) {
             if let Some(machine) = self.machines.get_mut(name) {
                 machine.uncharge(&(id.to_string(), index), resources);
                 self.machines.mark_dirty(name);
@@ -45,8 +46,8 @@
     }
 }
 
-/// The machine that a task at a place is charged to.
-fn machine_of(location: &TaskLocation) -> Option<&str> {
+/// Returns the machine that a task at a location is charged to, if any.
+fn charged_machine(location: &TaskLocation) -> Option<&str> {
     match location {
         TaskLocation::Assigned(_, machine) | TaskLocation::OnMachine(machine) => Some(machine),
         TaskLocation::Unresolved(_) => None,
--- a/crates/sched/src/cluster/wait_estimates.rs
+++ b/crates/sched/src/cluster/wait_estimates.rs
@@ -1,4 +1,5 @@
-//! Whether work may wait for a machine in use rather than have one provisioned, and how long tasks run.
+//! Run time estimates, and whether work can wait for a busy machine instead of a new one being
+//! provisioned.
 
 use super::{ActiveTask, Cluster, Job, Machine};
 use crate::placement::tier;
@@ -7,85 +8,90 @@
 use wire::peers::TaskRequirements;
 use wire::users::Shape;
 
-/// What a slow boot takes of the nominal time, with the start of the gang's tasks.
+/// Duration of a slow boot, including the start of a gang's tasks, as a multiple of the nominal
+/// boot time.
 pub(crate) const SLOW_BOOT_FACTOR: f64 = 1.25;
 
-/// Within what time gangs of a class without an objective should start, as a multiple of the time allowed for a
-/// guaranteed start.
-const DEFAULT_WAIT_GUARANTEES: f64 = 4.0;
+/// Target start time for gangs of a class without an objective, as a multiple of the time allowed
+/// for a guaranteed start.
+const DEFAULT_WAIT_FACTOR: f64 = 4.0;
 
-/// A task is expected to run for at least this part of its run time from now on, however long it has run.
-const MIN_REST_SHARE: f64 = 0.25;
+/// Minimum expected remaining run time of a task, as a fraction of its expected run time, however
+/// long it has already run.
+const MIN_REMAINING_SHARE: f64 = 0.25;
 
-/// Least run time of a task in seconds, so that what is learned of empty tasks gives no endless turnover.
+/// Minimum expected run time of a task in seconds: tasks that end at once must not lead to an
+/// unbounded turnover estimate.
 const MIN_RUN_S: f64 = 1.0;
 
-/// A machine in use.
+/// A machine that is open for tasks, and the time at which it is expected to be empty.
 pub(crate) struct BusyMachine {
-    /// When it is expected to be empty.
+    /// Time at which it is expected to be empty.
     empty_at: Secs,
     /// Its name.
     name: String,
 }
 
-/// Machines in use, those first that are expected to be empty first.
+/// Machines sorted by the time at which they are expected to be empty, earliest first.
 pub(crate) type BusyMachines = Vec<BusyMachine>;
 
-/// Busy machines that a gang may wait for.
+/// Busy machines that a gang may wait for, of one zone if the gang requires one.
 #[derive(Default)]
-struct Gathered {
-    /// How many of its tasks fit on them.
+struct CandidateMachines {
+    /// Number of the gang's tasks that fit on them together.
     slots: u32,
-    /// Their positions among all busy machines.
+    /// Their positions in the list of busy machines.
     positions: Vec<usize>,
 }
 
 impl Cluster {
-    /// Whether a gang has waited so long that machines are cordoned for it.
+    /// Returns whether a gang has waited so long that machines are cordoned for it.
     pub(crate) fn has_waited_long(&self, id: &str, now: Secs) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
         let objective_s = self.config.wait_s.get(&job.spec.class).copied();
-        let within_s = objective_s.unwrap_or(self.config.guarantee_s * DEFAULT_WAIT_GUARANTEES);
+        let within_s = objective_s.unwrap_or(self.config.guarantee_s * DEFAULT_WAIT_FACTOR);
         now - job.first_seen_at > within_s * self.config.max_wait_share
     }
 
-    /// When machines on which these tasks may run are expected to be empty, the earliest first.
+    /// Returns the machines on which the tasks may run, sorted by the time at which they are
+    /// expected to be empty.
     pub(crate) fn busy_machines(&self, requirements: &TaskRequirements, now: Secs) -> BusyMachines {
-        let usable = self
+        let accepting = self
             .machines
             .iter()
-            .filter(|(_, machine)| machine.accepts_tasks() && allows(requirements, machine));
-        let busy = usable.map(|(name, machine)| BusyMachine {
-            empty_at: self.empty_at(machine, now),
+            .filter(|(_, machine)| machine.accepts_tasks() && may_run_on(requirements, machine));
+        let busy = accepting.map(|(name, machine)| BusyMachine {
+            empty_at: self.expected_empty_at(machine, now),
             name: name.clone(),
         });
         let mut busy: BusyMachines = busy.collect();
-        sort_by_end(&mut busy);
+        sort_by_empty_at(&mut busy);
         busy
     }
 
-    /// When the last task of a machine is expected to end.
-    fn empty_at(&self, machine: &Machine, now: Secs) -> Secs {
+    /// Returns the time at which the last task of a machine is expected to end.
+    fn expected_empty_at(&self, machine: &Machine, now: Secs) -> Secs {
         let ends = machine.tasks.keys().filter_map(|(id, index)| {
             let job = self.jobs.get(id)?;
-            Some(self.end_of(job, job.active.get(index)?, now))
+            Some(self.expected_end(job, job.active.get(index)?, now))
         });
         ends.fold(now, f64::max)
     }
 
-    /// When a task is expected to end.
-    fn end_of(&self, job: &Job, task: &ActiveTask, now: Secs) -> Secs {
+    /// Returns the time at which a task is expected to end.
+    fn expected_end(&self, job: &Job, task: &ActiveTask, now: Secs) -> Secs {
         let run_s = self.expected_run_s(job);
         if task.running {
-            (task.since + run_s).max(now + run_s * MIN_REST_SHARE)
+            (task.since + run_s).max(now + run_s * MIN_REMAINING_SHARE)
         } else {
             now + run_s
         }
     }
 
-    /// How long a task of a job runs, as far as was learned of its class.
+    /// Returns the expected run time of a job's tasks in seconds: the observed average of its
+    /// class, or the job's own estimate if none was observed yet.
     pub(crate) fn expected_run_s(&self, job: &Job) -> f64 {
         self.run_times
             .get(&job.spec.class)
@@ -93,8 +99,8 @@
             .max(MIN_RUN_S)
     }
 
-    /// Whether a gang is expected to get machines that are in use early enough for its class's objective; those
-    /// machines are then taken for as long as its tasks run.
+    /// Returns whether a gang can meet its class's objective by waiting for busy machines. If so,
+    /// it claims them: their expected empty times move back by the gang's expected run time.
     pub(crate) fn claim_busy_machines(
         &self,
         id: &str,
@@ -105,21 +111,24 @@
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
-        let Some(latest) = self.latest_start(job, requirements) else {
+        let Some(latest_start) = self.latest_start(job, requirements) else {
             return false;
         };
-        let Some(positions) = self.gather(job, requirements, busy_machines, latest, now) else {
+        let Some(positions) =
+            self.find_busy_machines(job, requirements, busy_machines, latest_start, now)
+        else {
             return false;
         };
         let run_s = self.expected_run_s(job);
         for position in positions {
             busy_machines[position].empty_at += run_s;
         }
-        sort_by_end(busy_machines);
+        sort_by_empty_at(busy_machines);
         true
     }
 
-    /// Until when a gang may wait for machines in use; none if its class has no objective.
+    /// Returns the latest time until which a gang may wait for busy machines, or `None` if its
+    /// class has no objective.
     fn latest_start(&self, job: &Job, requirements: &TaskRequirements) -> Option<Secs> {
         let within_s = self.config.wait_s.get(&job.spec.class)?;
         let kinds = requirements.kinds.iter();
@@ -127,44 +136,45 @@
             .filter_map(|allowed| self.machine_types.get(&allowed.kind))
             .map(|machine_type| machine_type.boot_s)
             .fold(f64::MAX, f64::min);
-        // What is provisioned once the wait is given up must still be up in time, slow boots included.
+        // Machines that are provisioned when the wait ends must still be up in time, even if they
+        // boot slowly.
         let time_to_boot_s = within_s - shortest_boot_s * SLOW_BOOT_FACTOR;
         Some(job.first_seen_at + (within_s * self.config.max_wait_share).min(time_to_boot_s))
     }
 
-    /// Positions of busy machines on which a whole gang fits and that are empty in time, all in one zone if it
-    /// wants that.
-    fn gather(
+    /// Returns the positions of busy machines that fit a whole gang and are expected to be empty by
+    /// `latest_start`, all in one zone if the gang requires that.
+    fn find_busy_machines(
         &self,
         job: &Job,
         requirements: &TaskRequirements,
         busy_machines: &BusyMachines,
-        latest: Secs,
+        latest_start: Secs,
         now: Secs,
     ) -> Option<Vec<usize>> {
-        let mut by_zone: BTreeMap<&str, Gathered> = BTreeMap::new();
+        let mut by_zone: BTreeMap<&str, CandidateMachines> = BTreeMap::new();
         for (position, busy) in busy_machines.iter().enumerate() {
             let machine = self.machines.get(&busy.name);
-            let Some(machine) = machine.filter(|machine| allows(requirements, machine)) else {
+            let Some(machine) = machine.filter(|machine| may_run_on(requirements, machine)) else {
                 continue;
             };
-            if busy.empty_at.max(now) > latest {
+            if busy.empty_at.max(now) > latest_start {
                 return None;
             }
             let zone = if job.spec.one_zone { &machine.zone } else { "" };
-            let gathered = by_zone.entry(zone).or_default();
+            let candidates = by_zone.entry(zone).or_default();
             let capacity = self.capacity(&machine.kind);
-            gathered.slots +=
+            candidates.slots +=
                 capacity.map_or(0, |capacity| capacity.count_fitting(job.resources()));
-            gathered.positions.push(position);
-            if gathered.slots >= job.spec.tasks {
-                return Some(std::mem::take(&mut gathered.positions));
+            candidates.positions.push(position);
+            if candidates.slots >= job.spec.tasks {
+                return Some(std::mem::take(&mut candidates.positions));
             }
         }
         None
     }
 
-    /// CPUs per second that running array tasks free for others.
+    /// Returns the CPUs per second that running array tasks are expected to free.
     pub(crate) fn turnover_cpus_per_s(&self) -> f64 {
         let arrays = self
             .jobs
@@ -176,11 +186,11 @@
     }
 }
 
-/// Whether tasks may run on a machine.
-fn allows(requirements: &TaskRequirements, machine: &Machine) -> bool {
+/// Returns whether tasks with these requirements may run on a machine.
+fn may_run_on(requirements: &TaskRequirements, machine: &Machine) -> bool {
     tier(requirements, &machine.kind, &machine.zone, machine.spot).is_some()
 }
 
-fn sort_by_end(busy_machines: &mut BusyMachines) {
+fn sort_by_empty_at(busy_machines: &mut BusyMachines) {
     busy_machines.sort_by(|one, other| one.empty_at.total_cmp(&other.empty_at));
 }
--- a/crates/sched/src/cluster/zones.rs
+++ b/crates/sched/src/cluster/zones.rs
@@ -1,4 +1,4 @@
-//! The zones that an array may use.
+//! Zone constraints of arrays.
 
 use super::{Cluster, Job, TaskLocation};
 use crate::capacity_index::MachineFit;
@@ -6,8 +6,8 @@
 use std::rc::Rc;
 
 impl Cluster {
-    /// Active tasks of a job by zone, those of earlier attempts included; none while it is not known where
-    /// one of them is.
+    /// Returns the number of a job's active tasks by zone, including those of earlier attempts, or
+    /// `None` while the zone of any of them is unknown.
     fn zones_in_use(&self, job: &Job) -> Option<BTreeMap<String, u32>> {
         let mut zones = BTreeMap::new();
         for active in job.active.values() {
@@ -22,12 +22,12 @@
         Some(zones)
     }
 
-    /// How many more tasks of an array each zone may take, when zones matter to its job; none while it is not
-    /// known which zones are in use.
+    /// Returns how many more tasks of an array may run in each zone with fitting machines, given
+    /// the job's zone constraints, or `None` while it is unknown which zones are in use.
     pub(crate) fn zone_limits(
         &self,
         job: &Job,
-        found: &[MachineFit],
+        fits: &[MachineFit],
     ) -> Option<BTreeMap<Rc<str>, u32>> {
         let used = self.zones_in_use(job)?;
         let half = job.spec.tasks.div_ceil(2);
@@ -38,24 +38,26 @@
                 u32::MAX
             }
         };
-        let only = job.spec.one_zone.then(|| only_zone(&used, found));
-        let zones: BTreeSet<&Rc<str>> = found.iter().map(|fit| &fit.zone).collect();
+        let single_zone = job.spec.one_zone.then(|| choose_single_zone(&used, fits));
+        let zones: BTreeSet<&Rc<str>> = fits.iter().map(|fit| &fit.zone).collect();
         let zones = zones.into_iter();
         let zones = zones.filter(|zone| {
-            only.as_ref()
+            single_zone
+                .as_ref()
                 .is_none_or(|only| only.as_ref() == Some(*zone))
         });
         Some(zones.map(|zone| (zone.clone(), limit(zone))).collect())
     }
 }
 
-/// The zone of a job that wants one: that of its active tasks, else the one in which most tasks fit.
-fn only_zone(used: &BTreeMap<String, u32>, found: &[MachineFit]) -> Option<Rc<str>> {
+/// Returns the zone for a job restricted to one zone: that of its active tasks, otherwise the one
+/// in which the most tasks fit.
+fn choose_single_zone(used: &BTreeMap<String, u32>, fits: &[MachineFit]) -> Option<Rc<str>> {
     if let Some(zone) = used.keys().next() {
         return Some(zone.as_str().into());
     }
     let mut slots_by_zone: BTreeMap<&Rc<str>, u32> = BTreeMap::new();
-    for fit in found {
+    for fit in fits {
         *slots_by_zone.entry(&fit.zone).or_default() += fit.slots;
     }
     let best = slots_by_zone.into_iter().max_by_key(|(_, slots)| *slots);
