--- a/crates/store/src/budget.rs
+++ b/crates/store/src/budget.rs
@@ -2,7 +2,7 @@
 //!
 //! Times are seconds on one steady clock of the caller's choice.
 
-/// What a request is for, most important first. Each rank leaves a part of the burst to the ranks before it,
+/// What a request is for, most important first. Each priority leaves a part of the burst to the ranks before it,
 /// so that renewals are never starved and decisions go before submissions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestPriority {
@@ -14,7 +14,7 @@
     Submission,
 }
 
-/// Parts of the burst, 0 to 1, that each rank leaves to those before it.
+/// Parts of the burst, 0 to 1, that each priority leaves to those before it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Reserve {
     /// What decisions leave to renewals.
@@ -24,8 +24,8 @@
 }
 
 impl Reserve {
-    fn of(self, rank: RequestPriority) -> f64 {
-        match rank {
+    fn for_priority(self, priority: RequestPriority) -> f64 {
+        match priority {
             RequestPriority::Renewal => 0.0,
             RequestPriority::Decision => self.decision,
             RequestPriority::Submission => self.submission,
@@ -72,55 +72,56 @@
 
 /// A token bucket.
 #[derive(Debug)]
-struct Bucket {
+struct TokenBucket {
     /// Tokens per second.
     rate: f64,
     capacity: f64,
     reserve: Reserve,
-    level: f64,
+    tokens: f64,
     /// The time, in seconds, up to which the bucket was filled.
-    filled_at: f64,
+    refilled_at: f64,
 }
 
-impl Bucket {
-    fn new(rate_of_all: f64, share: Share) -> Bucket {
-        let rate = rate_of_all * share.fraction;
+impl TokenBucket {
+    fn new(total_rate: f64, share: Share) -> TokenBucket {
+        let rate = total_rate * share.fraction;
         let capacity = rate * share.burst_s;
-        Bucket {
+        TokenBucket {
             rate,
             capacity,
             reserve: share.reserve,
-            level: capacity,
-            filled_at: 0.0,
+            tokens: capacity,
+            refilled_at: 0.0,
         }
     }
 
-    fn fill(&mut self, now: f64) {
-        if now > self.filled_at {
-            self.level = (self.level + (now - self.filled_at) * self.rate).min(self.capacity);
-            self.filled_at = now;
+    fn refill(&mut self, now: f64) {
+        if now > self.refilled_at {
+            self.tokens = (self.tokens + (now - self.refilled_at) * self.rate).min(self.capacity);
+            self.refilled_at = now;
         }
     }
 
     /// Changes the share; a larger burst is not available from the start.
-    fn change(&mut self, rate_of_all: f64, share: Share, now: f64) {
-        self.fill(now);
-        let level = self.level;
-        *self = Bucket::new(rate_of_all, share);
-        self.level = level.min(self.capacity);
-        self.filled_at = now;
+    fn set_share(&mut self, total_rate: f64, share: Share, now: f64) {
+        self.refill(now);
+        let tokens = self.tokens;
+        *self = TokenBucket::new(total_rate, share);
+        self.tokens = tokens.min(self.capacity);
+        self.refilled_at = now;
     }
 
-    /// Seconds until so many tokens can be taken with the rank's reserve left. A request that is larger than
+    /// Seconds until so many tokens can be taken with the priority's reserve left. A request that is larger than
     /// the bucket is allowed when the bucket is full.
-    fn wait_s(&self, tokens: f64, rank: RequestPriority) -> f64 {
-        let needed = (tokens + self.reserve.of(rank) * self.capacity).min(self.capacity);
-        ((needed - self.level) / self.rate).max(0.0)
+    fn wait_s(&self, tokens: f64, priority: RequestPriority) -> f64 {
+        let needed =
+            (tokens + self.reserve.for_priority(priority) * self.capacity).min(self.capacity);
+        ((needed - self.tokens) / self.rate).max(0.0)
     }
 
     fn drain(&mut self, now: f64) {
-        self.fill(now);
-        self.level = self.level.min(0.0);
+        self.refill(now);
+        self.tokens = self.tokens.min(0.0);
     }
 }
 
@@ -128,15 +129,15 @@
 #[derive(Debug)]
 pub struct Budget {
     rates: Rates,
-    requests: Bucket,
-    writes: Bucket,
+    requests: TokenBucket,
+    writes: TokenBucket,
 }
 
 impl Budget {
     /// A budget that is full at time 0.
     pub fn new(rates: Rates, shares: Shares) -> Budget {
-        let requests = Bucket::new(rates.requests_per_s, shares.requests);
-        let writes = Bucket::new(rates.writes_per_s, shares.writes);
+        let requests = TokenBucket::new(rates.requests_per_s, shares.requests);
+        let writes = TokenBucket::new(rates.writes_per_s, shares.writes);
         Budget {
             rates,
             requests,
@@ -147,15 +148,15 @@
     /// Changes the shares, e.g. when this controller becomes the leader.
     pub fn set_shares(&mut self, shares: Shares, now: f64) {
         self.requests
-            .change(self.rates.requests_per_s, shares.requests, now);
+            .set_share(self.rates.requests_per_s, shares.requests, now);
         self.writes
-            .change(self.rates.writes_per_s, shares.writes, now);
+            .set_share(self.rates.writes_per_s, shares.writes, now);
     }
 
     /// Notes that the store refused a request as beyond its rate: the rest of the burst is not available,
     /// since others used it or the rate is lower than the settings say. Renewals then wait for one request's
     /// worth at most.
-    pub fn refused(&mut self, now: f64, writes: usize) {
+    pub fn record_refusal(&mut self, now: f64, writes: usize) {
         if writes > 0 {
             self.writes.drain(now);
         } else {
@@ -172,21 +173,21 @@
         &mut self,
         now: f64,
         writes: usize,
-        rank: RequestPriority,
+        priority: RequestPriority,
     ) -> Result<(), BudgetExhausted> {
-        self.requests.fill(now);
-        self.writes.fill(now);
+        self.requests.refill(now);
+        self.writes.refill(now);
         let writes_wait_s = if writes > 0 {
-            self.writes.wait_s(writes as f64, rank)
+            self.writes.wait_s(writes as f64, priority)
         } else {
             0.0
         };
-        let wait_s = self.requests.wait_s(1.0, rank).max(writes_wait_s);
+        let wait_s = self.requests.wait_s(1.0, priority).max(writes_wait_s);
         if wait_s > 0.0 {
             return Err(BudgetExhausted { wait_s });
         }
-        self.requests.level -= 1.0;
-        self.writes.level -= writes as f64;
+        self.requests.tokens -= 1.0;
+        self.writes.tokens -= writes as f64;
         Ok(())
     }
 }
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -18,17 +18,17 @@
 const GONE: u16 = 410;
 const FIRST_SERVER_ERROR: u16 = 500;
 
-/// The text in a bad request's answer that names a lease which has ended.
+/// The text in a bad request's response that names a lease which has ended.
 const NO_SUCH_LEASE: &str = "no such lease";
 
 /// Idle connections kept for requests that are answered at once.
-const REQUEST_CONNECTIONS: usize = 4;
-/// Largest body of such an answer, in bytes.
-const REQUEST_BODY_BYTES: usize = 2 << 20;
+const MAX_IDLE_REQUEST_CONNECTIONS: usize = 4;
+/// Largest body of such an response, in bytes.
+const MAX_REQUEST_RESPONSE_BYTES: usize = 2 << 20;
 /// Idle connections kept for watches, which wait for changes.
-const WATCH_CONNECTIONS: usize = 2;
-/// Largest body of a watch's answer, in bytes.
-const WATCH_BODY_BYTES: usize = 8 << 20;
+const MAX_IDLE_WATCH_CONNECTIONS: usize = 2;
+/// Largest body of a watch's response, in bytes.
+const MAX_WATCH_RESPONSE_BYTES: usize = 8 << 20;
 /// Most keys in a page.
 const PAGE_KEYS: u32 = 250;
 /// Added to a wait for the budget, in seconds, so that rounding does not end it early.
@@ -49,8 +49,8 @@
     /// The request may have been carried out, or may still be; names the request and the cause.
     #[error("outcome unknown: {0}")]
     OutcomeUnknown(String),
-    /// The answer has so many bytes, more than the client accepts.
-    #[error("the answer of {0} bytes is larger than accepted")]
+    /// The response has so many bytes, more than the client accepts.
+    #[error("the response of {0} bytes is larger than accepted")]
     ResponseTooLarge(usize),
     /// The lease has ended.
     #[error("no such lease")]
@@ -62,7 +62,7 @@
 
 impl StoreError {
     /// The error of a request, e.g. `POST /txn`, that was not answered.
-    fn unanswered(method: &str, path: &str, error: RequestError) -> StoreError {
+    fn from_request_error(method: &str, path: &str, error: RequestError) -> StoreError {
         match error {
             RequestError::NotSent(cause) => {
                 StoreError::NotSent(format!("{method} {path}: {cause}"))
@@ -86,8 +86,8 @@
 
 /// A client of the state service with this controller's budget.
 pub struct Store {
-    requests: Client,
-    watches: Client,
+    request_client: Client,
+    watch_client: Client,
     budget: RefCell<Budget>,
     started_at: Instant,
     /// How long a request may take, the wait for the budget apart.
@@ -98,8 +98,12 @@
     /// A client of the service at an address.
     pub fn new(addr: SocketAddr, rates: Rates, shares: Shares, request_timeout: Duration) -> Store {
         Store {
-            requests: Client::new(addr, REQUEST_CONNECTIONS, REQUEST_BODY_BYTES),
-            watches: Client::new(addr, WATCH_CONNECTIONS, WATCH_BODY_BYTES),
+            request_client: Client::new(
+                addr,
+                MAX_IDLE_REQUEST_CONNECTIONS,
+                MAX_REQUEST_RESPONSE_BYTES,
+            ),
+            watch_client: Client::new(addr, MAX_IDLE_WATCH_CONNECTIONS, MAX_WATCH_RESPONSE_BYTES),
             budget: RefCell::new(Budget::new(rates, shares)),
             started_at: Instant::now(),
             request_timeout,
@@ -112,11 +116,15 @@
     }
 
     /// Reads a key; none if it does not exist.
-    pub async fn get(&self, key: &str, rank: RequestPriority) -> Result<Option<Item>, StoreError> {
-        self.wait_for_budget(0, rank).await?;
-        let answer = self.request("GET", &format!("/store/{key}"), &[]).await?;
-        match answer.status {
-            OK => Ok(Some(decode(&answer)?)),
+    pub async fn get(
+        &self,
+        key: &str,
+        priority: RequestPriority,
+    ) -> Result<Option<Item>, StoreError> {
+        self.wait_for_budget(0, priority).await?;
+        let response = self.request("GET", &format!("/store/{key}"), &[]).await?;
+        match response.status {
+            OK => Ok(Some(decode(&response)?)),
             NOT_FOUND => Ok(None),
             status => Err(StoreError::Refused(status)),
         }
@@ -127,37 +135,43 @@
         &self,
         prefix: &str,
         since: Option<&str>,
-        rank: RequestPriority,
+        priority: RequestPriority,
     ) -> Result<Page, StoreError> {
-        self.wait_for_budget(0, rank).await?;
+        self.wait_for_budget(0, priority).await?;
         let since = since.map(|key| format!("&since={key}")).unwrap_or_default();
         let path = format!("/store?prefix={prefix}{since}&most={PAGE_KEYS}");
-        let answer = self.request("GET", &path, &[]).await?;
-        match answer.status {
-            OK => decode(&answer),
+        let response = self.request("GET", &path, &[]).await?;
+        match response.status {
+            OK => decode(&response),
             status => Err(StoreError::Refused(status)),
         }
     }
 
     /// Carries out a transaction; `LeaseNotFound` if one of its writes names a lease that has ended. Submissions are
     /// refused at once when the budget is used up; other ranks wait for it.
-    pub async fn txn(&self, txn: &Txn, rank: RequestPriority) -> Result<TxnOutcome, StoreError> {
+    pub async fn txn(
+        &self,
+        txn: &Txn,
+        priority: RequestPriority,
+    ) -> Result<TxnOutcome, StoreError> {
         let writes = txn.writes.len();
-        match rank {
-            RequestPriority::Submission => self.take_budget(writes, rank)?,
+        match priority {
+            RequestPriority::Submission => self.take_budget(writes, priority)?,
             RequestPriority::Renewal | RequestPriority::Decision => {
-                self.wait_for_budget(writes, rank).await?
+                self.wait_for_budget(writes, priority).await?
             }
         }
-        let answer = self.request("POST", "/txn", &cbor::encode(txn)).await;
-        if matches!(answer, Err(StoreError::Refused(TOO_MANY_REQUESTS))) {
-            self.budget.borrow_mut().refused(self.now_s(), writes);
+        let response = self.request("POST", "/txn", &cbor::encode(txn)).await;
+        if matches!(response, Err(StoreError::Refused(TOO_MANY_REQUESTS))) {
+            self.budget
+                .borrow_mut()
+                .record_refusal(self.now_s(), writes);
         }
-        let answer = answer?;
-        match answer.status {
-            OK => Ok(TxnOutcome::Applied(decode::<Revision>(&answer)?.revision)),
-            CONFLICT => Ok(TxnOutcome::Conflict(decode::<Conflict>(&answer)?.failed)),
-            BAD_REQUEST => Err(bad_request(&answer)),
+        let response = response?;
+        match response.status {
+            OK => Ok(TxnOutcome::Applied(decode::<Revision>(&response)?.revision)),
+            CONFLICT => Ok(TxnOutcome::Conflict(decode::<Conflict>(&response)?.failed)),
+            BAD_REQUEST => Err(bad_request_error(&response)),
             status => Err(StoreError::Refused(status)),
         }
     }
@@ -168,11 +182,11 @@
         let body = LeaseAsk {
             ttl_ms: ttl.as_millis() as u64,
         };
-        let answer = self
+        let response = self
             .request("POST", "/grants", &cbor::encode(&body))
             .await?;
-        match answer.status {
-            OK => Ok(decode::<LeaseId>(&answer)?.lease),
+        match response.status {
+            OK => Ok(decode::<LeaseId>(&response)?.lease),
             status => Err(StoreError::Refused(status)),
         }
     }
@@ -181,8 +195,8 @@
     pub async fn renew(&self, lease: u64) -> Result<(), StoreError> {
         self.wait_for_budget(0, RequestPriority::Renewal).await?;
         let path = format!("/grants/{lease}/touch");
-        let answer = self.request("POST", &path, &[]).await?;
-        match answer.status {
+        let response = self.request("POST", &path, &[]).await?;
+        match response.status {
             OK => Ok(()),
             NOT_FOUND => Err(StoreError::LeaseNotFound),
             status => Err(StoreError::Refused(status)),
@@ -203,22 +217,23 @@
         prefix: &str,
         since: u64,
         wait: Duration,
-        rank: RequestPriority,
+        priority: RequestPriority,
     ) -> Result<Changes, StoreError> {
-        self.wait_for_budget(0, rank).await?;
+        self.wait_for_budget(0, priority).await?;
         let wait_ms = wait.as_millis();
         let path = format!("/follow?prefix={prefix}&since={since}&wait_ms={wait_ms}");
         let client = if wait.is_zero() {
-            &self.requests
+            &self.request_client
         } else {
-            &self.watches
+            &self.watch_client
         };
-        let answer = client
+        let response = client
             .request("GET", &path, &[], self.request_timeout + wait)
             .await;
-        let answer = answer.map_err(|error| StoreError::unanswered("GET", &path, error))?;
-        match answer.status {
-            OK => decode(&answer),
+        let response =
+            response.map_err(|error| StoreError::from_request_error("GET", &path, error))?;
+        match response.status {
+            OK => decode(&response),
             GONE => Err(StoreError::RevisionTooOld),
             status => Err(StoreError::Refused(status)),
         }
@@ -226,19 +241,23 @@
 
     /// Sends a request; statuses that say nothing of the request itself are errors.
     async fn request(&self, method: &str, path: &str, body: &[u8]) -> Result<Response, StoreError> {
-        let answer = self
-            .requests
+        let response = self
+            .request_client
             .request(method, path, body, self.request_timeout)
             .await;
-        let answer = answer.map_err(|error| StoreError::unanswered(method, path, error))?;
-        match answer.status {
+        let response =
+            response.map_err(|error| StoreError::from_request_error(method, path, error))?;
+        match response.status {
             status @ (TOO_MANY_REQUESTS | FIRST_SERVER_ERROR..) => Err(StoreError::Refused(status)),
-            _ => Ok(answer),
+            _ => Ok(response),
         }
     }
 
-    fn take_budget(&self, writes: usize, rank: RequestPriority) -> Result<(), StoreError> {
-        let taken = self.budget.borrow_mut().take(self.now_s(), writes, rank);
+    fn take_budget(&self, writes: usize, priority: RequestPriority) -> Result<(), StoreError> {
+        let taken = self
+            .budget
+            .borrow_mut()
+            .take(self.now_s(), writes, priority);
         taken.map_err(|exhausted| StoreError::BudgetExhausted(exhausted.wait_s))
     }
 
@@ -246,11 +265,11 @@
     async fn wait_for_budget(
         &self,
         writes: usize,
-        rank: RequestPriority,
+        priority: RequestPriority,
     ) -> Result<(), StoreError> {
         let started_at = Instant::now();
         loop {
-            match self.take_budget(writes, rank) {
+            match self.take_budget(writes, priority) {
                 Err(StoreError::BudgetExhausted(wait_s))
                     if started_at.elapsed().as_secs_f64() + wait_s
                         < self.request_timeout.as_secs_f64() =>
@@ -268,15 +287,15 @@
     }
 }
 
-/// Decodes an answer's body. The request was carried out even if its answer can't be read.
-fn decode<T: serde::de::DeserializeOwned>(answer: &Response) -> Result<T, StoreError> {
-    cbor::decode(&answer.body)
-        .map_err(|error| StoreError::OutcomeUnknown(format!("the answer can't be read: {error}")))
+/// Decodes a response's body. The request was carried out even if its response can't be read.
+fn decode<T: serde::de::DeserializeOwned>(response: &Response) -> Result<T, StoreError> {
+    cbor::decode(&response.body)
+        .map_err(|error| StoreError::OutcomeUnknown(format!("the response can't be read: {error}")))
 }
 
 /// Tells an ended lease from a transaction that the store can't accept, e.g. for a value that is too large.
-fn bad_request(answer: &Response) -> StoreError {
-    let text = cbor::decode::<Value>(&answer.body).map(|value| format!("{value:?}"));
+fn bad_request_error(response: &Response) -> StoreError {
+    let text = cbor::decode::<Value>(&response.body).map(|value| format!("{value:?}"));
     let text = text.unwrap_or_default();
     if text.contains(NO_SUCH_LEASE) {
         return StoreError::LeaseNotFound;
--- a/crates/store/src/leadership.rs
+++ b/crates/store/src/leadership.rs
@@ -100,16 +100,16 @@
     if store.get(keys::LEADER).await?.is_some() {
         return Ok(None);
     }
-    let stored = read_term(store).await?;
-    let sent = Instant::now();
+    let stored_term = read_term(store).await?;
+    let sent_at = Instant::now();
     let lease_id = store.grant(ttl).await?;
     let record = LeaderRecord {
         member: member.into(),
-        token: stored.term + 1,
+        token: stored_term.term + 1,
     };
     let term_unchanged = Condition {
         key: keys::TERM.into(),
-        version: stored.version,
+        version: stored_term.version,
     };
     let txn = Txn {
         conditions: vec![leader_unchanged(keys::ABSENT), term_unchanged],
@@ -133,7 +133,7 @@
         token: record.token,
         lease_id,
         version,
-        valid_until: sent + authority_duration(ttl),
+        valid_until: sent_at + authority_duration(ttl),
     }))
 }
 
--- a/crates/store/src/pages.rs
+++ b/crates/store/src/pages.rs
@@ -42,7 +42,7 @@
 }
 
 /// Bytes of some entries together.
-fn bytes<K, V>(entries: &Entries<K, V>) -> usize {
+fn total_bytes<K, V>(entries: &Entries<K, V>) -> usize {
     entries.values().map(|entry| entry.size).sum()
 }
 
@@ -88,7 +88,7 @@
 
     /// The first page that can take so many bytes more, or else the first unused number.
     fn page_with_capacity(&self, size: usize) -> u32 {
-        let has_capacity = |entries: &Entries<K, V>| bytes(entries) + size <= self.limit;
+        let has_capacity = |entries: &Entries<K, V>| total_bytes(entries) + size <= self.limit;
         let mut pages = self.pages.iter();
         match pages.find(|(_, entries)| has_capacity(entries)) {
             Some((page, _)) => *page,
@@ -157,7 +157,7 @@
         let Some(entries) = self.pages.get(&page) else {
             return;
         };
-        if bytes(entries) <= self.limit {
+        if total_bytes(entries) <= self.limit {
             return;
         }
         let (mut kept, mut kept_bytes) = (BTreeMap::new(), 0);
@@ -174,7 +174,7 @@
         self.dirty.insert(page);
         let mut target = None;
         for (key, Entry { size, value }) in moved {
-            let has_capacity = |target: &u32| bytes(&self.pages[target]) + size <= self.limit;
+            let has_capacity = |target: &u32| total_bytes(&self.pages[target]) + size <= self.limit;
             let new = match target.filter(has_capacity) {
                 Some(target) => target,
                 None => self.new_page_after(page),
--- a/crates/store/src/replica/bitmap.rs
+++ b/crates/store/src/replica/bitmap.rs
@@ -12,7 +12,7 @@
 
 impl Bitmap {
     /// Adds the bits of a section that begins at `first_task`, which is a multiple of eight.
-    pub fn join(&mut self, first_task: u32, section: &[u8]) {
+    pub fn merge(&mut self, first_task: u32, section: &[u8]) {
         let start = first_task as usize / BITS_PER_BYTE;
         let end = start + section.len();
         if self.0.len() < end {
--- a/crates/store/src/replica/jobs.rs
+++ b/crates/store/src/replica/jobs.rs
@@ -97,7 +97,7 @@
         } else if !other.is_open() {
             self.terminal_since = other.terminal_since;
         } else if self.is_open() {
-            self.progress.join(0, other.progress.bytes());
+            self.progress.merge(0, other.progress.bytes());
         }
     }
 }
@@ -120,7 +120,7 @@
 pub struct Jobs {
     entries: BTreeMap<String, JobEntry>,
     /// Progress that was read before its job's record: a load reads pages in the order of the keys.
-    early_progress: BTreeMap<String, Bitmap>,
+    pending_progress: BTreeMap<String, Bitmap>,
 }
 
 impl Jobs {
@@ -159,11 +159,12 @@
         self.entries.iter()
     }
 
-    /// The jobs of which this controller learned within the last `span` that they are cancelled.
-    pub(super) fn recently_cancelled(&self, span: Duration) -> Vec<CancelledJob> {
+    /// The jobs of which this controller learned within the last `window` that they are cancelled.
+    pub(super) fn recently_cancelled(&self, window: Duration) -> Vec<CancelledJob> {
         let is_recent = |entry: &JobEntry| {
             let since = entry.terminal_since;
-            entry.state == Recorded::Cancelled && since.is_some_and(|since| since.elapsed() < span)
+            entry.state == Recorded::Cancelled
+                && since.is_some_and(|since| since.elapsed() < window)
         };
         let recent = self.entries.iter().filter(|(_, entry)| is_recent(entry));
         recent
@@ -184,7 +185,7 @@
             return;
         }
         let progress = if is_open {
-            self.early_progress.remove(id).unwrap_or_default()
+            self.pending_progress.remove(id).unwrap_or_default()
         } else {
             Bitmap::default()
         };
@@ -200,12 +201,12 @@
         }
         match self.entries.get_mut(id) {
             Some(entry) if entry.is_open() => {
-                entry.progress.join(first_task, &decode_hex_bitmap(text))
+                entry.progress.merge(first_task, &decode_hex_bitmap(text))
             }
             Some(_) => {}
             None => {
-                let early = self.early_progress.entry(id.to_string()).or_default();
-                early.join(first_task, &decode_hex_bitmap(text));
+                let pending = self.pending_progress.entry(id.to_string()).or_default();
+                pending.merge(first_task, &decode_hex_bitmap(text));
             }
         }
     }
--- a/crates/store/src/replica/leader.rs
+++ b/crates/store/src/replica/leader.rs
@@ -33,7 +33,7 @@
     }
 
     /// Forgets the leader if it is this member.
-    pub(super) fn clear_if(&mut self, member: &str) {
+    pub(super) fn clear_if_member(&mut self, member: &str) {
         self.known.take_if(|known| known.record.member == member);
     }
 
--- a/crates/store/src/replica/mod.rs
+++ b/crates/store/src/replica/mod.rs
@@ -215,12 +215,12 @@
 
     /// Forgets the leader if it is this member, before the store reports that its key is gone.
     pub fn forget_leader(&mut self, member: &str) {
-        self.leader.clear_if(member);
+        self.leader.clear_if_member(member);
     }
 
-    /// The jobs of which this controller learned within the last `span` that they are cancelled.
-    pub fn recently_cancelled(&self, span: Duration) -> Vec<CancelledJob> {
-        self.jobs.recently_cancelled(span)
+    /// The jobs of which this controller learned within the last `window` that they are cancelled.
+    pub fn recently_cancelled(&self, window: Duration) -> Vec<CancelledJob> {
+        self.jobs.recently_cancelled(window)
     }
 
     /// Machines on which a gang may have been started: those of its newest attempt; none if it was never
--- a/crates/store/src/replica/roster.rs
+++ b/crates/store/src/replica/roster.rs
@@ -11,7 +11,7 @@
     machines: BTreeMap<String, RosterRecord>,
     pages: BTreeMap<u32, RosterPage>,
     /// The number of pages that hold each machine: two while a page is being split.
-    copies: BTreeMap<String, u32>,
+    page_counts: BTreeMap<String, u32>,
 }
 
 impl Roster {
@@ -29,7 +29,7 @@
         self.remove(number);
         for (record, names) in &page.groups {
             for name in names {
-                *self.copies.entry(name.clone()).or_default() += 1;
+                *self.page_counts.entry(name.clone()).or_default() += 1;
                 self.machines.insert(name.clone(), record.clone());
             }
         }
@@ -41,10 +41,10 @@
             return;
         };
         for name in page.groups.into_iter().flat_map(|(_, names)| names) {
-            let copies = self.copies.entry(name.clone()).or_default();
-            *copies = copies.saturating_sub(1);
-            if *copies == 0 {
-                self.copies.remove(&name);
+            let count = self.page_counts.entry(name.clone()).or_default();
+            *count = count.saturating_sub(1);
+            if *count == 0 {
+                self.page_counts.remove(&name);
                 self.machines.remove(&name);
             }
         }
--- a/crates/store/src/versions.rs
+++ b/crates/store/src/versions.rs
@@ -45,10 +45,10 @@
         }
     }
 
-    /// Merges the changes after `read_at_revision`, at which all keys were read: what `others` knows of that
+    /// Merges the changes after `read_at_revision`, at which all keys were read: what `other` knows of that
     /// revision and before is superseded.
-    pub fn merge_newer(&mut self, others: KeyVersions, read_at_revision: u64) {
-        for (key, change) in others.last_changes {
+    pub fn merge_newer(&mut self, other: KeyVersions, read_at_revision: u64) {
+        for (key, change) in other.last_changes {
             if change.revision > read_at_revision {
                 self.record_change(&key, change.revision, change.presence);
             }
--- a/crates/store/tests/leadership.rs
+++ b/crates/store/tests/leadership.rs
@@ -24,7 +24,7 @@
     leases: RefCell<BTreeSet<u64>>,
     revision: RefCell<u64>,
     /// Transactions whose senders have given up.
-    late: RefCell<Vec<Txn>>,
+    delayed: RefCell<Vec<Txn>>,
     fault_percent: u32,
 }
 
@@ -35,20 +35,20 @@
             keys: RefCell::default(),
             leases: RefCell::default(),
             revision: RefCell::new(0),
-            late: RefCell::default(),
+            delayed: RefCell::default(),
             fault_percent,
         }
     }
 
-    fn fails(&self) -> bool {
+    fn fault_occurs(&self) -> bool {
         self.rng.borrow_mut().u32(0..100) < self.fault_percent
     }
 
-    fn lost<T>() -> Result<T, StoreError> {
+    fn unknown_outcome<T>() -> Result<T, StoreError> {
         Err(StoreError::OutcomeUnknown("time-out".into()))
     }
 
-    fn end(&self, lease: u64) {
+    fn end_lease(&self, lease: u64) {
         self.leases.borrow_mut().remove(&lease);
         self.keys
             .borrow_mut()
@@ -101,7 +101,7 @@
         stored.get(key).and_then(|stored| stored.lease)
     }
 
-    fn held_by(&self) -> Option<LeaderRecord> {
+    fn stored_leader(&self) -> Option<LeaderRecord> {
         self.keys
             .borrow()
             .get(keys::LEADER)
@@ -111,8 +111,8 @@
 
 impl LeaderStore for FaultyStore {
     async fn get(&self, key: &str) -> Result<Option<Item>, StoreError> {
-        if self.fails() {
-            return Self::lost();
+        if self.fault_occurs() {
+            return Self::unknown_outcome();
         }
         Ok(self.keys.borrow().get(key).map(|stored| Item {
             key: key.into(),
@@ -124,35 +124,35 @@
         *self.revision.borrow_mut() += 1;
         let lease = *self.revision.borrow();
         self.leases.borrow_mut().insert(lease);
-        if self.fails() {
-            return Self::lost();
+        if self.fault_occurs() {
+            return Self::unknown_outcome();
         }
         Ok(lease)
     }
     async fn revoke(&self, lease: u64) -> Result<(), StoreError> {
-        if !self.fails() {
-            self.end(lease);
+        if !self.fault_occurs() {
+            self.end_lease(lease);
         }
         Ok(())
     }
     async fn txn(&self, txn: &Txn) -> Result<TxnOutcome, StoreError> {
-        if self.fails() {
+        if self.fault_occurs() {
             // Lost in transit, or applied after the sender has given up.
             if self.rng.borrow_mut().bool() {
-                self.late.borrow_mut().push(txn.clone());
+                self.delayed.borrow_mut().push(txn.clone());
             }
-            return Self::lost();
+            return Self::unknown_outcome();
         }
         let decided = self.apply(txn);
-        if self.fails() {
-            return Self::lost();
+        if self.fault_occurs() {
+            return Self::unknown_outcome();
         }
         decided
     }
 }
 
 /// Controllers that acquire, renew and lose leadership, as they see it themselves.
-struct Contenders {
+struct Controllers {
     store: FaultyStore,
     rng: fastrand::Rng,
     seed: u64,
@@ -168,9 +168,9 @@
     unknown: u32,
 }
 
-impl Contenders {
-    fn new(seed: u64) -> Contenders {
-        Contenders {
+impl Controllers {
+    fn new(seed: u64) -> Controllers {
+        Controllers {
             store: FaultyStore::new(seed, FAULT_PERCENT),
             rng: fastrand::Rng::with_seed(seed),
             seed,
@@ -180,7 +180,7 @@
     }
 
     /// A controller takes its next token if it leads, and else tries to acquire the leadership.
-    fn act(&mut self, counts: &mut Counts) {
+    fn step(&mut self, counts: &mut Counts) {
         let member = format!("rung-{}", self.rng.u32(0..4));
         match self.leaders.get(&member).cloned() {
             Some(lease) => self.advance(member, lease, counts),
@@ -230,33 +230,36 @@
     }
 
     /// At most one controller with a running lease takes itself for the leader, and it holds the key.
-    fn check(&self) {
+    fn check_single_leader(&self) {
         let seed = self.seed;
-        let believing: Vec<_> = self
+        let with_lease: Vec<_> = self
             .leaders
             .iter()
             .filter(|(_, lease)| self.store.leases.borrow().contains(&lease.lease_id))
             .collect();
         assert!(
-            believing.len() <= 1,
-            "seed {seed}: two leaders with running leases: {believing:?}"
+            with_lease.len() <= 1,
+            "seed {seed}: two leaders with running leases: {with_lease:?}"
         );
-        if let Some((name, _)) = believing.first() {
-            let holder = self.store.held_by().map(|leader| leader.member);
+        if let Some((name, _)) = with_lease.first() {
+            let holder = self.store.stored_leader().map(|leader| leader.member);
             assert_eq!(holder, Some(name.to_string()), "seed {seed}");
         }
     }
 
     /// Now and then a late write arrives, and a lease expires.
-    fn pass_time(&mut self) {
+    fn inject_faults(&mut self) {
         if self.rng.u32(0..4) == 0 {
-            let late = self.store.late.borrow_mut().pop();
-            late.into_iter()
+            let delayed = self.store.delayed.borrow_mut().pop();
+            delayed
+                .into_iter()
                 .for_each(|txn| drop(self.store.apply(&txn)));
         }
         if self.rng.u32(0..6) == 0 {
             let lease = self.store.lease_of(keys::LEADER);
-            lease.into_iter().for_each(|lease| self.store.end(lease));
+            lease
+                .into_iter()
+                .for_each(|lease| self.store.end_lease(lease));
             let running = self.store.leases.borrow().clone();
             self.leaders
                 .retain(|_, lease| running.contains(&lease.lease_id));
@@ -267,14 +270,14 @@
 /// Many controllers acquire, renew and lose leadership while answers get lost and writes arrive late: no token
 /// is issued twice, and a controller that considers itself the leader holds the key while its lease runs.
 #[test]
-fn no_token_is_issued_twice_whatever_the_store_loses() {
+fn tokens_are_unique_despite_store_faults() {
     let mut counts = Counts::default();
     for seed in 0..300 {
-        let mut contenders = Contenders::new(seed);
+        let mut controllers = Controllers::new(seed);
         for _ in 0..60 {
-            contenders.act(&mut counts);
-            contenders.check();
-            contenders.pass_time();
+            controllers.step(&mut counts);
+            controllers.check_single_leader();
+            controllers.inject_faults();
         }
     }
     let Counts {
--- a/crates/store/tests/replica.rs
+++ b/crates/store/tests/replica.rs
@@ -9,7 +9,7 @@
 
 /// Two requests can return the same changes; the older answer must not undo the newer one.
 #[test]
-fn an_older_answer_does_not_undo_a_newer_one() {
+fn an_older_response_does_not_undo_a_newer_one() {
     let mut replica = Replica::default();
     let page = roster(&["host-1", "host-2"]);
     let newer = changes(
--- a/crates/store/tests/versions.rs
+++ b/crates/store/tests/versions.rs
@@ -23,12 +23,12 @@
 }
 
 #[derive(Default)]
-struct PlainStore {
+struct InMemoryStore {
     revision: u64,
     keys: BTreeMap<String, StoredKey>,
 }
 
-impl PlainStore {
+impl InMemoryStore {
     /// Whether the conditions hold, and the request was applied.
     fn apply(&mut self, request: &Request) -> bool {
         let version = |key: &String| self.keys.get(key).map_or(0, |stored| stored.version);
@@ -63,10 +63,10 @@
 /// A state service that applies writes late, and twice, and loses answers. A roster that lost its newest
 /// machines to an older write of the same leader would let the next leader start their tasks a second time.
 #[test]
-fn an_older_write_of_the_same_leader_never_undoes_a_newer_one() {
+fn an_older_write_never_undoes_a_newer_one() {
     for seed in 0..SEEDS {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let mut store = PlainStore::default();
+        let mut store = InMemoryStore::default();
         let (mut sent, mut confirmed) = (Vec::<Request>::new(), 0);
         let mut known = KeyVersions::default();
         for content in 1..=WRITES {
