--- a/crates/store/src/budget.rs
+++ b/crates/store/src/budget.rs
@@ -1,25 +1,26 @@
-//! A controller's share of the store's request and write rates, in ranks.
+//! Client-side rate limiting: a controller's share of the store's request and write rates, as token
+//! buckets with request priorities.
 //!
-//! Times are seconds on one steady clock of the caller's choice.
+//! Times are in seconds on one monotonic clock of the caller's choice.
 
-/// What a request is for, most important first. Each priority leaves a part of the burst to the ranks before it,
-/// so that renewals are never starved and decisions go before submissions.
+/// Priority of a request to the store, highest first. Each priority leaves a part of the burst to
+/// the higher ones, so that renewals are never starved and decisions go before submissions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestPriority {
-    /// Renewals of leases.
+    /// Lease renewals.
     Renewal,
-    /// The leader's decisions, cancellations and reads.
+    /// Scheduling decisions of the leader, cancellations, and reads.
     Decision,
-    /// Users' submissions.
+    /// Job submissions by users.
     Submission,
 }
 
-/// Parts of the burst, 0 to 1, that each priority leaves to those before it.
+/// Fractions of the burst, 0 to 1, that are reserved for higher priorities.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Reserve {
-    /// What decisions leave to renewals.
+    /// Fraction that decisions leave for renewals.
     pub decision: f64,
-    /// What submissions leave to decisions and renewals.
+    /// Fraction that submissions leave for decisions and renewals.
     pub submission: f64,
 }
 
@@ -33,18 +34,18 @@
     }
 }
 
-/// What a controller may use of one of the store's rates.
+/// A controller's share of one of the store's rates.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Share {
-    /// Part, 0 to 1, of the rate that the settings give for all controllers.
+    /// Fraction, 0 to 1, of the rate that the settings allow for all controllers together.
     pub fraction: f64,
-    /// The burst: as much as this part yields in so many seconds may be used at once.
+    /// Burst size, as the number of seconds in which the share's rate yields it.
     pub burst_s: f64,
-    /// What lower ranks leave of the burst.
+    /// Fractions of the burst that lower priorities leave unused.
     pub reserve: Reserve,
 }
 
-/// What a controller may use of the store's request and write rates.
+/// A controller's shares of the store's request and write rates.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Shares {
     /// Share of the request rate.
@@ -53,7 +54,7 @@
     pub writes: Share,
 }
 
-/// The store's rates, as the settings give them for all controllers together.
+/// Store rates that the settings allow for all controllers together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rates {
     /// Requests per second.
@@ -62,23 +63,23 @@
     pub writes_per_s: f64,
 }
 
-/// The budget does not allow a request yet.
+/// Error of a request that the budget does not allow yet.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
-#[error("the budget allows the request in {wait_s:.2} s")]
+#[error("the request budget is exhausted; the request is allowed in {wait_s:.2} s")]
 pub struct BudgetExhausted {
-    /// Seconds until the request is allowed, if nothing else is sent.
+    /// Seconds until the request is allowed if no other one is sent before.
     pub wait_s: f64,
 }
 
-/// A token bucket.
+/// A token bucket that holds back a reserve for higher priorities.
 #[derive(Debug)]
 struct TokenBucket {
-    /// Tokens per second.
+    /// Refill rate in tokens per second.
     rate: f64,
     capacity: f64,
     reserve: Reserve,
     tokens: f64,
-    /// The time, in seconds, up to which the bucket was filled.
+    /// Time of the last refill, in seconds.
     refilled_at: f64,
 }
 
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Changes the share; a larger burst is not available from the start.
+    /// Changes the share. The tokens stay as they are, so a larger burst is not available at once.
     fn set_share(&mut self, total_rate: f64, share: Share, now: f64) {
         self.refill(now);
         let tokens = self.tokens;
@@ -111,8 +112,8 @@
         self.refilled_at = now;
     }
 
-    /// Seconds until so many tokens can be taken with the priority's reserve left. A request that is larger than
-    /// the bucket is allowed when the bucket is full.
+    /// Returns the seconds until `tokens` can be taken while the reserve for higher priorities is
+    /// left. A request for more than the capacity is allowed when the bucket is full.
     fn wait_s(&self, tokens: f64, priority: RequestPriority) -> f64 {
         let needed =
             (tokens + self.reserve.for_priority(priority) * self.capacity).min(self.capacity);
@@ -125,7 +126,7 @@
     }
 }
 
-/// The requests and writes that this controller may still send.
+/// The budget of requests and writes that this controller may send to the store.
 #[derive(Debug)]
 pub struct Budget {
     rates: Rates,
@@ -134,7 +135,7 @@
 }
 
 impl Budget {
-    /// A budget that is full at time 0.
+    /// Creates a budget whose buckets are full at time 0.
     pub fn new(rates: Rates, shares: Shares) -> Budget {
         let requests = TokenBucket::new(rates.requests_per_s, shares.requests);
         let writes = TokenBucket::new(rates.writes_per_s, shares.writes);
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Changes the shares, e.g. when this controller becomes the leader.
+    /// Changes the shares, for example when this controller becomes the leader.
     pub fn set_shares(&mut self, shares: Shares, now: f64) {
         self.requests
             .set_share(self.rates.requests_per_s, shares.requests, now);
@@ -153,9 +154,9 @@
             .set_share(self.rates.writes_per_s, shares.writes, now);
     }
 
-    /// Notes that the store refused a request as beyond its rate: the rest of the burst is not available,
-    /// since others used it or the rate is lower than the settings say. Renewals then wait for one request's
-    /// worth at most.
+    /// Records that the store refused a request because its rate was exceeded. The remaining tokens
+    /// are dropped, since other controllers have used them or the store's rate is lower than in the
+    /// settings. A renewal then waits at most until the bucket holds the tokens of one request.
     pub fn record_refusal(&mut self, now: f64, writes: usize) {
         if writes > 0 {
             self.writes.drain(now);
@@ -168,7 +169,7 @@
     ///
     /// # Errors
     ///
-    /// The budget does not allow it yet; nothing is taken.
+    /// Fails without taking anything if the budget does not allow the request yet.
     pub fn take(
         &mut self,
         now: f64,
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -1,4 +1,4 @@
-//! Typed requests to the state service.
+//! HTTP client of the state service with typed requests, limited by this controller's budget.
 
 use crate::budget::{Budget, Rates, RequestPriority, Shares};
 use http::client::{Client, RequestError, Response};
@@ -8,7 +8,7 @@
 use wire::cbor;
 use wire::store::{Changes, Conflict, Item, LeaseAsk, LeaseId, Page, Revision, Txn, Value};
 
-/// The status of a request beyond the store's rate.
+/// Status of a request that exceeds the store's rate.
 pub const TOO_MANY_REQUESTS: u16 = 429;
 
 const OK: u16 = 200;
@@ -18,50 +18,51 @@
 const GONE: u16 = 410;
 const FIRST_SERVER_ERROR: u16 = 500;
 
-/// The text in a bad request's response that names a lease which has ended.
+/// Text in the response to a bad request whose cause is a lease that has ended.
 const NO_SUCH_LEASE: &str = "no such lease";
 
-/// Idle connections kept for requests that are answered at once.
+/// Maximum number of idle connections for requests that the store answers without waiting.
 const MAX_IDLE_REQUEST_CONNECTIONS: usize = 4;
-/// Largest body of such an response, in bytes.
+/// Maximum body size of the response to such a request, in bytes.
 const MAX_REQUEST_RESPONSE_BYTES: usize = 2 << 20;
-/// Idle connections kept for watches, which wait for changes.
+/// Maximum number of idle connections for watches, which are long polls.
 const MAX_IDLE_WATCH_CONNECTIONS: usize = 2;
-/// Largest body of a watch's response, in bytes.
+/// Maximum body size of a watch's response, in bytes.
 const MAX_WATCH_RESPONSE_BYTES: usize = 8 << 20;
-/// Most keys in a page.
+/// Maximum number of keys in a page.
 const PAGE_KEYS: u32 = 250;
-/// Added to a wait for the budget, in seconds, so that rounding does not end it early.
+/// Seconds added to a wait for the budget, so that rounding does not end the wait early.
 const WAIT_SLACK_S: f64 = 0.002;
 
-/// Why a request to the store did not give a result.
+/// Error of a request to the store.
 #[derive(Debug, thiserror::Error, PartialEq)]
 pub enum StoreError {
-    /// The store did not carry the request out and answered with this status.
+    /// The store did not execute the request and responded with this status.
     #[error("the store did not execute the request (status {0})")]
     Refused(u16),
-    /// The request did not reach the store; names the request and the cause.
+    /// The request did not reach the store; holds the request and the cause.
     #[error("the request did not reach the store: {0}")]
     NotSent(String),
-    /// Not sent: this controller's budget allows the request after so many seconds.
-    #[error("own budget is used up for {0:.2} s")]
+    /// The request was not sent: this controller's budget allows it after this many seconds.
+    #[error("this controller's store budget is exhausted for {0:.2} s")]
     BudgetExhausted(f64),
-    /// The request may have been carried out, or may still be; names the request and the cause.
-    #[error("outcome unknown: {0}")]
+    /// The store may have executed the request, or may still do so; holds the request and the
+    /// cause.
+    #[error("the outcome of the store request is unknown: {0}")]
     OutcomeUnknown(String),
-    /// The response has so many bytes, more than the client accepts.
-    #[error("the response of {0} bytes is larger than accepted")]
+    /// The response has this many bytes, more than the client accepts.
+    #[error("the store's response of {0} bytes is too large")]
     ResponseTooLarge(usize),
     /// The lease has ended.
-    #[error("no such lease")]
+    #[error("the store lease has ended")]
     LeaseNotFound,
-    /// The store no longer keeps the changes after that revision.
-    #[error("the revision asked for is too old")]
+    /// The store no longer keeps the changes after the requested revision.
+    #[error("the store no longer keeps the changes after the requested revision")]
     RevisionTooOld,
 }
 
 impl StoreError {
-    /// The error of a request, e.g. `POST /txn`, that was not answered.
+    /// Converts the error of a request without a usable response and adds the method and the path.
     fn from_request_error(method: &str, path: &str, error: RequestError) -> StoreError {
         match error {
             RequestError::NotSent(cause) => {
@@ -75,27 +76,27 @@
     }
 }
 
-/// Result of a transaction that the store has decided.
+/// Outcome of a transaction that the store has evaluated.
 #[derive(Debug, PartialEq)]
 pub enum TxnOutcome {
-    /// Applied at this revision, which is the new version of each key that was put.
+    /// Applied at this revision, which is the new version of every key that was put.
     Applied(u64),
-    /// Not applied: the versions of these keys did not match the conditions.
+    /// Not applied because the versions of these keys did not match the conditions.
     Conflict(Vec<String>),
 }
 
-/// A client of the state service with this controller's budget.
+/// Client of the state service that keeps to this controller's budget.
 pub struct Store {
     request_client: Client,
     watch_client: Client,
     budget: RefCell<Budget>,
     started_at: Instant,
-    /// How long a request may take, the wait for the budget apart.
+    /// Time-out of a request, not counting the wait for the budget.
     pub request_timeout: Duration,
 }
 
 impl Store {
-    /// A client of the service at an address.
+    /// Creates a client of the service at an address.
     pub fn new(addr: SocketAddr, rates: Rates, shares: Shares, request_timeout: Duration) -> Store {
         Store {
             request_client: Client::new(
@@ -110,12 +111,12 @@
         }
     }
 
-    /// Changes the parts of the request and write rates that this controller may use.
+    /// Changes this controller's shares of the request and write rates.
     pub fn set_shares(&self, shares: Shares) {
         self.budget.borrow_mut().set_shares(shares, self.now_s());
     }
 
-    /// Reads a key; none if it does not exist.
+    /// Returns a key with its value, or `None` if it does not exist.
     pub async fn get(
         &self,
         key: &str,
@@ -130,7 +131,7 @@
         }
     }
 
-    /// Reads a page of the keys with a prefix, after the key `since`.
+    /// Returns a page of the keys with a prefix, in order, that come after the key `since`.
     pub async fn range(
         &self,
         prefix: &str,
@@ -147,8 +148,9 @@
         }
     }
 
-    /// Carries out a transaction; `LeaseNotFound` if one of its writes names a lease that has ended. Submissions are
-    /// refused at once when the budget is used up; other ranks wait for it.
+    /// Executes a transaction. Fails with `LeaseNotFound` if one of its writes names a lease that
+    /// has ended. When the budget is exhausted, submissions fail at once and other priorities wait
+    /// for it.
     pub async fn txn(
         &self,
         txn: &Txn,
@@ -176,7 +178,7 @@
         }
     }
 
-    /// Creates a lease; returns its id.
+    /// Creates a lease and returns its id.
     pub async fn grant(&self, ttl: Duration) -> Result<u64, StoreError> {
         self.wait_for_budget(0, RequestPriority::Renewal).await?;
         let body = LeaseAsk {
@@ -191,7 +193,7 @@
         }
     }
 
-    /// Renews a lease; `LeaseNotFound` if it has ended.
+    /// Renews a lease. Fails with `LeaseNotFound` if it has ended.
     pub async fn renew(&self, lease: u64) -> Result<(), StoreError> {
         self.wait_for_budget(0, RequestPriority::Renewal).await?;
         let path = format!("/grants/{lease}/touch");
@@ -203,15 +205,15 @@
         }
     }
 
-    /// Ends a lease; one that has ended already is no error.
+    /// Ends a lease. It is no error if the lease has ended already.
     pub async fn revoke(&self, lease: u64) -> Result<(), StoreError> {
         self.wait_for_budget(0, RequestPriority::Renewal).await?;
         let path = format!("/grants/{lease}");
         self.request("DELETE", &path, &[]).await.map(drop)
     }
 
-    /// Reads the changes after the revision `since`, waiting up to `wait` for the first one; `RevisionTooOld` if the
-    /// store does not keep them any more.
+    /// Returns the changes after the revision `since`, waiting up to `wait` for the first one.
+    /// Fails with `RevisionTooOld` if the store no longer keeps them.
     pub async fn read_changes(
         &self,
         prefix: &str,
@@ -239,7 +241,8 @@
         }
     }
 
-    /// Sends a request; statuses that say nothing of the request itself are errors.
+    /// Sends a request. Rate limiting and server errors become `Refused`; any other status is left
+    /// to the caller.
     async fn request(&self, method: &str, path: &str, body: &[u8]) -> Result<Response, StoreError> {
         let response = self
             .request_client
@@ -261,7 +264,7 @@
         taken.map_err(|exhausted| StoreError::BudgetExhausted(exhausted.wait_s))
     }
 
-    /// Waits for the budget, at most as long as a request may take.
+    /// Takes a request out of the budget, waiting for it at most as long as the request time-out.
     async fn wait_for_budget(
         &self,
         writes: usize,
@@ -281,19 +284,21 @@
         }
     }
 
-    /// Seconds on the budget's clock.
+    /// Returns the current time on the budget's clock, in seconds.
     fn now_s(&self) -> f64 {
         self.started_at.elapsed().as_secs_f64()
     }
 }
 
-/// Decodes a response's body. The request was carried out even if its response can't be read.
+/// Decodes the body of a response. A body that can't be decoded is an unknown outcome and not a
+/// refusal, since the store has processed the request.
 fn decode<T: serde::de::DeserializeOwned>(response: &Response) -> Result<T, StoreError> {
     cbor::decode(&response.body)
-        .map_err(|error| StoreError::OutcomeUnknown(format!("the response can't be read: {error}")))
+        .map_err(|error| StoreError::OutcomeUnknown(format!("the response can't be decoded: {error}")))
 }
 
-/// Tells an ended lease from a transaction that the store can't accept, e.g. for a value that is too large.
+/// Distinguishes a lease that has ended from a transaction that the store can't accept, for example
+/// because of a value that is too large.
 fn bad_request_error(response: &Response) -> StoreError {
     let text = cbor::decode::<Value>(&response.body).map(|value| format!("{value:?}"));
     let text = text.unwrap_or_default();
--- a/crates/store/src/keys.rs
+++ b/crates/store/src/keys.rs
@@ -1,89 +1,89 @@
-//! Names of the keys that the controllers store.
+//! Names of the keys that the controllers keep in the state service.
 
-/// The version that a condition requires of a key that must not exist.
+/// Version in the condition of a transaction that requires a key not to exist.
 pub const ABSENT: u64 = 0;
 
-/// Prefix of all keys of this service.
+/// Prefix of all keys of the controllers.
 pub const ALL_PREFIX: &str = "lr/";
-/// The leader's key, attached to its lease.
+/// Key that names the leader, attached to the leader's lease.
 pub const LEADER: &str = "lr/leader";
-/// The durable term: the highest fencing token ever issued.
+/// Key of the durable term, the highest fencing token ever issued.
 pub const TERM: &str = "lr/term";
-/// Prefix of the jobs' records.
+/// Prefix of the job records.
 pub const JOB_PREFIX: &str = "lr/job/";
-/// Prefix of the pages of progress.
+/// Prefix of the progress pages.
 pub const PROGRESS_PREFIX: &str = "lr/progress/";
-/// Prefix of the pages of the roster.
+/// Prefix of the roster pages.
 pub const ROSTER_PREFIX: &str = "lr/roster/";
-/// Prefix of the bindings of gangs.
+/// Prefix of the chunks of gang bindings.
 pub const BINDING_PREFIX: &str = "lr/binding/";
-/// The started arrays.
+/// Key of the record of the arrays whose tasks may have been started.
 pub const STARTED_ARRAYS: &str = "lr/begun";
 
-/// The key of a job's record.
+/// Returns the key of a job's record.
 pub fn job(id: &str) -> String {
     format!("{JOB_PREFIX}{id}")
 }
 
-/// The key of a page of progress.
+/// Returns the key of a progress page.
 pub fn progress(page: u32) -> String {
     format!("{PROGRESS_PREFIX}{page}")
 }
 
-/// The key of a page of the roster.
+/// Returns the key of a roster page.
 pub fn roster(page: u32) -> String {
     format!("{ROSTER_PREFIX}{page}")
 }
 
-/// The key of a chunk of a gang's binding.
+/// Returns the key of a chunk of a gang's binding.
 pub fn binding(id: &str, chunk: u32) -> String {
     format!("{BINDING_PREFIX}{id}/{chunk}")
 }
 
-/// The id of the job whose record a key holds.
+/// Returns the id of the job whose record is stored under a key.
 pub fn job_id(key: &str) -> Option<&str> {
     key.strip_prefix(JOB_PREFIX)
 }
 
-/// The number of the progress page that a key holds.
+/// Returns the number of the progress page that is stored under a key.
 pub fn progress_page(key: &str) -> Option<u32> {
     key.strip_prefix(PROGRESS_PREFIX)?.parse().ok()
 }
 
-/// The number of the roster page that a key holds.
+/// Returns the number of the roster page that is stored under a key.
 pub fn roster_page(key: &str) -> Option<u32> {
     key.strip_prefix(ROSTER_PREFIX)?.parse().ok()
 }
 
-/// The job and the chunk of the binding record that a key holds.
+/// Returns the job id and the chunk number of the binding record that is stored under a key.
 pub fn binding_chunk(key: &str) -> Option<(&str, u32)> {
     let (job, chunk) = key.strip_prefix(BINDING_PREFIX)?.rsplit_once('/')?;
     Some((job, chunk.parse().ok()?))
 }
 
-/// What a key holds.
+/// Kind of record that is stored under a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyKind {
-    /// The leader's record.
+    /// Record of the leader.
     Leader,
-    /// The durable term.
+    /// Durable term.
     Term,
-    /// The record of a job.
+    /// Record of a job.
     Job,
-    /// A page of progress.
+    /// Progress page.
     Progress,
-    /// A page of the roster.
+    /// Roster page.
     Roster,
-    /// A chunk of a gang's binding.
+    /// Chunk of a gang's binding.
     Binding,
-    /// The started arrays.
+    /// Record of the started arrays.
     StartedArrays,
-    /// Nothing that this version knows.
+    /// A key that this version does not know.
     Other,
 }
 
 impl KeyKind {
-    /// What a key holds, by its name.
+    /// Returns the kind of a key, which follows from its name.
     pub fn of(key: &str) -> KeyKind {
         match key {
             LEADER => KeyKind::Leader,
--- a/crates/store/src/leadership.rs
+++ b/crates/store/src/leadership.rs
@@ -1,9 +1,10 @@
-//! Leadership by a key attached to a store lease; the fencing token is a durable term.
+//! Leader election by a key that is attached to a store lease. The fencing token is a durable term.
 //!
-//! Authority is counted from the instant at which the last answered renewal was *sent*, less clock drift and
-//! a margin. Authority that has expired returns only with an answered renewal of the same lease: the key was
-//! then never free in between. What may be done with it also depends on the freshness of the cluster view
-//! (`sched::authority`).
+//! The leader's authority is valid from the instant at which the last successful renewal was
+//! *sent*, for the duration of the lease less clock drift and a safety margin. Authority that has
+//! expired returns only with a successful renewal of the same lease, since the key was never free
+//! in between then. What the leader may do with its authority also depends on the freshness of the
+//! cluster view (`sched::authority`).
 
 use crate::budget::RequestPriority;
 use crate::client::{Store, StoreError, TxnOutcome};
@@ -11,26 +12,29 @@
 use std::time::{Duration, Instant};
 use wire::store::{from_value, to_value, Condition, Item, LeaderRecord, TermRecord, Txn, Write};
 
-/// Largest relative drift of a steady clock; both sides of a lease may drift (a figure of the protocol).
+/// Maximum relative drift of a monotonic clock, as the protocol assumes it. The clocks on both
+/// sides of a lease may drift.
 pub const MAX_CLOCK_DRIFT: f64 = 0.0005;
-/// Safety margin of the leader's own authority, as a part of the lease's duration.
+/// Safety margin of the leader's authority, as a fraction of the lease duration.
 pub const AUTHORITY_MARGIN: f64 = 0.03;
 
-/// How long authority may be used after the request that proved it was sent, for a lease of `ttl`.
+/// Returns how long the leader's authority is valid with a lease of `ttl`, counted from the instant
+/// at which the request that granted or renewed the lease was sent.
 pub fn authority_duration(ttl: Duration) -> Duration {
     ttl.mul_f64(1.0 - 2.0 * MAX_CLOCK_DRIFT - AUTHORITY_MARGIN)
 }
 
-/// The requests that leadership needs of the state service; every answer may be lost or late.
+/// The requests to the state service on which leader election depends. Any response may be lost or
+/// late.
 #[allow(async_fn_in_trait)] // Everything runs on one thread: no caller needs the futures to be Send.
 pub trait LeaderStore {
-    /// Reads a key; none if it does not exist.
+    /// Returns a key with its value, or `None` if it does not exist.
     async fn get(&self, key: &str) -> Result<Option<Item>, StoreError>;
-    /// Creates a lease; returns its id.
+    /// Creates a lease and returns its id.
     async fn grant(&self, ttl: Duration) -> Result<u64, StoreError>;
-    /// Ends a lease, which drops the keys attached to it.
+    /// Ends a lease, which deletes the keys that are attached to it.
     async fn revoke(&self, lease: u64) -> Result<(), StoreError>;
-    /// Carries out a transaction.
+    /// Executes a transaction.
     async fn txn(&self, txn: &Txn) -> Result<TxnOutcome, StoreError>;
 }
 
@@ -49,35 +53,35 @@
     }
 }
 
-/// The lease on leadership that this controller acquired.
+/// Leadership that this controller has acquired, with the lease behind it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LeadershipLease {
-    /// The fencing token.
+    /// Fencing token.
     pub token: u64,
-    /// The store lease that the leader's key is attached to.
+    /// Store lease to which the leader's key is attached.
     pub lease_id: u64,
-    /// Version of the leader's key: the condition of every write of this leader.
+    /// Version of the leader's key, on which every write of this leader is conditional.
     pub version: u64,
-    /// When authority expires unless the lease is renewed.
+    /// Instant at which authority expires unless the lease is renewed.
     pub valid_until: Instant,
 }
 
-/// A token that a leader has moved on to.
+/// Next fencing token of a controller that stays the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NextToken {
-    /// The fencing token.
+    /// Fencing token.
     pub token: u64,
-    /// Version of the leader's key: the condition of the leader's writes from now on.
+    /// Version of the leader's key, on which the leader's writes are conditional from now on.
     pub version: u64,
 }
 
-/// The durable term as it is in the store.
+/// Durable term as read from the store.
 struct StoredTerm {
     term: u64,
     version: u64,
 }
 
-/// The condition that the leader's key is unchanged since `version`.
+/// Returns the condition that the leader's key is still at `version`.
 pub fn leader_unchanged(version: u64) -> Condition {
     Condition {
         key: keys::LEADER.into(),
@@ -85,13 +89,13 @@
     }
 }
 
-/// Tries once to acquire leadership; none if another controller holds it or the transaction was certainly not
-/// applied.
+/// Tries once to acquire leadership. Returns `None` if another controller holds it or the
+/// transaction was certainly not applied.
 ///
 /// # Errors
 ///
-/// Any error of the store. Leadership is not held then: the lease of an attempt whose outcome is unknown is
-/// revoked.
+/// Returns any error of the store. Leadership is not held then: if the outcome of the transaction
+/// is unknown, the lease of the attempt is revoked.
 pub async fn acquire(
     store: &impl LeaderStore,
     member: &str,
@@ -118,12 +122,13 @@
     let version = match store.txn(&txn).await {
         Ok(TxnOutcome::Applied(revision)) => revision,
         Ok(TxnOutcome::Conflict(_)) | Err(StoreError::LeaseNotFound) => {
-            // The lease expires by itself if this fails.
+            // If this fails, the lease expires by itself.
             let _ = store.revoke(lease_id).await;
             return Ok(None);
         }
-        // Never guessed: ending the lease makes the attempt harmless whether it was applied, is applied late
-        // (a write with an ended lease is refused), or never.
+        // The outcome is not guessed. Revoking the lease makes the attempt harmless in every case:
+        // whether it was applied, is applied late (the store refuses a write with an ended lease),
+        // or is never applied.
         Err(error) => {
             let _ = store.revoke(lease_id).await;
             return Err(error);
@@ -137,13 +142,13 @@
     }))
 }
 
-/// Moves the term and the leader's key on to the next token; none if leadership is lost. After an unknown
-/// outcome the key is read back.
+/// Advances the term and the leader's key to the next token. Returns `None` if leadership is lost.
+/// After an unknown outcome the key is read back.
 ///
 /// # Errors
 ///
-/// Any error of the store. The outcome may be unknown then; the call may be repeated, and recognizes a token
-/// that an earlier attempt has recorded.
+/// Returns any error of the store. The outcome may be unknown then. The call may be repeated: it
+/// recognizes a token that an earlier attempt has recorded.
 pub async fn advance_token(
     store: &impl LeaderStore,
     member: &str,
@@ -166,7 +171,7 @@
             | StoreError::NotSent(_)
             | StoreError::BudgetExhausted(_)),
         ) => Err(error),
-        // A conflict can stem from an earlier attempt of this leader whose answer was lost.
+        // A conflict can come from an earlier attempt of this leader whose response was lost.
         Ok(TxnOutcome::Conflict(_)) | Err(_) => match store.get(keys::LEADER).await? {
             Some(item) if from_value::<LeaderRecord>(&item.value).as_ref() == Some(&record) => {
                 Ok(Some(NextToken {
@@ -175,7 +180,7 @@
                 }))
             }
             Some(item) if item.version == leadership.version => Err(StoreError::OutcomeUnknown(
-                "the next token is not applied yet".into(),
+                "the store has not applied the leader's next token yet".into(),
             )),
             _ => Ok(None),
         },
@@ -196,7 +201,8 @@
     ))
 }
 
-/// The writes that record a leader and its token: the leader's key ends with the lease, the term stays.
+/// Returns the writes that record a leader and its token. The leader's key is deleted with the
+/// lease; the term stays.
 fn token_writes(record: &LeaderRecord, lease_id: u64) -> Vec<Write> {
     let term = TermRecord { term: record.token };
     vec![
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,5 +1,5 @@
-//! The state service: its client and request budget, leadership, the records that share keys, and the replica
-//! of all keys.
+//! Access to the state service: the client with its request budget, leader election, the pages that
+//! hold many records under one key, and the replica of all keys.
 
 pub mod budget;
 pub mod client;
--- a/crates/store/src/pages.rs
+++ b/crates/store/src/pages.rs
@@ -1,9 +1,9 @@
-//! Small entries packed many to a key, since the state service charges for every put. The leader owns the
-//! pages; each write replaces a whole page.
+//! Small entries packed many to a key, since the state service charges for every put. The leader
+//! owns the pages; each write replaces a whole page.
 //!
-//! A page may have been filled under a larger limit than the present one. It is loaded as it is, and split
-//! when it is next written: the entries beyond the limit move to new pages, and all of them are written
-//! together (`write_unit`), so that no entry is missing from the store in between.
+//! A page may have been filled under a larger limit than the present one. It is loaded as it is,
+//! and split when it is next written: the entries beyond the limit move to new pages, and all of
+//! them are written together (`write_unit`), so that no entry is missing from the store in between.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -27,8 +27,8 @@
 
 /// Entries in pages that stay below a size.
 ///
-/// Invariant: each key is on one page, and a page that differs from the store's is dirty unless only deferred
-/// removals make the difference.
+/// Invariant: each key is on one page, and a page that differs from the store's is dirty unless
+/// only deferred removals make the difference.
 #[derive(Debug)]
 pub struct Pages<K, V> {
     limit: usize,
@@ -47,7 +47,8 @@
 }
 
 impl<K: Ord + Clone, V: PartialEq> Pages<K, V> {
-    /// No pages. The entries of a page will take at most `limit` bytes together, by their estimated sizes.
+    /// No pages. The entries of a page will take at most `limit` bytes together, by their estimated
+    /// sizes.
     pub fn new(limit: usize) -> Pages<K, V> {
         Pages {
             limit,
@@ -73,8 +74,8 @@
         entries.insert(key, Entry { size, value });
     }
 
-    /// Puts an entry on the page where it was, or else on the first page with capacity; returns the page. An
-    /// unchanged entry makes no page dirty: a decision that has to wait is put repeatedly.
+    /// Puts an entry on the page where it was, or else on the first page with capacity; returns the
+    /// page. An unchanged entry makes no page dirty: a decision that has to wait is put repeatedly.
     pub fn put(&mut self, key: K, size: usize, value: V) -> u32 {
         let current = self.page_of.get(&key).copied();
         if let Some(page) = current.filter(|_| self.get(&key) == Some(&value)) {
@@ -139,12 +140,13 @@
         dirty.find(|page| !excluded.contains(page)).copied()
     }
 
-    /// Splits a page if it is too large; returns all pages that have to be written together with it, in their
-    /// order: the page that is or was too large first, then those that took the rest of its entries.
+    /// Splits a page if it is too large; returns all pages that have to be written together with
+    /// it, in their order: the page that is or was too large first, then those that took the rest
+    /// of its entries.
     ///
-    /// When a page is written, readers of version 0.1 remove from their roster what it held before, also what
-    /// another page holds by then. They end up right if they read the new pages last, so these come later in
-    /// the transaction and in the order of their keys.
+    /// When a page is written, readers of version 0.1 remove from their roster what it held before,
+    /// also what another page holds by then. They end up right if they read the new pages last, so
+    /// these come later in the transaction and in the order of their keys.
     pub fn write_unit(&mut self, page: u32) -> Vec<u32> {
         let first = self.split_from.get(&page).copied().unwrap_or(page);
         self.split(first);
@@ -186,8 +188,8 @@
         }
     }
 
-    /// Adds a page for entries of another, after it in the order of their keys, where numbers are compared as
-    /// text.
+    /// Adds a page for entries of another, after it in the order of their keys, where numbers are
+    /// compared as text.
     fn new_page_after(&mut self, page: u32) -> u32 {
         let name = page.to_string();
         let follows = |new: &u32| new.to_string() > name && !self.pages.contains_key(new);
--- a/crates/store/src/reload.rs
+++ b/crates/store/src/reload.rs
@@ -1,9 +1,10 @@
-//! Loading all keys in pages: the first load, and again when a replica is older than the changes which the
-//! store keeps.
+//! Loading all keys in pages: the first load, and again when a replica is older than the changes
+//! which the store keeps.
 //!
-//! Loading takes several requests. The replica in use meanwhile keeps receiving records by other means: this
-//! controller's own writes that were in flight, and records that were read directly. Those may be newer than
-//! the pages, so the result holds the newer of both for each key: a reload never reverts anything.
+//! Loading takes several requests. The replica in use meanwhile keeps receiving records by other
+//! means: this controller's own writes that were in flight, and records that were read directly.
+//! Those may be newer than the pages, so the result holds the newer of both for each key: a reload
+//! never reverts anything.
 
 use crate::replica::Replica;
 use wire::store::Page;
@@ -26,8 +27,8 @@
 }
 
 impl Reload {
-    /// A load of which no page is read yet. `chunk_bits` is the number of tasks in a chunk of a progress page
-    /// that version 0.1 wrote.
+    /// A load of which no page is read yet. `chunk_bits` is the number of tasks in a chunk of a
+    /// progress page that version 0.1 wrote.
     pub fn new(chunk_bits: u32) -> Reload {
         Reload {
             chunk_bits,
@@ -66,8 +67,8 @@
         }
     }
 
-    /// The loaded replica, merged with what the one in use holds that is newer. No answer to a request for
-    /// changes may have been applied to `in_use` after the first page was requested.
+    /// The loaded replica, merged with what the one in use holds that is newer. No answer to a
+    /// request for changes may have been applied to `in_use` after the first page was requested.
     pub fn finish(self, in_use: Replica) -> Replica {
         let mut replica = self.replica;
         replica.merge_newer(in_use);
--- a/crates/store/src/versions.rs
+++ b/crates/store/src/versions.rs
@@ -1,8 +1,9 @@
 //! Versions of the keys that a leader writes again and again.
 //!
-//! The store may apply a request late, or twice. The condition that the leader is still the same does not
-//! distinguish an old write of a leader from its newer ones. Each write is therefore conditional on its keys
-//! being as this leader last knew them: a repeated write, or an abandoned one that arrives late, then fails.
+//! The store may apply a request late, or twice. The condition that the leader is still the same
+//! does not distinguish an old write of a leader from its newer ones. Each write is therefore
+//! conditional on its keys being as this leader last knew them: a repeated write, or an abandoned
+//! one that arrives late, then fails.
 
 use crate::keys;
 use std::collections::BTreeMap;
@@ -33,7 +34,8 @@
 }
 
 impl KeyVersions {
-    /// Notes a change of a key, as an answer or a watch reports it; an older one than is known is ignored.
+    /// Notes a change of a key, as an answer or a watch reports it; an older one than is known is
+    /// ignored.
     pub fn record_change(&mut self, key: &str, revision: u64, presence: Presence) {
         let change = LastChange { revision, presence };
         match self.last_changes.get_mut(key) {
@@ -45,8 +47,8 @@
         }
     }
 
-    /// Merges the changes after `read_at_revision`, at which all keys were read: what `other` knows of that
-    /// revision and before is superseded.
+    /// Merges the changes after `read_at_revision`, at which all keys were read: what `other` knows
+    /// of that revision and before is superseded.
     pub fn merge_newer(&mut self, other: KeyVersions, read_at_revision: u64) {
         for (key, change) in other.last_changes {
             if change.revision > read_at_revision {
@@ -55,7 +57,8 @@
         }
     }
 
-    /// Forgets a key that a watch reports as dropped: the watch reports no older change of it afterwards.
+    /// Forgets a key that a watch reports as dropped: the watch reports no older change of it
+    /// afterwards.
     pub fn forget_dropped(&mut self, key: &str, revision: u64) {
         let known = self.last_changes.get(key);
         if known.is_some_and(|known| known.revision <= revision) {
@@ -73,7 +76,8 @@
         }
     }
 
-    /// The condition that the key is as it is known here; a key of which nothing is known must not exist.
+    /// The condition that the key is as it is known here; a key of which nothing is known must not
+    /// exist.
     pub fn condition(&self, key: &str) -> Condition {
         let known = self.last_changes.get(key);
         let present = known.filter(|known| known.presence == Presence::Present);
