--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -293,8 +293,9 @@
 /// Decodes the body of a response. A body that can't be decoded is an unknown outcome and not a
 /// refusal, since the store has processed the request.
 fn decode<T: serde::de::DeserializeOwned>(response: &Response) -> Result<T, StoreError> {
-    cbor::decode(&response.body)
-        .map_err(|error| StoreError::OutcomeUnknown(format!("the response can't be decoded: {error}")))
+    cbor::decode(&response.body).map_err(|error| {
+        StoreError::OutcomeUnknown(format!("the response can't be decoded: {error}"))
+    })
 }
 
 /// Distinguishes a lease that has ended from a transaction that the store can't accept, for example
--- a/crates/store/src/leadership.rs
+++ b/crates/store/src/leadership.rs
@@ -2,8 +2,8 @@
 //!
 //! The leader's authority is valid from the instant at which the last successful renewal was
 //! *sent*, for the duration of the lease less clock drift and a safety margin. Authority that has
-//! expired returns only with a successful renewal of the same lease, since the key was never free
-//! in between then. What the leader may do with its authority also depends on the freshness of the
+//! expired returns only with a successful renewal of the same lease, since the key was
+//! never free in between. What the leader may do with its authority also depends on the freshness of the
 //! cluster view (`sched::authority`).
 
 use crate::budget::RequestPriority;
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 use wire::store::{from_value, to_value, Condition, Item, LeaderRecord, TermRecord, Txn, Write};
 
-/// Maximum relative drift of a monotonic clock, as the protocol assumes it. The clocks on both
+/// Maximum relative drift of a monotonic clock, a constant of the protocol. The clocks on both
 /// sides of a lease may drift.
 pub const MAX_CLOCK_DRIFT: f64 = 0.0005;
 /// Safety margin of the leader's authority, as a fraction of the lease duration.
--- a/crates/store/src/pages.rs
+++ b/crates/store/src/pages.rs
@@ -1,13 +1,14 @@
-//! Small entries packed many to a key, since the state service charges for every put. The leader
-//! owns the pages; each write replaces a whole page.
+//! Pages: many small entries packed under one key, since every put counts against the state
+//! service's write rate. The leader owns the pages, and each write replaces a whole page.
 //!
-//! A page may have been filled under a larger limit than the present one. It is loaded as it is,
+//! A page may have been filled under a larger limit than the current one. It is loaded unchanged
 //! and split when it is next written: the entries beyond the limit move to new pages, and all of
-//! them are written together (`write_unit`), so that no entry is missing from the store in between.
+//! these pages are written together (see `write_unit`), so that no entry is missing from the store
+//! in between.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An entry and the size, in bytes, at which its owner estimates it.
+/// Value of an entry, with its size in bytes as estimated by the owner of the pages.
 #[derive(Debug)]
 struct Entry<V> {
     size: usize,
@@ -16,39 +17,39 @@
 
 type Entries<K, V> = BTreeMap<K, Entry<V>>;
 
-/// When the store has to learn of the removal of an entry.
+/// When the removal of an entry has to be written to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Removal {
-    /// As soon as possible: the page has to be written.
+    /// As soon as possible: the removal makes the page dirty.
     Urgent,
-    /// When the page is written for another reason.
+    /// When the page is next written for another reason.
     Deferred,
 }
 
-/// Entries in pages that stay below a size.
+/// Entries in pages of limited size.
 ///
-/// Invariant: each key is on one page, and a page that differs from the store's is dirty unless
-/// only deferred removals make the difference.
+/// Invariant: each key is on one page, and a page that differs from its stored version is dirty
+/// unless the only difference is deferred removals.
 #[derive(Debug)]
 pub struct Pages<K, V> {
     limit: usize,
     pages: BTreeMap<u32, Entries<K, V>>,
     page_of: BTreeMap<K, u32>,
     dirty: BTreeSet<u32>,
-    /// The new pages that took entries of a page, until that page is written.
+    /// New pages that took entries of a page in a split, until that page is written.
     split_into: BTreeMap<u32, Vec<u32>>,
-    /// The inverse of `split_into`.
+    /// Inverse of `split_into`.
     split_from: BTreeMap<u32, u32>,
 }
 
-/// Bytes of some entries together.
+/// Returns the total estimated size of entries, in bytes.
 fn total_bytes<K, V>(entries: &Entries<K, V>) -> usize {
     entries.values().map(|entry| entry.size).sum()
 }
 
 impl<K: Ord + Clone, V: PartialEq> Pages<K, V> {
-    /// No pages. The entries of a page will take at most `limit` bytes together, by their estimated
-    /// sizes.
+    /// Creates an empty set of pages. The estimated sizes of the entries on a page will add up to
+    /// at most `limit` bytes.
     pub fn new(limit: usize) -> Pages<K, V> {
         Pages {
             limit,
@@ -60,11 +61,12 @@
         }
     }
 
-    /// Adds an entry as the store holds it.
+    /// Adds an entry as it is in the store, without marking its page as dirty. If the entry is
+    /// already on another page, it is removed from there, and that page becomes dirty.
     pub fn load(&mut self, page: u32, key: K, size: usize, value: V) {
         let earlier = self.page_of.insert(key.clone(), page);
         if let Some(earlier) = earlier.filter(|earlier| *earlier != page) {
-            // An unfinished split left the entry on two pages: the one that was loaded last counts.
+            // An unfinished split left the entry on two pages. The copy loaded last is kept.
             if let Some(entries) = self.pages.get_mut(&earlier) {
                 entries.remove(&key);
             }
@@ -74,8 +76,9 @@
         entries.insert(key, Entry { size, value });
     }
 
-    /// Puts an entry on the page where it was, or else on the first page with capacity; returns the
-    /// page. An unchanged entry makes no page dirty: a decision that has to wait is put repeatedly.
+    /// Puts an entry on the page that already holds it, or else on the first page with capacity,
+    /// and returns the page. An unchanged entry makes no page dirty, since a decision that has to
+    /// wait is put repeatedly.
     pub fn put(&mut self, key: K, size: usize, value: V) -> u32 {
         let current = self.page_of.get(&key).copied();
         if let Some(page) = current.filter(|_| self.get(&key) == Some(&value)) {
@@ -87,7 +90,8 @@
         page
     }
 
-    /// The first page that can take so many bytes more, or else the first unused number.
+    /// Returns the first page that can take `size` more bytes, or else the first unused page
+    /// number.
     fn page_with_capacity(&self, size: usize) -> u32 {
         let has_capacity = |entries: &Entries<K, V>| total_bytes(entries) + size <= self.limit;
         let mut pages = self.pages.iter();
@@ -100,7 +104,7 @@
         }
     }
 
-    /// Removes an entry.
+    /// Removes an entry if it exists.
     pub fn remove(&mut self, key: &K, removal: Removal) {
         let Some(page) = self.page_of.remove(key) else {
             return;
@@ -113,40 +117,41 @@
         }
     }
 
-    /// The value of an entry.
+    /// Returns the value of an entry.
     pub fn get(&self, key: &K) -> Option<&V> {
         let entries = self.pages.get(self.page_of.get(key)?)?;
         entries.get(key).map(|entry| &entry.value)
     }
 
-    /// The keys from `from` on, in order, e.g. to find all that belong to one job.
+    /// Returns the keys from `from` on, in order, for example to find all that belong to one job.
     pub fn keys_from<'a>(&'a self, from: &K) -> impl Iterator<Item = &'a K> {
         self.page_of.range(from.clone()..).map(|(key, _)| key)
     }
 
-    /// The first dirty page: one that the store does not hold as it is here.
+    /// Returns the first dirty page, that is, the first one that has to be written to the store.
     pub fn next_dirty(&self) -> Option<u32> {
         self.next_dirty_except(&[])
     }
 
-    /// Whether the store does not hold a page as it is here.
+    /// Returns whether a page has to be written to the store.
     pub fn is_dirty(&self, page: u32) -> bool {
         self.dirty.contains(&page)
     }
 
-    /// The first dirty page that is not among `excluded`, which are being written already.
+    /// Returns the first dirty page that is not among `excluded`, which are being written already.
     pub fn next_dirty_except(&self, excluded: &[u32]) -> Option<u32> {
         let mut dirty = self.dirty.iter();
         dirty.find(|page| !excluded.contains(page)).copied()
     }
 
-    /// Splits a page if it is too large; returns all pages that have to be written together with
-    /// it, in their order: the page that is or was too large first, then those that took the rest
-    /// of its entries.
+    /// Splits a page if it is too large, and returns all pages that have to be written in one
+    /// transaction, in this order: first the page that is or was too large, then the pages that
+    /// took the rest of its entries.
     ///
-    /// When a page is written, readers of version 0.1 remove from their roster what it held before,
-    /// also what another page holds by then. They end up right if they read the new pages last, so
-    /// these come later in the transaction and in the order of their keys.
+    /// When a page is written, readers of version 0.1 remove from their roster whatever the page
+    /// held before, even if another page holds it by then. Their roster ends up correct if they
+    /// read the new pages last. The new pages therefore come later, both in the transaction and in
+    /// the order of the keys.
     pub fn write_unit(&mut self, page: u32) -> Vec<u32> {
         let first = self.split_from.get(&page).copied().unwrap_or(page);
         self.split(first);
@@ -154,7 +159,8 @@
         std::iter::once(first).chain(others).collect()
     }
 
-    /// Moves the entries beyond the limit to new pages. One entry stays in any case.
+    /// Moves the entries beyond the limit to new pages. At least one entry stays, whatever its
+    /// size.
     fn split(&mut self, page: u32) {
         let Some(entries) = self.pages.get(&page) else {
             return;
@@ -188,8 +194,8 @@
         }
     }
 
-    /// Adds a page for entries of another, after it in the order of their keys, where numbers are
-    /// compared as text.
+    /// Adds a page for entries that are split off another page. It comes after that page in the
+    /// order of the keys, in which page numbers are compared as text.
     fn new_page_after(&mut self, page: u32) -> u32 {
         let name = page.to_string();
         let follows = |new: &u32| new.to_string() > name && !self.pages.contains_key(new);
@@ -200,12 +206,13 @@
         new
     }
 
-    /// Changes the limit, in bytes. Pages beyond it are split when they are next written.
+    /// Changes the size limit of a page, in bytes. Larger pages are split when they are next
+    /// written.
     pub fn set_limit(&mut self, limit: usize) {
         self.limit = limit;
     }
 
-    /// Notes that the store holds a page as it is here.
+    /// Marks a page as written: the store now holds its current entries.
     pub fn mark_written(&mut self, page: u32) {
         self.dirty.remove(&page);
         for new in self.split_into.remove(&page).unwrap_or_default() {
@@ -216,7 +223,8 @@
         }
     }
 
-    /// The entries of a page; none if the page's key is to be dropped.
+    /// Returns the entries of a page, or `None` if there are none and the page's key is to be
+    /// deleted.
     pub fn page(&self, page: u32) -> Option<impl Iterator<Item = (&K, &V)>> {
         let entries = self
             .pages
--- a/crates/store/src/reload.rs
+++ b/crates/store/src/reload.rs
@@ -1,24 +1,24 @@
-//! Loading all keys in pages: the first load, and again when a replica is older than the changes
-//! which the store keeps.
+//! Loads all keys in pages, at startup and whenever a replica is too old to be brought up to date
+//! with the changes that the store keeps.
 //!
-//! Loading takes several requests. The replica in use meanwhile keeps receiving records by other
-//! means: this controller's own writes that were in flight, and records that were read directly.
-//! Those may be newer than the pages, so the result holds the newer of both for each key: a reload
+//! A load takes several requests. Meanwhile the replica in use keeps receiving records in other
+//! ways: this controller's own writes that were in flight, and records that were read directly.
+//! They may be newer than the pages, so the result holds the newer version of each key. A reload
 //! never reverts anything.
 
 use crate::replica::Replica;
 use wire::store::Page;
 
-/// Whether a load has read all keys.
+/// Progress of a load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadState {
-    /// Further pages have to be read.
+    /// More pages have to be read.
     Incomplete,
     /// The last page was read.
     Complete,
 }
 
-/// A load in progress. A page that could not be read is requested again; the others are kept.
+/// A load in progress. If reading a page fails, only that page is requested again.
 pub struct Reload {
     chunk_bits: u32,
     replica: Replica,
@@ -27,8 +27,8 @@
 }
 
 impl Reload {
-    /// A load of which no page is read yet. `chunk_bits` is the number of tasks in a chunk of a
-    /// progress page that version 0.1 wrote.
+    /// Starts a load. `chunk_bits` is the number of tasks in a chunk of a progress page that
+    /// version 0.1 wrote.
     pub fn new(chunk_bits: u32) -> Reload {
         Reload {
             chunk_bits,
@@ -38,17 +38,17 @@
         }
     }
 
-    /// The last key that was read: the next page begins after it.
+    /// Returns the last key that was read. The next page begins after it.
     pub fn last_key(&self) -> Option<&str> {
         self.last_key.as_deref()
     }
 
-    /// The number of pages that were read.
+    /// Returns the number of pages that were read.
     pub fn pages(&self) -> u32 {
         self.pages
     }
 
-    /// Adds the page that begins after `last_key`.
+    /// Adds the page that begins after `last_key`, and returns whether more pages have to be read.
     pub fn add_page(&mut self, page: &Page) -> LoadState {
         if self.pages == 0 {
             self.replica = Replica::from_first_page(self.chunk_bits, page);
@@ -67,8 +67,9 @@
         }
     }
 
-    /// The loaded replica, merged with what the one in use holds that is newer. No answer to a
-    /// request for changes may have been applied to `in_use` after the first page was requested.
+    /// Returns the loaded replica, merged with the newer records of the replica in use. No response
+    /// to a request for changes may have been applied to `in_use` after the first page was
+    /// requested.
     pub fn finish(self, in_use: Replica) -> Replica {
         let mut replica = self.replica;
         replica.merge_newer(in_use);
--- a/crates/store/src/replica/bindings.rs
+++ b/crates/store/src/replica/bindings.rs
@@ -1,24 +1,24 @@
-//! The bindings of gangs to machines, each in one or more chunks.
+//! Bindings of gangs to machines, each stored in one or more chunks.
 
 use std::collections::{BTreeMap, BTreeSet};
 use wire::store::BindingRecord;
 
-/// The binding records by job and chunk.
+/// Binding records by job and chunk.
 ///
-/// Invariant: each chunk is the one of the newest change to its key. A binding with fewer chunks leaves
-/// those of an older attempt behind; they do not count.
+/// Invariant: each chunk is the one of the newest change to its key. A binding with fewer chunks
+/// than that of an older attempt leaves some chunks of the older one behind. They are ignored.
 #[derive(Default)]
 pub struct Bindings {
     chunks: BTreeMap<String, BTreeMap<u32, BindingRecord>>,
 }
 
 impl Bindings {
-    /// The chunks of a job by number, those of older attempts included.
+    /// Returns the chunks of a job by number, including those of older attempts.
     pub fn get(&self, job: &str) -> Option<&BTreeMap<u32, BindingRecord>> {
         self.chunks.get(job)
     }
 
-    /// Machines of the newest attempt to bind a job; none if it was never bound.
+    /// Returns the machines of the newest attempt to bind a job, or `None` if it was never bound.
     pub(super) fn machines(&self, job: &str) -> Option<BTreeSet<String>> {
         let records = self.chunks.get(job)?;
         let newest = records.values().map(|record| record.attempt).max()?;
--- a/crates/store/src/replica/jobs.rs
+++ b/crates/store/src/replica/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs by id, with the progress of those that are open.
+//! Jobs by id, with the progress of open ones.
 
 use super::bitmap::{decode_hex_bitmap, Bitmap};
 use std::collections::BTreeMap;
@@ -7,7 +7,7 @@
 use wire::store::{JobRecord, Recorded};
 use wire::users::{Job, MOST_TASKS};
 
-/// CPUs and GPUs of all tasks of a job together.
+/// Total CPUs and GPUs of all tasks of a job.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct JobResources {
     /// CPU cores.
@@ -26,26 +26,27 @@
     }
 }
 
-/// One job. Terminal jobs keep only what answering a poll needs.
+/// One job. A terminal job keeps only the fields that are needed to respond to a status query.
 #[derive(Clone, Debug)]
 pub struct JobEntry {
-    /// The job's state; `Cancelled` also if an ancestor is cancelled while the record is still open.
+    /// State of the job. It is also `Cancelled` if an ancestor is cancelled while the job's own
+    /// record is still open.
     pub state: Recorded,
-    /// Version of the record; while the job is open, the revision of its creation.
+    /// Version of the record. While the job is open, this is the revision of its creation.
     pub version: u64,
-    /// Wall-clock time of acceptance in milliseconds since the Unix epoch, for display only.
+    /// Wall-clock time of acceptance, in milliseconds since the Unix epoch. For display only.
     pub created_ms: u64,
-    /// The number of tasks.
+    /// Number of tasks.
     pub tasks: u32,
-    /// The owning team.
+    /// Owning team.
     pub team: String,
-    /// Resources of all tasks together.
+    /// Total resources of all tasks.
     pub resources: JobResources,
     /// When this controller learned from a record that the job is terminal.
     pub terminal_since: Option<Instant>,
-    /// The specification, while the job is open.
+    /// Specification, while the job is open.
     pub job: Option<Rc<Job>>,
-    /// Tasks that the store records as done, while the job is open.
+    /// Tasks that are done according to the store, while the job is open.
     pub progress: Bitmap,
 }
 
@@ -70,12 +71,12 @@
         }
     }
 
-    /// Whether the job is neither done nor cancelled.
+    /// Returns whether the job is neither done nor cancelled.
     pub fn is_open(&self) -> bool {
         self.state == Recorded::Open
     }
 
-    /// The number of done tasks.
+    /// Returns the number of tasks that are done.
     pub fn done_tasks(&self) -> u32 {
         match self.state {
             Recorded::Done => self.tasks,
@@ -89,8 +90,8 @@
         self.progress = Bitmap::default();
     }
 
-    /// Merges another entry of the same job. A terminal state stays, also one that is not in the record but
-    /// follows from an ancestor's.
+    /// Merges another entry of the same job. A terminal state is kept, even one that is not in the
+    /// job's own record but follows from a cancelled ancestor.
     fn merge_newer(&mut self, other: JobEntry) {
         if other.version > self.version || !other.is_open() && self.is_open() {
             *self = other;
@@ -105,61 +106,64 @@
 /// A cancelled job whose tasks may still occupy machines.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CancelledJob {
-    /// The job's id.
+    /// Id of the job.
     pub id: String,
-    /// The owning team.
+    /// Owning team.
     pub team: String,
-    /// Resources of all tasks together.
+    /// Total resources of all tasks.
     pub resources: JobResources,
 }
 
 /// All jobs by id.
 ///
-/// Invariant: a job's version only grows, a terminal job never becomes open again, and no job is removed.
+/// Invariant: the version of a job only grows, a terminal job never becomes open again, and no job
+/// is removed.
 #[derive(Default)]
 pub struct Jobs {
     entries: BTreeMap<String, JobEntry>,
-    /// Progress that was read before its job's record: a load reads pages in the order of the keys.
+    /// Progress that was loaded before its job's record, since a load reads all keys in the order
+    /// of their names.
     pending_progress: BTreeMap<String, Bitmap>,
 }
 
 impl Jobs {
-    /// A job's entry.
+    /// Returns a job's entry.
     pub fn get(&self, id: &str) -> Option<&JobEntry> {
         self.entries.get(id)
     }
 
-    /// Whether a job is known.
+    /// Returns whether a job is known.
     pub fn contains_key(&self, id: &str) -> bool {
         self.entries.contains_key(id)
     }
 
-    /// The number of jobs, terminal ones included.
+    /// Returns the number of jobs, including terminal ones.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there is no job at all.
+    /// Returns whether no job is known.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// The ids, in order.
+    /// Returns the ids, in order.
     pub fn keys(&self) -> impl Iterator<Item = &String> {
         self.entries.keys()
     }
 
-    /// The entries, in the order of their ids.
+    /// Returns the entries, in the order of their ids.
     pub fn values(&self) -> impl Iterator<Item = &JobEntry> {
         self.entries.values()
     }
 
-    /// Ids and entries, in the order of the ids.
+    /// Returns the ids with their entries, in the order of the ids.
     pub fn iter(&self) -> impl Iterator<Item = (&String, &JobEntry)> {
         self.entries.iter()
     }
 
-    /// The jobs of which this controller learned within the last `window` that they are cancelled.
+    /// Returns the cancelled jobs whose cancellation this controller learned of within the last
+    /// `window`.
     pub(super) fn recently_cancelled(&self, window: Duration) -> Vec<CancelledJob> {
         let is_recent = |entry: &JobEntry| {
             let since = entry.terminal_since;
@@ -176,7 +180,8 @@
             .collect()
     }
 
-    /// Applies a job's record unless the known one is as new, or terminal while this one is open.
+    /// Applies a job's record, unless the known record is at least as new, or is terminal while
+    /// this one is open.
     pub(super) fn put(&mut self, id: &str, record: JobRecord, version: u64) {
         let is_open = record.state == Recorded::Open;
         let is_superseded =
@@ -193,9 +198,9 @@
         self.entries.insert(id.to_string(), entry);
     }
 
-    /// Adds a section of a job's progress, as hexadecimal text.
+    /// Adds a section of a job's progress, given as a bitmap in hexadecimal.
     pub(super) fn add_progress(&mut self, id: &str, first_task: u32, text: &str) {
-        // Damaged, or not written by this service: no job has that many tasks.
+        // No job has that many tasks: the record is damaged, or another service has written it.
         if first_task >= MOST_TASKS || text.len() as u32 > MOST_TASKS {
             return;
         }
@@ -211,7 +216,7 @@
         }
     }
 
-    /// Marks a job as done by this controller's own write, applied at `version`.
+    /// Marks a job as done, which this controller's own write has recorded at `version`.
     pub(super) fn mark_done(&mut self, id: &str, version: u64) {
         let Some(entry) = self.entries.get_mut(id) else {
             return;
@@ -223,7 +228,7 @@
         }
     }
 
-    /// Cancels an open job because an ancestor is cancelled.
+    /// Marks an open job as cancelled because one of its ancestors is.
     pub(super) fn cancel_with_ancestor(&mut self, id: &str) {
         let entry = self.entries.get_mut(id);
         if let Some(entry) = entry.filter(|entry| entry.is_open()) {
--- a/crates/store/src/replica/leader.rs
+++ b/crates/store/src/replica/leader.rs
@@ -1,29 +1,29 @@
-//! The key that names the leader.
+//! The current leader according to its key.
 
 use wire::store::LeaderRecord;
 
-/// A record of the leader's key.
+/// Record of the leader's key with its version.
 #[derive(Clone, Debug, PartialEq)]
 struct KnownLeader {
     record: LeaderRecord,
     version: u64,
 }
 
-/// Who leads, as far as this replica knows.
+/// Current leader as known to a replica.
 ///
-/// Invariant: of two replicas that are merged, the record with the greater version stays.
+/// Invariant: when two replicas are merged, the record with the higher version is kept.
 #[derive(Default)]
 pub struct Leader {
     known: Option<KnownLeader>,
 }
 
 impl Leader {
-    /// The leader's record; none if the key does not exist.
+    /// Returns the leader's record, or `None` if no leader is known.
     pub fn record(&self) -> Option<&LeaderRecord> {
         self.known.as_ref().map(|known| &known.record)
     }
 
-    /// Sets the record as it is in the store at `version`; none if it can't be read.
+    /// Sets the record that the store holds at `version`, or `None` if the record can't be decoded.
     pub(super) fn set(&mut self, record: Option<LeaderRecord>, version: u64) {
         self.known = record.map(|record| KnownLeader { record, version });
     }
@@ -32,13 +32,13 @@
         self.known = None;
     }
 
-    /// Forgets the leader if it is this member.
+    /// Forgets the leader if it is `member`.
     pub(super) fn clear_if_member(&mut self, member: &str) {
         self.known.take_if(|known| known.record.member == member);
     }
 
-    /// Merges the key of another replica. Without a record, all that is known is that the key did not exist
-    /// at `revision`.
+    /// Merges the leader of another replica. If this replica has no record, the key did not exist
+    /// at `revision`, so only a newer record of the other one is taken.
     pub(super) fn merge_newer(&mut self, other: Leader, revision: u64) {
         let version = self.known.as_ref().map_or(revision, |known| known.version);
         if let Some(newer) = other.known.filter(|known| known.version > version) {
--- a/crates/store/src/replica/mod.rs
+++ b/crates/store/src/replica/mod.rs
@@ -1,7 +1,8 @@
-//! A controller's copy of the service's keys, loaded in pages and kept current by the store's changes.
+//! A controller's replica of all keys in the state service, loaded in pages and kept up to date
+//! with the store's changes.
 //!
-//! Invariant: for each key the version only grows, and a terminal job stays terminal. An answer that arrives
-//! late or twice therefore changes nothing.
+//! Invariant: the version of each key only grows, and a terminal job stays terminal. A response
+//! that arrives late or twice therefore changes nothing.
 
 mod bindings;
 mod bitmap;
@@ -26,41 +27,41 @@
     Value,
 };
 
-/// What a change was about.
+/// Key to which a change was applied.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChangedKey {
-    /// The record of the job with this id.
+    /// Record of the job with this id.
     Job(String),
-    /// The leader's key.
+    /// Leader's key.
     Leader,
     /// Any other key.
     Other,
 }
 
-/// The copy of all keys.
+/// Replica of all keys.
 #[derive(Default)]
 pub struct Replica {
-    /// All changes up to this revision are applied.
+    /// Revision up to which all changes are applied.
     pub revision: u64,
-    /// The jobs by id.
+    /// Jobs by id.
     pub jobs: Jobs,
-    /// Who leads.
+    /// Current leader.
     pub leader: Leader,
-    /// The machines on which tasks may have been started.
+    /// Machines on which tasks may have been started.
     pub roster: Roster,
-    /// The pages of the jobs' progress.
+    /// Pages with the progress of jobs.
     pub progress: ProgressPages,
-    /// The bindings of gangs.
+    /// Bindings of gangs to machines.
     pub bindings: Bindings,
-    /// The arrays of which tasks may have been started.
+    /// Arrays whose tasks may have been started.
     pub started_arrays: StartedArraysRecord,
-    /// Versions of the keys that a leader writes again and again: all but jobs, leader and term.
+    /// Versions of the keys that a leader writes repeatedly: all except jobs, leader and term.
     pub versions: KeyVersions,
 }
 
 impl Replica {
-    /// An empty replica. `chunk_bits` is the number of tasks in a chunk of a progress page that version 0.1
-    /// wrote.
+    /// Creates an empty replica. `chunk_bits` is the number of tasks in a chunk of a progress page
+    /// that version 0.1 wrote.
     pub fn new(chunk_bits: u32) -> Replica {
         Replica {
             progress: ProgressPages::new(chunk_bits),
@@ -68,8 +69,9 @@
         }
     }
 
-    /// A replica with the first page of a load. Its revision is that page's: the changes after it have to be
-    /// applied to the later pages too, which may hold only some of them.
+    /// Creates a replica from the first page of a load and takes its revision from that page. Later
+    /// pages may already contain some of the changes after that revision, so all of these changes
+    /// have to be applied once the pages are loaded.
     pub fn from_first_page(chunk_bits: u32, page: &Page) -> Replica {
         let mut replica = Replica::new(chunk_bits);
         replica.revision = page.revision;
@@ -77,23 +79,25 @@
         replica
     }
 
-    /// Adds a further page of a load.
+    /// Adds another page of a load.
     pub fn load(&mut self, page: &Page) {
         for item in &page.items {
             self.put(&item.key, &item.value, item.version);
         }
     }
 
-    /// Merges what another replica holds that is newer than the pages this one was loaded from.
+    /// Merges the records of another replica that are newer than the pages from which this one was
+    /// loaded.
     pub(crate) fn merge_newer(&mut self, other: Replica) {
         self.jobs.merge_newer(other.jobs);
         self.leader.merge_newer(other.leader, self.revision);
         self.versions.merge_newer(other.versions, self.revision);
     }
 
-    /// Applies the changes that are newer than this replica's revision; returns what they were about.
+    /// Applies the changes that are newer than this replica's revision, and returns the changed
+    /// keys.
     pub fn apply(&mut self, changes: &Changes) -> Vec<ChangedKey> {
-        // Two requests can return the same change; the older answer must not undo a newer one.
+        // Two requests can return the same change. The older response must not undo a newer one.
         let revision = self.revision;
         let newer = changes.changes.iter().filter(|c| c.version > revision);
         let changed = newer.filter_map(|change| self.apply_one(change)).collect();
@@ -112,7 +116,7 @@
         }
     }
 
-    /// Applies a key's value; one that can't be read is skipped.
+    /// Applies the value of a key. A value that can't be decoded is skipped.
     fn put(&mut self, key: &str, value: &Value, version: u64) -> ChangedKey {
         let kind = KeyKind::of(key);
         if !matches!(kind, KeyKind::Job | KeyKind::Leader | KeyKind::Term) {
@@ -152,7 +156,7 @@
                     self.started_arrays = record;
                 }
             }
-            // The term is read directly when a leadership is acquired.
+            // The term is read directly when leadership is acquired.
             KeyKind::Term | KeyKind::Other => {}
         }
         ChangedKey::Other
@@ -192,39 +196,41 @@
         ChangedKey::Other
     }
 
-    /// Applies a job's record, also one that was read directly and of which no change was applied yet.
+    /// Applies a job's record, which may have been read directly, before its change was applied.
     pub fn put_job(&mut self, id: &str, record: JobRecord, version: u64) {
         self.jobs.put(id, record, version);
     }
 
-    /// Marks a job as done by this controller's own write, applied at `version`.
+    /// Marks a job as done, which this controller's own write has recorded at `version`.
     pub fn mark_job_done(&mut self, id: &str, version: u64) {
         self.jobs.mark_done(id, version);
     }
 
-    /// Cancels an open job because an ancestor is cancelled. Its record stays open in the store; none of its
-    /// tasks was ever started.
+    /// Marks an open job as cancelled because one of its ancestors is. Its record stays open in the
+    /// store. None of its tasks was ever started.
     pub fn cancel_with_ancestor(&mut self, id: &str) {
         self.jobs.cancel_with_ancestor(id);
     }
 
-    /// Sets the leader that this controller's own write has recorded at `version`.
+    /// Sets the leader, which this controller's own write has recorded at `version`.
     pub fn set_leader(&mut self, record: LeaderRecord, version: u64) {
         self.leader.set(Some(record), version);
     }
 
-    /// Forgets the leader if it is this member, before the store reports that its key is gone.
+    /// Forgets the leader if it is `member`, before the store reports that the leader's key is
+    /// deleted.
     pub fn forget_leader(&mut self, member: &str) {
         self.leader.clear_if_member(member);
     }
 
-    /// The jobs of which this controller learned within the last `window` that they are cancelled.
+    /// Returns the cancelled jobs whose cancellation this controller learned of within the last
+    /// `window`.
     pub fn recently_cancelled(&self, window: Duration) -> Vec<CancelledJob> {
         self.jobs.recently_cancelled(window)
     }
 
-    /// Machines on which a gang may have been started: those of its newest attempt; none if it was never
-    /// bound.
+    /// Returns the machines on which a gang may have been started, which are those of its newest
+    /// attempt, or `None` if it was never bound.
     pub fn bound_machines(&self, job: &str) -> Option<BTreeSet<String>> {
         self.bindings.machines(job)
     }
--- a/crates/store/src/replica/progress.rs
+++ b/crates/store/src/replica/progress.rs
@@ -1,25 +1,26 @@
-//! The pages in which the progress of jobs is stored.
+//! Pages in which the progress of jobs is stored.
 
 use std::collections::BTreeMap;
 use wire::store::ProgressPage;
 
-/// A bitmap of done tasks in a page.
+/// Bitmap of a job's done tasks in a page.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Section<'a> {
-    /// The job's id.
+    /// Id of the job.
     pub job: &'a str,
-    /// The task of the first bit.
+    /// Task of the first bit.
     pub first_task: u32,
-    /// The bitmap in hexadecimal.
+    /// Bitmap in hexadecimal.
     pub bits: &'a str,
 }
 
-/// The pages of progress by number.
+/// Progress pages by number.
 ///
 /// Invariant: each page is the one of the newest change to its key.
 #[derive(Default)]
 pub struct ProgressPages {
-    /// Tasks in a chunk of a page that version 0.1 wrote, which depends on the site's settings.
+    /// Number of tasks in a chunk of a page that version 0.1 wrote. It depends on the
+    /// installation's settings.
     chunk_bits: u32,
     pages: BTreeMap<u32, ProgressPage>,
 }
@@ -32,12 +33,12 @@
         }
     }
 
-    /// The pages by number.
+    /// Returns the pages by number.
     pub fn pages(&self) -> &BTreeMap<u32, ProgressPage> {
         &self.pages
     }
 
-    /// The bitmaps of a page.
+    /// Returns the bitmaps of a page.
     pub fn sections<'a>(&self, page: &'a ProgressPage) -> impl Iterator<Item = Section<'a>> {
         let chunk_bits = self.chunk_bits;
         let section = |job: &'a String, first_task, bits: &'a String| Section {
--- a/crates/store/src/replica/roster.rs
+++ b/crates/store/src/replica/roster.rs
@@ -1,26 +1,27 @@
-//! The roster of machines, and the pages in which it is stored.
+//! Roster of the machines on which tasks may have been started, and the pages in which it is
+//! stored.
 
 use std::collections::BTreeMap;
 use wire::store::{RosterPage, RosterRecord};
 
-/// The machines on which tasks may have been started.
+/// Machines on which tasks may have been started.
 ///
 /// Invariant: a machine is on the roster as long as at least one page holds it.
 #[derive(Default)]
 pub struct Roster {
     machines: BTreeMap<String, RosterRecord>,
     pages: BTreeMap<u32, RosterPage>,
-    /// The number of pages that hold each machine: two while a page is being split.
+    /// Number of pages that hold each machine: two while a page is being split.
     page_counts: BTreeMap<String, u32>,
 }
 
 impl Roster {
-    /// The machines by name.
+    /// Returns the machines by name.
     pub fn machines(&self) -> &BTreeMap<String, RosterRecord> {
         &self.machines
     }
 
-    /// The pages by number.
+    /// Returns the pages by number.
     pub fn pages(&self) -> &BTreeMap<u32, RosterPage> {
         &self.pages
     }
--- a/crates/store/src/versions.rs
+++ b/crates/store/src/versions.rs
@@ -1,9 +1,9 @@
-//! Versions of the keys that a leader writes again and again.
+//! Versions of the keys that a leader writes repeatedly.
 //!
-//! The store may apply a request late, or twice. The condition that the leader is still the same
-//! does not distinguish an old write of a leader from its newer ones. Each write is therefore
-//! conditional on its keys being as this leader last knew them: a repeated write, or an abandoned
-//! one that arrives late, then fails.
+//! The store may apply a request late or twice. The condition that the leader is unchanged does not
+//! distinguish an old write of a leader from its newer ones. Each write is therefore also
+//! conditional on the last known versions of its keys, so that a duplicate write, or an abandoned
+//! one that arrives late, fails.
 
 use crate::keys;
 use std::collections::BTreeMap;
@@ -14,28 +14,28 @@
 pub enum Presence {
     /// The key exists.
     Present,
-    /// The key was dropped.
+    /// The key was deleted.
     Absent,
 }
 
-/// The last known change of a key.
+/// Last known change of a key.
 #[derive(Clone, Copy, Debug)]
 struct LastChange {
     revision: u64,
     presence: Presence,
 }
 
-/// What is known of the versions of keys.
+/// Last known versions of keys.
 ///
-/// Invariant: the revision that is known of a key only grows until the key is reported as dropped.
+/// Invariant: the known revision of a key only grows until the key is reported as deleted.
 #[derive(Clone, Debug, Default)]
 pub struct KeyVersions {
     last_changes: BTreeMap<String, LastChange>,
 }
 
 impl KeyVersions {
-    /// Notes a change of a key, as an answer or a watch reports it; an older one than is known is
-    /// ignored.
+    /// Records a change of a key that a response or a watch reports. A change older than the known
+    /// one is ignored.
     pub fn record_change(&mut self, key: &str, revision: u64, presence: Presence) {
         let change = LastChange { revision, presence };
         match self.last_changes.get_mut(key) {
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Merges the changes after `read_at_revision`, at which all keys were read: what `other` knows
-    /// of that revision and before is superseded.
+    /// Merges the changes of `other` that are newer than `read_at_revision`, the revision at which
+    /// all keys were read. Its older changes are superseded.
     pub fn merge_newer(&mut self, other: KeyVersions, read_at_revision: u64) {
         for (key, change) in other.last_changes {
             if change.revision > read_at_revision {
@@ -57,8 +57,8 @@
         }
     }
 
-    /// Forgets a key that a watch reports as dropped: the watch reports no older change of it
-    /// afterwards.
+    /// Forgets a key that a watch reports as deleted. This is safe because the watch reports no
+    /// older change of the key afterwards.
     pub fn forget_dropped(&mut self, key: &str, revision: u64) {
         let known = self.last_changes.get(key);
         if known.is_some_and(|known| known.revision <= revision) {
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Notes that writes were applied at a revision.
+    /// Records that writes were applied at a revision.
     pub fn record_applied(&mut self, writes: &[Write], revision: u64) {
         for write in writes {
             match write {
@@ -76,8 +76,8 @@
         }
     }
 
-    /// The condition that the key is as it is known here; a key of which nothing is known must not
-    /// exist.
+    /// Returns the condition that a key is at its last known version. A key without a known version
+    /// must not exist.
     pub fn condition(&self, key: &str) -> Condition {
         let known = self.last_changes.get(key);
         let present = known.filter(|known| known.presence == Presence::Present);
