--- a/crates/store/src/leadership.rs
+++ b/crates/store/src/leadership.rs
@@ -2,8 +2,8 @@
 //!
 //! The leader's authority is valid from the instant at which the last successful renewal was
 //! *sent*, for the duration of the lease less clock drift and a safety margin. Authority that has
-//! expired returns only with a successful renewal of the same lease, since the key was
-//! never free in between. What the leader may do with its authority also depends on the freshness of the
+//! expired returns only with a successful renewal of the same lease, since the key was never free
+//! in between. What the leader may do with its authority also depends on the freshness of the
 //! cluster view (`sched::authority`).
 
 use crate::budget::RequestPriority;
@@ -26,7 +26,7 @@
 
 /// The requests to the state service on which leader election depends. Any response may be lost or
 /// late.
-#[allow(async_fn_in_trait)] // Everything runs on one thread: no caller needs the futures to be Send.
+#[allow(async_fn_in_trait)] // All code runs on one thread, so no caller needs Send futures.
 pub trait LeaderStore {
     /// Returns a key with its value, or `None` if it does not exist.
     async fn get(&self, key: &str) -> Result<Option<Item>, StoreError>;
--- a/crates/store/tests/budget.rs
+++ b/crates/store/tests/budget.rs
@@ -1,4 +1,4 @@
-//! Ranks and rates of a controller's request budget.
+//! Priorities and rates of a controller's request budget.
 
 use store::budget::{Budget, Rates, RequestPriority, Reserve, Share, Shares};
 
@@ -53,7 +53,7 @@
         .is_ok());
 }
 
-/// The number of writes in ten seconds, as fast as the budget allows.
+/// Returns the number of writes in ten seconds that are sent as fast as the budget allows.
 fn writes_in_ten_seconds(budget: &mut Budget) -> u32 {
     let (mut now, mut writes) = (0.0, 0);
     while now < 10.0 {
@@ -73,7 +73,7 @@
     assert!((55..=61).contains(&writes), "{writes}");
 }
 
-/// A larger burst is not available at the moment of the change.
+/// A larger burst must not be available at once when the share changes.
 #[test]
 fn a_changed_share_keeps_the_tokens() {
     let mut budget = new_budget(100.0, 10.0, 1.0);
@@ -97,15 +97,16 @@
     assert!(budget.take(0.11, 1, RequestPriority::Renewal).is_ok());
 }
 
-/// The rate may have fallen without notice. The rest of the burst is not used, renewals wait for no more than
-/// one request's worth, and the budget recovers.
+/// The store refuses requests when its rate has dropped without notice. The remaining tokens must
+/// then be dropped, renewals must wait no longer than the refill for one request takes, and the
+/// budget must recover.
 #[test]
 fn a_refusal_drains_the_bucket_and_renewals_go_first() {
     let mut budget = new_budget(20.0, 10.0, 1.0);
     budget.record_refusal(0.0, 3);
     assert!(
         budget.take(0.0, 0, RequestPriority::Renewal).is_ok(),
-        "only writes were refused"
+        "a refused write must not drain the bucket of requests"
     );
     assert!(budget.take(0.0, 1, RequestPriority::Decision).is_err());
     budget.record_refusal(0.0, 0);
--- a/crates/store/tests/keys.rs
+++ b/crates/store/tests/keys.rs
@@ -1,4 +1,4 @@
-//! The names of the keys in the state service.
+//! Names of the keys in the state service, which are fixed by stored data.
 
 use store::keys::{
     binding, binding_chunk, job, job_id, progress, progress_page, roster, roster_page, KeyKind,
--- a/crates/store/tests/leadership.rs
+++ b/crates/store/tests/leadership.rs
@@ -1,4 +1,4 @@
-//! Leadership while the state service loses and delays requests and answers.
+//! Leader election while the state service loses and delays requests and responses.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,7 +8,7 @@
 use store::leadership::{acquire, advance_token, LeaderStore, LeadershipLease, NextToken};
 use wire::store::{from_value, Item, LeaderRecord, Txn, Value, Write};
 
-/// How many of a hundred requests or answers are lost.
+/// Percentage of requests, and of responses, that are lost.
 const FAULT_PERCENT: u32 = 12;
 
 struct StoredKey {
@@ -17,13 +17,13 @@
     lease: Option<u64>,
 }
 
-/// A state service that loses requests, loses answers, and applies some transactions late.
+/// State service that loses requests and responses, and applies some transactions late.
 struct FaultyStore {
     rng: RefCell<fastrand::Rng>,
     keys: RefCell<BTreeMap<String, StoredKey>>,
     leases: RefCell<BTreeSet<u64>>,
     revision: RefCell<u64>,
-    /// Transactions whose senders have given up.
+    /// Transactions that are not applied yet, although their senders have given up.
     delayed: RefCell<Vec<Txn>>,
     fault_percent: u32,
 }
@@ -137,7 +137,7 @@
     }
     async fn txn(&self, txn: &Txn) -> Result<TxnOutcome, StoreError> {
         if self.fault_occurs() {
-            // Lost in transit, or applied after the sender has given up.
+            // The request is lost, or applied after the sender has given up.
             if self.rng.borrow_mut().bool() {
                 self.delayed.borrow_mut().push(txn.clone());
             }
@@ -151,7 +151,7 @@
     }
 }
 
-/// Controllers that acquire, renew and lose leadership, as they see it themselves.
+/// Controllers that acquire and lose leadership and advance the token, with their own view of it.
 struct Controllers {
     store: FaultyStore,
     rng: fastrand::Rng,
@@ -160,7 +160,7 @@
     tokens: BTreeSet<u64>,
 }
 
-/// How often a thing happened.
+/// Number of calls by outcome.
 #[derive(Default)]
 struct Counts {
     acquired: u32,
@@ -179,7 +179,8 @@
         }
     }
 
-    /// A controller takes its next token if it leads, and else tries to acquire the leadership.
+    /// Advances the token of a random controller if it leads, or else lets it try to acquire
+    /// leadership.
     fn step(&mut self, counts: &mut Counts) {
         let member = format!("rung-{}", self.rng.u32(0..4));
         match self.leaders.get(&member).cloned() {
@@ -194,7 +195,7 @@
             Ok(Some(NextToken { token, version })) => {
                 assert!(
                     self.tokens.insert(token),
-                    "seed {seed}: token {token} twice"
+                    "seed {seed}: token {token} was issued twice"
                 );
                 assert!(token > lease.token);
                 (lease.token, lease.version) = (token, version);
@@ -215,11 +216,11 @@
                 let token = lease.token;
                 assert!(
                     self.tokens.insert(token),
-                    "seed {seed}: token {token} twice"
+                    "seed {seed}: token {token} was issued twice"
                 );
                 assert!(
                     self.tokens.last() == Some(&token),
-                    "seed {seed}: an older token"
+                    "seed {seed}: token {token} is not the highest one"
                 );
                 self.leaders.insert(member, lease);
                 counts.acquired += 1;
@@ -229,7 +230,8 @@
         }
     }
 
-    /// At most one controller with a running lease takes itself for the leader, and it holds the key.
+    /// Checks that at most one controller with a valid lease considers itself the leader, and that
+    /// it holds the leader's key.
     fn check_single_leader(&self) {
         let seed = self.seed;
         let with_lease: Vec<_> = self
@@ -239,7 +241,7 @@
             .collect();
         assert!(
             with_lease.len() <= 1,
-            "seed {seed}: two leaders with running leases: {with_lease:?}"
+            "seed {seed}: two leaders with valid leases: {with_lease:?}"
         );
         if let Some((name, _)) = with_lease.first() {
             let holder = self.store.stored_leader().map(|leader| leader.member);
@@ -247,7 +249,7 @@
         }
     }
 
-    /// Now and then a late write arrives, and a lease expires.
+    /// Applies a delayed transaction and expires the leader's lease, each at random.
     fn inject_faults(&mut self) {
         if self.rng.u32(0..4) == 0 {
             let delayed = self.store.delayed.borrow_mut().pop();
@@ -260,15 +262,16 @@
             lease
                 .into_iter()
                 .for_each(|lease| self.store.end_lease(lease));
-            let running = self.store.leases.borrow().clone();
+            let valid_leases = self.store.leases.borrow().clone();
             self.leaders
-                .retain(|_, lease| running.contains(&lease.lease_id));
+                .retain(|_, lease| valid_leases.contains(&lease.lease_id));
         }
     }
 }
 
-/// Many controllers acquire, renew and lose leadership while answers get lost and writes arrive late: no token
-/// is issued twice, and a controller that considers itself the leader holds the key while its lease runs.
+/// Several controllers acquire and lose leadership and advance the token while responses are lost
+/// and writes arrive late. No token may be issued twice, and a controller that considers itself the
+/// leader must hold the leader's key while its lease is valid.
 #[test]
 fn tokens_are_unique_despite_store_faults() {
     let mut counts = Counts::default();
@@ -287,6 +290,6 @@
     } = counts;
     assert!(
         acquired > 500 && advanced > 500 && unknown > 500,
-        "too little happened: {acquired} {advanced} {unknown}"
+        "too few calls: {acquired} acquired, {advanced} advanced, {unknown} with an unknown outcome"
     );
 }
--- a/crates/store/tests/pages.rs
+++ b/crates/store/tests/pages.rs
@@ -3,12 +3,13 @@
 use std::collections::BTreeMap;
 use store::pages::{Pages, Removal};
 
-/// Most bytes of a page's entries.
+/// Maximum total size of a page's entries, in bytes.
 const PAGE_LIMIT_BYTES: usize = 100;
-/// Bytes of each entry.
+/// Size of each entry, in bytes.
 const ENTRY_BYTES: usize = 20;
 
-/// With a key for each machine, 2,200 machines cost 2,200 writes, at 12 per second, before they could be used.
+/// With one key per machine, 2,200 machines took 2,200 writes, at 12 writes per second, before they
+/// could be used. Entries are therefore packed into pages.
 #[test]
 fn pages_stay_within_limit_and_match_a_map() {
     let mut rng = fastrand::Rng::with_seed(5);
@@ -43,7 +44,7 @@
     assert!(expected.len() > 10);
 }
 
-/// The pages as the store holds them.
+/// Pages as the store holds them.
 type StoredPages = BTreeMap<u32, BTreeMap<u32, u32>>;
 
 fn write(pages: &mut Pages<u32, u32>, stored: &mut StoredPages, unit: &[u32]) {
@@ -65,9 +66,10 @@
     stored.values().flatten().map(|(k, v)| (*k, *v)).collect()
 }
 
-/// Pages that were filled under a larger limit are loaded, and split only when they are written: together, so
-/// that the store lacks no entry at any time. The new pages follow the old one, also by their keys, since
-/// readers of version 0.1 remove what a page held when it is written again.
+/// Pages that were filled under a larger limit must be loaded unchanged and split only when they
+/// are written. All pages of a split are written together, so that no entry is missing from the
+/// store at any time. The new pages come after the old one, also in the order of the keys, since
+/// readers of version 0.1 remove the previous entries of a page when it is written again.
 #[test]
 fn oversized_pages_are_split_on_the_next_write() {
     let mut stored = StoredPages::new();
@@ -81,7 +83,11 @@
             pages.load(*page, *key, ENTRY_BYTES, *value);
         }
     }
-    assert_eq!(pages.next_dirty(), None, "loading makes no page dirty");
+    assert_eq!(
+        pages.next_dirty(),
+        None,
+        "loading must not make a page dirty"
+    );
     let mut expected = union(&stored);
     for removed in [305, 907, 1010] {
         pages.remove(&removed, Removal::Urgent);
@@ -105,12 +111,12 @@
     assert_eq!(
         stored[&0].len(),
         11,
-        "a page that is not written stays as it is"
+        "a page that is not written must not be split"
     );
 }
 
-/// A split that needs several transactions leaves entries on two pages for a while. If the leader ends in
-/// between, its successor finds them there, and counts each entry once.
+/// A split that takes several transactions leaves entries on two pages for a while. If the leader is
+/// replaced in between, its successor loads both copies and must count each entry once.
 #[test]
 fn an_entry_on_two_pages_counts_once() {
     let mut pages = Pages::new(PAGE_LIMIT_BYTES);
@@ -120,7 +126,7 @@
     assert_eq!(
         pages.next_dirty(),
         Some(0),
-        "the copy loaded first is removed"
+        "removing the copy that was loaded first must make its page dirty"
     );
     pages.remove(&2, Removal::Urgent);
     let mut stored = StoredPages::from([
--- a/crates/store/tests/replica.rs
+++ b/crates/store/tests/replica.rs
@@ -1,4 +1,4 @@
-//! A replica under changes that arrive late, twice, or in any order.
+//! Replica with changes that arrive late, twice, or in any order.
 
 mod fixtures;
 
@@ -7,7 +7,7 @@
 use store::replica::Replica;
 use wire::store::{Page, Recorded};
 
-/// Two requests can return the same changes; the older answer must not undo the newer one.
+/// Two requests can return the same changes. The older response must not undo the newer one.
 #[test]
 fn an_older_response_does_not_undo_a_newer_one() {
     let mut replica = Replica::default();
@@ -26,7 +26,8 @@
     assert_eq!(replica.revision, 5);
 }
 
-/// A job's record that is read directly may be older than what the changes returned, or arrive twice.
+/// A job's record that is read directly may be older than the changes that were applied, or arrive
+/// twice.
 #[test]
 fn an_older_record_does_not_reopen_a_terminal_job() {
     let mut replica = Replica::default();
@@ -43,7 +44,7 @@
     }
 }
 
-/// A binding with fewer chunks leaves chunks of an older attempt behind: those do not count.
+/// A binding with fewer chunks leaves chunks of an older attempt behind, which must be ignored.
 #[test]
 fn only_the_newest_binding_counts() {
     let mut replica = Replica::default();
@@ -66,7 +67,7 @@
     assert_eq!(replica.bound_machines("wk-2"), None);
 }
 
-/// Progress may be loaded before its job's record, depending on how the keys sort.
+/// Progress may be loaded before its job's record, depending on the order of the keys.
 #[test]
 fn progress_loaded_before_its_job_is_kept() {
     let page = Page {
@@ -85,8 +86,8 @@
     );
 }
 
-/// While a page is split, a machine may be on two: it is on the roster until the last is gone, in whichever
-/// order the pages arrive.
+/// While a page is split, a machine may be on two pages. It must stay on the roster until the last
+/// of them is gone, in whichever order the pages arrive.
 #[test]
 fn a_machine_on_two_pages_stays_until_it_is_on_none() {
     for order in [[0, 1], [1, 0]] {
@@ -109,8 +110,8 @@
     }
 }
 
-/// Bitmaps that begin at different tasks, written under different limits, are joined; chunks of version 0.1
-/// begin at their number times the size that the settings gave them.
+/// Bitmaps that begin at different tasks, written under different limits, must be merged. A chunk
+/// of version 0.1 begins at its number times the chunk size that followed from the settings.
 #[test]
 fn progress_written_with_different_limits_is_joined() {
     let mut replica = Replica::new(16);
@@ -128,7 +129,7 @@
                 progress(&[(0, "03")], &[(32, "c0"), (40, "01")]),
                 3,
             ),
-            // Damaged, or of another service: no job has that many tasks.
+            // No job has that many tasks: the record is damaged, or another service has written it.
             put(
                 "lr/progress/2",
                 progress(&[(u32::MAX, "ff")], &[(200_000, "ff")]),
@@ -136,7 +137,7 @@
             ),
         ],
     ));
-    // Tasks 0 and 1, 39 and 38, 40.
+    // Tasks 0, 1, 38, 39 and 40.
     let entry = replica.jobs.get("wk-1").unwrap();
     assert_eq!(entry.progress.bytes(), [0x03, 0, 0, 0, 0xc0, 0x01]);
     assert_eq!(entry.done_tasks(), 5);
--- a/crates/store/tests/versions.rs
+++ b/crates/store/tests/versions.rs
@@ -1,4 +1,4 @@
-//! Versions of the keys that a leader writes.
+//! Versions of the keys that a leader writes repeatedly.
 
 use std::collections::{BTreeMap, BTreeSet};
 use store::versions::{KeyVersions, Presence};
@@ -8,7 +8,7 @@
 const WRITES: u64 = 60;
 const PAGES: u32 = 3;
 
-/// A write of some pages of the roster; a higher content was sent later.
+/// Write of some roster pages. A request with a higher `content` was sent later.
 #[derive(Clone)]
 struct Request {
     conditions: Vec<Condition>,
@@ -29,7 +29,7 @@
 }
 
 impl InMemoryStore {
-    /// Whether the conditions hold, and the request was applied.
+    /// Applies the request if its conditions hold, and returns whether they do.
     fn apply(&mut self, request: &Request) -> bool {
         let version = |key: &String| self.keys.get(key).map_or(0, |stored| stored.version);
         let mut conditions = request.conditions.iter();
@@ -60,8 +60,9 @@
     request.keys.iter().map(put).collect()
 }
 
-/// A state service that applies writes late, and twice, and loses answers. A roster that lost its newest
-/// machines to an older write of the same leader would let the next leader start their tasks a second time.
+/// The store applies writes late and twice, and loses responses. If an older write of the same
+/// leader removed the newest machines from the roster, the next leader would start the tasks of
+/// these machines a second time.
 #[test]
 fn an_older_write_never_undoes_a_newer_one() {
     for seed in 0..SEEDS {
@@ -85,12 +86,12 @@
                 known.record_applied(&writes(&request), store.revision);
                 confirmed += 1;
             } else if !is_applied || rng.bool() {
-                // After an unknown outcome or a conflict, the store is read.
+                // After an unknown outcome or a conflict, the keys are read from the store.
                 for (key, stored) in &store.keys {
                     known.record_change(key, stored.version, Presence::Present);
                 }
             }
-            // Any earlier request may be applied now, also a second time.
+            // Any request sent so far may be applied now, even a second time.
             let before = store.keys.clone();
             let again = sent[rng.usize(0..sent.len())].clone();
             store.apply(&again);
@@ -102,6 +103,9 @@
                 );
             }
         }
-        assert!(confirmed > 5, "seed {seed}: too little was written");
+        assert!(
+            confirmed > 5,
+            "seed {seed}: too few writes were confirmed: {confirmed}"
+        );
     }
 }
