--- a/crates/store/src/budget.rs
+++ b/crates/store/src/budget.rs
@@ -104,6 +104,7 @@
     }
 
     /// Changes the share. The tokens stay as they are, so a larger burst is not available at once.
+    /// A smaller burst limits them to its size.
     fn set_share(&mut self, total_rate: f64, share: Share, now: f64) {
         self.refill(now);
         let tokens = self.tokens;
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -241,8 +241,8 @@
         }
     }
 
-    /// Sends a request. Rate limiting and server errors become `Refused`; any other status is left
-    /// to the caller.
+    /// Sends a request. Rate limiting and server errors become `Refused`, since these statuses say
+    /// nothing about the request itself; any other status is left to the caller.
     async fn request(&self, method: &str, path: &str, body: &[u8]) -> Result<Response, StoreError> {
         let response = self
             .request_client
--- a/crates/store/src/leadership.rs
+++ b/crates/store/src/leadership.rs
@@ -2,9 +2,9 @@
 //!
 //! The leader's authority is valid from the instant at which the last successful renewal was
 //! *sent*, for the duration of the lease less clock drift and a safety margin. Authority that has
-//! expired returns only with a successful renewal of the same lease, since the key was never free
-//! in between. What the leader may do with its authority also depends on the freshness of the
-//! cluster view (`sched::authority`).
+//! expired returns only with a successful renewal of the same lease, which shows that the key was
+//! never free in between. What the leader may do with its authority also depends on the freshness
+//! of the cluster view (`sched::authority`).
 
 use crate::budget::RequestPriority;
 use crate::client::{Store, StoreError, TxnOutcome};
--- a/crates/store/src/pages.rs
+++ b/crates/store/src/pages.rs
@@ -144,9 +144,9 @@
         dirty.find(|page| !excluded.contains(page)).copied()
     }
 
-    /// Splits a page if it is too large, and returns all pages that have to be written in one
-    /// transaction, in this order: first the page that is or was too large, then the pages that
-    /// took the rest of its entries.
+    /// Splits a page if it is too large, and returns all pages that have to be written together, in
+    /// this order: first the page that is or was too large, then the pages that took the rest of
+    /// its entries. Pages that do not fit in one transaction take several.
     ///
     /// When a page is written, readers of version 0.1 remove from their roster whatever the page
     /// held before, even if another page holds it by then. Their roster ends up correct if they
