--- a/crates/store/src/budget.rs
+++ b/crates/store/src/budget.rs
@@ -1,31 +1,32 @@
-//! A controller's share of the store's request and write rates, in ranks.
+//! Client-side rate limiting: a controller's share of the store's request and write rates, as token
+//! buckets with request priorities.
 //!
-//! Times are seconds on one steady clock of the caller's choice.
+//! Times are in seconds on one monotonic clock of the caller's choice.
 
-/// What a request is for, most important first. Each rank leaves a part of the burst to the ranks before it,
-/// so that renewals are never starved and decisions go before submissions.
+/// Priority of a request to the store, highest first. Each priority leaves a part of the burst to
+/// the higher ones, so that renewals are never starved and decisions go before submissions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestPriority {
-    /// Renewals of leases.
+    /// Lease renewals.
     Renewal,
-    /// The leader's decisions, cancellations and reads.
+    /// Scheduling decisions of the leader, cancellations, and reads.
     Decision,
-    /// Users' submissions.
+    /// Job submissions by users.
     Submission,
 }
 
-/// Parts of the burst, 0 to 1, that each rank leaves to those before it.
+/// Fractions of the burst, 0 to 1, that are reserved for higher priorities.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Reserve {
-    /// What decisions leave to renewals.
+    /// Fraction that decisions leave for renewals.
     pub decision: f64,
-    /// What submissions leave to decisions and renewals.
+    /// Fraction that submissions leave for decisions and renewals.
     pub submission: f64,
 }
 
 impl Reserve {
-    fn of(self, rank: RequestPriority) -> f64 {
-        match rank {
+    fn for_priority(self, priority: RequestPriority) -> f64 {
+        match priority {
             RequestPriority::Renewal => 0.0,
             RequestPriority::Decision => self.decision,
             RequestPriority::Submission => self.submission,
@@ -33,18 +34,18 @@
     }
 }
 
-/// What a controller may use of one of the store's rates.
+/// A controller's share of one of the store's rates.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Share {
-    /// Part, 0 to 1, of the rate that the settings give for all controllers.
+    /// Fraction, 0 to 1, of the rate that the settings allow for all controllers together.
     pub fraction: f64,
-    /// The burst: as much as this part yields in so many seconds may be used at once.
+    /// Burst size, as the number of seconds in which the share's rate yields it.
     pub burst_s: f64,
-    /// What lower ranks leave of the burst.
+    /// Fractions of the burst that lower priorities leave unused.
     pub reserve: Reserve,
 }
 
-/// What a controller may use of the store's request and write rates.
+/// A controller's shares of the store's request and write rates.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Shares {
     /// Share of the request rate.
@@ -53,7 +54,7 @@
     pub writes: Share,
 }
 
-/// The store's rates, as the settings give them for all controllers together.
+/// Store rates that the settings allow for all controllers together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rates {
     /// Requests per second.
@@ -62,81 +63,83 @@
     pub writes_per_s: f64,
 }
 
-/// The budget does not allow a request yet.
+/// Error of a request that the budget does not allow yet.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
-#[error("the budget allows the request in {wait_s:.2} s")]
+#[error("the request budget is exhausted; the request is allowed in {wait_s:.2} s")]
 pub struct BudgetExhausted {
-    /// Seconds until the request is allowed, if nothing else is sent.
+    /// Seconds until the request is allowed if no other one is sent before.
     pub wait_s: f64,
 }
 
-/// A token bucket.
+/// A token bucket that holds back a reserve for higher priorities.
 #[derive(Debug)]
-struct Bucket {
-    /// Tokens per second.
+struct TokenBucket {
+    /// Refill rate in tokens per second.
     rate: f64,
     capacity: f64,
     reserve: Reserve,
-    level: f64,
-    /// The time, in seconds, up to which the bucket was filled.
-    filled_at: f64,
+    tokens: f64,
+    /// Time of the last refill, in seconds.
+    refilled_at: f64,
 }
 
-impl Bucket {
-    fn new(rate_of_all: f64, share: Share) -> Bucket {
-        let rate = rate_of_all * share.fraction;
+impl TokenBucket {
+    fn new(total_rate: f64, share: Share) -> TokenBucket {
+        let rate = total_rate * share.fraction;
         let capacity = rate * share.burst_s;
-        Bucket {
+        TokenBucket {
             rate,
             capacity,
             reserve: share.reserve,
-            level: capacity,
-            filled_at: 0.0,
+            tokens: capacity,
+            refilled_at: 0.0,
         }
     }
 
-    fn fill(&mut self, now: f64) {
-        if now > self.filled_at {
-            self.level = (self.level + (now - self.filled_at) * self.rate).min(self.capacity);
-            self.filled_at = now;
+    fn refill(&mut self, now: f64) {
+        if now > self.refilled_at {
+            self.tokens = (self.tokens + (now - self.refilled_at) * self.rate).min(self.capacity);
+            self.refilled_at = now;
         }
     }
 
-    /// Changes the share; a larger burst is not available from the start.
-    fn change(&mut self, rate_of_all: f64, share: Share, now: f64) {
-        self.fill(now);
-        let level = self.level;
-        *self = Bucket::new(rate_of_all, share);
-        self.level = level.min(self.capacity);
-        self.filled_at = now;
+    /// Changes the share. The tokens stay as they are, so a larger burst is not available at once.
+    /// A smaller burst limits them to its size.
+    fn set_share(&mut self, total_rate: f64, share: Share, now: f64) {
+        self.refill(now);
+        let tokens = self.tokens;
+        *self = TokenBucket::new(total_rate, share);
+        self.tokens = tokens.min(self.capacity);
+        self.refilled_at = now;
     }
 
-    /// Seconds until so many tokens can be taken with the rank's reserve left. A request that is larger than
-    /// the bucket is allowed when the bucket is full.
-    fn wait_s(&self, tokens: f64, rank: RequestPriority) -> f64 {
-        let needed = (tokens + self.reserve.of(rank) * self.capacity).min(self.capacity);
-        ((needed - self.level) / self.rate).max(0.0)
+    /// Returns the seconds until `tokens` can be taken while the reserve for higher priorities is
+    /// left. A request for more than the capacity is allowed when the bucket is full.
+    fn wait_s(&self, tokens: f64, priority: RequestPriority) -> f64 {
+        let needed =
+            (tokens + self.reserve.for_priority(priority) * self.capacity).min(self.capacity);
+        ((needed - self.tokens) / self.rate).max(0.0)
     }
 
     fn drain(&mut self, now: f64) {
-        self.fill(now);
-        self.level = self.level.min(0.0);
+        self.refill(now);
+        self.tokens = self.tokens.min(0.0);
     }
 }
 
-/// The requests and writes that this controller may still send.
+/// The budget of requests and writes that this controller may send to the store.
 #[derive(Debug)]
 pub struct Budget {
     rates: Rates,
-    requests: Bucket,
-    writes: Bucket,
+    requests: TokenBucket,
+    writes: TokenBucket,
 }
 
 impl Budget {
-    /// A budget that is full at time 0.
+    /// Creates a budget whose buckets are full at time 0.
     pub fn new(rates: Rates, shares: Shares) -> Budget {
-        let requests = Bucket::new(rates.requests_per_s, shares.requests);
-        let writes = Bucket::new(rates.writes_per_s, shares.writes);
+        let requests = TokenBucket::new(rates.requests_per_s, shares.requests);
+        let writes = TokenBucket::new(rates.writes_per_s, shares.writes);
         Budget {
             rates,
             requests,
@@ -144,18 +147,18 @@
         }
     }
 
-    /// Changes the shares, e.g. when this controller becomes the leader.
+    /// Changes the shares, for example when this controller becomes the leader.
     pub fn set_shares(&mut self, shares: Shares, now: f64) {
         self.requests
-            .change(self.rates.requests_per_s, shares.requests, now);
+            .set_share(self.rates.requests_per_s, shares.requests, now);
         self.writes
-            .change(self.rates.writes_per_s, shares.writes, now);
+            .set_share(self.rates.writes_per_s, shares.writes, now);
     }
 
-    /// Notes that the store refused a request as beyond its rate: the rest of the burst is not available,
-    /// since others used it or the rate is lower than the settings say. Renewals then wait for one request's
-    /// worth at most.
-    pub fn refused(&mut self, now: f64, writes: usize) {
+    /// Records that the store refused a request because its rate was exceeded. The remaining tokens
+    /// are dropped, since other controllers have used them or the store's rate is lower than in the
+    /// settings. A renewal then waits at most until the bucket holds the tokens of one request.
+    pub fn record_refusal(&mut self, now: f64, writes: usize) {
         if writes > 0 {
             self.writes.drain(now);
         } else {
@@ -167,26 +170,26 @@
     ///
     /// # Errors
     ///
-    /// The budget does not allow it yet; nothing is taken.
+    /// Fails without taking anything if the budget does not allow the request yet.
     pub fn take(
         &mut self,
         now: f64,
         writes: usize,
-        rank: RequestPriority,
+        priority: RequestPriority,
     ) -> Result<(), BudgetExhausted> {
-        self.requests.fill(now);
-        self.writes.fill(now);
+        self.requests.refill(now);
+        self.writes.refill(now);
         let writes_wait_s = if writes > 0 {
-            self.writes.wait_s(writes as f64, rank)
+            self.writes.wait_s(writes as f64, priority)
         } else {
             0.0
         };
-        let wait_s = self.requests.wait_s(1.0, rank).max(writes_wait_s);
+        let wait_s = self.requests.wait_s(1.0, priority).max(writes_wait_s);
         if wait_s > 0.0 {
             return Err(BudgetExhausted { wait_s });
         }
-        self.requests.level -= 1.0;
-        self.writes.level -= writes as f64;
+        self.requests.tokens -= 1.0;
+        self.writes.tokens -= writes as f64;
         Ok(())
     }
 }
