--- a/crates/ladderroute/src/api/limits.rs
+++ b/crates/ladderroute/src/api/limits.rs
@@ -10,7 +10,7 @@
 /// Part of the memory that requests which arrived in part may take.
 const BYTES_SHARE: f64 = 0.125;
 /// What an open connection takes of the memory, at most, in KiB.
-pub const CONNECTION_KB: f64 = 8.0;
+pub const CONNECTION_KIB: f64 = 8.0;
 /// Part of the memory that open connections may take.
 const CONNECTIONS_SHARE: f64 = 0.4;
 /// Connections that are taken however little the settings allow.
@@ -34,7 +34,7 @@
 /// The limits of this controller's port.
 pub(super) fn port_limits(settings: &Settings, heartbeat_s: f64) -> Limits {
     let params = &settings.settings;
-    limits(
+    server_limits(
         &params.quota,
         settings.known.len(),
         params.state.rps,
@@ -44,18 +44,18 @@
 
 /// Sockets that a controller uses itself, beside `others`: its listeners, the other controllers, the
 /// store (as many requests as may be under way within their time limit, about) and the cloud.
-pub fn own_sockets(others: usize, store_rps: f64) -> usize {
+pub fn reserved_sockets(others: usize, store_rps: f64) -> usize {
     let store = (store_rps / STORE_RPS_PER_SOCKET).ceil() as usize + SPARE_STORE_SOCKETS;
     LISTENERS + crate::controller::limits::max_peer_connections(others) + CLOUD_SOCKETS + store
 }
 
 /// The limits of the port of a controller beside `others`, at a store that takes so many requests a
 /// second.
-pub fn limits(quota: &Quota, others: usize, store_rps: f64, heartbeat_s: f64) -> Limits {
+pub fn server_limits(quota: &Quota, others: usize, store_rps: f64, heartbeat_s: f64) -> Limits {
     let idle_s = (heartbeat_s * IDLE_HEARTBEATS).max(wire::ANSWER_DROPPED_S * IDLE_ANSWERS);
     let bytes = (quota.memory_mb * KIB * KIB * BYTES_SHARE) as usize;
     Limits {
-        connections: connections(quota, own_sockets(others, store_rps)),
+        connections: connections(quota, reserved_sockets(others, store_rps)),
         body: wire::BODY_LIMIT,
         bytes: bytes.max(2 * wire::BODY_LIMIT),
         request: Duration::from_secs_f64(wire::ANSWER_DROPPED_S),
@@ -64,9 +64,9 @@
 }
 
 /// Most connections from outside, beside the sockets that the controller uses itself.
-fn connections(quota: &Quota, own_sockets: usize) -> usize {
-    let sockets = quota.max_sockets.saturating_sub(own_sockets);
+fn connections(quota: &Quota, reserved_sockets: usize) -> usize {
+    let sockets = quota.max_sockets.saturating_sub(reserved_sockets);
     let by_sockets = (sockets as f64 * (1.0 - SPARE_SHARE)) as usize;
-    let by_memory = (quota.memory_mb * KIB * CONNECTIONS_SHARE / CONNECTION_KB) as usize;
+    let by_memory = (quota.memory_mb * KIB * CONNECTIONS_SHARE / CONNECTION_KIB) as usize;
     by_sockets.min(by_memory).max(LEAST_CONNECTIONS)
 }
--- a/crates/ladderroute/src/api/readiness.rs
+++ b/crates/ladderroute/src/api/readiness.rs
@@ -12,9 +12,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreHealth {
     /// It answers, or has not failed for long.
-    Answers,
+    Healthy,
     /// It has failed for a while.
-    Fails,
+    Failing,
 }
 
 /// What this controller is to the others.
@@ -37,13 +37,13 @@
 /// would only lengthen the outage for users, since it takes nodes back slowly; it does not fail
 /// for all if another one leads, nor, as far as a leader can tell, if all its owners have left it:
 /// they stay through an outage of the store and leave for a new leader, or it is cut off.
-pub fn others_fare_better(store: StoreHealth, role: Role) -> bool {
+pub fn others_serve_better(store: StoreHealth, role: Role) -> bool {
     let others_serve = match role {
         Role::Leader { owners, others } => others > 0 && owners == 0,
         Role::OwnerWithAuthority => true,
         Role::OwnerWithoutAuthority => false,
     };
-    store == StoreHealth::Fails && others_serve
+    store == StoreHealth::Failing && others_serve
 }
 
 /// Ready: the jobs and the machine types are known, and this controller is not worse off than
@@ -61,14 +61,14 @@
     let state = node.lock();
     let shared = &state.shared;
     let is_loaded = shared.view.is_complete() && shared.catalog.is_some();
-    is_loaded && !others_fare_better(store_health(&state), role(node, &state, now))
+    is_loaded && !others_serve_better(store_health(&state), role(node, &state, now))
 }
 
 fn store_health(state: &State) -> StoreHealth {
     let most_s = wire::ANSWER_DROPPED_S * FAILING_SHARE;
     match state.shared.store_failing_since {
-        Some(since) if since.elapsed().as_secs_f64() > most_s => StoreHealth::Fails,
-        _ => StoreHealth::Answers,
+        Some(since) if since.elapsed().as_secs_f64() > most_s => StoreHealth::Failing,
+        _ => StoreHealth::Healthy,
     }
 }
 
--- a/crates/ladderroute/src/api/users/cancellation.rs
+++ b/crates/ladderroute/src/api/users/cancellation.rs
@@ -106,7 +106,7 @@
     let mut guard = node.lock();
     let state = &mut *guard;
     node.apply_job_record(state, id, record, version);
-    if let Some(leader) = &state.shared.to_leader {
+    if let Some(leader) = &state.shared.leader_outbox {
         // The shorter way only: the leader's own read of the store is the proof.
         leader.send(frame(&ToLeader::Cancelled { job: id.into() }));
     }
--- a/crates/ladderroute/src/api/users/submission.rs
+++ b/crates/ladderroute/src/api/users/submission.rs
@@ -146,7 +146,7 @@
             too_many(again_s)
         }
         Err(_) => {
-            node.note_store_health(false);
+            node.record_store_health(false);
             retry_later(node, "the state service does not answer")
         }
     }
@@ -176,7 +176,7 @@
 
 /// A job's record was written for this request.
 async fn confirm(node: &Rc<Controller>, id: &str, record: JobRecord, version: u64) -> Response {
-    node.note_store_health(true);
+    node.record_store_health(true);
     log::info!(
         "event=accepted job={id} class={} tasks={} team={} revision={version}",
         record.job.class,
--- a/crates/ladderroute/src/cluster_view.rs
+++ b/crates/ladderroute/src/cluster_view.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JobChange {
     /// The entry of the job with this id may have changed.
-    Record(String),
+    Updated(String),
     /// The last dependency of the job with this id is done.
     Unblocked(String),
     /// The job with this id is cancelled because an ancestor is.
@@ -32,7 +32,7 @@
 
 /// A read of changes in progress.
 #[derive(Clone, Copy, Debug)]
-pub struct Read {
+pub struct ChangesRead {
     /// The revision after which changes are requested.
     pub since: u64,
     sent_at: Secs,
@@ -117,8 +117,8 @@
     }
 
     /// Begins a read of changes that is sent at `now`; none if changes can't bring the view up to date.
-    pub fn begin_read(&self, now: Secs) -> Option<Read> {
-        self.complete.then_some(Read {
+    pub fn begin_read(&self, now: Secs) -> Option<ChangesRead> {
+        self.complete.then_some(ChangesRead {
             since: self.replica.revision,
             sent_at: now,
             reloads_begun: self.reloads_begun,
@@ -127,7 +127,7 @@
 
     /// Applies the changes that a read returned; none, and nothing is applied, if a reload has begun since the
     /// read was sent.
-    pub fn apply(&mut self, read: Read, changes: &Changes) -> Option<Vec<JobChange>> {
+    pub fn apply(&mut self, read: ChangesRead, changes: &Changes) -> Option<Vec<JobChange>> {
         if !self.is_current(read) {
             return None;
         }
@@ -141,14 +141,14 @@
     }
 
     /// Notes that the store could not return the changes that a read requested: all keys have to be read.
-    pub fn too_old(&mut self, read: Read) {
+    pub fn on_revision_too_old(&mut self, read: ChangesRead) {
         if self.is_current(read) {
             self.complete = false;
         }
     }
 
     /// Whether no reload has begun since the read was sent.
-    fn is_current(&self, read: Read) -> bool {
+    fn is_current(&self, read: ChangesRead) -> bool {
         read.reloads_begun == self.reloads_begun
     }
 
@@ -187,13 +187,13 @@
     }
 
     /// Applies this controller's own write of a job's end.
-    pub fn job_done(&mut self, id: &str, version: u64) -> Vec<JobChange> {
+    pub fn mark_job_done(&mut self, id: &str, version: u64) -> Vec<JobChange> {
         self.replica.mark_job_done(id, version);
         self.update(id)
     }
 
     /// Notes that this controller's writes were applied at a revision.
-    pub fn written(&mut self, writes: &[Write], revision: u64) {
+    pub fn record_writes(&mut self, writes: &[Write], revision: u64) {
         self.replica.versions.record_applied(writes, revision);
     }
 
@@ -203,7 +203,7 @@
     }
 
     /// Notes that a member does not lead any more, before the store reports it.
-    pub fn leader_ended(&mut self, member: &str) {
+    pub fn forget_leader(&mut self, member: &str) {
         self.replica.forget_leader(member);
     }
 
@@ -222,7 +222,7 @@
             (_, Recorded::Done) => self.dependencies.on_done(id),
             _ => self.dependencies.on_cancelled(id),
         };
-        let own = JobChange::Record(id.to_string());
+        let own = JobChange::Updated(id.to_string());
         let derived = effects.into_iter().map(|effect| self.apply_effect(effect));
         std::iter::once(own).chain(derived).collect()
     }
--- a/crates/ladderroute/src/controller/freshness_reads.rs
+++ b/crates/ladderroute/src/controller/freshness_reads.rs
@@ -33,12 +33,12 @@
     }
 
     /// A freshness read was answered just now.
-    pub fn note_answered(&self) {
+    pub fn record_answered(&self) {
         self.answered_at.set(Some(Instant::now()));
     }
 
     /// Whether freshness reads follow each other at least this closely, as when many users ask.
-    pub fn reads_every(&self, interval: Duration) -> bool {
+    pub fn answered_within(&self, interval: Duration) -> bool {
         self.answered_at
             .get()
             .is_some_and(|at| at.elapsed() < interval)
--- a/crates/ladderroute/src/controller/message_exchange.rs
+++ b/crates/ladderroute/src/controller/message_exchange.rs
@@ -27,7 +27,7 @@
         let mut any = false;
         for message in owner.drain() {
             any = true;
-            match (&mut shared.leadership, &shared.to_leader) {
+            match (&mut shared.leadership, &shared.leader_outbox) {
                 (Some(leadership), _) => {
                     let leader = &mut leadership.leader;
                     leader.on_owner_message(&self.settings.member, message, now);
@@ -64,11 +64,11 @@
                     }
                 }
                 action @ (Action::Provision(_) | Action::Deprovision(_)) => {
-                    leadership.cloud.push_back(action);
+                    leadership.cloud_requests.push_back(action);
                     let _ = self.provisioning_wake.0.try_send(());
                 }
                 action => {
-                    leadership.writes.push_back(action);
+                    leadership.pending_writes.push_back(action);
                     let _ = self.writer_wake.0.try_send(());
                 }
             }
--- a/crates/ladderroute/src/controller/mod.rs
+++ b/crates/ladderroute/src/controller/mod.rs
@@ -67,7 +67,7 @@
     }
 
     /// An instant on the scale of `now`.
-    pub fn at(&self, instant: Instant) -> Secs {
+    pub fn secs_since_start(&self, instant: Instant) -> Secs {
         let since_start = instant.saturating_duration_since(self.started_at);
         since_start.as_secs_f64()
     }
@@ -78,7 +78,7 @@
     }
 
     /// A queue for a connection to another controller.
-    pub fn outbox(&self) -> Outbox {
+    pub fn new_outbox(&self) -> Outbox {
         let memory = self.settings.settings.quota.memory_mb * BYTES_PER_MB;
         Outbox::new((memory * OUTBOX_MEMORY_SHARE) as usize)
     }
@@ -94,12 +94,12 @@
     }
 
     /// The time of the leader's store lease.
-    pub fn leader_ttl(&self) -> Duration {
+    pub fn leader_lease_ttl(&self) -> Duration {
         Duration::from_secs_f64(self.config.leader_lease_s)
     }
 
     /// Notes whether the store answers, for `/ready`.
-    pub fn note_store_health(&self, ok: bool) {
+    pub fn record_store_health(&self, ok: bool) {
         let mut state = self.lock();
         let failing_since = &mut state.shared.store_failing_since;
         if ok {
--- a/crates/ladderroute/src/controller/shared_state.rs
+++ b/crates/ladderroute/src/controller/shared_state.rs
@@ -30,7 +30,7 @@
     /// Running tasks by job, as the leader last told.
     pub running: HashMap<String, u32>,
     /// Messages to the leader, while there is a connection.
-    pub to_leader: Option<Outbox>,
+    pub leader_outbox: Option<Outbox>,
     /// Since when the store has not answered; none while it does.
     pub store_failing_since: Option<Instant>,
 }
@@ -43,7 +43,7 @@
             catalog: None,
             leadership: None,
             running: HashMap::new(),
-            to_leader: None,
+            leader_outbox: None,
             store_failing_since: None,
         }
     }
@@ -60,9 +60,9 @@
     /// What its transactions may hold.
     pub limits: TxnLimits,
     /// Decisions that have to be written.
-    pub writes: VecDeque<Action>,
+    pub pending_writes: VecDeque<Action>,
     /// Requests to the cloud.
-    pub cloud: VecDeque<Action>,
+    pub cloud_requests: VecDeque<Action>,
     /// The other controllers' connections, by member.
     pub links: HashMap<String, Link>,
 }
@@ -79,15 +79,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionId {
     /// The process, by a number that it drew at its start.
-    pub start: u64,
+    pub process: u64,
     /// The connection, counted from the start of the process.
-    pub count: u64,
+    pub sequence: u64,
 }
 
 impl ConnectionId {
     /// Whether this connection takes the place of another one: an older one of the same process, which may
     /// arrive late, never does.
     pub fn replaces(self, current: ConnectionId) -> bool {
-        self.start != current.start || self.count > current.count
+        self.process != current.process || self.sequence > current.sequence
     }
 }
--- a/crates/ladderroute/src/controller/view_updates.rs
+++ b/crates/ladderroute/src/controller/view_updates.rs
@@ -2,7 +2,7 @@
 //! messages are exchanged under the same lock.
 
 use super::{Controller, Shared, State};
-use crate::cluster_view::{JobChange, Read, ViewReload};
+use crate::cluster_view::{ChangesRead, JobChange, ViewReload};
 use crate::counters::Counters;
 use sched::leader::{OpenJob, PriorRuns};
 use sched::ranges::RangeSet;
@@ -14,7 +14,7 @@
 impl Controller {
     /// Takes the changes that a read has brought into the view, and what follows; false if the view was
     /// read anew since the read was sent.
-    pub fn apply_changes(&self, changes: &Changes, read: Read) -> bool {
+    pub fn apply_changes(&self, changes: &Changes, read: ChangesRead) -> bool {
         let mut guard = self.lock();
         let state = &mut *guard;
         let Some(news) = state.shared.view.apply(read, changes) else {
@@ -60,7 +60,7 @@
     pub fn notify_leader_of_changes(&self, shared: &mut Shared, changes: Vec<JobChange>) {
         for change in changes {
             match change {
-                JobChange::Record(id) | JobChange::Unblocked(id) | JobChange::Cancelled(id) => {
+                JobChange::Updated(id) | JobChange::Unblocked(id) | JobChange::Cancelled(id) => {
                     notify_leader_of_job(shared, &id);
                 }
                 JobChange::Reprioritized(id, priority) => {
--- a/crates/ladderroute/src/controller_links/follower_side.rs
+++ b/crates/ladderroute/src/controller_links/follower_side.rs
@@ -33,15 +33,15 @@
 /// Keeps a connection to whoever leads.
 pub async fn join_leader(controller: Rc<Controller>) {
     let connect_limit = Duration::from_secs_f64(CONNECT_LIMIT_S);
-    let start = fastrand::u64(..);
-    let mut count = 0;
+    let process = fastrand::u64(..);
+    let mut sequence = 0;
     let pause = Duration::from_secs_f64(controller.config.heartbeat_s.min(1.0) / 5.0);
     loop {
         if let Some((leader, address)) = other_leader(&controller) {
-            count += 1;
+            sequence += 1;
             let connected = within(connect_limit, TcpStream::connect(address)).await;
             if let Some(Ok(stream)) = connected {
-                let id = ConnectionId { start, count };
+                let id = ConnectionId { process, sequence };
                 follow_leader(&controller, &leader, stream, id).await;
                 log::info!("event=left_leader member={leader}");
             }
@@ -74,13 +74,13 @@
 ) {
     let _ = stream.set_nodelay(true);
     let limit = Duration::from_secs_f64(SILENCE_LIMIT_S);
-    let outbox = controller.outbox();
+    let outbox = controller.new_outbox();
     let hello = ToLeader::Hello {
         member: controller.settings.member.clone(),
-        start: id.start,
-        count: id.count,
+        start: id.process,
+        count: id.sequence,
     };
-    outbox.send_first(&frame(&hello));
+    outbox.send_urgent(&frame(&hello));
     let writer = controller
         .executor
         .spawn(write_frames(stream.clone(), outbox.clone(), limit));
@@ -103,7 +103,7 @@
         };
         connection.take_message(controller, message);
     }
-    controller.lock().shared.to_leader = None;
+    controller.lock().shared.leader_outbox = None;
     connection.outbox.close();
     drop(pinger);
     drop(writer);
@@ -141,7 +141,7 @@
         let mut sent_at = self.sent_at.borrow_mut();
         sent_at.insert(n, Instant::now());
         sent_at.retain(|k, _| k + PINGS_KEPT > n);
-        self.outbox.send_first(&frame(&ToLeader::Ping { n }));
+        self.outbox.send_urgent(&frame(&ToLeader::Ping { n }));
     }
 
     /// When a ping was sent; none for one that was not, or so long ago that it is forgotten.
@@ -206,7 +206,7 @@
         log::info!("event=joined_leader member={}", self.leader);
         // Authority from an earlier leader is not authority under this one.
         state.owner.authority.set_until(f64::MIN);
-        state.shared.to_leader = Some(self.outbox.clone());
+        state.shared.leader_outbox = Some(self.outbox.clone());
     }
 
     /// Takes the authority that the leader grants. This is the only place where an owner gets authority
@@ -223,7 +223,9 @@
         // Counted from the ping's sending, so that delays only shorten it.
         if let Some(sent_at) = self.pings.sent_at(n).filter(|_| is_current) {
             let valid_s = valid_ms as f64 / 1000.0 * (1.0 - RELATIVE_DRIFT);
-            owner.authority.set_until(controller.at(sent_at) + valid_s);
+            owner
+                .authority
+                .set_until(controller.secs_since_start(sent_at) + valid_s);
         }
     }
 
@@ -234,7 +236,9 @@
         // Counted back from the ping's sending: delays only make it older.
         if let Some(sent_at) = sent_at.filter(|_| self.has_joined) {
             let age_s = age_ms as f64 / 1000.0 * (1.0 + RELATIVE_DRIFT);
-            owner.authority.record_read(controller.at(sent_at) - age_s);
+            owner
+                .authority
+                .record_read(controller.secs_since_start(sent_at) - age_s);
         }
     }
 }
--- a/crates/ladderroute/src/controller_links/leader_side.rs
+++ b/crates/ladderroute/src/controller_links/leader_side.rs
@@ -79,8 +79,11 @@
     }
     let connection = OwnerConnection {
         member,
-        id: ConnectionId { start, count },
-        outbox: controller.outbox(),
+        id: ConnectionId {
+            process: start,
+            sequence: count,
+        },
+        outbox: controller.new_outbox(),
     };
     if !admit(controller, &connection) {
         return;
@@ -195,7 +198,7 @@
         token: leader.token(),
         valid_ms: (valid_s * 1000.0) as u64,
     };
-    connection.outbox.send_first(&frame(&grant));
+    connection.outbox.send_urgent(&frame(&grant));
     let view_age = ToOwner::ViewAge {
         n,
         age_ms: ((now - authority.read_at()) * 1000.0).ceil() as u64,
--- a/crates/ladderroute/src/freshness/reads.rs
+++ b/crates/ladderroute/src/freshness/reads.rs
@@ -1,6 +1,6 @@
 //! Freshness reads: short reads of the store's changes, shared by all queries that wait for one.
 
-use crate::cluster_view::Read;
+use crate::cluster_view::ChangesRead;
 use crate::controller::Controller;
 use std::rc::Rc;
 use std::time::Duration;
@@ -53,8 +53,8 @@
     match read_changes(controller, read, Duration::ZERO).await {
         Ok(changes) => {
             let is_applied = controller.apply_changes(&changes, read);
-            controller.note_store_health(true);
-            controller.freshness_reads.note_answered();
+            controller.record_store_health(true);
+            controller.freshness_reads.record_answered();
             is_applied
         }
         Err(StoreError::RevisionTooOld) => {
@@ -65,7 +65,7 @@
             log::debug!("event=read_failed since={} error=\"{e}\"", read.since);
             // A read that this controller's own budget held back says nothing of the store.
             if !matches!(e, StoreError::BudgetExhausted(_)) {
-                controller.note_store_health(false);
+                controller.record_store_health(false);
             }
             false
         }
@@ -73,7 +73,7 @@
 }
 
 /// The read that brings the view up to date, as sent now; none if all keys have to be read.
-pub fn begin_read(controller: &Controller) -> Option<Read> {
+pub fn begin_read(controller: &Controller) -> Option<ChangesRead> {
     let state = controller.lock();
     state.shared.view.begin_read(controller.now())
 }
@@ -81,7 +81,7 @@
 /// Asks the store for the changes since the view's revision; waits up to `wait` for the first one.
 pub async fn read_changes(
     controller: &Controller,
-    read: Read,
+    read: ChangesRead,
     wait: Duration,
 ) -> Result<Changes, StoreError> {
     let store = &controller.store;
@@ -96,7 +96,7 @@
 }
 
 /// Changes can't bring the view up to date any more.
-pub fn note_too_old(controller: &Controller, read: Read, error: &StoreError) {
+pub fn note_too_old(controller: &Controller, read: ChangesRead, error: &StoreError) {
     log::info!("event=view_too_old since={} error=\"{error}\"", read.since);
-    controller.lock().shared.view.too_old(read);
+    controller.lock().shared.view.on_revision_too_old(read);
 }
--- a/crates/ladderroute/src/freshness/watch.rs
+++ b/crates/ladderroute/src/freshness/watch.rs
@@ -1,7 +1,7 @@
 //! The long watch of the store's changes, and the reload of all keys where a watch can no longer bring them.
 
 use super::reads::{begin_read, note_too_old, pace, read_changes};
-use crate::cluster_view::{Read, ViewReload};
+use crate::cluster_view::{ChangesRead, ViewReload};
 use crate::controller::Controller;
 use std::rc::Rc;
 use std::time::Duration;
@@ -26,23 +26,23 @@
             watch(&controller, read, retry_pause).await;
         } else if let Err(e) = continue_reload(&controller, &mut reload).await {
             log_load_failure(&controller, reload.as_ref(), &e);
-            controller.note_store_health(false);
+            controller.record_store_health(false);
             smol::Timer::after(retry_pause).await;
         }
     }
 }
 
 /// One long watch, and a while in which more changes gather: the next brings them together.
-async fn watch(controller: &Rc<Controller>, read: Read, retry_pause: Duration) {
+async fn watch(controller: &Rc<Controller>, read: ChangesRead, retry_pause: Duration) {
     let pace = pace(controller, WATCH_SHARE);
     let wait = Duration::from_secs_f64(WATCH_WAIT_S);
     match read_changes(controller, read, wait).await {
         Ok(changes) => {
             controller.apply_changes(&changes, read);
-            controller.note_store_health(true);
+            controller.record_store_health(true);
             smol::Timer::after(pace).await;
             // Freshness reads bring the same; the requests are better spent on submissions.
-            while controller.freshness_reads.reads_every(pace) {
+            while controller.freshness_reads.answered_within(pace) {
                 smol::Timer::after(pace / 2).await;
             }
         }
@@ -52,7 +52,7 @@
         }
         Err(e) => {
             log::debug!("event=follow_failed since={} error=\"{e}\"", read.since);
-            controller.note_store_health(false);
+            controller.record_store_health(false);
             smol::Timer::after(retry_pause).await;
         }
     }
@@ -86,7 +86,7 @@
         }
     }
     controller.finish_reload(reload);
-    controller.note_store_health(true);
+    controller.record_store_health(true);
     Ok(())
 }
 
--- a/crates/ladderroute/src/leadership/begin.rs
+++ b/crates/ladderroute/src/leadership/begin.rs
@@ -29,7 +29,7 @@
     state
         .owner
         .authority
-        .set_until(controller.at(lease.valid_until));
+        .set_until(controller.secs_since_start(lease.valid_until));
     state
         .owner
         .authority
@@ -43,8 +43,8 @@
             operations: controller.limits.txn_ops,
             value_kb,
         },
-        writes: VecDeque::new(),
-        cloud: VecDeque::new(),
+        pending_writes: VecDeque::new(),
+        cloud_requests: VecDeque::new(),
         links: HashMap::new(),
     });
 }
--- a/crates/ladderroute/src/leadership/lease.rs
+++ b/crates/ladderroute/src/leadership/lease.rs
@@ -67,7 +67,7 @@
     match answer {
         Ok(()) => {
             let authority = &mut state.owner.authority;
-            authority.renew(controller.at(until), controller.now());
+            authority.renew(controller.secs_since_start(until), controller.now());
             *is_paused = false;
             if state.owner.has_authority(controller.now()) {
                 Renewal::Kept
--- a/crates/ladderroute/src/leadership/mod.rs
+++ b/crates/ladderroute/src/leadership/mod.rs
@@ -31,7 +31,7 @@
 
 /// Tries to become the leader whenever there is none.
 pub async fn campaign(controller: Rc<Controller>) {
-    let ttl = controller.leader_ttl();
+    let ttl = controller.leader_lease_ttl();
     let others = controller.settings.known.len();
     loop {
         smol::Timer::after(ttl / LOOKS_PER_LEASE).await;
@@ -76,7 +76,7 @@
         controller.settings.member,
         lease.token,
         lease.version,
-        controller.at(lease.valid_until) - controller.now()
+        controller.secs_since_start(lease.valid_until) - controller.now()
     );
     if !catch_up(controller, &lease, ttl).await {
         let _ = controller.store.revoke(lease.lease_id).await;
@@ -88,8 +88,8 @@
         executor.spawn(run_clock(controller.clone())),
         executor.spawn(writer(controller.clone())),
         executor.spawn(keep_view_fresh(controller.clone(), ttl)),
-        executor.spawn(provisioning::carry_out_requests(controller.clone())),
-        executor.spawn(provisioning::watch_cloud(controller.clone())),
+        executor.spawn(provisioning::process_requests(controller.clone())),
+        executor.spawn(provisioning::poll_cloud(controller.clone())),
     ];
     renew_until_lost(controller, ttl).await;
     drop(tasks);
@@ -125,7 +125,7 @@
         }
     }
     log::info!("event=leader_ended member={}", controller.settings.member);
-    state.shared.view.leader_ended(&controller.settings.member);
+    state.shared.view.forget_leader(&controller.settings.member);
 }
 
 /// Lets time pass for the leader.
--- a/crates/ladderroute/src/outbox.rs
+++ b/crates/ladderroute/src/outbox.rs
@@ -70,7 +70,7 @@
     }
 
     /// Queues a frame that goes before all others: pings and grants, which depend on no order.
-    pub fn send_first(&self, bytes: &[u8]) {
+    pub fn send_urgent(&self, bytes: &[u8]) {
         self.queue.borrow_mut().urgent.extend_from_slice(bytes);
         let _ = self.wake.0.try_send(());
     }
@@ -81,7 +81,7 @@
             if self.is_closed() {
                 return None;
             }
-            if let Some(bytes) = self.take() {
+            if let Some(bytes) = self.try_next() {
                 return Some(bytes);
             }
             self.wake.1.recv().await.ok()?;
@@ -89,7 +89,7 @@
     }
 
     /// What is queued and may be written at once; none if nothing is queued.
-    pub fn take(&self) -> Option<Vec<u8>> {
+    pub fn try_next(&self) -> Option<Vec<u8>> {
         let mut queue = self.queue.borrow_mut();
         let mut write = std::mem::take(&mut queue.urgent);
         if let Some(bulk) = queue.bulk.pop_front() {
--- a/crates/ladderroute/src/provisioning.rs
+++ b/crates/ladderroute/src/provisioning.rs
@@ -58,7 +58,7 @@
 }
 
 /// Learns the machine types once; the leader keeps the prices current.
-pub async fn learn_catalog(controller: Rc<Controller>) {
+pub async fn load_catalog(controller: Rc<Controller>) {
     while !fetch_catalog(&controller).await {
         let pause = pace(&controller).mul_f64(2.0 + fastrand::f64());
         smol::Timer::after(pause).await;
@@ -67,7 +67,7 @@
 }
 
 /// Reads the list and the prices again and again, while leading.
-pub async fn watch_cloud(controller: Rc<Controller>) {
+pub async fn poll_cloud(controller: Rc<Controller>) {
     let cloud = &controller.settings.settings.cloud;
     let interval_s = (cloud.list_lag_s / LISTS_PER_LAG).max(MIN_LIST_INTERVALS / cloud.rps);
     let mut lists = 0;
@@ -83,7 +83,7 @@
 }
 
 /// Carries out provision requests and releases, one at a time.
-pub async fn carry_out_requests(controller: Rc<Controller>) {
+pub async fn process_requests(controller: Rc<Controller>) {
     loop {
         let Some(action) = next_request(&controller) else {
             let _ = controller.provisioning_wake.1.recv().await;
@@ -100,7 +100,7 @@
 
 fn next_request(controller: &Controller) -> Option<Action> {
     let mut state = controller.lock();
-    state.shared.leadership.as_mut()?.cloud.pop_front()
+    state.shared.leadership.as_mut()?.cloud_requests.pop_front()
 }
 
 /// Reads the machine types and their prices; false if the cloud did not tell them.
--- a/crates/ladderroute/src/startup/mod.rs
+++ b/crates/ladderroute/src/startup/mod.rs
@@ -116,7 +116,7 @@
         .spawn(controller_links::join_leader(controller.clone()))
         .detach();
     executor
-        .spawn(provisioning::learn_catalog(controller.clone()))
+        .spawn(provisioning::load_catalog(controller.clone()))
         .detach();
     executor
         .spawn(owner_clock::run(controller.clone()))
--- a/crates/ladderroute/src/writer/mod.rs
+++ b/crates/ladderroute/src/writer/mod.rs
@@ -85,7 +85,7 @@
         return true;
     };
     leadership
-        .writes
+        .pending_writes
         .iter()
         .any(|action| Urgency::of(action).holds_up_starts())
 }
@@ -96,7 +96,7 @@
     let shared = &mut guard.shared;
     let leadership = shared.leadership.as_mut()?;
     let batch = batch::next_batch(
-        &mut leadership.writes,
+        &mut leadership.pending_writes,
         &mut leadership.records,
         shared.view.replica(),
         &mut leadership.leader,
--- a/crates/ladderroute/src/writer/outcome.rs
+++ b/crates/ladderroute/src/writer/outcome.rs
@@ -122,7 +122,7 @@
     if let Ok(Outcome::Written(revision)) = result {
         // What waited for these jobs may start now, without waiting for the watch.
         for id in finished {
-            let changes = shared.view.job_done(&id, *revision);
+            let changes = shared.view.mark_job_done(&id, *revision);
             node.notify_leader_of_changes(shared, changes);
         }
     }
@@ -156,7 +156,7 @@
     batch: &Batch,
     revision: u64,
 ) {
-    view.written(&batch.writes, revision);
+    view.record_writes(&batch.writes, revision);
     let records = &mut leadership.records;
     records.written(&batch.roster, &batch.progress);
     if let Some(part) = batch.binding {
@@ -266,7 +266,9 @@
         // Not at once again: the leader comes back to it, and what else waits is written meanwhile.
         Err(StoreError::Refused(MALFORMED)) => leadership.leader.finish_result(&job, false),
         _ => {
-            leadership.writes.push_back(Action::FinishJob { job });
+            leadership
+                .pending_writes
+                .push_back(Action::FinishJob { job });
             let _ = node.writer_wake.0.try_send(());
         }
     }
--- a/crates/ladderroute/tests/api.rs
+++ b/crates/ladderroute/tests/api.rs
@@ -1,8 +1,8 @@
 //! The port for users, workers and health checks: how much it takes in, and whether it is ready.
 
 use http::server::Limits;
-use ladderroute::api::limits::{limits, own_sockets, CONNECTION_KB};
-use ladderroute::api::readiness::{others_fare_better, Role, StoreHealth};
+use ladderroute::api::limits::{reserved_sockets, server_limits, CONNECTION_KIB};
+use ladderroute::api::readiness::{others_serve_better, Role, StoreHealth};
 use ladderroute::settings::Quota;
 
 const KIB: f64 = 1024.0;
@@ -54,7 +54,7 @@
             memory_mb: self.memory_mb,
             max_sockets: self.max_sockets,
         };
-        limits(&quota, self.others, self.store_rps, 10.0)
+        server_limits(&quota, self.others, self.store_rps, 10.0)
     }
 }
 
@@ -62,7 +62,7 @@
 fn the_port_takes_what_the_settings_allow_and_leaves_what_the_controller_needs_itself() {
     for site in SITES {
         let limits = site.limits();
-        let own = own_sockets(site.others, site.store_rps);
+        let own = reserved_sockets(site.others, site.store_rps);
         assert!(limits.connections + own <= site.max_sockets);
         // Each worker may lack a connection for a moment, so that nearly all is enough.
         assert!(
@@ -71,7 +71,7 @@
             limits.connections,
             site.machines
         );
-        let connections_mb = limits.connections as f64 * CONNECTION_KB / KIB;
+        let connections_mb = limits.connections as f64 * CONNECTION_KIB / KIB;
         let bytes_mb = limits.bytes as f64 / (KIB * KIB);
         assert!(connections_mb + bytes_mb < site.memory_mb * 0.6);
     }
@@ -79,7 +79,7 @@
         memory_mb: 16.0,
         max_sockets: 40,
     };
-    assert!(limits(&tiny, 2, 60.0, 1.0).connections >= 16);
+    assert!(server_limits(&tiny, 2, 60.0, 1.0).connections >= 16);
 }
 
 /// A leader that lost the store and the others, but not its users, answered them "not now" at
@@ -88,27 +88,27 @@
 fn a_leader_that_is_alone_leaves_the_balancer_but_not_in_an_outage_for_all() {
     let leader = |owners, others| Role::Leader { owners, others };
     assert!(
-        others_fare_better(StoreHealth::Fails, leader(0, 2)),
+        others_serve_better(StoreHealth::Failing, leader(0, 2)),
         "cut off, or refused by the store alone"
     );
     assert!(
-        !others_fare_better(StoreHealth::Fails, leader(2, 2)),
+        !others_serve_better(StoreHealth::Failing, leader(2, 2)),
         "an outage of the store for all"
     );
     assert!(
-        !others_fare_better(StoreHealth::Fails, leader(0, 0)),
+        !others_serve_better(StoreHealth::Failing, leader(0, 0)),
         "there are no others"
     );
     assert!(
-        !others_fare_better(StoreHealth::Answers, leader(0, 2)),
+        !others_serve_better(StoreHealth::Healthy, leader(0, 2)),
         "the store answers"
     );
     assert!(
-        others_fare_better(StoreHealth::Fails, Role::OwnerWithAuthority),
+        others_serve_better(StoreHealth::Failing, Role::OwnerWithAuthority),
         "another one leads"
     );
     assert!(
-        !others_fare_better(StoreHealth::Fails, Role::OwnerWithoutAuthority),
+        !others_serve_better(StoreHealth::Failing, Role::OwnerWithoutAuthority),
         "nobody leads, as far as is known"
     );
 }
--- a/crates/ladderroute/tests/chains.rs
+++ b/crates/ladderroute/tests/chains.rs
@@ -283,7 +283,7 @@
         let reads_all = {
             let view = &mut b.lock().shared.view;
             let read = view.begin_read(b.now()).unwrap();
-            view.too_old(read);
+            view.on_revision_too_old(read);
             !view.is_complete()
         };
         assert!(reads_all);
--- a/crates/ladderroute/tests/cluster_view.rs
+++ b/crates/ladderroute/tests/cluster_view.rs
@@ -5,7 +5,7 @@
 // The helper functions of these tests unwrap as the tests do.
 #![allow(clippy::unwrap_used)]
 
-use ladderroute::cluster_view::{ClusterView, Read, ViewReload};
+use ladderroute::cluster_view::{ChangesRead, ClusterView, ViewReload};
 use std::collections::BTreeMap;
 use store::keys;
 use store::reload::LoadState;
@@ -118,8 +118,8 @@
 
 /// An answer in transit to the controller.
 enum Answer {
-    Changes(Read, Changes),
-    TooOld(Read),
+    Changes(ChangesRead, Changes),
+    TooOld(ChangesRead),
     Job(Box<JobRecord>, u64),
     OwnEnd(String, u64),
     OwnWrite(Vec<Write>, u64),
@@ -143,15 +143,15 @@
             Answer::Changes(read, changes) => {
                 self.view.apply(read, &changes);
             }
-            Answer::TooOld(read) => self.view.too_old(read),
+            Answer::TooOld(read) => self.view.on_revision_too_old(read),
             Answer::Job(record, version) => {
                 let id = record.job.id.clone();
                 self.view.apply_job_record(&id, *record, version);
             }
             Answer::OwnEnd(id, version) => {
-                self.view.job_done(&id, version);
+                self.view.mark_job_done(&id, version);
             }
-            Answer::OwnWrite(writes, revision) => self.view.written(&writes, revision),
+            Answer::OwnWrite(writes, revision) => self.view.record_writes(&writes, revision),
         }
     }
 
--- a/crates/ladderroute/tests/links.rs
+++ b/crates/ladderroute/tests/links.rs
@@ -82,7 +82,7 @@
 fn an_owner_that_joins_is_granted_authority_under_the_leaders_token() {
     with_link(|[leader, owner], _| async move {
         until("granted", || has_authority(&owner)).await;
-        assert!(owner.lock().shared.to_leader.is_some());
+        assert!(owner.lock().shared.leader_outbox.is_some());
         assert_eq!(owner.lock().owner.token(), leader.lock().owner.token());
         // It rests on pings: each is answered with authority that lasts longer.
         let first = owner.lock().owner.authority.until();
@@ -96,12 +96,12 @@
     with_link(|[leader, owner], _| async move {
         until("granted", || has_authority(&owner)).await;
         let first = link_of_owner(&leader).unwrap();
-        owner.lock().shared.to_leader.as_ref().unwrap().close();
+        owner.lock().shared.leader_outbox.as_ref().unwrap().close();
         let newer = || link_of_owner(&leader).is_some_and(|id| id.replaces(first));
         until("joined anew", newer).await;
         let second = link_of_owner(&leader).unwrap();
-        assert_eq!(second.start, first.start);
-        assert!(second.count > first.count);
+        assert_eq!(second.process, first.process);
+        assert!(second.sequence > first.sequence);
     });
 }
 
@@ -113,9 +113,9 @@
         until("granted", || has_authority(&owner)).await;
         let current = link_of_owner(&leader).unwrap();
         for (member, start, count) in [
-            ("rung-1", current.start, current.count),
-            ("rung-1", current.start, current.count - 1),
-            ("rung-7", current.start.wrapping_add(1), 1),
+            ("rung-1", current.process, current.sequence),
+            ("rung-1", current.process, current.sequence - 1),
+            ("rung-7", current.process.wrapping_add(1), 1),
         ] {
             let member = member.to_string();
             let mut stream = TcpStream::connect(port).await.unwrap();
@@ -134,7 +134,7 @@
 
 #[test]
 fn a_connection_replaces_older_ones_of_its_process_and_those_of_other_processes() {
-    let id = |start, count| ConnectionId { start, count };
+    let id = |process, sequence| ConnectionId { process, sequence };
     assert!(id(1, 2).replaces(id(1, 1)));
     assert!(id(2, 1).replaces(id(1, 5)));
     assert!(!id(1, 1).replaces(id(1, 1)));
--- a/crates/ladderroute/tests/outbox.rs
+++ b/crates/ladderroute/tests/outbox.rs
@@ -12,12 +12,12 @@
     }
     assert!(!o.is_closed());
     assert!(smol::block_on(o.next()).is_some());
-    o.send_first(&[2; 9]);
+    o.send_urgent(&[2; 9]);
     let next = smol::block_on(o.next()).unwrap();
     assert_eq!(next[..9], [2; 9]);
     assert!(next.len() <= MAX_WRITE_BYTES + 9);
     let mut left = 0;
-    while let Some(bytes) = o.take() {
+    while let Some(bytes) = o.try_next() {
         left += bytes.len();
     }
     assert!(left > 16_000 * 60 - 3 * MAX_WRITE_BYTES);
@@ -32,7 +32,7 @@
         sent.extend(vec![i; 1000]);
     }
     let mut got = Vec::new();
-    while let Some(bytes) = o.take() {
+    while let Some(bytes) = o.try_next() {
         got.extend(bytes);
     }
     assert_eq!(got, sent);
