--- a/crates/ladderroute/src/api/limits.rs
+++ b/crates/ladderroute/src/api/limits.rs
@@ -33,10 +33,10 @@
 
 /// The limits of this controller's port.
 pub(super) fn port_limits(settings: &Settings, heartbeat_s: f64) -> Limits {
-    let params = &settings.settings;
+    let params = &settings.params;
     server_limits(
         &params.quota,
-        settings.known.len(),
+        settings.peers.len(),
         params.state.rps,
         heartbeat_s,
     )
--- a/crates/ladderroute/src/api/readiness.rs
+++ b/crates/ladderroute/src/api/readiness.rs
@@ -76,7 +76,7 @@
     match &state.shared.leadership {
         Some(leadership) => Role::Leader {
             owners: leadership.links.len(),
-            others: node.settings.known.len(),
+            others: node.settings.peers.len(),
         },
         None if state.owner.has_authority(now) => Role::OwnerWithAuthority,
         None => Role::OwnerWithoutAuthority,
--- a/crates/ladderroute/src/controller/mod.rs
+++ b/crates/ladderroute/src/controller/mod.rs
@@ -79,7 +79,7 @@
 
     /// A queue for a connection to another controller.
     pub fn new_outbox(&self) -> Outbox {
-        let memory = self.settings.settings.quota.memory_mb * BYTES_PER_MB;
+        let memory = self.settings.params.quota.memory_mb * BYTES_PER_MB;
         Outbox::new((memory * OUTBOX_MEMORY_SHARE) as usize)
     }
 
--- a/crates/ladderroute/src/controller_links/follower_side.rs
+++ b/crates/ladderroute/src/controller_links/follower_side.rs
@@ -53,7 +53,7 @@
 /// The controller that leads, as far as the view says, if it is another one, and its address.
 fn other_leader(controller: &Controller) -> Option<(String, SocketAddr)> {
     let leader = leading_member(controller)?;
-    let known = &controller.settings.known;
+    let known = &controller.settings.peers;
     let peer = known.iter().find(|peer| peer.member == leader)?;
     Some((leader, peer.addr))
 }
--- a/crates/ladderroute/src/controller_links/leader_side.rs
+++ b/crates/ladderroute/src/controller_links/leader_side.rs
@@ -38,7 +38,7 @@
 
 /// Serves the other controllers' connections.
 pub async fn serve(controller: Rc<Controller>, listener: TcpListener) {
-    let max_connections = max_peer_connections(controller.settings.known.len());
+    let max_connections = max_peer_connections(controller.settings.peers.len());
     let open = Rc::new(Cell::new(0usize));
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -73,7 +73,7 @@
     else {
         return;
     };
-    let known = &controller.settings.known;
+    let known = &controller.settings.peers;
     if !known.iter().any(|peer| peer.member == member) {
         return;
     }
--- a/crates/ladderroute/src/freshness/mod.rs
+++ b/crates/ladderroute/src/freshness/mod.rs
@@ -5,4 +5,4 @@
 mod watch;
 
 pub use reads::{read_once, refresh_view};
-pub use watch::follow;
+pub use watch::watch_store;
--- a/crates/ladderroute/src/freshness/reads.rs
+++ b/crates/ladderroute/src/freshness/reads.rs
@@ -41,7 +41,7 @@
 
 /// Time between two requests of this controller when all together take a part of the rate.
 pub fn pace(controller: &Controller, share: f64) -> Duration {
-    let controllers = controller.settings.known.len() + 1;
+    let controllers = controller.settings.peers.len() + 1;
     Duration::from_secs_f64(controllers as f64 / (controller.limits.rps * share))
 }
 
--- a/crates/ladderroute/src/freshness/watch.rs
+++ b/crates/ladderroute/src/freshness/watch.rs
@@ -18,7 +18,7 @@
 const WATCH_WAIT_S: f64 = wire::ANSWER_DROPPED_S;
 
 /// Loads the view and keeps it current for as long as the process lives.
-pub async fn follow(controller: Rc<Controller>) {
+pub async fn watch_store(controller: Rc<Controller>) {
     let retry_pause = Duration::from_secs_f64(controller.config.heartbeat_s.min(1.0) / 5.0);
     let mut reload = None;
     loop {
--- a/crates/ladderroute/src/leadership/begin.rs
+++ b/crates/ladderroute/src/leadership/begin.rs
@@ -40,7 +40,7 @@
         lease: lease.clone(),
         records: RecordPages::load(state.shared.view.replica(), value_kb),
         limits: TxnLimits {
-            operations: controller.limits.txn_ops,
+            max_writes: controller.limits.txn_ops,
             value_kb,
         },
         pending_writes: VecDeque::new(),
--- a/crates/ladderroute/src/leadership/mod.rs
+++ b/crates/ladderroute/src/leadership/mod.rs
@@ -32,7 +32,7 @@
 /// Tries to become the leader whenever there is none.
 pub async fn campaign(controller: Rc<Controller>) {
     let ttl = controller.leader_lease_ttl();
-    let others = controller.settings.known.len();
+    let others = controller.settings.peers.len();
     loop {
         smol::Timer::after(ttl / LOOKS_PER_LEASE).await;
         if !is_vacant(&controller) {
@@ -146,7 +146,7 @@
             continue;
         }
         let leader = &mut leadership.leader;
-        leader.tick(now, controller.settings.known.len());
+        leader.tick(now, controller.settings.peers.len());
         if log::log_enabled!(log::Level::Debug) {
             let summary = leader.summary();
             if summary != logged {
--- a/crates/ladderroute/src/provisioning.rs
+++ b/crates/ladderroute/src/provisioning.rs
@@ -68,7 +68,7 @@
 
 /// Reads the list and the prices again and again, while leading.
 pub async fn poll_cloud(controller: Rc<Controller>) {
-    let cloud = &controller.settings.settings.cloud;
+    let cloud = &controller.settings.params.cloud;
     let interval_s = (cloud.list_lag_s / LISTS_PER_LAG).max(MIN_LIST_INTERVALS / cloud.rps);
     let mut lists = 0;
     loop {
@@ -229,13 +229,13 @@
 
 /// How long an answer of the cloud is waited for.
 fn answer_limit(controller: &Controller) -> Duration {
-    let list_lag_s = controller.settings.settings.cloud.list_lag_s;
+    let list_lag_s = controller.settings.params.cloud.list_lag_s;
     Duration::from_secs_f64((list_lag_s / 2.0).clamp(MIN_ANSWER_LIMIT_S, MAX_ANSWER_LIMIT_S))
 }
 
 /// Time between two of this controller's requests to the cloud.
 fn pace(controller: &Controller) -> Duration {
-    Duration::from_secs_f64(PACE_INTERVALS / controller.settings.settings.cloud.rps)
+    Duration::from_secs_f64(PACE_INTERVALS / controller.settings.params.cloud.rps)
 }
 
 /// Tells the leader something, if it is here, and lets it act.
--- a/crates/ladderroute/src/settings/check.rs
+++ b/crates/ladderroute/src/settings/check.rs
@@ -12,7 +12,7 @@
 /// Refuses the first value that is not allowed.
 pub(super) fn check(settings: &Settings) -> Result<(), SettingsError> {
     check_members(settings)?;
-    let params = &settings.settings;
+    let params = &settings.params;
     check_positive(params)?;
     check_next_limits(&params.state)?;
     check_lease(&params.workers)?;
@@ -24,7 +24,7 @@
         return Err(SettingsError::field("member", "must not be empty"));
     }
     let is_self = settings
-        .known
+        .peers
         .iter()
         .any(|peer| peer.member == settings.member);
     if is_self {
--- a/crates/ladderroute/src/settings/platform.rs
+++ b/crates/ladderroute/src/settings/platform.rs
@@ -16,14 +16,16 @@
     /// Where users, workers and health checks reach this controller.
     pub api_addr: SocketAddr,
     /// Where the other controllers reach this one.
-    pub back: SocketAddr,
+    #[serde(rename = "back")]
+    pub link_addr: SocketAddr,
     /// The other controllers.
-    #[serde(default)]
-    pub known: Vec<Peer>,
+    #[serde(rename = "known", default)]
+    pub peers: Vec<Peer>,
     /// The services that this controller uses.
     pub services: Services,
     /// What all controllers are told alike.
-    pub settings: Params,
+    #[serde(rename = "settings")]
+    pub params: Params,
 }
 
 /// Another controller.
--- a/crates/ladderroute/src/settings/scheduler_config.rs
+++ b/crates/ladderroute/src/settings/scheduler_config.rs
@@ -19,7 +19,7 @@
 impl Settings {
     /// What the decisions need to know.
     pub fn scheduler_config(&self, tuning: &Tuning) -> SchedulerConfig {
-        let params = &self.settings;
+        let params = &self.params;
         let workers = &params.workers;
         SchedulerConfig {
             teams: teams(&params.teams),
--- a/crates/ladderroute/src/startup/mod.rs
+++ b/crates/ladderroute/src/startup/mod.rs
@@ -33,14 +33,14 @@
 const MAX_STORE_LIMIT_S: f64 = 1.5;
 
 /// A controller that has not begun to run.
-pub fn new(
+pub fn build_controller(
     settings: Settings,
     tuning: &Tuning,
     executor: Rc<LocalExecutor<'static>>,
 ) -> Rc<Controller> {
     let config = settings.scheduler_config(tuning);
-    let limits = settings.settings.state.limits();
-    let chunk_bits = sched::leader::chunk_bits(settings.settings.state.value_kb);
+    let limits = settings.params.state.limits();
+    let chunk_bits = sched::leader::chunk_bits(settings.params.state.value_kb);
     let cloud = settings.services.cloud;
     let state = State {
         owner: Owner::new(&settings.member, config.clone()),
@@ -65,12 +65,12 @@
 
 /// The client of the state service, with a follower's shares of its rates.
 fn store_client(settings: &Settings, config: &SchedulerConfig) -> Store {
-    let limits = settings.settings.state.limits();
+    let limits = settings.params.state.limits();
     let rates = Rates {
         requests_per_s: limits.rps,
         writes_per_s: limits.write_rps,
     };
-    let shares = store_shares(Role::Follower, settings.known.len());
+    let shares = store_shares(Role::Follower, settings.peers.len());
     let limit_s = config.lease_s * STORE_LIMIT_SHARE;
     let limit = Duration::from_secs_f64(limit_s.clamp(MIN_STORE_LIMIT_S, MAX_STORE_LIMIT_S));
     Store::new(settings.services.state, rates, shares, limit)
@@ -87,12 +87,12 @@
 /// Runs a controller until its listeners fail.
 pub fn run(settings: Settings, tuning: Tuning) -> std::io::Result<()> {
     let executor = Rc::new(LocalExecutor::new());
-    let controller = new(settings, &tuning, executor.clone());
+    let controller = build_controller(settings, &tuning, executor.clone());
     log::info!(
         "event=start member={} api={} back={}",
         controller.settings.member,
         controller.settings.api_addr,
-        controller.settings.back
+        controller.settings.link_addr
     );
     warn_if_tight(&controller.config);
     smol::block_on(executor.run(serve(controller)))
@@ -101,10 +101,10 @@
 /// Listens on both ports and starts the services.
 async fn serve(controller: Rc<Controller>) -> std::io::Result<()> {
     let api_listener = TcpListener::bind(controller.settings.api_addr).await?;
-    let link_listener = TcpListener::bind(controller.settings.back).await?;
+    let link_listener = TcpListener::bind(controller.settings.link_addr).await?;
     let executor = &controller.executor;
     executor
-        .spawn(freshness::follow(controller.clone()))
+        .spawn(freshness::watch_store(controller.clone()))
         .detach();
     executor
         .spawn(leadership::campaign(controller.clone()))
--- a/crates/ladderroute/src/writer/batch.rs
+++ b/crates/ladderroute/src/writer/batch.rs
@@ -29,11 +29,11 @@
     /// What is written.
     pub writes: Vec<Write>,
     /// Pages of the roster among the writes.
-    pub roster: Vec<u32>,
+    pub roster_pages: Vec<u32>,
     /// Pages of progress among the writes.
-    pub progress: Vec<u32>,
+    pub progress_pages: Vec<u32>,
     /// The part of a long binding that is among the writes.
-    pub binding: Option<PartialBinding>,
+    pub partial_binding: Option<PartialBinding>,
 }
 
 /// A binding of which this transaction and the ones before it hold a part. The gang starts once all of
@@ -53,7 +53,7 @@
     }
 
     /// Whether it is the new token, which is not written like the rest.
-    pub fn is_token(&self) -> bool {
+    pub fn issues_token(&self) -> bool {
         matches!(self.actions.first(), Some(Action::IssueToken))
     }
 }
@@ -108,8 +108,8 @@
     /// How many more writes the transaction may hold.
     fn remaining_writes(&self) -> usize {
         let batch = &self.batch;
-        let used = batch.writes.len() + batch.roster.len() + batch.progress.len();
-        self.limits.operations.saturating_sub(used)
+        let used = batch.writes.len() + batch.roster_pages.len() + batch.progress_pages.len();
+        self.limits.max_writes.saturating_sub(used)
     }
 
     /// Joins the decisions of a group, in their order, until one has to wait; gives back those that have
@@ -170,8 +170,8 @@
     /// A page of the roster, with the pages that it is split into.
     fn join_roster(&mut self, page: u32) -> Joined {
         let unit = self.records.roster_unit(page);
-        let (pages, joined) = self.pages_to_add(&self.batch.roster, unit);
-        self.batch.roster.extend(pages);
+        let (pages, joined) = self.pages_to_add(&self.batch.roster_pages, unit);
+        self.batch.roster_pages.extend(pages);
         joined
     }
 
@@ -179,8 +179,8 @@
     fn join_progress(&mut self, job: &str, first_task: u32, bits: &str) -> Joined {
         let page = self.records.put_progress(job, first_task, bits);
         let unit = self.records.progress_unit(page);
-        let (pages, joined) = self.pages_to_add(&self.batch.progress, unit);
-        self.batch.progress.extend(pages);
+        let (pages, joined) = self.pages_to_add(&self.batch.progress_pages, unit);
+        self.batch.progress_pages.extend(pages);
         joined
     }
 
@@ -195,7 +195,7 @@
         if missing.len() <= self.remaining_writes() {
             return (missing, Joined::Yes);
         }
-        if unit.len() <= self.limits.operations {
+        if unit.len() <= self.limits.max_writes {
             return (Vec::new(), Joined::Later);
         }
         let copies = missing.into_iter().filter(|page| *page != unit[0]);
@@ -219,7 +219,7 @@
         let records = places.chunks(each).enumerate().skip(written);
         let left = records.len();
         let fits = left <= self.remaining_writes();
-        if !fits && (left <= self.limits.operations || !self.batch.writes.is_empty()) {
+        if !fits && (left <= self.limits.max_writes || !self.batch.writes.is_empty()) {
             return Joined::Later;
         }
         for (chunk, places) in records.take(self.remaining_writes()) {
@@ -233,7 +233,7 @@
             return Joined::Yes;
         }
         let places = (written + self.batch.writes.len()) * each;
-        self.batch.binding = Some(PartialBinding { attempt, places });
+        self.batch.partial_binding = Some(PartialBinding { attempt, places });
         Joined::Later
     }
 
@@ -253,7 +253,7 @@
         let drops = chunks.into_iter().map(|chunk| Write::Drop {
             key: keys::binding(job, chunk),
         });
-        let most = self.limits.operations.saturating_sub(1);
+        let most = self.limits.max_writes.saturating_sub(1);
         self.batch.writes.extend(drops.take(most));
         Joined::Yes
     }
@@ -296,7 +296,7 @@
     /// Fills what remains of the transaction with pages of the roster that the store lacks.
     fn join_dirty_roster(&mut self) {
         while self.remaining_writes() > 0 {
-            let Some(page) = self.records.next_roster_page(&self.batch.roster) else {
+            let Some(page) = self.records.next_roster_page(&self.batch.roster_pages) else {
                 return;
             };
             if matches!(self.join_roster(page), Joined::Later) {
@@ -306,9 +306,9 @@
     }
 
     fn add_page_writes(&mut self) {
-        let roster = self.batch.roster.iter();
+        let roster = self.batch.roster_pages.iter();
         let roster = roster.map(|page| self.records.roster_write(*page));
-        let progress = self.batch.progress.iter();
+        let progress = self.batch.progress_pages.iter();
         let progress = progress.map(|page| self.records.progress_write(*page));
         self.batch.writes.extend(roster.chain(progress));
     }
--- a/crates/ladderroute/src/writer/limits.rs
+++ b/crates/ladderroute/src/writer/limits.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct TxnLimits {
     /// Most writes.
-    pub operations: usize,
+    pub max_writes: usize,
     /// Most KiB of a value.
     pub value_kb: f64,
 }
@@ -21,7 +21,7 @@
     pub fn lowered(self, writes: usize, largest_bytes: usize) -> TxnLimits {
         if writes > 1 {
             return TxnLimits {
-                operations: writes / 2,
+                max_writes: writes / 2,
                 ..self
             };
         }
--- a/crates/ladderroute/src/writer/outcome.rs
+++ b/crates/ladderroute/src/writer/outcome.rs
@@ -47,15 +47,15 @@
     batch: &Batch,
     lease: &LeadershipLease,
 ) -> Result<Outcome, StoreError> {
-    if batch.is_token() {
+    if batch.issues_token() {
         return take_token(node, lease).await;
     }
     log::debug!(
         "event=write decisions={} writes={} roster_pages={} progress_pages={}",
         batch.actions.len(),
         batch.writes.len(),
-        batch.roster.len(),
-        batch.progress.len()
+        batch.roster_pages.len(),
+        batch.progress_pages.len()
     );
     let txn = transaction(batch, lease);
     match node.store.txn(&txn, RequestPriority::Decision).await? {
@@ -158,8 +158,8 @@
 ) {
     view.record_writes(&batch.writes, revision);
     let records = &mut leadership.records;
-    records.written(&batch.roster, &batch.progress);
-    if let Some(part) = batch.binding {
+    records.mark_written(&batch.roster_pages, &batch.progress_pages);
+    if let Some(part) = batch.partial_binding {
         records.set_bound_places(part.attempt, Some(part.places));
     }
 }
@@ -184,7 +184,9 @@
     let writes = batch.writes.len();
     log::error!("event=write_refused key={key} bytes={bytes} writes={writes}");
     leadership.limits = leadership.limits.lowered(writes, bytes);
-    leadership.records.shrink(leadership.limits.value_kb);
+    leadership
+        .records
+        .lower_value_limit(leadership.limits.value_kb);
 }
 
 /// Ends the lease, so that the renewal finds it gone and the next leader can come.
--- a/crates/ladderroute/src/writer/pages.rs
+++ b/crates/ladderroute/src/writer/pages.rs
@@ -201,7 +201,7 @@
     }
 
     /// The store refuses values of the size that it was said to take: pages become smaller.
-    pub fn shrink(&mut self, value_kb: f64) {
+    pub fn lower_value_limit(&mut self, value_kb: f64) {
         let limit = page_limit(value_kb);
         self.roster.set_limit(limit);
         self.progress.set_limit(limit);
@@ -213,7 +213,7 @@
     }
 
     /// These pages are in the store as they were last put into a transaction.
-    pub fn written(&mut self, roster: &[u32], progress: &[u32]) {
+    pub fn mark_written(&mut self, roster: &[u32], progress: &[u32]) {
         roster
             .iter()
             .for_each(|page| self.roster.mark_written(*page));
--- a/crates/ladderroute/tests/batches.rs
+++ b/crates/ladderroute/tests/batches.rs
@@ -14,7 +14,7 @@
 use wire::users::{Job, Priority, Shape};
 
 const LIMITS: TxnLimits = TxnLimits {
-    operations: 4,
+    max_writes: 4,
     value_kb: 4.0,
 };
 
@@ -165,7 +165,7 @@
         binding("wk-000001", 1),
     ]);
     let batch = scene.next();
-    assert!(batch.is_token());
+    assert!(batch.issues_token());
     assert_eq!((batch.actions.len(), batch.writes.len()), (1, 0));
     assert_eq!(scene.waiting.len(), 2);
 }
@@ -187,11 +187,13 @@
     assert_eq!((batch.writes.len(), batch.conditions.len()), (4, 4));
     assert!(scene.waiting.is_empty());
     assert_eq!(
-        scene.next().roster,
-        batch.roster,
+        scene.next().roster_pages,
+        batch.roster_pages,
         "a page is due until it is known to be written"
     );
-    scene.records.written(&batch.roster, &batch.progress);
+    scene
+        .records
+        .mark_written(&batch.roster_pages, &batch.progress_pages);
     assert!(scene.next().is_empty());
 }
 
@@ -233,7 +235,7 @@
 }
 
 const LOWER: TxnLimits = TxnLimits {
-    operations: 4,
+    max_writes: 4,
     value_kb: 2.0,
 };
 
@@ -271,8 +273,8 @@
 }
 
 fn assert_within(batch: &Batch, limits: TxnLimits) {
-    assert!(batch.writes.len() <= limits.operations);
-    assert!(batch.conditions.len() < limits.operations * 4);
+    assert!(batch.writes.len() <= limits.max_writes);
+    assert!(batch.conditions.len() < limits.max_writes * 4);
     for write in &batch.writes {
         if let Write::Put { key, value, .. } = write {
             let bytes = value_bytes(value);
@@ -301,12 +303,14 @@
     machines.sort();
     assert_eq!(machines.len(), 54);
     assert!(!machines.contains(&"host-000007".to_string()));
-    assert_eq!(batch.roster[0], 0);
+    assert_eq!(batch.roster_pages[0], 0);
     assert!(batch
         .conditions
         .iter()
         .any(|c| c.key == "lr/roster/0" && c.version == 1));
-    scene.records.written(&batch.roster, &batch.progress);
+    scene
+        .records
+        .mark_written(&batch.roster_pages, &batch.progress_pages);
     assert!(scene.next().is_empty());
 }
 
@@ -315,7 +319,7 @@
 #[test]
 fn a_split_that_takes_several_transactions_never_lacks_a_machine() {
     let tiny = TxnLimits {
-        operations: 1,
+        max_writes: 1,
         value_kb: 1.0,
     };
     let mut stored = Replica::new(8192);
@@ -341,7 +345,9 @@
             changes: changes.map(|c| Change { version: step, ..c }).collect(),
         });
         assert_eq!(scene.replica.roster.machines().len(), 55, "step {step}");
-        scene.records.written(&batch.roster, &batch.progress);
+        scene
+            .records
+            .mark_written(&batch.roster_pages, &batch.progress_pages);
     }
     assert!(scene.waiting.is_empty() && scene.next().is_empty());
     assert!(scene.replica.roster.pages().len() > 3);
@@ -384,7 +390,9 @@
                 );
             }
         }
-        scene.records.written(&batch.roster, &batch.progress);
+        scene
+            .records
+            .mark_written(&batch.roster_pages, &batch.progress_pages);
     }
     sections.sort_unstable();
     assert_eq!(sections, [(8192, 1024), (12_288, 1024)]);
@@ -401,10 +409,10 @@
         let batch = scene.next();
         assert_within(&batch, LOWER);
         assert!(batch.actions.is_empty(), "not bound yet");
-        let part = batch.binding.expect("a part of the binding");
+        let part = batch.partial_binding.expect("a part of the binding");
         assert!(part.places > places);
         // An outcome that is not known: the same part again.
-        assert_eq!(scene.next().binding, Some(part));
+        assert_eq!(scene.next().partial_binding, Some(part));
         places = part.places;
         scene
             .records
@@ -428,7 +436,7 @@
 #[test]
 fn a_refusal_for_size_leads_to_smaller_writes_and_blocks_no_others() {
     let mut limits = TxnLimits {
-        operations: 12,
+        max_writes: 12,
         value_kb: 4.0,
     };
     let mut scene = Scene::new([]);
@@ -449,13 +457,15 @@
             Write::Drop { .. } => 0,
         });
         let largest = sizes.max().unwrap_or(0);
-        let fits = batch.writes.len() <= truth.operations && largest <= TRUE_BYTES;
+        let fits = batch.writes.len() <= truth.max_writes && largest <= TRUE_BYTES;
         if fits {
-            scene.records.written(&batch.roster, &batch.progress);
+            scene
+                .records
+                .mark_written(&batch.roster_pages, &batch.progress_pages);
         } else {
             refusals += 1;
             limits = limits.lowered(batch.writes.len(), largest);
-            scene.records.shrink(limits.value_kb);
+            scene.records.lower_value_limit(limits.value_kb);
             scene.waiting.extend(batch.actions);
         }
     }
@@ -464,5 +474,5 @@
         scene.next().is_empty() && scene.waiting.is_empty(),
         "all is written"
     );
-    assert!(limits.operations >= 1 && limits.value_kb >= 0.5);
+    assert!(limits.max_writes >= 1 && limits.value_kb >= 0.5);
 }
--- a/crates/ladderroute/tests/links.rs
+++ b/crates/ladderroute/tests/links.rs
@@ -40,8 +40,8 @@
         .replace("127.0.0.2:8081", &peer.to_string())
         .replace("127.0.0.9:2379", &store.to_string());
     let settings = ladderroute::settings::Settings::parse(&text, "settings").unwrap();
-    let controller = startup::new(settings, &Default::default(), executor.clone());
-    let follow = freshness::follow(controller.clone());
+    let controller = startup::build_controller(settings, &Default::default(), executor.clone());
+    let follow = freshness::watch_store(controller.clone());
     executor.spawn(follow).detach();
     controller
 }
--- a/crates/ladderroute/tests/settings.rs
+++ b/crates/ladderroute/tests/settings.rs
@@ -63,7 +63,7 @@
         Settings::parse(&with_next, "f")
     };
     let limits = |text: &str| {
-        let limits = next(text).unwrap().settings.state.limits();
+        let limits = next(text).unwrap().params.state.limits();
         (
             limits.rps,
             limits.write_rps,
@@ -107,7 +107,7 @@
     let config = s.scheduler_config(&Tuning::default());
     assert_eq!(
         (
-            s.known.len(),
+            s.peers.len(),
             config.guarantee_s,
             config.teams["red"].cpus_max
         ),
--- a/crates/ladderroute/tests/stand_in/mod.rs
+++ b/crates/ladderroute/tests/stand_in/mod.rs
@@ -301,7 +301,8 @@
         "settings",
     )
     .unwrap();
-    let node = ladderroute::startup::new(settings, &Tuning::default(), executor.clone());
+    let node =
+        ladderroute::startup::build_controller(settings, &Tuning::default(), executor.clone());
     node.lock().shared.catalog = Some(vec![wire::cloud::MachineType {
         name: "g8".into(),
         cpus: 96.0,
@@ -315,7 +316,7 @@
         zones: vec!["a".into(), "b".into()],
     }]);
     executor
-        .spawn(ladderroute::freshness::follow(node.clone()))
+        .spawn(ladderroute::freshness::watch_store(node.clone()))
         .detach();
     while !is_loaded(&node) {
         smol::Timer::after(Duration::from_millis(5)).await;
