--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -2,5 +2,5 @@
 //! scheduler, which loses, delays and repeats messages and checks the rules of the protocol, and a
 //! plain model of the placement pass.
 
-pub mod plain;
+pub mod reference;
 pub mod world;
--- a/crates/model/src/plain.rs
+++ b/crates/model/src/reference.rs
@@ -5,7 +5,7 @@
 
 /// A machine of the plain model.
 #[derive(Clone, Debug)]
-pub struct Plain {
+pub struct ReferenceMachine {
     /// Its name.
     pub name: String,
     /// Free CPUs.
@@ -18,20 +18,24 @@
 
 /// Places the jobs in the order given: how many tasks of each get a machine. A gang gets all
 /// or nothing, and nothing waits for what does not fit. `limit` is what the team may use.
-pub fn place(machines: &mut [Plain], jobs: &[Job], mut limit: f64) -> BTreeMap<String, u32> {
+pub fn place(
+    machines: &mut [ReferenceMachine],
+    jobs: &[Job],
+    mut limit: f64,
+) -> BTreeMap<String, u32> {
     let mut out = BTreeMap::new();
     for job in jobs {
-        let before: Vec<Plain> = machines.to_vec();
+        let before: Vec<ReferenceMachine> = machines.to_vec();
         let mut placed = 0;
         for _ in 0..job.tasks {
             if job.cpus > limit - f64::from(placed) * job.cpus + 1e-6 {
                 break;
             }
-            let fits = |machine: &&mut Plain| {
+            let fits = |machine: &&mut ReferenceMachine| {
                 machine.cpus + 1e-6 >= job.cpus && machine.memory_gb + 1e-6 >= job.memory_gb
             };
             let best = machines.iter_mut().filter(fits).min_by(|a, b| {
-                let key = |machine: &Plain| {
+                let key = |machine: &ReferenceMachine| {
                     (
                         machine.image.is_none(),
                         machine.image.as_deref() != Some(job.image.as_str()),
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -40,9 +40,9 @@
 use faults::{Partition, PlannedOutage};
 use fixtures::random_job;
 pub use fixtures::{
-    config, config_that_keeps_machines, heartbeat, job, lone_leader, machine_status, machine_type,
-    machine_types, owner_of_one_machine, roster, roster_record, task_requirements, task_status,
-    unlimited_teams, UnknownJobs,
+    config, config_without_deprovisioning, heartbeat, job, lone_leader, machine_status,
+    machine_type, machine_types, owner_of_one_machine, roster, roster_record, task_requirements,
+    task_status, unlimited_teams, EmptyJobLookup,
 };
 pub use jobs::JobTimes;
 use jobs::{JobState, JobsAsRead};
@@ -110,37 +110,37 @@
     /// How often each kind of event of rich worlds happened.
     pub cloud_events: BTreeMap<CloudEvent, u32>,
     /// Messages in a hundred that are lost.
-    pub lost: u32,
+    pub lost_percent: u32,
     /// Messages in a hundred that are delayed for long.
-    pub delayed: u32,
+    pub delayed_percent: u32,
     /// Heartbeats in a hundred of which a copy arrives late, by up to three leases.
-    pub late_copies: u32,
+    pub late_copy_percent: u32,
     /// Writes in a hundred that get no response and are carried out 2 to 12 s later.
-    pub late_writes: u32,
+    pub late_write_percent: u32,
     /// How much longer, in seconds, the store takes to serve reads.
-    pub slow_reads: f64,
+    pub extra_read_s: f64,
     /// Whether the controller that confirms a cancellation tells the leader at once.
-    pub hints: bool,
+    pub cancel_hints: bool,
     /// Since when a job has waited though there was capacity for it.
     fits_since: BTreeMap<rules::Opening, f64>,
     /// Jobs in a hundred that depend on earlier ones.
-    pub chained: u32,
+    pub dependent_percent: u32,
     /// Jobs that were cancelled along with one of their dependencies.
-    pub cancelled_with_others: u32,
+    pub cancelled_by_dependency: u32,
     /// Cancellations that were confirmed.
-    pub cancelled: u32,
+    pub cancellations: u32,
     /// Workers' leases that ended.
     pub lease_expiries: u32,
     /// The tasks that workers have completed, by job and index.
     completed: BTreeSet<(String, u32)>,
     /// The rules that were broken.
-    pub broken: BTreeSet<String>,
+    pub violations: BTreeSet<String>,
     /// Tasks that were started.
-    pub starts: u64,
+    pub tasks_started: u64,
     /// Jobs that were recorded as done.
-    pub done: u64,
+    pub jobs_done: u64,
     /// Leaders so far.
-    pub leaders: u64,
+    pub leaders_elected: u64,
     /// What only rich worlds have.
     rich: Option<rich::Rich>,
     trace: Trace,
@@ -191,22 +191,22 @@
             partitioned: None,
             faults: BTreeMap::new(),
             cloud_events: BTreeMap::new(),
-            lost: 3,
-            delayed: 3,
-            late_copies: 0,
-            late_writes: 0,
-            slow_reads: 0.0,
-            hints: true,
+            lost_percent: 3,
+            delayed_percent: 3,
+            late_copy_percent: 0,
+            late_write_percent: 0,
+            extra_read_s: 0.0,
+            cancel_hints: true,
             fits_since: BTreeMap::new(),
-            chained: 0,
-            cancelled_with_others: 0,
-            cancelled: 0,
+            dependent_percent: 0,
+            cancelled_by_dependency: 0,
+            cancellations: 0,
             lease_expiries: 0,
             completed: BTreeSet::new(),
-            broken: BTreeSet::new(),
-            starts: 0,
-            done: 0,
-            leaders: 0,
+            violations: BTreeSet::new(),
+            tasks_started: 0,
+            jobs_done: 0,
+            leaders_elected: 0,
             rich: None,
             trace: Trace::default(),
         }
@@ -218,7 +218,7 @@
     }
 
     /// Random jobs, cancellations and faults for `seconds`, then quiet for `calm`.
-    pub fn live(&mut self, seconds: f64, calm: f64) {
+    pub fn run_random(&mut self, seconds: f64, calm: f64) {
         let mut submitted = self.jobs.len() as u32;
         let end = self.now + seconds;
         while self.now < end {
@@ -243,10 +243,15 @@
     }
 
     /// Runs on without faults until all is done, for `seconds` at most.
-    pub fn calm(&mut self, seconds: f64) {
+    pub fn run_until_done(&mut self, seconds: f64) {
         let quiet_since = self.now;
-        (self.lost, self.delayed, self.late_copies, self.late_writes) = (0, 0, 0, 0);
-        self.slow_reads = 0.0;
+        (
+            self.lost_percent,
+            self.delayed_percent,
+            self.late_copy_percent,
+            self.late_write_percent,
+        ) = (0, 0, 0, 0);
+        self.extra_read_s = 0.0;
         while self.now < quiet_since + seconds && !self.open_jobs().is_empty() {
             self.step_without_faults(quiet_since);
         }
@@ -268,7 +273,7 @@
             .outage_at
             .take_if(|outage| self.now >= outage.begins_at);
         if let Some(outage) = outage {
-            self.outage(outage.for_s);
+            self.store_outage(outage.for_s);
         }
         self.run_reads();
         self.run_rich();
--- a/crates/model/src/world/chains.rs
+++ b/crates/model/src/world/chains.rs
@@ -109,7 +109,7 @@
         let now = self.now;
         let mut view = std::mem::take(&mut self.controllers[i].chains);
         view.reload(&self.jobs, read_at);
-        let replaces = self.defect == Defect::ReloadReplaces;
+        let replaces = self.defect == Defect::ReloadDiscardsOwnWrites;
         let is_own_end = |job: &JobState| job.ended_by == Some(i) && !replaces;
         for job in self.jobs.values().filter(|job| is_own_end(job)) {
             view.update(&self.jobs, &job.spec.id, now);
@@ -131,7 +131,10 @@
     fn notify_leader(&self, leader: &mut Leader, view: &ChainView, id: &str, read_at: f64) {
         let job = &self.jobs[id];
         if job.has_own_end_by(read_at) {
-            if !matches!(self.defect, Defect::IgnoreCancel | Defect::HalfDoneUnseen) {
+            if !matches!(
+                self.defect,
+                Defect::IgnoreCancel | Defect::FinishAtHalfUnseen
+            ) {
                 leader.on_job_terminal(id);
             }
         } else if self.is_known_to_leader(view, job) {
@@ -182,7 +185,7 @@
                     job.terminal_at = Some(now);
                     job.cancelled = true;
                     self.trace.ended(now, &id, true);
-                    self.cancelled_with_others += 1;
+                    self.cancelled_by_dependency += 1;
                 }
             }
         }
@@ -216,7 +219,7 @@
 
     /// A controller that has read a cancellation takes no job for open that depends on the cancelled one.
     fn check_orphaned(&mut self, view: &ChainView, read_at: f64) {
-        let derives_nothing = self.defect == Defect::IgnoreChains;
+        let derives_nothing = self.defect == Defect::IgnoreCancelledDependencies;
         let is_orphan = |job: &JobState| {
             let known_to_be_terminal =
                 job.cancelled && job.terminal_at.is_some_and(|at| at <= read_at);
@@ -231,7 +234,7 @@
 
     /// Dependencies of a new random job on up to three earlier ones, whatever became of them.
     pub(super) fn random_dependencies(&mut self) -> Vec<String> {
-        if self.chained == 0 || self.rng.u32(0..100) >= self.chained {
+        if self.dependent_percent == 0 || self.rng.u32(0..100) >= self.dependent_percent {
             return Vec::new();
         }
         let ids: Vec<String> = self.jobs.keys().rev().take(12).cloned().collect();
@@ -244,11 +247,11 @@
     }
 
     /// Ends the controllers one after the other; each comes back with a new size of its records.
-    pub fn roll(&mut self, every_s: f64, value_kb: f64) {
+    pub fn rolling_restart(&mut self, every_s: f64, value_kb: f64) {
         for i in 0..self.controllers.len() {
             self.controllers[i].value_kb = value_kb;
-            self.end(i, every_s / 3.0);
-            self.pass(every_s);
+            self.restart_controller(i, every_s / 3.0);
+            self.advance(every_s);
         }
     }
 }
--- a/crates/model/src/world/cloud.rs
+++ b/crates/model/src/world/cloud.rs
@@ -48,7 +48,7 @@
     }
 
     /// Machines that were ever provisioned.
-    pub fn provisioned(&self) -> u64 {
+    pub fn machines_provisioned(&self) -> u64 {
         self.machines_provisioned
     }
 }
--- a/crates/model/src/world/defect.rs
+++ b/crates/model/src/world/defect.rs
@@ -16,25 +16,25 @@
     /// The leader does not learn of cancellations.
     IgnoreCancel,
     /// A job is recorded as done when half of its tasks are.
-    HalfDone,
+    FinishAtHalf,
     /// The same, and no controller reads that the job is done.
-    HalfDoneUnseen,
+    FinishAtHalfUnseen,
     /// A controller that reloads all records prefers them to its own, newer writes.
-    ReloadReplaces,
+    ReloadDiscardsOwnWrites,
     /// A new leader does not learn of half of the open jobs.
     LoseJobs,
     /// The leader never learns of the largest gangs.
-    NeverLarge,
+    HideLargestGangs,
     /// The leader never learns of one team's arrays.
-    NeverRed,
+    HideRedArrays,
     /// Controllers take their view of the store to be current, however old it is.
     TrustStaleView,
     /// The store ignores the expected versions of writes.
-    NoVersions,
+    IgnoreVersions,
     /// The leader learns of jobs whose dependencies are not done.
     StartBlocked,
     /// Controllers do not derive that a job is cancelled along with its dependencies.
-    IgnoreChains,
+    IgnoreCancelledDependencies,
     /// Controllers never learn of cancellations from their own reads, and a new leader knows of
     /// none from before its election.
     ForgetCancelled,
--- a/crates/model/src/world/election.rs
+++ b/crates/model/src/world/election.rs
@@ -14,7 +14,7 @@
         };
         self.term += 1;
         self.revision += 1;
-        self.leaders += 1;
+        self.leaders_elected += 1;
         self.trace.elected(now, elected, self.term, self.revision);
         let mut chains = std::mem::take(&mut self.controllers[elected].chains);
         chains.reload(&self.jobs, now);
@@ -134,8 +134,8 @@
     /// Whether a defect keeps a job from the leader.
     pub(super) fn is_kept_from_leader(&self, spec: &Job) -> bool {
         match self.defect {
-            Defect::NeverLarge => spec.shape == Shape::Gang && spec.tasks == LARGEST_GANG,
-            Defect::NeverRed => spec.shape == Shape::Array && spec.team == "red",
+            Defect::HideLargestGangs => spec.shape == Shape::Gang && spec.tasks == LARGEST_GANG,
+            Defect::HideRedArrays => spec.shape == Shape::Array && spec.team == "red",
             _ => false,
         }
     }
--- a/crates/model/src/world/faults.rs
+++ b/crates/model/src/world/faults.rs
@@ -14,17 +14,17 @@
     /// All controllers crash.
     AllControllersCrash,
     /// A controller loses its connections to the others for a moment.
-    LinkCut,
+    ControllerDisconnected,
     /// A controller is cut off from the store and the others, but not from workers.
     NetworkPartition,
     /// A controller freezes for a while.
     ControllerFrozen,
     /// The leader freezes between deciding a response and sending it.
-    LeaderFrozenWithResponse,
+    LeaderFrozenBeforeResponse,
     /// The store serves nobody.
     StoreDown,
     /// The store refuses the leader.
-    StoreRefusesOne,
+    StoreRefusesLeader,
     /// The store refuses the leader, and then serves nobody.
     StoreRefusesThenDown,
     /// A machine hangs and goes on.
@@ -38,7 +38,7 @@
     /// A worker restarts at once, under a new incarnation.
     WorkerRestart,
     /// A user cancels a job whose tasks are all done, while no record says so.
-    CancelAtEnd,
+    CancelCompletedJob,
     /// A write gets no response and is carried out later.
     LateWrite,
 }
@@ -49,22 +49,22 @@
         Some(match number {
             0..=9 => Fault::Crash,
             10..=14 => Fault::LeaderCrash,
-            15..=24 => Fault::LinkCut,
+            15..=24 => Fault::ControllerDisconnected,
             25..=39 => Fault::MachineHang,
             40..=44 => Fault::StoreDown,
             45..=49 => Fault::MachineGone,
             50..=61 => Fault::ResponsesLost,
             62..=66 => Fault::NetworkPartition,
             67..=74 => Fault::WorkerRestart,
-            75..=79 => Fault::StoreRefusesOne,
+            75..=79 => Fault::StoreRefusesLeader,
             80..=84 => Fault::StoreRefusesThenDown,
             85..=92 => Fault::HeartbeatsLost,
             93..=97 => Fault::AllControllersCrash,
-            98..=117 => Fault::CancelAtEnd,
+            98..=117 => Fault::CancelCompletedJob,
             // No leader is there about one step in ten.
             118..=168 if !has_leader => Fault::CrashDuringElection,
             169..=174 => Fault::ControllerFrozen,
-            175..=178 => Fault::LeaderFrozenWithResponse,
+            175..=178 => Fault::LeaderFrozenBeforeResponse,
             _ => return None,
         })
     }
@@ -122,17 +122,17 @@
             Fault::Crash | Fault::CrashDuringElection => self.crash(i),
             Fault::LeaderCrash => leading.into_iter().for_each(|leading| self.crash(leading)),
             Fault::AllControllersCrash => (0..CONTROLLERS).for_each(|i| self.crash(i)),
-            Fault::LinkCut => self.cut(i, 0.3),
+            Fault::ControllerDisconnected => self.disconnect_controller(i, 0.3),
             Fault::NetworkPartition => {
                 self.partitioned = Some(Partition {
                     controller: i,
                     until: now + 1.0 + share * 12.0,
                 });
-                self.cut(i, 1.0 + share * 12.0);
+                self.disconnect_controller(i, 1.0 + share * 12.0);
             }
-            Fault::ControllerFrozen => self.freeze(i, share * 12.0),
-            Fault::LeaderFrozenWithResponse => {
-                self.freeze_with_response(leading.unwrap_or(i), share * 12.0);
+            Fault::ControllerFrozen => self.freeze_controller(i, share * 12.0),
+            Fault::LeaderFrozenBeforeResponse => {
+                self.freeze_before_next_response(leading.unwrap_or(i), share * 12.0);
             }
             _ => {}
         }
@@ -143,16 +143,16 @@
         let refused = self.leader_at().unwrap_or(strike.controller);
         match fault {
             Fault::StoreDown => self.store_down_until = now + share * 6.0,
-            Fault::StoreRefusesOne => self.refuse(refused, share * 10.0),
+            Fault::StoreRefusesLeader => self.refuse_controller(refused, share * 10.0),
             Fault::StoreRefusesThenDown => {
-                self.refuse(refused, 8.0);
+                self.refuse_controller(refused, 8.0);
                 self.outage_at = Some(PlannedOutage {
                     begins_at: now + 0.2 + share * 2.0,
                     for_s: [5.0, 9.0, 30.0][self.rng.usize(0..3)],
                 });
             }
-            Fault::CancelAtEnd => {
-                self.cancel_at_end();
+            Fault::CancelCompletedJob => {
+                self.cancel_completed_job();
             }
             _ => {}
         }
@@ -185,11 +185,11 @@
 
     fn crash(&mut self, i: usize) {
         let for_s = [0.1, 0.4, 4.0][self.rng.usize(0..3)];
-        self.end(i, for_s);
+        self.restart_controller(i, for_s);
     }
 
     /// A controller ends and is back, with nothing, after a while.
-    pub fn end(&mut self, i: usize, for_s: f64) {
+    pub fn restart_controller(&mut self, i: usize, for_s: f64) {
         let was_leading = self.leader_at() == Some(i);
         let controller = Controller {
             value_kb: self.controllers[i].value_kb,
@@ -205,7 +205,7 @@
     }
 
     /// A controller's connections to the others break.
-    pub fn cut(&mut self, i: usize, for_s: f64) {
+    pub fn disconnect_controller(&mut self, i: usize, for_s: f64) {
         self.controllers[i].disconnect(self.now + for_s);
         if let Some(leading) = &mut self.leading {
             leading.leader.on_owner_disconnected(&name(i));
--- a/crates/model/src/world/fixtures.rs
+++ b/crates/model/src/world/fixtures.rs
@@ -54,7 +54,7 @@
 }
 
 /// The usual settings, with idle machines that are never returned.
-pub fn config_that_keeps_machines() -> SchedulerConfig {
+pub fn config_without_deprovisioning() -> SchedulerConfig {
     SchedulerConfig {
         idle_retention_boots: 1e6,
         ..config()
@@ -108,9 +108,9 @@
 }
 
 /// A replica that knows no job at all.
-pub struct UnknownJobs;
+pub struct EmptyJobLookup;
 
-impl JobLookup for UnknownJobs {
+impl JobLookup for EmptyJobLookup {
     fn resources(&self, _: &str) -> Option<Resources> {
         None
     }
@@ -140,7 +140,7 @@
         extra_ms: 0,
         machines: vec![descriptor],
     };
-    owner.on_leader_message(epoch, 10.0, &UnknownJobs);
+    owner.on_leader_message(epoch, 10.0, &EmptyJobLookup);
     owner.authority.set_until(1e9);
     owner
 }
--- a/crates/model/src/world/freeze.rs
+++ b/crates/model/src/world/freeze.rs
@@ -5,14 +5,14 @@
 impl World {
     /// A controller decides nothing, sends nothing and reads nothing for a while. What reaches it
     /// meanwhile waits there.
-    pub fn freeze(&mut self, controller: usize, for_s: f64) {
+    pub fn freeze_controller(&mut self, controller: usize, for_s: f64) {
         let frozen = &mut self.controllers[controller];
         frozen.frozen_until = frozen.frozen_until.max(self.now + for_s);
     }
 
     /// The same right after the controller has decided its next response to a worker, which goes
     /// out when it runs again.
-    pub fn freeze_with_response(&mut self, controller: usize, for_s: f64) {
+    pub fn freeze_before_next_response(&mut self, controller: usize, for_s: f64) {
         self.controllers[controller].freezes_for = Some(for_s);
     }
 
--- a/crates/model/src/world/jobs.rs
+++ b/crates/model/src/world/jobs.rs
@@ -128,7 +128,7 @@
         job.ended_by = Some(by);
         job.cancelled = true;
         self.trace.ended(now, id, true);
-        self.cancelled += 1;
+        self.cancellations += 1;
         self.cancel_descendants();
         if self.defect != Defect::IgnoreCancel {
             self.tell_leader_of_cancellation(by, id);
@@ -141,7 +141,7 @@
         let now = self.now;
         match &mut self.leading {
             Some(leading) if leading.controller == by => leading.leader.on_job_terminal(id),
-            _ if self.hints && self.controllers[by].joined => {
+            _ if self.cancel_hints && self.controllers[by].joined => {
                 let to_leader = &mut self.controllers[by].to_leader;
                 let arrives_at = to_leader.arrival(now + 0.05);
                 let message = ToLeader::Cancelled { job: id.into() };
@@ -163,7 +163,7 @@
         let is_done = completed == tasks || job.spec.shape == Shape::Gang && completed > 0;
         job.terminal_at = Some(now);
         job.own_end = Some(now);
-        self.done += 1;
+        self.jobs_done += 1;
         self.trace.ended(now, id, false);
         if !is_done {
             self.break_rule("not_done");
--- a/crates/model/src/world/outcomes.rs
+++ b/crates/model/src/world/outcomes.rs
@@ -144,7 +144,10 @@
 
     /// By a defect, jobs are done when half of their tasks are.
     fn finish_half_done(&mut self) {
-        if !matches!(self.defect, Defect::HalfDone | Defect::HalfDoneUnseen) {
+        if !matches!(
+            self.defect,
+            Defect::FinishAtHalf | Defect::FinishAtHalfUnseen
+        ) {
             return;
         }
         let is_half_done = |job: &JobState| job.is_open() && job.done.len() * 2 >= job.spec.tasks;
--- a/crates/model/src/world/rich.rs
+++ b/crates/model/src/world/rich.rs
@@ -36,7 +36,7 @@
 
 impl World {
     /// A world of many machine types, few of each, and of teams that borrow from each other.
-    pub fn rich(seed: u64) -> World {
+    pub fn heterogeneous(seed: u64) -> World {
         let mut world = World::with(seed, Defect::None, rich_setup());
         world.types = rich_types();
         world.rich = Some(Rich::default());
@@ -45,7 +45,7 @@
 
     /// Random jobs and notices for `seconds`, as many jobs in a thousand steps as given, with faults if
     /// asked for.
-    pub fn live_richly(&mut self, seconds: f64, jobs: u32, with_faults: bool) {
+    pub fn run_heterogeneous(&mut self, seconds: f64, jobs: u32, with_faults: bool) {
         let end = self.now + seconds;
         while self.now < end {
             if self.rng.u32(0..1000) < jobs {
--- a/crates/model/src/world/rules.rs
+++ b/crates/model/src/world/rules.rs
@@ -25,7 +25,7 @@
 impl World {
     pub(super) fn break_rule(&mut self, rule: &str) {
         self.trace.rule_broken(self.now, rule);
-        self.broken.insert(rule.to_string());
+        self.violations.insert(rule.to_string());
     }
 
     fn break_rules(&mut self, rules: Vec<&str>) {
--- a/crates/model/src/world/script.rs
+++ b/crates/model/src/world/script.rs
@@ -4,7 +4,7 @@
 
 impl World {
     /// Lets time pass.
-    pub fn pass(&mut self, seconds: f64) {
+    pub fn advance(&mut self, seconds: f64) {
         let end = self.now + seconds;
         while self.now < end {
             self.step();
@@ -12,26 +12,26 @@
     }
 
     /// The store refuses one controller, and serves the others.
-    pub fn refuse(&mut self, i: usize, for_s: f64) {
+    pub fn refuse_controller(&mut self, i: usize, for_s: f64) {
         self.controllers[i].refused_until = self.now + for_s;
     }
 
     /// The store refuses everybody. Its leases keep.
-    pub fn outage(&mut self, for_s: f64) {
+    pub fn store_outage(&mut self, for_s: f64) {
         self.store_down_until = self.store_down_until.max(self.now + for_s);
     }
 
     /// A controller loses the store and the others, not its workers.
-    pub fn partition(&mut self, i: usize, for_s: f64) {
+    pub fn partition_controller(&mut self, i: usize, for_s: f64) {
         self.partitioned = Some(Partition {
             controller: i,
             until: self.now + for_s,
         });
-        self.cut(i, for_s);
+        self.disconnect_controller(i, for_s);
     }
 
     /// A controller finds its view too old and reloads all records, which takes `for_s`.
-    pub fn reload(&mut self, i: usize, for_s: f64) {
+    pub fn reload_records(&mut self, i: usize, for_s: f64) {
         let now = self.now;
         let controller = &mut self.controllers[i];
         controller.read = None;
@@ -60,38 +60,38 @@
     }
 
     /// Machines hang for a while, and then go on.
-    pub fn hang(&mut self, names: &[String], for_s: f64) {
+    pub fn hang_machines(&mut self, names: &[String], for_s: f64) {
         let until = self.now + for_s;
         self.on_machines(names, |worker| worker.hung_until = until);
     }
 
     /// Heartbeats of machines arrive, but the responses are lost.
-    pub fn cut_inbound(&mut self, names: &[String], for_s: f64) {
+    pub fn drop_responses(&mut self, names: &[String], for_s: f64) {
         let until = self.now + for_s;
         self.on_machines(names, |worker| worker.inbound_cut_until = until);
     }
 
     /// No heartbeat of machines arrives.
-    pub fn cut_outbound(&mut self, names: &[String], for_s: f64) {
+    pub fn drop_heartbeats(&mut self, names: &[String], for_s: f64) {
         let until = self.now + for_s;
         self.on_machines(names, |worker| worker.outbound_cut_until = until);
     }
 
     /// Machines die without notice.
-    pub fn kill(&mut self, names: &[String]) {
+    pub fn kill_machines(&mut self, names: &[String]) {
         self.on_machines(names, Worker::die);
     }
 
     /// A zone is cut off with its machines; a controller in it keeps them.
-    pub fn cut_zone(&mut self, zone: &str, controller: Option<usize>, for_s: f64) {
+    pub fn partition_zone(&mut self, zone: &str, controller: Option<usize>, for_s: f64) {
         let in_zone = self
             .workers
             .iter()
             .filter(|(_, worker)| worker.zone == zone);
         let names: Vec<String> = in_zone.map(|(name, _)| name.clone()).collect();
         match controller {
-            Some(i) => self.partition(i, for_s),
-            None => self.cut_outbound(&names, for_s),
+            Some(i) => self.partition_controller(i, for_s),
+            None => self.drop_heartbeats(&names, for_s),
         }
     }
 
@@ -104,7 +104,7 @@
     }
 
     /// Cancels a job of which every task is done, while no record says so yet.
-    pub fn cancel_at_end(&mut self) -> Option<String> {
+    pub fn cancel_completed_job(&mut self) -> Option<String> {
         let id = self.job_at_its_end()?;
         self.cancel(&id).then_some(id)
     }
--- a/crates/model/src/world/store.rs
+++ b/crates/model/src/world/store.rs
@@ -61,7 +61,7 @@
             let usual = if self.rng.u32(0..100) < 2 { 1.2 } else { 0.1 };
             self.controllers[i].read = Some(StoreRead {
                 sent: now,
-                answered_at: now + self.slow_reads + self.rng.f64() * usual,
+                answered_at: now + self.extra_read_s + self.rng.f64() * usual,
             });
         }
     }
@@ -76,7 +76,7 @@
     pub(super) fn terminal_jobs_read_at(&self, i: usize) -> f64 {
         let reads_no_ends = matches!(
             self.defect,
-            Defect::IgnoreCancel | Defect::ForgetCancelled | Defect::HalfDoneUnseen
+            Defect::IgnoreCancel | Defect::ForgetCancelled | Defect::FinishAtHalfUnseen
         );
         if reads_no_ends {
             return f64::MIN;
@@ -135,7 +135,7 @@
     fn carry_out_now(&mut self, leading: &mut LeadingController, write: PendingWrite) {
         let is_reached = self.reaches_store(leading.controller);
         let may_be_late = is_reached && key(&write.action).is_some();
-        if may_be_late && self.rng.u32(0..100) < self.late_writes {
+        if may_be_late && self.rng.u32(0..100) < self.late_write_percent {
             return self.postpone(&mut leading.leader, write);
         }
         let outcome = self.draw_outcome(is_reached, &write);
@@ -212,7 +212,7 @@
             return true;
         };
         let version = self.versions.get(&key).copied().unwrap_or(0);
-        self.defect == Defect::NoVersions || version == write.expected_version
+        self.defect == Defect::IgnoreVersions || version == write.expected_version
     }
 
     fn bump_version(&mut self, action: &Action) {
--- a/crates/model/src/world/transit.rs
+++ b/crates/model/src/world/transit.rs
@@ -103,9 +103,9 @@
     /// How long a message between a worker and a controller takes; none if it is lost.
     pub(super) fn delay(&mut self) -> Option<f64> {
         match self.rng.u32(0..100) {
-            n if n < self.lost => None,
+            n if n < self.lost_percent => None,
             // Held up in the network, possibly for longer than the sender waits.
-            n if n < self.lost + self.delayed => Some(2.0 + self.rng.f64() * 25.0),
+            n if n < self.lost_percent + self.delayed_percent => Some(2.0 + self.rng.f64() * 25.0),
             _ => Some(0.01 + self.rng.f64() * 0.2),
         }
     }
--- a/crates/model/src/world/workers.rs
+++ b/crates/model/src/world/workers.rs
@@ -317,7 +317,7 @@
             }
         }
         // Late copies, from seconds to well over a lease.
-        if self.rng.u32(0..100) < self.late_copies {
+        if self.rng.u32(0..100) < self.late_copy_percent {
             let delay = 1.0 + self.rng.f64() * self.config.lease_s * 3.0;
             self.send(now + delay, message(heartbeat));
         }
@@ -428,7 +428,7 @@
         if worker.is_some_and(|worker| worker.tasks.contains_key(&key)) {
             return;
         }
-        self.starts += 1;
+        self.tasks_started += 1;
         self.check_start(machine, &key.job, key.index);
         let task = SimTask::starting(self.now, self.saved_s(&key.job, key.index));
         if let Some(worker) = self.workers.get_mut(machine) {
--- a/crates/model/tests/chains.rs
+++ b/crates/model/tests/chains.rs
@@ -38,7 +38,7 @@
             "it never came to that\n{}",
             world.explain()
         );
-        world.pass(0.1);
+        world.advance(0.1);
     }
 }
 
@@ -47,8 +47,12 @@
 }
 
 fn ends_well(mut world: World, seed: u64, expected: [&'static str; 4]) {
-    world.calm(300.0);
-    assert!(world.broken.is_empty(), "seed {seed}: {:?}", world.broken);
+    world.run_until_done(300.0);
+    assert!(
+        world.violations.is_empty(),
+        "seed {seed}: {:?}",
+        world.violations
+    );
     assert_eq!(
         outcomes(&world),
         expected.map(Some),
@@ -68,14 +72,14 @@
 fn a_follower_confirms_a_cancellation_while_the_store_refuses_the_leader_and_then_is_down() {
     for seed in 0..SEEDS {
         let mut world = chain(seed);
-        world.hints = false;
+        world.cancel_hints = false;
         pass_until(&mut world, |world| world.leader_at().is_some());
         let leader = world.leader_at().unwrap_or(0);
-        world.refuse(leader, 8.0);
-        world.pass(0.3);
+        world.refuse_controller(leader, 8.0);
+        world.advance(0.3);
         assert!(world.cancel(&id(2)));
-        world.outage(40.0);
-        world.pass(45.0);
+        world.store_outage(40.0);
+        world.advance(45.0);
         ends_well(world, seed, ["done", "cancelled", "cancelled", "cancelled"]);
     }
 }
@@ -87,8 +91,8 @@
     for seed in 0..SEEDS * 2 {
         let mut world = chain(seed);
         let cancelled = loop {
-            world.pass(0.1);
-            if let Some(cancelled) = world.cancel_at_end() {
+            world.advance(0.1);
+            if let Some(cancelled) = world.cancel_completed_job() {
                 break cancelled == id(1);
             }
             if world.outcome(&id(1)).is_some() {
@@ -116,7 +120,9 @@
         for number in 1..4 {
             pass_until(&mut world, |world| world.outcome(&id(number)).is_some());
             let leader = world.leader_at();
-            leader.into_iter().for_each(|i| world.end(i, 0.4));
+            leader
+                .into_iter()
+                .for_each(|i| world.restart_controller(i, 0.4));
         }
         ends_well(world, seed, ["done"; 4]);
     }
@@ -129,8 +135,8 @@
     for seed in 0..SEEDS {
         let mut world = chain(seed);
         let machines = world.busy_machines(9);
-        world.hang(&machines, 30.0);
-        world.pass(40.0);
+        world.hang_machines(&machines, 30.0);
+        world.advance(40.0);
         ends_well(world, seed, ["done"; 4]);
     }
 }
@@ -143,11 +149,11 @@
         let mut world = chain(seed);
         pass_until(&mut world, |world| world.leader_at().is_some());
         assert!(world.cancel(&id(1)));
-        (0..3).for_each(|i| world.end(i, 1.0 + i as f64));
-        world.pass(5.0);
+        (0..3).for_each(|i| world.restart_controller(i, 1.0 + i as f64));
+        world.advance(5.0);
         // Submitted on a job that was cancelled long ago.
         world.submit(after(5, &[4], 2.0));
-        world.roll(4.0, 0.004);
+        world.rolling_restart(4.0, 0.004);
         assert_eq!(world.outcome(&id(5)), Some("cancelled"));
         ends_well(world, seed, ["cancelled"; 4]);
     }
@@ -159,8 +165,8 @@
     for seed in 0..SEEDS {
         let mut world = chain(seed);
         let i = seed as usize % 3;
-        world.partition(i, 15.0);
-        world.pass(20.0);
+        world.partition_controller(i, 15.0);
+        world.advance(20.0);
         ends_well(world, seed, ["done"; 4]);
     }
 }
--- a/crates/model/tests/common/mod.rs
+++ b/crates/model/tests/common/mod.rs
@@ -10,37 +10,37 @@
 /// one after the other by ones with smaller records; then quiet for `calm_s`.
 pub fn chained_day(seed: u64, defect: Defect, calm_s: f64) -> World {
     let mut world = World::new(seed, defect);
-    world.chained = 70;
-    world.delayed = 6;
-    world.late_copies = 6;
-    world.late_writes = 6;
-    world.live(50.0, 0.0);
-    world.roll(6.0, SMALL_VALUE_KB);
-    world.live(100.0, calm_s);
+    world.dependent_percent = 70;
+    world.delayed_percent = 6;
+    world.late_copy_percent = 6;
+    world.late_write_percent = 6;
+    world.run_random(50.0, 0.0);
+    world.rolling_restart(6.0, SMALL_VALUE_KB);
+    world.run_random(100.0, calm_s);
     world
 }
 
 /// A day on which controllers, the leader mostly, reload all records again and again.
 pub fn reloaded_day(seed: u64, defect: Defect) -> World {
     let mut world = World::new(seed, defect);
-    world.chained = 50;
+    world.dependent_percent = 50;
     for round in 0..12 {
-        world.live(6.0, 0.0);
+        world.run_random(6.0, 0.0);
         (0..3).for_each(|n| {
             world.submit(Job {
                 estimate_s: 1.0,
                 ..job(700 + 3 * round + n, "red", Shape::Array, 2, 1.0)
             })
         });
-        world.pass(2.0);
+        world.advance(2.0);
         let leader = world.leader_at().unwrap_or(0);
-        world.reload((leader + 1) % 3, 3.0);
-        world.reload(leader, 0.6);
-        world.pass(0.7);
+        world.reload_records((leader + 1) % 3, 3.0);
+        world.reload_records(leader, 0.6);
+        world.advance(0.7);
         // What the reload has left is not mended by a read at once.
-        world.outage(1.2);
-        world.pass(1.5);
+        world.store_outage(1.2);
+        world.advance(1.5);
     }
-    world.calm(300.0);
+    world.run_until_done(300.0);
     world
 }
--- a/crates/model/tests/leader_and_owner.rs
+++ b/crates/model/tests/leader_and_owner.rs
@@ -2,7 +2,7 @@
 
 use model::world::{
     job, lone_leader, machine_type, owner_of_one_machine, roster, roster_record, task_requirements,
-    task_status, UnknownJobs,
+    task_status, EmptyJobLookup,
 };
 use sched::config::{SchedulerConfig, Team};
 use sched::leader::{Action, Leader, OpenJob, PriorRuns};
@@ -59,25 +59,25 @@
 fn a_heartbeat_of_an_expired_lease_does_not_count_though_none_counted_before() {
     let mut owner = owner_of_host_1();
     assert!(
-        matches!(owner.on_heartbeat(&heartbeat(2, 57, 4), 10.5, &UnknownJobs), HeartbeatResponse::Orders(o) if o.token == 5 && o.orders.is_empty())
+        matches!(owner.on_heartbeat(&heartbeat(2, 57, 4), 10.5, &EmptyJobLookup), HeartbeatResponse::Orders(o) if o.token == 5 && o.orders.is_empty())
     );
     owner.tick(10.5 + config().lease_expiry_s() + 0.1);
     owner.drain();
     assert_eq!(
-        owner.on_heartbeat(&heartbeat(2, 58, 5), 25.0, &UnknownJobs),
+        owner.on_heartbeat(&heartbeat(2, 58, 5), 25.0, &EmptyJobLookup),
         HeartbeatResponse::Unavailable
     );
     // The worker itself is back, in a new incarnation, and learns the token first.
     assert!(matches!(
-        owner.on_heartbeat(&heartbeat(3, 60, 4), 26.0, &UnknownJobs),
+        owner.on_heartbeat(&heartbeat(3, 60, 4), 26.0, &EmptyJobLookup),
         HeartbeatResponse::Orders(_)
     ));
     assert_eq!(
-        owner.on_heartbeat(&heartbeat(2, 59, 5), 26.5, &UnknownJobs),
+        owner.on_heartbeat(&heartbeat(2, 59, 5), 26.5, &EmptyJobLookup),
         HeartbeatResponse::Unavailable
     );
     assert!(matches!(
-        owner.on_heartbeat(&heartbeat(3, 61, 5), 27.0, &UnknownJobs),
+        owner.on_heartbeat(&heartbeat(3, 61, 5), 27.0, &EmptyJobLookup),
         HeartbeatResponse::Orders(_)
     ));
     owner.tick(28.0);
--- a/crates/model/tests/overlapping_faults.rs
+++ b/crates/model/tests/overlapping_faults.rs
@@ -9,7 +9,7 @@
 /// outlast `cancel_s` and every fault.
 fn busy(seed: u64, defect: Defect, config: SchedulerConfig) -> World {
     let mut world = World::with(seed, defect, config);
-    world.late_copies = 5;
+    world.late_copy_percent = 5;
     for i in 1..=4 {
         let team = if i % 2 == 0 { "red" } else { "blue" };
         world.submit(Job {
@@ -22,7 +22,7 @@
         });
         world.submit(job(20 + i, team, Shape::Array, 6, 1.0));
     }
-    world.pass(25.0);
+    world.advance(25.0);
     assert!(
         !world.busy_machines(1).is_empty(),
         "seed {seed}: nothing runs"
@@ -39,12 +39,15 @@
     for seed in 0..seeds {
         let mut world = busy(seed, Defect::None, config.clone());
         script(&mut world);
-        assert!(world.cancelled > 0, "seed {seed}: nothing was cancelled");
-        world.calm(400.0);
         assert!(
-            world.broken.is_empty(),
+            world.cancellations > 0,
+            "seed {seed}: nothing was cancelled"
+        );
+        world.run_until_done(400.0);
+        assert!(
+            world.violations.is_empty(),
             "seed {seed}: {:?}\n{}",
-            world.broken,
+            world.violations,
             world.explain()
         );
         assert_eq!(
@@ -69,21 +72,21 @@
     (0..DEFECT_SEEDS).any(|seed| {
         let mut world = busy(seed, defect, config.clone());
         script(&mut world);
-        world.pass(60.0);
-        world.broken.contains(rule)
+        world.advance(60.0);
+        world.violations.contains(rule)
     })
 }
 
 /// Users cancel jobs until one is confirmed.
 fn cancel_one(world: &mut World) {
     while world.cancel_running(1).is_empty() {
-        world.pass(0.5);
+        world.advance(0.5);
     }
 }
 
 fn leader(world: &mut World) -> usize {
     while world.leader_at().is_none() {
-        world.pass(0.1);
+        world.advance(0.1);
     }
     world.leader_at().unwrap_or(0)
 }
@@ -92,12 +95,12 @@
 fn gap(world: &mut World, refused_s: f64, out_s: f64) {
     let leading = leader(world);
     // It is served again when the others are.
-    world.refuse(leading, refused_s + out_s / 2.0);
-    world.pass(refused_s / 2.0);
+    world.refuse_controller(leading, refused_s + out_s / 2.0);
+    world.advance(refused_s / 2.0);
     world.cancel_running(2);
-    world.pass(refused_s / 2.0);
-    world.outage(out_s);
-    world.pass(out_s + 0.5);
+    world.advance(refused_s / 2.0);
+    world.store_outage(out_s);
+    world.advance(out_s + 0.5);
 }
 
 #[test]
@@ -111,7 +114,7 @@
             (3.0, 1.3 * cancel),
         ] {
             meeting(4, |world| {
-                world.hints = hints;
+                world.cancel_hints = hints;
                 gap(world, refused_s, out_s);
             });
         }
@@ -120,13 +123,13 @@
 
 /// The store serves renewals between outages, but no read in time; nobody tells the leader.
 fn slow_gaps(world: &mut World) {
-    world.hints = false;
-    world.slow_reads = 2.5;
-    world.lost = 0;
-    world.pass(2.0);
+    world.cancel_hints = false;
+    world.extra_read_s = 2.5;
+    world.lost_percent = 0;
+    world.advance(2.0);
     for _ in 0..10 {
         gap(world, 0.8, 0.4 * config().lease_s);
-        world.pass(0.5);
+        world.advance(0.5);
     }
 }
 
@@ -136,7 +139,7 @@
     meeting(6, slow_gaps);
     meeting(4, |world| {
         gap(world, 1.0, 1.2 * config().cancel_s);
-        world.pass(2.0);
+        world.advance(2.0);
         gap(world, 1.0, 1.2 * config().cancel_s);
     });
 }
@@ -146,30 +149,30 @@
     // The controller that confirmed ends right after.
     meeting(4, |world| {
         let leading = leader(world);
-        world.refuse(leading, 10.0);
-        world.pass(0.5);
+        world.refuse_controller(leading, 10.0);
+        world.advance(0.5);
         world.cancel_running(4);
         (0..3)
             .filter(|i| *i != leading)
-            .for_each(|i| world.end(i, 0.4));
-        world.pass(0.5);
-        world.outage(1.3 * config().cancel_s);
-        world.pass(1.4 * config().cancel_s);
+            .for_each(|i| world.restart_controller(i, 0.4));
+        world.advance(0.5);
+        world.store_outage(1.3 * config().cancel_s);
+        world.advance(1.4 * config().cancel_s);
     });
     // The leader is cut from its peers as well.
     meeting(4, |world| {
         let leading = leader(world);
-        world.partition(leading, 14.0);
-        world.pass(0.6);
+        world.partition_controller(leading, 14.0);
+        world.advance(0.6);
         world.cancel_running(4);
-        world.pass(0.6);
-        world.outage(1.3 * config().cancel_s);
-        world.pass(1.4 * config().cancel_s);
+        world.advance(0.6);
+        world.store_outage(1.3 * config().cancel_s);
+        world.advance(1.4 * config().cancel_s);
     });
     // Machines hang through its start, and go on within their leases.
     meeting(4, |world| {
         let names = world.busy_machines(6);
-        world.hang(&names, 6.0);
+        world.hang_machines(&names, 6.0);
         gap(world, 1.0, 1.3 * config().cancel_s);
     });
 }
@@ -186,34 +189,34 @@
 fn a_leader_ends_while_machines_with_long_tasks_cannot_be_reached() {
     meeting(6, |world| {
         let names = world.busy_machines(5);
-        world.cut_outbound(&names, 7.0);
+        world.drop_heartbeats(&names, 7.0);
         let leading = leader(world);
-        world.end(leading, 4.0);
-        world.pass(6.0);
+        world.restart_controller(leading, 4.0);
+        world.advance(6.0);
         // Now their heartbeats arrive, but not the next leader's responses.
-        world.cut_inbound(&names, 12.0);
+        world.drop_responses(&names, 12.0);
         let leading = leader(world);
-        world.end(leading, 0.1);
-        world.pass(0.3);
+        world.restart_controller(leading, 0.1);
+        world.advance(0.3);
         cancel_one(world);
-        world.pass(25.0);
+        world.advance(25.0);
     });
 }
 
 #[test]
 fn old_heartbeats_arrive_after_newer_ones_and_at_later_leaders() {
     meeting(8, |world| {
-        (world.late_copies, world.delayed) = (60, 20);
+        (world.late_copy_percent, world.delayed_percent) = (60, 20);
         for i in 0..5 {
             let leading = leader(world);
-            world.end(leading, if i % 2 == 0 { 0.1 } else { 3.0 });
-            world.pass(5.0);
+            world.restart_controller(leading, if i % 2 == 0 { 0.1 } else { 3.0 });
+            world.advance(5.0);
             world.cancel_running(1);
         }
         // Machines begin a new incarnation meanwhile.
         let names = world.busy_machines(4);
-        world.cut_outbound(&names, 10.0);
-        world.pass(25.0);
+        world.drop_heartbeats(&names, 10.0);
+        world.advance(25.0);
     });
 }
 
@@ -226,16 +229,20 @@
         for i in 0..60 {
             world.submit(job(100 + i, "red", Shape::Array, 1 + i % 3, 1.0));
             for _ in 0..8 {
-                world.pass(0.1);
-                cancelled.extend(world.cancel_at_end());
+                world.advance(0.1);
+                cancelled.extend(world.cancel_completed_job());
             }
             if i == 30 {
                 let leading = leader(&mut world);
-                world.end(leading, 0.4);
+                world.restart_controller(leading, 0.4);
             }
         }
-        world.calm(300.0);
-        assert!(world.broken.is_empty(), "seed {seed}: {:?}", world.broken);
+        world.run_until_done(300.0);
+        assert!(
+            world.violations.is_empty(),
+            "seed {seed}: {:?}",
+            world.violations
+        );
         // One winner: whoever wrote first, and so it stays; nobody can cancel it again.
         met += cancelled.len();
         assert!(cancelled
@@ -261,10 +268,10 @@
     meeting(6, |world| {
         for back in [0.1, 0.4, 0.9] {
             let leading = leader(world);
-            world.end(leading, back);
-            world.pass(2.5);
-            (0..3).for_each(|i| world.end(i, if i == 1 { back } else { 5.0 }));
-            world.pass(3.0);
+            world.restart_controller(leading, back);
+            world.advance(2.5);
+            (0..3).for_each(|i| world.restart_controller(i, if i == 1 { back } else { 5.0 }));
+            world.advance(3.0);
             world.cancel_running(1);
         }
     });
@@ -274,10 +281,12 @@
 fn all_controllers_are_away_for_longer_than_a_lease() {
     meeting(6, |world| {
         world.cancel_running(2);
-        (0..3).for_each(|i| world.end(i, if i == 0 { 1.3 * config().lease_s } else { 20.0 }));
-        world.pass(1.2 * config().lease_s);
+        (0..3).for_each(|i| {
+            world.restart_controller(i, if i == 0 { 1.3 * config().lease_s } else { 20.0 })
+        });
+        world.advance(1.2 * config().lease_s);
         assert!(world.lease_expiries > 0);
-        world.pass(15.0);
+        world.advance(15.0);
         world.cancel_running(1);
     });
 }
@@ -285,7 +294,7 @@
 #[test]
 fn more_work_than_capacity_over_slow_links() {
     meeting(3, |world| {
-        world.delayed = 12;
+        world.delayed_percent = 12;
         for i in 0..40 {
             let team = if i % 2 == 0 { "red" } else { "blue" };
             let shape = if i % 4 == 0 {
@@ -300,12 +309,12 @@
                 wire::users::Priority::BestEffort
             };
             world.submit(spec);
-            world.pass(0.5);
+            world.advance(0.5);
         }
         world.cancel_running(3);
-        world.delayed = 0;
+        world.delayed_percent = 0;
         let leading = leader(world);
-        world.end(leading, 4.0);
+        world.restart_controller(leading, 4.0);
     });
 }
 
@@ -319,16 +328,16 @@
                 ..job(300 + i, "red", Shape::Array, 8, 2.0)
             })
         });
-        world.pass(15.0);
+        world.advance(15.0);
         let names = world.busy_machines(4);
-        world.hang(&names, 7.5);
+        world.hang_machines(&names, 7.5);
         let leading = leader(world);
-        world.end(leading, 4.0);
-        world.pass(0.7);
+        world.restart_controller(leading, 4.0);
+        world.advance(0.7);
         world.cancel_running(4);
-        world.pass(1.5);
+        world.advance(1.5);
         world.cancel_running(2);
-        world.pass(30.0);
+        world.advance(30.0);
     });
 }
 
@@ -337,10 +346,10 @@
     meeting(6, |world| {
         let leading = leader(world);
         for inside in [Some(leading), None, Some((leading + 1) % 3)] {
-            world.cut_zone("a", inside, 1.5 * config().lease_s);
-            world.pass(3.0);
+            world.partition_zone("a", inside, 1.5 * config().lease_s);
+            world.advance(3.0);
             world.cancel_running(2);
-            world.pass(1.5 * config().lease_s);
+            world.advance(1.5 * config().lease_s);
         }
     });
 }
@@ -350,12 +359,12 @@
     meeting(8, |world| {
         for _ in 0..3 {
             let leading = leader(world);
-            world.partition(leading, 25.0);
-            world.pass(1.0);
+            world.partition_controller(leading, 25.0);
+            world.advance(1.0);
             world.cancel_running(2);
-            world.pass(4.0);
+            world.advance(4.0);
             world.cancel_running(2);
-            world.pass(23.0);
+            world.advance(23.0);
         }
     });
 }
@@ -382,15 +391,15 @@
             zone: Some("a".into()),
             ..zoned(9, Shape::Array)
         });
-        world.pass(6.0);
+        world.advance(6.0);
         let names = world.busy_machines(4);
-        world.cut_outbound(&names, 9.0);
-        world.pass(1.0);
+        world.drop_heartbeats(&names, 9.0);
+        world.advance(1.0);
         cancel_one(world);
-        world.kill(&names[..names.len().min(2)]);
+        world.kill_machines(&names[..names.len().min(2)]);
         let leading = leader(world);
-        world.end(leading, 0.4);
-        world.pass(25.0);
+        world.restart_controller(leading, 0.4);
+        world.advance(25.0);
     });
 }
 
@@ -404,17 +413,17 @@
                 ..job(500 + i, "blue", Shape::Array, 2 + i % 2, 1.0)
             });
         }
-        world.pass(5.0);
+        world.advance(5.0);
         let names = world.busy_machines(3);
-        world.hang(&names, 6.0);
+        world.hang_machines(&names, 6.0);
         cancel_one(world);
-        world.pass(3.0);
+        world.advance(3.0);
         let leading = leader(world);
-        world.end(leading, 4.0);
-        world.pass(2.0);
+        world.restart_controller(leading, 4.0);
+        world.advance(2.0);
         let leading = leader(world);
-        world.refuse(leading, 4.0);
-        world.pass(10.0);
+        world.refuse_controller(leading, 4.0);
+        world.advance(10.0);
     });
 }
 
@@ -428,15 +437,15 @@
         ..config()
     };
     let script = |world: &mut World| {
-        world.hints = false;
+        world.cancel_hints = false;
         world.cancel_running(6);
         for i in 0..20 {
             let leading = leader(world);
-            world.end(leading, 0.4);
+            world.restart_controller(leading, 0.4);
             if i == 12 {
-                world.outage(5.0);
+                world.store_outage(5.0);
             }
-            world.pass(2.5);
+            world.advance(2.5);
         }
     };
     meeting_with(6, slow.clone(), script);
@@ -449,19 +458,19 @@
 /// The leader freezes while its clock runs on, once with a response that it has just decided, and jobs
 /// are cancelled through the others; then it goes on.
 fn standstills(world: &mut World) {
-    world.hints = false;
+    world.cancel_hints = false;
     let lease = config().lease_s;
     for for_s in [0.4, 1.5, 0.4 * lease, 0.8 * lease, 1.2 * lease] {
         let leading = leader(world);
-        world.freeze_with_response(leading, for_s);
-        world.pass(0.5);
+        world.freeze_before_next_response(leading, for_s);
+        world.advance(0.5);
         world.cancel_running(1);
-        world.pass(for_s);
+        world.advance(for_s);
         let other = (leader(world) + 1) % 3;
-        world.freeze(other, for_s);
-        world.pass(for_s / 2.0);
+        world.freeze_controller(other, for_s);
+        world.advance(for_s / 2.0);
         world.cancel_running(1);
-        world.pass(for_s);
+        world.advance(for_s);
     }
 }
 
@@ -486,10 +495,10 @@
     for for_s in [0.5 * lease, 1.2 * lease, 1.2 * cancel] {
         meeting(4, |world| {
             world.cancel_running(2);
-            (0..3).for_each(|i| world.freeze(i, for_s));
-            world.pass(for_s + 0.2);
+            (0..3).for_each(|i| world.freeze_controller(i, for_s));
+            world.advance(for_s + 0.2);
             world.cancel_running(1);
-            world.pass(5.0);
+            world.advance(5.0);
         });
     }
 }
@@ -498,13 +507,13 @@
 fn machines_reach_no_controller_or_hear_none_while_the_leader_changes() {
     meeting(6, |world| {
         let names = world.busy_machines(6);
-        world.cut_outbound(&names[..names.len() / 2], 20.0);
-        world.cut_inbound(&names[names.len() / 2..], 20.0);
-        world.pass(2.0);
+        world.drop_heartbeats(&names[..names.len() / 2], 20.0);
+        world.drop_responses(&names[names.len() / 2..], 20.0);
+        world.advance(2.0);
         world.cancel_running(3);
         let leading = leader(world);
-        world.end(leading, 0.4);
-        world.pass(30.0);
+        world.restart_controller(leading, 0.4);
+        world.advance(30.0);
     });
 }
 
@@ -513,17 +522,17 @@
     meeting(8, |world| {
         for i in 0..6 {
             (0..2).for_each(|n| world.submit(job(600 + 2 * i + n, "red", Shape::Array, 2, 1.0)));
-            world.pass(1.2);
+            world.advance(1.2);
             let names = world.busy_machines(8);
-            world.hang(&names, 2.0 + f64::from(i));
+            world.hang_machines(&names, 2.0 + f64::from(i));
             world.cancel_running(1);
-            world.pass(8.0);
+            world.advance(8.0);
         }
     });
 }
 
 fn late_writes(world: &mut World) {
-    world.late_writes = 25;
+    world.late_write_percent = 25;
     for i in 0..30 {
         let shape = if i % 3 == 0 {
             Shape::Gang
@@ -534,16 +543,16 @@
             estimate_s: 12.0,
             ..job(700 + i, "blue", shape, 2, 2.0)
         });
-        world.pass(2.0);
+        world.advance(2.0);
         if i % 10 == 9 {
             let names = world.busy_machines(2);
-            world.kill(&names);
+            world.kill_machines(&names);
             cancel_one(world);
             let leading = leader(world);
-            world.end(leading, 0.4);
+            world.restart_controller(leading, 0.4);
         }
     }
-    world.late_writes = 0;
+    world.late_write_percent = 0;
     assert!(world.faults[&Fault::LateWrite] > 5, "{:?}", world.faults);
 }
 
@@ -556,7 +565,7 @@
 fn writes_without_expected_versions_are_noticed() {
     // An old page of the roster or an old binding makes the next leader start tasks again.
     assert!(
-        breaks("ran_twice", Defect::NoVersions, config(), late_writes),
+        breaks("ran_twice", Defect::IgnoreVersions, config(), late_writes),
         "it went unnoticed"
     );
 }
@@ -564,18 +573,18 @@
 /// Work of the other team keeps machines in use that have capacity to spare.
 #[test]
 fn letting_work_wait_beside_free_capacity_is_noticed() {
-    let mut world = busy(1, Defect::NeverRed, config());
+    let mut world = busy(1, Defect::HideRedArrays, config());
     (0..3).for_each(|i| {
         world.submit(Job {
             estimate_s: 200.0,
             ..job(800 + i, "blue", Shape::Array, 3, 1.0)
         })
     });
-    world.calm(150.0);
+    world.run_until_done(150.0);
     assert!(
-        world.broken.contains("waits"),
+        world.violations.contains("waits"),
         "it went unnoticed: {:?}",
-        world.broken
+        world.violations
     );
 }
 
@@ -586,14 +595,14 @@
         for i in 0..6 {
             world.submit(job(900 + i, "red", Shape::Array, 12, 2.0));
         }
-        world.pass(2.0);
+        world.advance(2.0);
         assert!(
             (900..906)
                 .filter(|i| world.cancel(&format!("wk-{i:06}")))
                 .count()
                 > 0
         );
-        world.pass(30.0);
+        world.advance(30.0);
     };
     assert!(
         breaks("started_cancelled", Defect::IgnoreCancel, config(), script),
--- a/crates/model/tests/plain.rs
+++ b/crates/model/tests/plain.rs
@@ -3,7 +3,7 @@
 // The helpers of these tests unwrap as the tests do.
 #![allow(clippy::unwrap_used)]
 
-use model::plain::*;
+use model::reference::*;
 use model::world::{
     config, job, lone_leader, machine_status, machine_type, machine_types, roster, roster_record,
 };
@@ -65,12 +65,12 @@
 const CPUS_AND_MEMORY_OF_LARGE: (f64, f64) = (16.0, 64.0);
 
 /// An empty machine of the plain model.
-fn plain_machine(name: &str, kind: &str) -> Plain {
+fn plain_machine(name: &str, kind: &str) -> ReferenceMachine {
     let (cpus, memory_gb) = match kind {
         "small" => CPUS_AND_MEMORY_OF_SMALL,
         _ => CPUS_AND_MEMORY_OF_LARGE,
     };
-    Plain {
+    ReferenceMachine {
         name: name.into(),
         cpus,
         memory_gb,
@@ -143,7 +143,7 @@
             continue;
         }
         let plain = machines.iter();
-        let mut plain: Vec<Plain> = plain
+        let mut plain: Vec<ReferenceMachine> = plain
             .map(|(name, kind)| plain_machine(name, kind))
             .collect();
         let want = place(&mut plain, &by_guarantee(&jobs), limit);
--- a/crates/model/tests/preemption.rs
+++ b/crates/model/tests/preemption.rs
@@ -1,7 +1,7 @@
 //! Resources taken back for gangs of several tasks: for the whole gang or not at all.
 
 use model::world::{
-    config_that_keeps_machines, job, lone_leader, machine_status, machine_type, machine_types,
+    config_without_deprovisioning, job, lone_leader, machine_status, machine_type, machine_types,
     roster, roster_record,
 };
 use sched::leader::{Action, Leader, OpenJob, PriorRuns};
@@ -45,7 +45,7 @@
         let open =
             |job: Job, revision, prior_runs| OpenJob::new(Rc::new(job), revision, prior_runs);
         let leader = lone_leader(
-            config_that_keeps_machines(),
+            config_without_deprovisioning(),
             vec![machine_type("small", 4.0, 16.0, 0.3)],
             vec![open(array, 1, PriorRuns::Anywhere)],
             1,
@@ -243,7 +243,7 @@
     let roster = roster(["host-9"], &roster_record("large"));
     let open = |job: Job, revision, prior_runs| OpenJob::new(Rc::new(job), revision, prior_runs);
     let mut leader = lone_leader(
-        config_that_keeps_machines(),
+        config_without_deprovisioning(),
         machine_types(),
         vec![open(large_only, 1, PriorRuns::Anywhere)],
         1,
--- a/crates/model/tests/scale_out.rs
+++ b/crates/model/tests/scale_out.rs
@@ -1,7 +1,7 @@
 //! Which machines are provisioned for a queue, when some types are kept for gangs and the cloud refuses.
 
 use model::world::{
-    config_that_keeps_machines, job, lone_leader, machine_status, machine_types, roster,
+    config_without_deprovisioning, job, lone_leader, machine_status, machine_types, roster,
     roster_record, unlimited_teams,
 };
 use sched::config::SchedulerConfig;
@@ -24,7 +24,7 @@
     fn new(machines: usize) -> Scene {
         let config = SchedulerConfig {
             teams: unlimited_teams(&["red"]),
-            ..config_that_keeps_machines()
+            ..config_without_deprovisioning()
         };
         let machines: Vec<String> = (0..machines).map(|n| format!("host-{n}")).collect();
         let roster = roster(machines.clone(), &roster_record("small"));
--- a/crates/model/tests/staleness.rs
+++ b/crates/model/tests/staleness.rs
@@ -2,7 +2,7 @@
 //! stopped.
 
 use model::world::{
-    config, owner_of_one_machine, roster, roster_record, task_requirements, UnknownJobs,
+    config, owner_of_one_machine, roster, roster_record, task_requirements, EmptyJobLookup,
 };
 use sched::authority::Authority;
 use sched::config::SchedulerConfig;
@@ -116,7 +116,7 @@
         wait_ms: 60_000,
     };
     owner.drain();
-    owner.on_leader_message(reserve, now, &UnknownJobs);
+    owner.on_leader_message(reserve, now, &EmptyJobLookup);
     let answered = owner.drain().into_iter().find_map(|message| match message {
         ToLeader::ReserveResult { reserved, .. } => Some(reserved),
         _ => None,
@@ -249,16 +249,16 @@
 #[test]
 fn an_owner_with_a_stale_view_knows_what_it_started() {
     let mut owner = owner_with_fresh_view();
-    owner.on_heartbeat(&heartbeat(1, 5, None), 11.0, &UnknownJobs);
-    owner.on_leader_message(assign(), 11.0, &UnknownJobs);
+    owner.on_heartbeat(&heartbeat(1, 5, None), 11.0, &EmptyJobLookup);
+    owner.on_leader_message(assign(), 11.0, &EmptyJobLookup);
     assert_eq!(
-        orders(owner.on_heartbeat(&heartbeat(2, 5, None), 11.5, &UnknownJobs)).len(),
+        orders(owner.on_heartbeat(&heartbeat(2, 5, None), 11.5, &EmptyJobLookup)).len(),
         1
     );
     owner.on_heartbeat(
         &heartbeat(3, 5, Some(TaskState::Running)),
         12.0,
-        &UnknownJobs,
+        &EmptyJobLookup,
     );
     assert!(reserves(&mut owner, 8, 3.0, 12.0));
     assert!(
@@ -270,7 +270,7 @@
     owner.on_heartbeat(
         &heartbeat(1, 5, Some(TaskState::Running)),
         11.0,
-        &UnknownJobs,
+        &EmptyJobLookup,
     );
     assert!(!reserves(&mut owner, 8, 1.0, 11.0));
 }
@@ -290,8 +290,8 @@
         let is_start = |order: &&Order| matches!(order, Order::Start { .. });
         orders.iter().filter(is_start).count()
     };
-    assert_eq!(starts(false, &UnknownJobs, "wk-3"), 1);
-    assert_eq!(starts(true, &UnknownJobs, "wk-3"), 0);
+    assert_eq!(starts(false, &EmptyJobLookup, "wk-3"), 1);
+    assert_eq!(starts(true, &EmptyJobLookup, "wk-3"), 0);
     assert_eq!(starts(false, &TERMINAL, "wk-1"), 0);
     assert_eq!(starts(false, &OPEN, "wk-1"), 1);
 }
--- a/crates/model/tests/trace.rs
+++ b/crates/model/tests/trace.rs
@@ -14,17 +14,17 @@
 /// A day with every fault at random, then quiet.
 fn plain_day(seed: u64) -> World {
     let mut world = World::new(seed, Defect::None);
-    world.live(150.0, 60.0);
+    world.run_random(150.0, 60.0);
     world
 }
 
 /// The same with many messages and writes that come late or twice.
 fn late_day(seed: u64) -> World {
     let mut world = World::new(seed, Defect::None);
-    world.delayed = 15;
-    world.late_copies = 15;
-    world.late_writes = 15;
-    world.live(150.0, 60.0);
+    world.delayed_percent = 15;
+    world.late_copy_percent = 15;
+    world.late_write_percent = 15;
+    world.run_random(150.0, 60.0);
     world
 }
 
@@ -43,27 +43,27 @@
             estimate_s: 8.0,
             ..job(round, team, shape, 1 + round % 3, f64::from(1 + round % 4))
         });
-        world.pass(1.5);
+        world.advance(1.5);
         if round % 13 == 0 {
             world.cancel_running(1);
         }
     }
-    world.calm(200.0);
+    world.run_until_done(200.0);
     world
 }
 
 /// Many machine types, few of each: notices, checkpoints, GPUs, work that is stopped for other teams' or
 /// for more urgent work, and quiet spells in which machines are returned. Every other day has faults, too.
 fn rich_day(seed: u64) -> World {
-    let mut world = World::rich(seed);
-    world.live_richly(15.0, 50, false);
+    let mut world = World::heterogeneous(seed);
+    world.run_heterogeneous(15.0, 50, false);
     world.submit_bulk(&["small", "steady"]);
-    world.live_richly(45.0, 40, false);
-    world.live_richly(60.0, 0, false);
+    world.run_heterogeneous(45.0, 40, false);
+    world.run_heterogeneous(60.0, 0, false);
     world.submit_bulk(&["small", "costly"]);
-    world.live_richly(60.0, 50, seed % 2 == 1);
-    world.calm(300.0);
-    world.pass(45.0);
+    world.run_heterogeneous(60.0, 50, seed % 2 == 1);
+    world.run_until_done(300.0);
+    world.advance(45.0);
     let happened = |event| world.cloud_events.get(&event).copied().unwrap_or(0);
     for event in [
         CloudEvent::PreemptionNotice,
@@ -75,7 +75,7 @@
         assert!(happened(event) > 0, "no {event:?} on day {seed}");
     }
     assert_eq!(
-        world.broken,
+        world.violations,
         Default::default(),
         "rules broken on day {seed}"
     );
--- a/crates/model/tests/waits.rs
+++ b/crates/model/tests/waits.rs
@@ -1,7 +1,7 @@
 //! Work that waits: for how long at most, and what is never placed.
 
 use model::world::{
-    config, config_that_keeps_machines, job, lone_leader, machine_status, machine_type, roster,
+    config, config_without_deprovisioning, job, lone_leader, machine_status, machine_type, roster,
     roster_record, task_status, Defect, World,
 };
 use sched::config::SchedulerConfig;
@@ -26,7 +26,7 @@
         heartbeat_s: 10.0,
         lease_s: 45.0,
         cancel_s: 75.0,
-        ..config_that_keeps_machines()
+        ..config_without_deprovisioning()
     };
     let spec = Rc::new(job(1, "red", Shape::Array, 1, 1.0));
     let open = OpenJob::new(spec, 1, PriorRuns::Anywhere);
@@ -71,12 +71,12 @@
     for seed in 0..4 {
         let mut world = World::new(seed, Defect::None);
         world.submit(both(1, Shape::Gang, 2));
-        world.pass(60.0);
-        assert_eq!(world.provisioned(), 0, "seed {seed}");
+        world.advance(60.0);
+        assert_eq!(world.machines_provisioned(), 0, "seed {seed}");
         world.submit(both(2, Shape::Array, 4));
         world.submit(both(3, Shape::Gang, 1));
         world.submit(job(4, "red", Shape::Gang, 3, 1.0));
-        world.pass(120.0);
+        world.advance(120.0);
         assert_eq!(
             world.open_jobs(),
             ["wk-000001"],
@@ -84,11 +84,11 @@
             world.explain()
         );
         assert!(world.cancel("wk-000001"));
-        world.calm(30.0);
+        world.run_until_done(30.0);
         assert!(
-            world.broken.is_empty() && world.open_jobs().is_empty(),
+            world.violations.is_empty() && world.open_jobs().is_empty(),
             "seed {seed}: {:?}",
-            world.broken
+            world.violations
         );
     }
 }
@@ -175,7 +175,7 @@
     let hosts: Vec<String> = (1..=4).map(|i| format!("host-{i}")).collect();
     let roster = roster(hosts.clone(), &roster_record("small"));
     let jobs = vec![open(1, 1), open(2, 2)];
-    let config = config_that_keeps_machines();
+    let config = config_without_deprovisioning();
     let mut leader = lone_leader(config, small_type(), jobs, 2, &roster);
     let (mut now, mut assigned, mut bad) = (0.0, Vec::new(), Vec::new());
     let mut waiting: BTreeMap<String, Vec<TaskStatus>> = BTreeMap::new();
@@ -288,7 +288,7 @@
     };
     let roster = roster(["host-1", "host-2"], &roster_record("small"));
     let jobs = vec![open(1, 1), open(2, 2), open(3, 3)];
-    let config = config_that_keeps_machines();
+    let config = config_without_deprovisioning();
     let mut leader = lone_leader(config, small_type(), jobs, 3, &roster);
     let task = |job: u32, index| TaskRef {
         job: format!("wk-{job:06}"),
--- a/crates/model/tests/world.rs
+++ b/crates/model/tests/world.rs
@@ -16,15 +16,19 @@
     let (mut starts, mut cancelled_with_others, mut blocked) = (0, 0, 0);
     for seed in 0..40 {
         let world = chained_day(seed, Defect::None, CALM_S);
-        assert!(world.broken.is_empty(), "seed {seed}: {:?}", world.broken);
+        assert!(
+            world.violations.is_empty(),
+            "seed {seed}: {:?}",
+            world.violations
+        );
         assert_eq!(
             world.open_jobs(),
             Vec::<String>::new(),
             "seed {seed}\n{}",
             world.explain()
         );
-        starts += world.starts;
-        cancelled_with_others += world.cancelled_with_others;
+        starts += world.tasks_started;
+        cancelled_with_others += world.cancelled_by_dependency;
         let times = world.job_times();
         let was_blocked = |times: &&JobTimes| times.ready.is_some_and(|at| at > times.accepted);
         blocked += times.values().filter(was_blocked).count();
@@ -37,13 +41,13 @@
 
 #[test]
 fn starting_before_dependencies_are_done_is_noticed() {
-    let broken = chained_day(1, Defect::StartBlocked, CALM_S).broken;
+    let broken = chained_day(1, Defect::StartBlocked, CALM_S).violations;
     assert!(broken.contains("too_early"), "{broken:?}");
 }
 
 #[test]
 fn taking_a_job_for_open_though_its_dependency_is_cancelled_is_noticed() {
-    let broken = chained_day(1, Defect::IgnoreChains, CALM_S).broken;
+    let broken = chained_day(1, Defect::IgnoreCancelledDependencies, CALM_S).violations;
     assert!(broken.contains("orphaned"), "{broken:?}");
 }
 
@@ -51,13 +55,13 @@
     let (mut broken, mut starts, mut leaders) = (BTreeSet::new(), 0, 0);
     for seed in seeds {
         let mut world = World::new(seed, defect);
-        world.delayed = delayed;
-        world.late_copies = delayed;
-        world.late_writes = delayed;
-        world.live(150.0, 60.0);
-        broken.append(&mut world.broken);
-        starts += world.starts;
-        leaders += world.leaders;
+        world.delayed_percent = delayed;
+        world.late_copy_percent = delayed;
+        world.late_write_percent = delayed;
+        world.run_random(150.0, 60.0);
+        broken.append(&mut world.violations);
+        starts += world.tasks_started;
+        leaders += world.leaders_elected;
     }
     (broken, starts, leaders)
 }
@@ -81,15 +85,19 @@
 fn all_work_is_done_once_faults_end() {
     for seed in 100..180 {
         let mut world = World::new(seed, Defect::None);
-        world.live(100.0, 300.0);
+        world.run_random(100.0, 300.0);
         assert_eq!(
             world.open_jobs(),
             Vec::<String>::new(),
             "seed {seed}\n{}",
             world.explain()
         );
-        assert!(world.broken.is_empty(), "seed {seed}: {:?}", world.broken);
-        assert!(world.done > 10);
+        assert!(
+            world.violations.is_empty(),
+            "seed {seed}: {:?}",
+            world.violations
+        );
+        assert!(world.jobs_done > 10);
     }
 }
 
@@ -120,12 +128,12 @@
                 2.0,
             ))
         });
-        while world.starts < 3 {
+        while world.tasks_started < 3 {
             world.step();
         }
         let mut unreachable = world.machines();
         unreachable.truncate(2);
-        world.cut_inbound(&unreachable, 1e9);
+        world.drop_responses(&unreachable, 1e9);
         (9..17).for_each(|i| {
             world.submit(job(
                 i,
@@ -149,7 +157,7 @@
             "seed {seed}\n{}",
             world.explain()
         );
-        assert!(world.broken.is_empty(), "{:?}", world.broken);
+        assert!(world.violations.is_empty(), "{:?}", world.violations);
     }
 }
 
@@ -169,7 +177,7 @@
             ..config()
         },
     );
-    world.delayed = 0;
+    world.delayed_percent = 0;
     let gang = |id: u32, team: &str, tasks: u32| {
         let only = Some(vec!["large".to_string()]);
         Job {
@@ -197,7 +205,7 @@
         world.open_jobs().len() > 20,
         "the machines were never short"
     );
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
 }
 
 #[test]
@@ -205,7 +213,7 @@
     let mut seen: BTreeMap<Fault, u32> = BTreeMap::new();
     for seed in 0..10 {
         let mut world = World::new(seed, Defect::None);
-        world.live(150.0, 0.0);
+        world.run_random(150.0, 0.0);
         world
             .faults
             .into_iter()
@@ -221,25 +229,25 @@
 
 #[test]
 fn never_starting_the_largest_gangs_is_noticed() {
-    trips_when_calm(Defect::NeverLarge, "late");
+    trips_when_calm(Defect::HideLargestGangs, "late");
 }
 
 #[test]
 fn never_serving_a_team_is_noticed() {
-    trips_when_calm(Defect::NeverRed, "unserved");
+    trips_when_calm(Defect::HideRedArrays, "unserved");
 }
 
 fn trips_when_calm(defect: Defect, rule: &str) {
     let mut world = World::new(4, defect);
-    world.live(150.0, 300.0);
+    world.run_random(150.0, 300.0);
     assert!(
-        world.broken.contains(rule),
+        world.violations.contains(rule),
         "{defect:?} went unnoticed: {:?}",
-        world.broken
+        world.violations
     );
     let mut whole = World::new(4, Defect::None);
-    whole.live(150.0, 300.0);
-    assert!(whole.broken.is_empty(), "{:?}", whole.broken);
+    whole.run_random(150.0, 300.0);
+    assert!(whole.violations.is_empty(), "{:?}", whole.violations);
 }
 
 fn trips(defect: Defect, rule: &str) {
@@ -282,7 +290,7 @@
 
 #[test]
 fn calling_half_a_job_done_is_noticed() {
-    trips(Defect::HalfDone, "not_done");
+    trips(Defect::FinishAtHalf, "not_done");
 }
 
 #[test]
@@ -294,11 +302,14 @@
             estimate_s: 60.0,
             ..job(1, "red", Shape::Array, 8, 4.0)
         });
-        world.pass(300.0);
-        world.broken
+        world.advance(300.0);
+        world.violations
     };
-    assert_eq!(lives(Defect::HalfDone), BTreeSet::from(["not_done".into()]));
-    let broken = lives(Defect::HalfDoneUnseen);
+    assert_eq!(
+        lives(Defect::FinishAtHalf),
+        BTreeSet::from(["not_done".into()])
+    );
+    let broken = lives(Defect::FinishAtHalfUnseen);
     assert!(broken.contains("orphaned"), "{broken:?}");
 }
 
@@ -306,7 +317,11 @@
 fn rules_hold_while_controllers_reload_all_records() {
     for seed in 0..30 {
         let world = reloaded_day(seed, Defect::None);
-        assert!(world.broken.is_empty(), "seed {seed}: {:?}", world.broken);
+        assert!(
+            world.violations.is_empty(),
+            "seed {seed}: {:?}",
+            world.violations
+        );
         assert_eq!(
             world.open_jobs(),
             Vec::<String>::new(),
@@ -319,7 +334,7 @@
 #[test]
 fn a_reload_that_takes_ends_back_is_noticed() {
     let notices = |seed| {
-        let broken = reloaded_day(seed, Defect::ReloadReplaces).broken;
+        let broken = reloaded_day(seed, Defect::ReloadDiscardsOwnWrites).violations;
         broken.contains("started_done")
     };
     assert!((0..30).any(notices), "it went unnoticed");
