--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,7 +1,7 @@
 //! The client: requests to one address over a small pool of connections that are kept alive.
 
 use crate::parse::{self, HeadError, ResponseHead};
-use crate::within;
+use crate::with_timeout;
 use smol::io::{AsyncReadExt, AsyncWriteExt};
 use smol::net::TcpStream;
 use std::cell::RefCell;
@@ -30,10 +30,10 @@
     /// The response has so many bytes, more than this client accepts. The server has executed the
     /// request.
     #[error("the response of {0} bytes is too large")]
-    TooLarge(usize),
+    ResponseTooLarge(usize),
     /// The server may have executed the request, or may still do so.
     #[error(transparent)]
-    Unknown(ExchangeError),
+    OutcomeUnknown(ExchangeError),
 }
 
 /// There is no connection to the server.
@@ -146,7 +146,7 @@
         };
         let remaining = limit.saturating_sub(started_at.elapsed());
         let exchange = self.exchange(stream, method, path, body);
-        match within(remaining, exchange).await {
+        match with_timeout(remaining, exchange).await {
             Some(Ok(response)) => Ok(response),
             Some(Err(error)) => {
                 if is_pooled {
@@ -157,7 +157,7 @@
             }
             None => {
                 self.close_idle();
-                Err(unknown(self.addr, ExchangeFault::TimedOut))
+                Err(outcome_unknown(self.addr, ExchangeFault::TimedOut))
             }
         }
     }
@@ -175,7 +175,7 @@
 
     async fn connect(&self, limit: Duration) -> Result<TcpStream, RequestError> {
         let addr = self.addr;
-        let cause = match within(limit, TcpStream::connect(addr)).await {
+        let cause = match with_timeout(limit, TcpStream::connect(addr)).await {
             Some(Ok(stream)) => {
                 let _ = stream.set_nodelay(true);
                 return Ok(stream);
@@ -195,11 +195,11 @@
     ) -> Result<Response, RequestError> {
         let request = self.encode_request(method, path, body);
         let sent = stream.write_all(&request).await;
-        sent.map_err(|error| unknown(self.addr, error.into()))?;
+        sent.map_err(|error| outcome_unknown(self.addr, error.into()))?;
         let mut reader = ResponseReader::new(self.addr, stream);
         let head = reader.read_head().await?;
         if head.chunked {
-            return Err(unknown(self.addr, ExchangeFault::Chunked));
+            return Err(outcome_unknown(self.addr, ExchangeFault::Chunked));
         }
         let ended = reader.read_body(&head, self.max_body_bytes).await?;
         let ResponseReader {
@@ -265,7 +265,9 @@
     async fn read_head(&mut self) -> Result<ResponseHead, RequestError> {
         loop {
             let parsed = parse::parse_response(&self.received);
-            match parsed.map_err(|error| unknown(self.addr, ExchangeFault::Malformed(error)))? {
+            match parsed
+                .map_err(|error| outcome_unknown(self.addr, ExchangeFault::Malformed(error)))?
+            {
                 Some(head) if head.status == 100 => {
                     self.received.drain(..head.head_len);
                 }
@@ -283,7 +285,9 @@
         max_body_bytes: usize,
     ) -> Result<bool, RequestError> {
         match head.body_len {
-            Some(body_len) if body_len > max_body_bytes => Err(RequestError::TooLarge(body_len)),
+            Some(body_len) if body_len > max_body_bytes => {
+                Err(RequestError::ResponseTooLarge(body_len))
+            }
             Some(body_len) => {
                 while self.received.len() < head.head_len + body_len {
                     self.read_more().await?;
@@ -294,7 +298,7 @@
             None => {
                 while self.read().await? > 0 {
                     if self.received.len() > max_body_bytes {
-                        return Err(RequestError::TooLarge(self.received.len()));
+                        return Err(RequestError::ResponseTooLarge(self.received.len()));
                     }
                 }
                 Ok(true)
@@ -305,7 +309,7 @@
     /// Reads at least one byte.
     async fn read_more(&mut self) -> Result<(), RequestError> {
         match self.read().await? {
-            0 => Err(unknown(self.addr, ExchangeFault::Closed)),
+            0 => Err(outcome_unknown(self.addr, ExchangeFault::Closed)),
             _ => Ok(()),
         }
     }
@@ -313,12 +317,12 @@
     /// Reads what is available; 0 at the end of the connection.
     async fn read(&mut self) -> Result<usize, RequestError> {
         let result = self.stream.read(&mut self.chunk).await;
-        let count = result.map_err(|error| unknown(self.addr, error.into()))?;
+        let count = result.map_err(|error| outcome_unknown(self.addr, error.into()))?;
         self.received.extend_from_slice(&self.chunk[..count]);
         Ok(count)
     }
 }
 
-fn unknown(addr: SocketAddr, cause: ExchangeFault) -> RequestError {
-    RequestError::Unknown(ExchangeError { addr, cause })
+fn outcome_unknown(addr: SocketAddr, cause: ExchangeFault) -> RequestError {
+    RequestError::OutcomeUnknown(ExchangeError { addr, cause })
 }
--- a/crates/http/src/connections.rs
+++ b/crates/http/src/connections.rs
@@ -7,9 +7,9 @@
 use std::net::Shutdown;
 
 /// Purpose of a connection, by its last response. When sockets run short, connections of a lower
-/// rank are closed first.
+/// priority are closed first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Rank {
+pub enum ConnectionPriority {
     /// Requests of users.
     User,
     /// No request has been answered yet.
@@ -30,7 +30,7 @@
 /// A connection in the table.
 struct Entry {
     stream: TcpStream,
-    rank: Rank,
+    priority: ConnectionPriority,
     /// Sequence number of the event that made it idle; `None` while it serves a request.
     idle_since: Option<u64>,
 }
@@ -41,8 +41,8 @@
     max_connections: usize,
     max_buffered_bytes: usize,
     entries: RefCell<BTreeMap<u64, Entry>>,
-    /// Idle connections as (rank, idle since, id): the first one is closed first.
-    idle: RefCell<BTreeSet<(Rank, u64, u64)>>,
+    /// Idle connections as (priority, idle since, id): the first one is closed first.
+    idle: RefCell<BTreeSet<(ConnectionPriority, u64, u64)>>,
     buffered_bytes: Cell<usize>,
     sequence: Cell<u64>,
 }
@@ -71,7 +71,7 @@
     }
 
     /// Adds a connection and returns its id. If the table is full, the connection of the lowest
-    /// rank that has been idle longest is closed; `None` if none is idle.
+    /// priority that has been idle longest is closed; `None` if none is idle.
     pub fn admit(&self, stream: TcpStream) -> Option<u64> {
         if self.open() >= self.max_connections {
             // Connections of machines that lost power look idle for ever; rejecting the newest
@@ -84,14 +84,14 @@
         }
         let id = self.next_sequence();
         let idle_since = self.next_sequence();
-        let rank = Rank::Unclassified;
+        let priority = ConnectionPriority::Unclassified;
         let entry = Entry {
             stream,
-            rank,
+            priority,
             idle_since: Some(idle_since),
         };
         self.entries.borrow_mut().insert(id, entry);
-        self.idle.borrow_mut().insert((rank, idle_since, id));
+        self.idle.borrow_mut().insert((priority, idle_since, id));
         Some(id)
     }
 
@@ -104,25 +104,27 @@
         let Some(idle_since) = entry.idle_since.take() else {
             return false;
         };
-        self.idle.borrow_mut().remove(&(entry.rank, idle_since, id));
+        self.idle
+            .borrow_mut()
+            .remove(&(entry.priority, idle_since, id));
         true
     }
 
-    /// Marks a connection as idle once a response of this rank has been written.
-    pub fn finish_request(&self, id: u64, rank: Rank) {
+    /// Marks a connection as idle once a response of this priority has been written.
+    pub fn finish_request(&self, id: u64, priority: ConnectionPriority) {
         let idle_since = self.next_sequence();
         if let Some(entry) = self.entries.borrow_mut().get_mut(&id) {
-            entry.rank = rank;
+            entry.priority = priority;
             entry.idle_since = Some(idle_since);
-            self.idle.borrow_mut().insert((rank, idle_since, id));
+            self.idle.borrow_mut().insert((priority, idle_since, id));
         }
     }
 
-    /// Whether so many connections are open that a response of this rank should close its own.
-    pub fn should_close(&self, rank: Rank) -> bool {
-        let share = match rank {
-            Rank::User | Rank::Unclassified => USER_SHARE,
-            Rank::Worker | Rank::Probe => WORKER_SHARE,
+    /// Whether so many connections are open that a response of this priority should close its own.
+    pub fn should_close(&self, priority: ConnectionPriority) -> bool {
+        let share = match priority {
+            ConnectionPriority::User | ConnectionPriority::Unclassified => USER_SHARE,
+            ConnectionPriority::Worker | ConnectionPriority::Probe => WORKER_SHARE,
         };
         self.open() as f64 > self.max_connections as f64 * share
     }
@@ -133,7 +135,9 @@
             return;
         };
         if let Some(idle_since) = entry.idle_since {
-            self.idle.borrow_mut().remove(&(entry.rank, idle_since, id));
+            self.idle
+                .borrow_mut()
+                .remove(&(entry.priority, idle_since, id));
         }
     }
 
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// Runs a future for at most `limit`; `None` if it has not completed by then.
-pub async fn within<T>(limit: Duration, work: impl Future<Output = T>) -> Option<T> {
+pub async fn with_timeout<T>(limit: Duration, work: impl Future<Output = T>) -> Option<T> {
     let completed = async { Some(work.await) };
     let timed_out = async {
         smol::Timer::after(limit).await;
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,8 +1,8 @@
 //! The server: one task for each connection, bounded in number, memory and time.
 
-use crate::connections::{ConnectionTable, Rank};
+use crate::connections::{ConnectionPriority, ConnectionTable};
 use crate::parse::{self, HeadError, RequestHead};
-use crate::within;
+use crate::with_timeout;
 use smol::future::poll_fn;
 use smol::io::{AsyncRead, AsyncWriteExt};
 use smol::net::{TcpListener, TcpStream};
@@ -69,7 +69,7 @@
     /// Whether the connection is closed after this response.
     pub close: bool,
     /// Purpose of the connection.
-    pub rank: Rank,
+    pub priority: ConnectionPriority,
     /// Called once the response has been written, and never if writing fails.
     pub on_written: Option<OnWritten>,
 }
@@ -82,20 +82,20 @@
             body,
             retry_after_s: None,
             close: false,
-            rank: Rank::User,
+            priority: ConnectionPriority::User,
             on_written: None,
         }
     }
 
     /// Sets `Retry-After`, in seconds.
-    pub fn retry(mut self, after_s: u32) -> Response {
+    pub fn with_retry_after(mut self, after_s: u32) -> Response {
         self.retry_after_s = Some(after_s);
         self
     }
 
     /// Sets the purpose of the connection.
-    pub fn with_rank(mut self, rank: Rank) -> Response {
-        self.rank = rank;
+    pub fn with_priority(mut self, priority: ConnectionPriority) -> Response {
+        self.priority = priority;
         self
     }
 
@@ -128,16 +128,16 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Largest number of connections.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Largest body of a request, in bytes.
-    pub body: usize,
+    pub max_body_bytes: usize,
     /// Largest sum of the requests that have been received in part, in bytes.
-    pub bytes: usize,
+    pub max_buffered_bytes: usize,
     /// Time for a request to arrive whole once its first byte has, and for a response to be
     /// written.
-    pub request: Duration,
+    pub request_timeout: Duration,
     /// Time that a connection may be idle.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// Why a request can't be passed to the handler.
@@ -164,7 +164,7 @@
         };
         let response = Response::new(status, Vec::new());
         match self {
-            ReceiveError::Overloaded { .. } => Some(response.retry(OVERLOADED_RETRY_S)),
+            ReceiveError::Overloaded { .. } => Some(response.with_retry_after(OVERLOADED_RETRY_S)),
             _ => Some(response),
         }
     }
@@ -190,7 +190,7 @@
 {
     let server = Rc::new(Server {
         limits,
-        connections: ConnectionTable::new(limits.connections, limits.bytes),
+        connections: ConnectionTable::new(limits.max_connections, limits.max_buffered_bytes),
         read_buffer: RefCell::new(vec![0; READ_BYTES]),
     });
     loop {
@@ -257,8 +257,8 @@
     /// long.
     async fn wait_for_request(&mut self) -> bool {
         if self.received.is_empty() {
-            let idle = self.server.limits.idle;
-            match within(idle, self.read()).await {
+            let idle = self.server.limits.idle_timeout;
+            match with_timeout(idle, self.read()).await {
                 Some(Ok(count)) if count > 0 => {}
                 _ => return false,
             }
@@ -272,8 +272,8 @@
         H: Fn(Request) -> F,
         F: Future<Output = Response>,
     {
-        let limit = self.server.limits.request;
-        let received = within(limit, self.receive()).await;
+        let limit = self.server.limits.request_timeout;
+        let received = with_timeout(limit, self.receive()).await;
         let (request, close_requested) = match received.unwrap_or(Err(ReceiveError::TimedOut)) {
             Ok(received) => received,
             Err(error) => {
@@ -282,10 +282,10 @@
             }
         };
         let mut response = handler(request).await;
-        let should_close = self.server.connections.should_close(response.rank);
+        let should_close = self.server.connections.should_close(response.priority);
         let close = close_requested || response.close || should_close;
         let out = response.encode(close);
-        let Some(Ok(())) = within(limit, self.stream.write_all(&out)).await else {
+        let Some(Ok(())) = with_timeout(limit, self.stream.write_all(&out)).await else {
             return false;
         };
         if let Some(OnWritten(call)) = response.on_written.take() {
@@ -295,7 +295,7 @@
             return false;
         }
         let connections = &self.server.connections;
-        connections.finish_request(self.id, response.rank);
+        connections.finish_request(self.id, response.priority);
         true
     }
 
@@ -303,7 +303,7 @@
     async fn reject(&mut self, error: &ReceiveError) {
         if let Some(response) = error.response() {
             let out = response.encode(true);
-            let _ = within(REJECT_TIMEOUT, self.stream.write_all(&out)).await;
+            let _ = with_timeout(REJECT_TIMEOUT, self.stream.write_all(&out)).await;
         }
     }
 
@@ -352,7 +352,7 @@
 
     async fn receive_head(&mut self) -> Result<RequestHead, ReceiveError> {
         loop {
-            let max_body_bytes = self.server.limits.body;
+            let max_body_bytes = self.server.limits.max_body_bytes;
             if let Some(head) = parse::parse_request(&self.received, max_body_bytes)? {
                 return Ok(head);
             }
--- a/crates/http/tests/client.rs
+++ b/crates/http/tests/client.rs
@@ -65,7 +65,7 @@
 fn fault(script: Script) -> ExchangeFault {
     let ([first, _], _) = request_twice(script);
     match first {
-        Err(RequestError::Unknown(error)) => error.cause,
+        Err(RequestError::OutcomeUnknown(error)) => error.cause,
         other => panic!("{other:?}"),
     }
 }
@@ -121,7 +121,7 @@
     let response = "HTTP/1.1 200 OK\r\nContent-Length: 101\r\n\r\n";
     let close = false;
     let ([first, _], _) = request_twice(Script { response, close });
-    assert!(matches!(first, Err(RequestError::TooLarge(101))));
+    assert!(matches!(first, Err(RequestError::ResponseTooLarge(101))));
 }
 
 #[test]
--- a/crates/http/tests/limits.rs
+++ b/crates/http/tests/limits.rs
@@ -3,7 +3,7 @@
 // The helpers of these tests unwrap as the tests do.
 #![allow(clippy::unwrap_used)]
 
-use http::connections::Rank;
+use http::connections::ConnectionPriority;
 use http::server::{serve, Limits, Request, Response};
 use smol::io::{AsyncReadExt, AsyncWriteExt};
 use smol::net::{SocketAddr, TcpListener, TcpStream};
@@ -15,10 +15,10 @@
 /// Long enough that no result depends on it.
 const NEVER: Duration = Duration::from_secs(600);
 
-/// Path whose responses have the rank of workers.
+/// Path whose responses have the priority of workers.
 const WORKER_PATH: &str = "/work";
 
-/// Path whose responses have the rank of users.
+/// Path whose responses have the priority of users.
 const USER_PATH: &str = "/";
 
 /// Largest body of a request, in bytes.
@@ -41,20 +41,20 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let addr = listener.local_addr().unwrap();
         let limits = Limits {
-            connections: max_connections,
-            body: MAX_BODY_BYTES,
-            bytes: max_buffered_bytes,
-            request: NEVER,
-            idle: NEVER,
+            max_connections,
+            max_body_bytes: MAX_BODY_BYTES,
+            max_buffered_bytes,
+            request_timeout: NEVER,
+            idle_timeout: NEVER,
         };
         let handler = Rc::new(move |request: Request| {
             count.set(count.get() + 1);
             async move {
-                let rank = match request.path.as_str() {
-                    WORKER_PATH => Rank::Worker,
-                    _ => Rank::User,
+                let priority = match request.path.as_str() {
+                    WORKER_PATH => ConnectionPriority::Worker,
+                    _ => ConnectionPriority::User,
                 };
-                Response::new(200, request.body).with_rank(rank)
+                Response::new(200, request.body).with_priority(priority)
             }
         });
         let server = executor.spawn(serve(executor.clone(), listener, limits, handler));
--- a/crates/ladderroute/src/api/limits.rs
+++ b/crates/ladderroute/src/api/limits.rs
@@ -52,14 +52,15 @@
 /// The limits of the port of a controller beside `others`, at a store that takes so many requests a
 /// second.
 pub fn server_limits(quota: &Quota, others: usize, store_rps: f64, heartbeat_s: f64) -> Limits {
-    let idle_s = (heartbeat_s * IDLE_HEARTBEATS).max(wire::ANSWER_DROPPED_S * IDLE_ANSWERS);
+    let idle_s =
+        (heartbeat_s * IDLE_HEARTBEATS).max(wire::HEARTBEAT_RESPONSE_TIMEOUT_S * IDLE_ANSWERS);
     let bytes = (quota.memory_mb * KIB * KIB * BYTES_SHARE) as usize;
     Limits {
-        connections: connections(quota, reserved_sockets(others, store_rps)),
-        body: wire::BODY_LIMIT,
-        bytes: bytes.max(2 * wire::BODY_LIMIT),
-        request: Duration::from_secs_f64(wire::ANSWER_DROPPED_S),
-        idle: Duration::from_secs_f64(idle_s),
+        max_connections: connections(quota, reserved_sockets(others, store_rps)),
+        max_body_bytes: wire::BODY_LIMIT,
+        max_buffered_bytes: bytes.max(2 * wire::BODY_LIMIT),
+        request_timeout: Duration::from_secs_f64(wire::HEARTBEAT_RESPONSE_TIMEOUT_S),
+        idle_timeout: Duration::from_secs_f64(idle_s),
     }
 }
 
--- a/crates/ladderroute/src/api/mod.rs
+++ b/crates/ladderroute/src/api/mod.rs
@@ -14,11 +14,11 @@
 mod workers;
 
 use crate::controller::Controller;
-use http::connections::Rank;
+use http::connections::ConnectionPriority;
 use http::server::{Request, Response};
 use responses::refuse;
 use std::rc::Rc;
-use wire::users::valid_id;
+use wire::users::is_valid_job_id;
 
 /// Where workers send their heartbeats.
 const HEARTBEAT_PATH: &str = "/agent/beat";
@@ -74,8 +74,8 @@
 
     fn of_job(rest: &str) -> Route<'_> {
         match rest.strip_suffix(CANCEL_SUFFIX) {
-            Some(id) if valid_id(id) => Route::Cancel(id),
-            None if valid_id(rest) => Route::Query(rest),
+            Some(id) if is_valid_job_id(id) => Route::Cancel(id),
+            None if is_valid_job_id(rest) => Route::Query(rest),
             _ => Route::NoSuchJob,
         }
     }
@@ -90,10 +90,10 @@
     }
 
     /// Who is served first when the port is full.
-    fn rank(&self) -> Option<Rank> {
+    fn rank(&self) -> Option<ConnectionPriority> {
         match self {
-            Route::Heartbeat => Some(Rank::Worker),
-            Route::Ready => Some(Rank::Probe),
+            Route::Heartbeat => Some(ConnectionPriority::Worker),
+            Route::Ready => Some(ConnectionPriority::Probe),
             _ => None,
         }
     }
@@ -107,7 +107,7 @@
         _ => respond(node, &route, &request.body).await,
     };
     match route.rank() {
-        Some(rank) => response.with_rank(rank),
+        Some(rank) => response.with_priority(rank),
         None => response,
     }
 }
--- a/crates/ladderroute/src/api/readiness.rs
+++ b/crates/ladderroute/src/api/readiness.rs
@@ -65,7 +65,7 @@
 }
 
 fn store_health(state: &State) -> StoreHealth {
-    let most_s = wire::ANSWER_DROPPED_S * FAILING_SHARE;
+    let most_s = wire::HEARTBEAT_RESPONSE_TIMEOUT_S * FAILING_SHARE;
     match state.shared.store_failing_since {
         Some(since) if since.elapsed().as_secs_f64() > most_s => StoreHealth::Failing,
         _ => StoreHealth::Healthy,
--- a/crates/ladderroute/src/api/responses.rs
+++ b/crates/ladderroute/src/api/responses.rs
@@ -23,13 +23,13 @@
     // Closing lets the balancer choose again: another controller may be able to.
     Response {
         close: true,
-        ..refuse(503, error).retry(retry_after_s(again_s))
+        ..refuse(503, error).with_retry_after(retry_after_s(again_s))
     }
 }
 
 /// "Too many": the store takes no more submissions at present.
 pub fn too_many(again_s: f64) -> Response {
-    refuse(429, "too many submissions at present").retry(retry_after_s(again_s))
+    refuse(429, "too many submissions at present").with_retry_after(retry_after_s(again_s))
 }
 
 /// Whole seconds, as the protocol has them.
--- a/crates/ladderroute/src/api/users/cancellation.rs
+++ b/crates/ladderroute/src/api/users/cancellation.rs
@@ -9,7 +9,7 @@
 use store::client::{StoreError, TxnOutcome};
 use store::keys;
 use store::replica::JobEntry;
-use wire::peers::{frame, ToLeader};
+use wire::peers::{encode_frame, ToLeader};
 use wire::store::{from_value, to_value, Condition, JobRecord, Recorded, Txn, Write};
 use wire::users::Job;
 
@@ -108,7 +108,7 @@
     node.apply_job_record(state, id, record, version);
     if let Some(leader) = &state.shared.leader_outbox {
         // The shorter way only: the leader's own read of the store is the proof.
-        leader.send(frame(&ToLeader::Cancelled { job: id.into() }));
+        leader.send(encode_frame(&ToLeader::Cancelled { job: id.into() }));
     }
 }
 
--- a/crates/ladderroute/src/controller/message_exchange.rs
+++ b/crates/ladderroute/src/controller/message_exchange.rs
@@ -3,7 +3,7 @@
 use super::{Controller, ReplicaJobs, State};
 use sched::leader::Action;
 use sched::Secs;
-use wire::peers::{frame, ToOwner};
+use wire::peers::{encode_frame, ToOwner};
 
 impl Controller {
     /// Moves what the owner and the leader have to say to each other and outside, until neither has more.
@@ -32,7 +32,7 @@
                     let leader = &mut leadership.leader;
                     leader.on_owner_message(&self.settings.member, message, now);
                 }
-                (None, Some(link)) => link.send(frame(&message)),
+                (None, Some(link)) => link.send(encode_frame(&message)),
                 (None, None) => {}
             }
         }
@@ -60,7 +60,7 @@
                 },
                 Action::Send(to, message) => {
                     if let Some(link) = leadership.links.get(&to) {
-                        link.outbox.send(frame(&message));
+                        link.outbox.send(encode_frame(&message));
                     }
                 }
                 action @ (Action::Provision(_) | Action::Deprovision(_)) => {
--- a/crates/ladderroute/src/controller_links/follower_side.rs
+++ b/crates/ladderroute/src/controller_links/follower_side.rs
@@ -3,7 +3,7 @@
 use super::frames::{write_frames, FrameReader};
 use crate::controller::{ConnectionId, Controller, ReplicaJobs, State};
 use crate::outbox::Outbox;
-use http::within;
+use http::with_timeout;
 use sched::owner::Owner;
 use smol::net::TcpStream;
 use std::cell::{Cell, RefCell};
@@ -12,14 +12,14 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use store::leadership::MAX_CLOCK_DRIFT;
-use wire::peers::{frame, unframe, ToLeader, ToOwner};
+use wire::peers::{decode_frame, encode_frame, ToLeader, ToOwner};
 
 /// How long a connection to the leader may take to come about, in seconds.
-const CONNECT_LIMIT_S: f64 = wire::ANSWER_DROPPED_S / 4.0;
+const CONNECT_LIMIT_S: f64 = wire::HEARTBEAT_RESPONSE_TIMEOUT_S / 4.0;
 
 /// The leader answers pings; a connection that is silent for longer is ended, and so is one on which a
 /// write takes longer; in seconds.
-const SILENCE_LIMIT_S: f64 = wire::ANSWER_DROPPED_S / 2.0;
+const SILENCE_LIMIT_S: f64 = wire::HEARTBEAT_RESPONSE_TIMEOUT_S / 2.0;
 
 /// Pings within the time after which the leader gives up a silent owner.
 const PINGS_PER_SILENCE: f64 = 4.0;
@@ -39,7 +39,7 @@
     loop {
         if let Some((leader, address)) = other_leader(&controller) {
             sequence += 1;
-            let connected = within(connect_limit, TcpStream::connect(address)).await;
+            let connected = with_timeout(connect_limit, TcpStream::connect(address)).await;
             if let Some(Ok(stream)) = connected {
                 let id = ConnectionId { process, sequence };
                 follow_leader(&controller, &leader, stream, id).await;
@@ -77,10 +77,10 @@
     let outbox = controller.new_outbox();
     let hello = ToLeader::Hello {
         member: controller.settings.member.clone(),
-        start: id.process,
-        count: id.sequence,
+        process: id.process,
+        sequence: id.sequence,
     };
-    outbox.send_urgent(&frame(&hello));
+    outbox.send_urgent(&encode_frame(&hello));
     let writer = controller
         .executor
         .spawn(write_frames(stream.clone(), outbox.clone(), limit));
@@ -111,7 +111,7 @@
 
 /// The leader's next message; none if the connection has to end.
 async fn next_message(frames: &mut FrameReader) -> Option<ToOwner> {
-    unframe(&frames.next().await?)
+    decode_frame(&frames.next().await?)
 }
 
 fn leads(controller: &Controller, member: &str) -> bool {
@@ -141,7 +141,8 @@
         let mut sent_at = self.sent_at.borrow_mut();
         sent_at.insert(n, Instant::now());
         sent_at.retain(|k, _| k + PINGS_KEPT > n);
-        self.outbox.send_urgent(&frame(&ToLeader::Ping { n }));
+        self.outbox
+            .send_urgent(&encode_frame(&ToLeader::Ping { n }));
     }
 
     /// When a ping was sent; none for one that was not, or so long ago that it is forgotten.
--- a/crates/ladderroute/src/controller_links/frames.rs
+++ b/crates/ladderroute/src/controller_links/frames.rs
@@ -1,7 +1,7 @@
 //! Frames on a stream between controllers: the length in four bytes, then as many bytes.
 
 use crate::outbox::Outbox;
-use http::within;
+use http::with_timeout;
 use smol::io::{AsyncReadExt, AsyncWriteExt};
 use smol::net::TcpStream;
 use std::time::Duration;
@@ -39,7 +39,7 @@
     /// The next frame's body (version and message); none at the end, after too long a silence, or for
     /// anything that is not a frame.
     pub async fn next(&mut self) -> Option<Vec<u8>> {
-        within(self.silence_limit, self.next_frame()).await?
+        with_timeout(self.silence_limit, self.next_frame()).await?
     }
 
     async fn next_frame(&mut self) -> Option<Vec<u8>> {
@@ -85,7 +85,7 @@
 /// Writes what is queued until the queue is closed, the connection fails, or a write takes too long.
 pub async fn write_frames(mut stream: TcpStream, queue: Outbox, write_limit: Duration) {
     while let Some(bytes) = queue.next().await {
-        let written = within(write_limit, stream.write_all(&bytes)).await;
+        let written = with_timeout(write_limit, stream.write_all(&bytes)).await;
         if !matches!(written, Some(Ok(()))) {
             break;
         }
--- a/crates/ladderroute/src/controller_links/leader_side.rs
+++ b/crates/ladderroute/src/controller_links/leader_side.rs
@@ -9,11 +9,11 @@
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
-use wire::peers::{frame, unframe, ToLeader, ToOwner};
+use wire::peers::{decode_frame, encode_frame, ToLeader, ToOwner};
 
 /// An owner pings often; a connection that is silent for longer is ended, and so is one on which a
 /// write takes longer; in seconds.
-const SILENCE_LIMIT_S: f64 = wire::ANSWER_DROPPED_S;
+const SILENCE_LIMIT_S: f64 = wire::HEARTBEAT_RESPONSE_TIMEOUT_S;
 
 /// Pause after an accept that failed, as it does when the process is out of sockets.
 const ACCEPT_RETRY: Duration = Duration::from_millis(50);
@@ -67,8 +67,8 @@
     let mut frames = FrameReader::new(stream.clone(), limit);
     let Some(ToLeader::Hello {
         member,
-        start,
-        count,
+        process,
+        sequence,
     }) = next_message(&mut frames).await
     else {
         return;
@@ -79,10 +79,7 @@
     }
     let connection = OwnerConnection {
         member,
-        id: ConnectionId {
-            process: start,
-            sequence: count,
-        },
+        id: ConnectionId { process, sequence },
         outbox: controller.new_outbox(),
     };
     if !admit(controller, &connection) {
@@ -106,7 +103,7 @@
 
 /// The owner's next message; none if the connection has to end.
 async fn next_message(frames: &mut FrameReader) -> Option<ToLeader> {
-    unframe(&frames.next().await?)
+    decode_frame(&frames.next().await?)
 }
 
 /// Makes a connection the owner's link; false if this controller does not lead, or if the owner has a
@@ -198,11 +195,11 @@
         token: leader.token(),
         valid_ms: (valid_s * 1000.0) as u64,
     };
-    connection.outbox.send_urgent(&frame(&grant));
+    connection.outbox.send_urgent(&encode_frame(&grant));
     let view_age = ToOwner::ViewAge {
         n,
         age_ms: ((now - authority.read_at()) * 1000.0).ceil() as u64,
     };
     // Queued behind all that the leader has made of what it knows.
-    connection.outbox.send(frame(&view_age));
+    connection.outbox.send(encode_frame(&view_age));
 }
--- a/crates/ladderroute/src/freshness/watch.rs
+++ b/crates/ladderroute/src/freshness/watch.rs
@@ -15,7 +15,7 @@
 const WATCH_SHARE: f64 = 0.2;
 
 /// How long a watch waits for a change, in seconds.
-const WATCH_WAIT_S: f64 = wire::ANSWER_DROPPED_S;
+const WATCH_WAIT_S: f64 = wire::HEARTBEAT_RESPONSE_TIMEOUT_S;
 
 /// Loads the view and keeps it current for as long as the process lives.
 pub async fn watch_store(controller: Rc<Controller>) {
--- a/crates/ladderroute/src/settings/scheduler_config.rs
+++ b/crates/ladderroute/src/settings/scheduler_config.rs
@@ -54,7 +54,7 @@
 }
 
 fn leader_lease_s(worker_lease_s: f64, tuning: &Tuning) -> f64 {
-    let most_s = wire::ANSWER_DROPPED_S * MOST_LEADER_LEASE_SHARE;
+    let most_s = wire::HEARTBEAT_RESPONSE_TIMEOUT_S * MOST_LEADER_LEASE_SHARE;
     (worker_lease_s * tuning.leader_lease_share).clamp(LEAST_LEADER_LEASE_S, most_s)
 }
 
--- a/crates/ladderroute/src/writer/batch.rs
+++ b/crates/ladderroute/src/writer/batch.rs
@@ -250,7 +250,7 @@
             return Joined::Later;
         }
         self.put_terminal(job, entry, spec);
-        let drops = chunks.into_iter().map(|chunk| Write::Drop {
+        let drops = chunks.into_iter().map(|chunk| Write::Delete {
             key: keys::binding(job, chunk),
         });
         let most = self.limits.max_writes.saturating_sub(1);
@@ -318,7 +318,7 @@
     fn condition(&self, write: &Write) -> Option<Condition> {
         let key = match write {
             Write::Put { key, .. } if KeyKind::of(key) != KeyKind::Job => key,
-            Write::Drop { key } if KeyKind::of(key) != KeyKind::Binding => key,
+            Write::Delete { key } if KeyKind::of(key) != KeyKind::Binding => key,
             _ => return None,
         };
         Some(self.replica.versions.condition(key))
--- a/crates/ladderroute/src/writer/mod.rs
+++ b/crates/ladderroute/src/writer/mod.rs
@@ -17,7 +17,7 @@
 
 use crate::controller::Controller;
 use batch::Batch;
-use http::within;
+use http::with_timeout;
 use outcome::Outcome;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -66,7 +66,7 @@
 /// Waits while decisions may be collected for one transaction.
 async fn collect(node: &Controller, last: Option<Instant>) {
     while let Some(remaining) = collect_time(node, last) {
-        let _ = within(remaining, node.writer_wake.1.recv()).await;
+        let _ = with_timeout(remaining, node.writer_wake.1.recv()).await;
     }
 }
 
--- a/crates/ladderroute/src/writer/outcome.rs
+++ b/crates/ladderroute/src/writer/outcome.rs
@@ -176,7 +176,7 @@
 fn lower_limits(leadership: &mut Leadership, batch: &Batch) {
     let sizes = batch.writes.iter().map(|write| match write {
         Write::Put { key, value, .. } => (value_bytes(value), key),
-        Write::Drop { key } => (0, key),
+        Write::Delete { key } => (0, key),
     });
     let Some((bytes, key)) = sizes.max() else {
         return;
--- a/crates/ladderroute/src/writer/pages.rs
+++ b/crates/ladderroute/src/writer/pages.rs
@@ -10,7 +10,7 @@
 use store::pages::{Pages, Removal};
 use store::replica::Replica;
 use wire::store::{to_value, ProgressPage, Recorded, RosterPage, RosterRecord, Write};
-use wire::users::MOST_TASKS;
+use wire::users::MAX_TASKS;
 
 /// Part of a value that the entries of a page may fill, by their own sizes.
 const PAGE_FILL: f64 = 0.9;
@@ -117,7 +117,7 @@
                     done.insert_bitmap(
                         first_task,
                         &store::replica::decode_hex_bitmap(bits),
-                        MOST_TASKS,
+                        MAX_TASKS,
                     );
                 }
             }
@@ -137,7 +137,7 @@
                 all.insert_bitmap(
                     first_task,
                     &store::replica::decode_hex_bitmap(bits),
-                    MOST_TASKS,
+                    MAX_TASKS,
                 );
             }
             let bits = all.to_hex_bitmap(first_task, first_task + chunk_bits);
@@ -225,7 +225,7 @@
     /// A transaction's write of a page of the roster.
     pub fn roster_write(&self, n: u32) -> Write {
         let Some(entries) = self.roster.page(n) else {
-            return Write::Drop {
+            return Write::Delete {
                 key: keys::roster(n),
             };
         };
@@ -244,7 +244,7 @@
     /// A transaction's write of a page of progress.
     pub fn progress_write(&self, n: u32) -> Write {
         let Some(entries) = self.progress.page(n) else {
-            return Write::Drop {
+            return Write::Delete {
                 key: keys::progress(n),
             };
         };
--- a/crates/ladderroute/tests/api.rs
+++ b/crates/ladderroute/tests/api.rs
@@ -63,23 +63,23 @@
     for site in SITES {
         let limits = site.limits();
         let own = reserved_sockets(site.others, site.store_rps);
-        assert!(limits.connections + own <= site.max_sockets);
+        assert!(limits.max_connections + own <= site.max_sockets);
         // Each worker may lack a connection for a moment, so that nearly all is enough.
         assert!(
-            limits.connections as f64 > f64::from(site.machines) * 0.97,
+            limits.max_connections as f64 > f64::from(site.machines) * 0.97,
             "{} for {}",
-            limits.connections,
+            limits.max_connections,
             site.machines
         );
-        let connections_mb = limits.connections as f64 * CONNECTION_KIB / KIB;
-        let bytes_mb = limits.bytes as f64 / (KIB * KIB);
+        let connections_mb = limits.max_connections as f64 * CONNECTION_KIB / KIB;
+        let bytes_mb = limits.max_buffered_bytes as f64 / (KIB * KIB);
         assert!(connections_mb + bytes_mb < site.memory_mb * 0.6);
     }
     let tiny = Quota {
         memory_mb: 16.0,
         max_sockets: 40,
     };
-    assert!(server_limits(&tiny, 2, 60.0, 1.0).connections >= 16);
+    assert!(server_limits(&tiny, 2, 60.0, 1.0).max_connections >= 16);
 }
 
 /// A leader that lost the store and the others, but not its users, answered them "not now" at
--- a/crates/ladderroute/tests/batches.rs
+++ b/crates/ladderroute/tests/batches.rs
@@ -241,8 +241,8 @@
 
 fn put(key: &str, value: Value) -> Change {
     Change {
-        put: Some(key.into()),
-        dropped: None,
+        written_key: Some(key.into()),
+        deleted_key: None,
         value: Some(value),
         version: 1,
     }
@@ -338,7 +338,7 @@
         assert_within(&batch, tiny);
         let changes = batch.writes.iter().map(|write| match write {
             Write::Put { key, value, .. } => put(key, value.clone()),
-            Write::Drop { .. } => panic!("nothing is dropped"),
+            Write::Delete { .. } => panic!("nothing is dropped"),
         });
         scene.replica.apply(&Changes {
             revision: step,
@@ -423,7 +423,7 @@
     assert_eq!(batch.actions[0], binding("wk-000001", machines));
     let last = batch.writes.iter().filter_map(|write| match write {
         Write::Put { value, .. } => wire::store::from_value::<BindingRecord>(value),
-        Write::Drop { .. } => None,
+        Write::Delete { .. } => None,
     });
     assert_eq!(
         places + last.map(|b| b.places.len()).sum::<usize>(),
@@ -454,7 +454,7 @@
         }
         let sizes = batch.writes.iter().map(|write| match write {
             Write::Put { value, .. } => value_bytes(value),
-            Write::Drop { .. } => 0,
+            Write::Delete { .. } => 0,
         });
         let largest = sizes.max().unwrap_or(0);
         let fits = batch.writes.len() <= truth.max_writes && largest <= TRUE_BYTES;
--- a/crates/ladderroute/tests/cluster_view.rs
+++ b/crates/ladderroute/tests/cluster_view.rs
@@ -48,8 +48,8 @@
         self.keys
             .insert(key.clone(), (value.clone(), self.revision));
         self.log.push(Change {
-            put: Some(key),
-            dropped: None,
+            written_key: Some(key),
+            deleted_key: None,
             value: Some(value),
             version: self.revision,
         });
--- a/crates/ladderroute/tests/links.rs
+++ b/crates/ladderroute/tests/links.rs
@@ -15,7 +15,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use wire::peers::{frame, ToLeader};
+use wire::peers::{encode_frame, ToLeader};
 
 const PATIENCE: Duration = Duration::from_secs(20);
 
@@ -119,10 +119,10 @@
         ] {
             let member = member.to_string();
             let mut stream = TcpStream::connect(port).await.unwrap();
-            let hello = frame(&ToLeader::Hello {
+            let hello = encode_frame(&ToLeader::Hello {
                 member,
-                start,
-                count,
+                process: start,
+                sequence: count,
             });
             stream.write_all(&hello).await.unwrap();
             let end = stream.read(&mut [0; 64]).await;
--- a/crates/ladderroute/tests/stand_in/mod.rs
+++ b/crates/ladderroute/tests/stand_in/mod.rs
@@ -94,11 +94,11 @@
         let addr = listener.local_addr().unwrap();
         let minute = Duration::from_secs(60);
         let limits = Limits {
-            connections: 100,
-            body: 1 << 20,
-            bytes: 16 << 20,
-            request: minute,
-            idle: minute,
+            max_connections: 100,
+            max_body_bytes: 1 << 20,
+            max_buffered_bytes: 16 << 20,
+            request_timeout: minute,
+            idle_timeout: minute,
         };
         let (store, served) = (self.clone(), front.clone());
         let handler = Rc::new(move |request: Request| {
@@ -268,17 +268,17 @@
             Write::Put { key, value, .. } => {
                 keys.insert(key.clone(), (value.clone(), version));
                 Change {
-                    put: Some(key.clone()),
-                    dropped: None,
+                    written_key: Some(key.clone()),
+                    deleted_key: None,
                     value: Some(value.clone()),
                     version,
                 }
             }
-            Write::Drop { key } => {
+            Write::Delete { key } => {
                 keys.remove(key);
                 Change {
-                    put: None,
-                    dropped: Some(key.clone()),
+                    written_key: None,
+                    deleted_key: Some(key.clone()),
                     value: None,
                     version,
                 }
--- a/crates/model/src/world/fixtures.rs
+++ b/crates/model/src/world/fixtures.rs
@@ -135,7 +135,7 @@
     };
     let epoch = ToOwner::Epoch {
         token: 5,
-        prev: 0,
+        previous_token: 0,
         members: vec!["rung-1".into()],
         extra_ms: 0,
         machines: vec![descriptor],
@@ -176,7 +176,7 @@
         zone: "a".into(),
         spot: false,
         incarnation: 1,
-        lapsed: false,
+        lease_expired: false,
         notice_s: None,
         tasks,
         pending: Vec::new(),
@@ -208,7 +208,7 @@
         memory_gb: 1.0,
         image: "i".into(),
         image_gb: 1.0,
-        kinds,
+        allowed_types: kinds,
         zone: None,
     }
 }
--- a/crates/model/src/world/rules/placement.rs
+++ b/crates/model/src/world/rules/placement.rs
@@ -31,7 +31,7 @@
     /// Whether the job was cancelled so long ago that neither a response under way nor a leader that
     /// could not know yet explains the start of a task.
     fn is_started_after_cancellation(&self, job: &JobState) -> bool {
-        let allowed_s = self.config.max_start_staleness_s() + wire::ANSWER_DROPPED_S;
+        let allowed_s = self.config.max_start_staleness_s() + wire::HEARTBEAT_RESPONSE_TIMEOUT_S;
         let ended_long_ago = |at: f64| self.now > at + allowed_s;
         job.cancelled && job.terminal_at.is_some_and(ended_long_ago)
     }
--- a/crates/model/src/world/trace.rs
+++ b/crates/model/src/world/trace.rs
@@ -11,7 +11,7 @@
 use sched::owner::HeartbeatResponse;
 use wire::cbor::encode;
 use wire::cloud::Names;
-use wire::peers::{frame, ToLeader, ToOwner};
+use wire::peers::{encode_frame, ToLeader, ToOwner};
 use wire::store::{BindingRecord, ProgressPage};
 use wire::users::Job;
 use wire::workers::{Heartbeat, Order, Redirect};
@@ -156,7 +156,7 @@
         self.event(now, Event::ToLeader)
             .number(from as u64)
             .amount(at)
-            .bytes(&frame(message));
+            .bytes(&encode_frame(message));
     }
 
     /// A controller pings the leader, where the ping arrives at `at`.
@@ -187,7 +187,7 @@
         self.event(now, Event::ToOwner)
             .number(by)
             .text(to)
-            .bytes(&frame(message));
+            .bytes(&encode_frame(message));
     }
 
     /// What became of a request: whether it was carried out, and whether the leader hears so.
@@ -231,7 +231,7 @@
     /// An action as its record in the store or its request to the cloud, with the key's parts before it.
     fn action(&mut self, action: &Action) {
         match action {
-            Action::Send(to, message) => self.raw(&[1]).text(to).bytes(&frame(message)),
+            Action::Send(to, message) => self.raw(&[1]).text(to).bytes(&encode_frame(message)),
             Action::IssueToken => self.raw(&[2]),
             Action::UpdateRoster(machine, record) => self
                 .raw(&[3])
--- a/crates/model/src/world/workers.rs
+++ b/crates/model/src/world/workers.rs
@@ -13,7 +13,7 @@
 impl TaskKey {
     /// The key of a task as orders name it.
     fn parse(task: &str, attempt: u64) -> Option<TaskKey> {
-        let (job, index) = wire::split_task(task)?;
+        let (job, index) = wire::split_task_name(task)?;
         Some(TaskKey {
             job: job.to_string(),
             index,
--- a/crates/model/tests/leader_and_owner.rs
+++ b/crates/model/tests/leader_and_owner.rs
@@ -81,7 +81,7 @@
         HeartbeatResponse::Orders(_)
     ));
     owner.tick(28.0);
-    let back = |m: &ToLeader| matches!(m, ToLeader::MachineStatuses(v) if v.iter().any(|v| v.incarnation == 3 && !v.lapsed));
+    let back = |m: &ToLeader| matches!(m, ToLeader::MachineStatuses(v) if v.iter().any(|v| v.incarnation == 3 && !v.lease_expired));
     assert!(owner.drain().iter().any(back));
 }
 
--- a/crates/model/tests/staleness.rs
+++ b/crates/model/tests/staleness.rs
@@ -139,7 +139,7 @@
     );
     // The leader said so, and this controller's own replica is blind.
     owner.on_leader_message(
-        ToOwner::Terminal {
+        ToOwner::TerminalJobs {
             jobs: vec!["wk-1".into()],
         },
         12.5,
@@ -175,7 +175,7 @@
         owner.on_leader_message(
             ToOwner::Epoch {
                 token,
-                prev,
+                previous_token: prev,
                 members: vec!["rung-1".into()],
                 extra_ms: 0,
                 machines: vec![],
@@ -207,7 +207,7 @@
         owner.on_leader_message(assign(), 11.0, &OPEN);
         let replica = if is_notified {
             owner.on_leader_message(
-                ToOwner::Terminal {
+                ToOwner::TerminalJobs {
                     jobs: vec!["wk-1".into()],
                 },
                 11.2,
@@ -284,7 +284,7 @@
         owner.on_leader_message(backlog(job), 11.0, &OPEN);
         if over {
             let jobs = vec![job.into()];
-            owner.on_leader_message(ToOwner::Terminal { jobs }, 11.2, &OPEN);
+            owner.on_leader_message(ToOwner::TerminalJobs { jobs }, 11.2, &OPEN);
         }
         let orders = orders(owner.on_heartbeat(&heartbeat(2, 5, None), 11.5, jobs));
         let is_start = |order: &&Order| matches!(order, Order::Start { .. });
@@ -396,7 +396,7 @@
     leader.tick(1.0, 1);
     let notified = |leader: &mut Leader| -> Vec<Vec<String>> {
         let over = |d| match d {
-            Action::Send(to, ToOwner::Terminal { jobs }) if to == "rung-1" => Some(jobs),
+            Action::Send(to, ToOwner::TerminalJobs { jobs }) if to == "rung-1" => Some(jobs),
             _ => None,
         };
         leader.take_actions().into_iter().filter_map(over).collect()
--- a/crates/sched/src/autoscaler/gang.rs
+++ b/crates/sched/src/autoscaler/gang.rs
@@ -86,7 +86,7 @@
 
     /// Returns the zones of the machine types that the tasks may use.
     fn zones(&self, requirements: &TaskRequirements) -> BTreeSet<String> {
-        let kinds = requirements.kinds.iter();
+        let kinds = requirements.allowed_types.iter();
         kinds
             .filter_map(|allowed| self.cluster.machine_types.get(&allowed.kind))
             .flat_map(|machine_type| machine_type.zones.iter().cloned())
--- a/crates/sched/src/autoscaler/pricing.rs
+++ b/crates/sched/src/autoscaler/pricing.rs
@@ -61,7 +61,7 @@
         &'r self,
         requirements: &'r TaskRequirements,
     ) -> impl Iterator<Item = Offer> + 'r {
-        let offers = requirements.kinds.iter().flat_map(|allowed| {
+        let offers = requirements.allowed_types.iter().flat_map(|allowed| {
             let machine_type = self.cluster.machine_types.get(&allowed.kind);
             let zones = machine_type.map_or(&[][..], |machine_type| &machine_type.zones);
             zones
@@ -118,7 +118,7 @@
     fn priced_offers(&mut self, requirements: &TaskRequirements, tasks: u32) -> Vec<PricedOffer> {
         let resources = Resources::of(requirements);
         let mut priced = Vec::new();
-        for allowed in &requirements.kinds {
+        for allowed in &requirements.allowed_types {
             let Some(machine_type) = self.cluster.machine_types.get(&allowed.kind) else {
                 continue;
             };
--- a/crates/sched/src/autoscaler/scale_in.rs
+++ b/crates/sched/src/autoscaler/scale_in.rs
@@ -17,12 +17,12 @@
 /// has not heard from.
 const MAX_UNKNOWN_SHARE: f64 = 0.02;
 
-/// Multiple of `wire::ANSWER_DROPPED_S` (the response timeout of a heartbeat) within which a worker
-/// whose heartbeat was lost has retried.
+/// Multiple of `wire::HEARTBEAT_RESPONSE_TIMEOUT_S` (the response timeout of a heartbeat) within
+/// which a worker whose heartbeat was lost has retried.
 const RETRY_TIMEOUT_FACTOR: f64 = 1.25;
 
-/// Multiple of `wire::ANSWER_DROPPED_S`. Within that time and `GIVE_UP_HEARTBEATS` heartbeat
-/// intervals, a worker has twice given up on a controller that does not answer.
+/// Multiple of `wire::HEARTBEAT_RESPONSE_TIMEOUT_S`. Within that time and `GIVE_UP_HEARTBEATS`
+/// heartbeat intervals, a worker has twice given up on a controller that does not answer.
 const GIVE_UP_TIMEOUT_FACTOR: f64 = 2.0;
 
 /// Heartbeat intervals that giving up twice takes, in addition to the response timeouts.
@@ -211,8 +211,8 @@
             .unknown()
             .last_known_at()
             .max(epoch.began_at)
-        <= wire::ANSWER_DROPPED_S * RETRY_TIMEOUT_FACTOR;
-    let give_up_after_s = GIVE_UP_TIMEOUT_FACTOR * wire::ANSWER_DROPPED_S
+        <= wire::HEARTBEAT_RESPONSE_TIMEOUT_S * RETRY_TIMEOUT_FACTOR;
+    let give_up_after_s = GIVE_UP_TIMEOUT_FACTOR * wire::HEARTBEAT_RESPONSE_TIMEOUT_S
         + GIVE_UP_HEARTBEATS * cluster.config.heartbeat_s;
     now - epoch.began_at > give_up_after_s || few_left && !heard_recently
 }
--- a/crates/sched/src/cluster/requirements.rs
+++ b/crates/sched/src/cluster/requirements.rs
@@ -64,7 +64,7 @@
             memory_gb: spec.memory_gb,
             image: spec.image.clone(),
             image_gb: spec.image_gb,
-            kinds,
+            allowed_types: kinds,
             zone: spec.zone.clone(),
         }
     }
@@ -74,7 +74,11 @@
         let unplaced = self.unplaced.iter();
         let mut gangs =
             unplaced.filter_map(|(id, _)| self.jobs.get(id).filter(|job| job.is_gang()));
-        gangs.any(|job| self.requirements(job, Some(scarce)).kinds.is_empty())
+        gangs.any(|job| {
+            self.requirements(job, Some(scarce))
+                .allowed_types
+                .is_empty()
+        })
     }
 
     /// Returns the requirements of a job's tasks without scarce machine types, or with them if the
@@ -85,7 +89,7 @@
         scarce: &ScarceTypes,
     ) -> TaskRequirements {
         let requirements = self.requirements(job, Some(scarce));
-        if requirements.kinds.is_empty() {
+        if requirements.allowed_types.is_empty() {
             return self.requirements(job, None);
         }
         requirements
--- a/crates/sched/src/cluster/wait_estimates.rs
+++ b/crates/sched/src/cluster/wait_estimates.rs
@@ -131,7 +131,7 @@
     /// class has no objective.
     fn latest_start(&self, job: &Job, requirements: &TaskRequirements) -> Option<Secs> {
         let within_s = self.config.wait_s.get(&job.spec.class)?;
-        let kinds = requirements.kinds.iter();
+        let kinds = requirements.allowed_types.iter();
         let shortest_boot_s = kinds
             .filter_map(|allowed| self.machine_types.get(&allowed.kind))
             .map(|machine_type| machine_type.boot_s)
--- a/crates/sched/src/config.rs
+++ b/crates/sched/src/config.rs
@@ -14,7 +14,7 @@
 const OWNER_TIMEOUT_PER_LEASE: f64 = 0.18;
 
 /// The same time, as a fraction of the time after which workers discard a response
-/// ([`wire::ANSWER_DROPPED_S`]). The smaller of both applies.
+/// ([`wire::HEARTBEAT_RESPONSE_TIMEOUT_S`]). The smaller of both applies.
 const OWNER_TIMEOUT_PER_RESPONSE_LIMIT: f64 = 0.5;
 
 /// The guaranteed resources and the limits of a team.
@@ -65,7 +65,7 @@
     /// Returns the time without a message after which an owner counts as lost.
     pub fn owner_timeout_s(&self) -> Secs {
         (self.lease_s * OWNER_TIMEOUT_PER_LEASE)
-            .min(wire::ANSWER_DROPPED_S * OWNER_TIMEOUT_PER_RESPONSE_LIMIT)
+            .min(wire::HEARTBEAT_RESPONSE_TIMEOUT_S * OWNER_TIMEOUT_PER_RESPONSE_LIMIT)
     }
 
     /// Returns the time after the last response by which a worker's lease has certainly expired:
--- a/crates/sched/src/leader/epoch.rs
+++ b/crates/sched/src/leader/epoch.rs
@@ -6,7 +6,8 @@
 use crate::Secs;
 use wire::peers::{MachineDescriptor, ToOwner};
 
-/// Maximum number of jobs in one [`ToOwner::Terminal`] message, which bounds the size of the message.
+/// Maximum number of jobs in one [`ToOwner::TerminalJobs`] message, which bounds the size of the
+/// message.
 const TERMINAL_JOBS_PER_MESSAGE: usize = 1000;
 
 impl Leader {
@@ -152,7 +153,7 @@
             self.send(&member, catalog.clone());
             for jobs in terminal.chunks(TERMINAL_JOBS_PER_MESSAGE) {
                 let jobs = jobs.to_vec();
-                self.send(&member, ToOwner::Terminal { jobs });
+                self.send(&member, ToOwner::TerminalJobs { jobs });
             }
         }
         // A leader that is not an owner also needs the members, so that it can redirect workers.
@@ -167,7 +168,7 @@
     fn send_epoch(&mut self, member: &str, change: &EpochChange, previous_token: u64) {
         let message = ToOwner::Epoch {
             token: change.token,
-            prev: previous_token,
+            previous_token,
             members: self.epochs.members().to_vec(),
             extra_ms: change.extra_ms,
             machines: self.descriptors_for(member),
--- a/crates/sched/src/leader/jobs.rs
+++ b/crates/sched/src/leader/jobs.rs
@@ -73,7 +73,7 @@
         self.terminal_jobs.insert(id, self.last_tick_at);
         for member in self.epochs.members().to_vec() {
             let jobs = vec![id.into()];
-            self.send(&member, ToOwner::Terminal { jobs });
+            self.send(&member, ToOwner::TerminalJobs { jobs });
         }
     }
 
--- a/crates/sched/src/leader/machine_status.rs
+++ b/crates/sched/src/leader/machine_status.rs
@@ -57,7 +57,7 @@
                 self.on_status_of_released(from, &status);
                 return;
             }
-            if status.token != self.epochs.token() || status.lapsed {
+            if status.token != self.epochs.token() || status.lease_expired {
                 // The owner knows the machine only from a late copy of a heartbeat, or saw it in an
                 // earlier epoch; it will send its status again in the current epoch.
                 return;
@@ -208,12 +208,12 @@
 fn update_machine(machine: &mut Machine, status: &MachineStatus, now: Secs) {
     let name = &status.name;
     machine.last_status_at = now;
-    if status.lapsed != machine.lease_expired_at.is_some() {
-        let event = if status.lapsed { "lost" } else { "back" };
+    if status.lease_expired != machine.lease_expired_at.is_some() {
+        let event = if status.lease_expired { "lost" } else { "back" };
         log::info!("event=machine_{event} machine={name}");
     }
     machine.lease_expired_at = status
-        .lapsed
+        .lease_expired
         .then(|| machine.lease_expired_at.unwrap_or(now));
     machine.notice_expires_at = status
         .notice_s
--- a/crates/sched/src/leader/queue/backlog.rs
+++ b/crates/sched/src/leader/queue/backlog.rs
@@ -139,8 +139,8 @@
 ) -> Option<TaskRequirements> {
     if let Some(cordon) = cordon {
         requirements
-            .kinds
-            .retain(|offer| !contains_offer(&cordon.kinds, offer));
+            .allowed_types
+            .retain(|offer| !contains_offer(&cordon.allowed_types, offer));
     }
-    (!requirements.kinds.is_empty()).then_some(requirements)
+    (!requirements.allowed_types.is_empty()).then_some(requirements)
 }
--- a/crates/sched/src/leader/queue/mod.rs
+++ b/crates/sched/src/leader/queue/mod.rs
@@ -120,10 +120,10 @@
         if job.is_gang() || pass.scarce_awaited {
             return requirements;
         }
-        let mut spared = self.cluster.requirements(job, None).kinds;
-        spared.retain(|offer| !contains_offer(&requirements.kinds, offer));
+        let mut spared = self.cluster.requirements(job, None).allowed_types;
+        spared.retain(|offer| !contains_offer(&requirements.allowed_types, offer));
         requirements
-            .kinds
+            .allowed_types
             .extend(spared.into_iter().map(|offer| AllowedMachineType {
                 tier: SCARCE_TYPE_TIER,
                 ..offer
--- a/crates/sched/src/owner/heartbeats.rs
+++ b/crates/sched/src/owner/heartbeats.rs
@@ -2,7 +2,7 @@
 
 use super::{HeartbeatResponse, JobLookup, Owner};
 use crate::Secs;
-use wire::split_task;
+use wire::split_task_name;
 use wire::workers::{Heartbeat, Order, Orders, TaskState};
 
 impl Owner {
@@ -98,7 +98,7 @@
         .tasks
         .iter()
         .filter(|task| task.state != TaskState::Exited);
-    live.filter(|task| split_task(&task.task).is_some_and(|(job, _)| is_terminal(job)))
+    live.filter(|task| split_task_name(&task.task).is_some_and(|(job, _)| is_terminal(job)))
         .map(|task| Order::Stop {
             task: task.task.clone(),
             attempt: task.attempt,
--- a/crates/sched/src/owner/machine.rs
+++ b/crates/sched/src/owner/machine.rs
@@ -9,7 +9,7 @@
 use crate::Secs;
 use std::collections::{BTreeMap, VecDeque};
 use wire::peers::{MachineStatus, TaskRef, TaskRequirements, TaskStatus};
-use wire::split_task;
+use wire::split_task_name;
 use wire::workers::{Heartbeat, Order, ReportedTask};
 
 /// Number of images remembered for each machine.
@@ -145,7 +145,7 @@
             zone: self.identity.zone.clone(),
             spot: self.identity.spot,
             incarnation: self.newest_heartbeat.unwrap_or_default().incarnation,
-            lapsed: self.lease.has_expired(),
+            lease_expired: self.lease.has_expired(),
             notice_s: self.notice_s,
             tasks: self.tasks.values().cloned().collect(),
             pending: self.pending().tasks().cloned().collect(),
@@ -323,7 +323,7 @@
 
 /// Converts a task in a heartbeat. Returns `None` if its name is not a valid task name.
 fn parse_task(reported: &ReportedTask) -> Option<(TaskRef, TaskStatus)> {
-    let (job, index) = split_task(&reported.task)?;
+    let (job, index) = split_task_name(&reported.task)?;
     let task = TaskRef {
         job: job.into(),
         index,
--- a/crates/sched/src/owner/messages.rs
+++ b/crates/sched/src/owner/messages.rs
@@ -16,7 +16,7 @@
         match message {
             ToOwner::Epoch {
                 token,
-                prev,
+                previous_token: prev,
                 members,
                 extra_ms,
                 machines,
@@ -40,7 +40,7 @@
                     machine.add_clear(task);
                 }
             }
-            ToOwner::Terminal { jobs } => self.mark_terminal(jobs, now),
+            ToOwner::TerminalJobs { jobs } => self.mark_terminal(jobs, now),
             ToOwner::Bind { attempt } => self.bind(attempt, now),
             ToOwner::ReleaseReservation { attempt } => {
                 self.remove_reservation(attempt);
--- a/crates/sched/src/placement.rs
+++ b/crates/sched/src/placement.rs
@@ -119,7 +119,7 @@
         return None;
     }
     requirements
-        .kinds
+        .allowed_types
         .iter()
         .find(|allowed| allowed.kind == kind && allowed.spot == spot)
         .map(|allowed| allowed.tier)
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -68,8 +68,8 @@
             RequestError::NotSent(cause) => {
                 StoreError::NotSent(format!("{method} {path}: {cause}"))
             }
-            RequestError::TooLarge(bytes) => StoreError::ResponseTooLarge(bytes),
-            RequestError::Unknown(cause) => {
+            RequestError::ResponseTooLarge(bytes) => StoreError::ResponseTooLarge(bytes),
+            RequestError::OutcomeUnknown(cause) => {
                 StoreError::OutcomeUnknown(format!("{method} {path}: {cause}"))
             }
         }
--- a/crates/store/src/replica/jobs.rs
+++ b/crates/store/src/replica/jobs.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use wire::store::{JobRecord, Recorded};
-use wire::users::{Job, MOST_TASKS};
+use wire::users::{Job, MAX_TASKS};
 
 /// Total CPUs and GPUs of all tasks of a job.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -201,7 +201,7 @@
     /// Adds a section of a job's progress, given as a bitmap in hexadecimal.
     pub(super) fn add_progress(&mut self, id: &str, first_task: u32, text: &str) {
         // No job has that many tasks: the record is damaged, or another service has written it.
-        if first_task >= MOST_TASKS || text.len() as u32 > MOST_TASKS {
+        if first_task >= MAX_TASKS || text.len() as u32 > MAX_TASKS {
             return;
         }
         match self.entries.get_mut(id) {
--- a/crates/store/src/replica/mod.rs
+++ b/crates/store/src/replica/mod.rs
@@ -106,7 +106,7 @@
     }
 
     fn apply_one(&mut self, change: &Change) -> Option<ChangedKey> {
-        match (&change.put, &change.value, &change.dropped) {
+        match (&change.written_key, &change.value, &change.deleted_key) {
             (Some(key), Some(value), _) => Some(self.put(key, value, change.version)),
             (_, _, Some(key)) => {
                 self.versions.forget_dropped(key, change.version);
--- a/crates/store/src/versions.rs
+++ b/crates/store/src/versions.rs
@@ -71,7 +71,7 @@
         for write in writes {
             match write {
                 Write::Put { key, .. } => self.record_change(key, revision, Presence::Present),
-                Write::Drop { key } => self.record_change(key, revision, Presence::Absent),
+                Write::Delete { key } => self.record_change(key, revision, Presence::Absent),
             }
         }
     }
--- a/crates/store/tests/leadership.rs
+++ b/crates/store/tests/leadership.rs
@@ -59,7 +59,7 @@
         let version = |k: &str| self.keys.borrow().get(k).map_or(0, |stored| stored.version);
         let lease_of = |w: &Write| match w {
             Write::Put { lease, .. } => *lease,
-            Write::Drop { .. } => None,
+            Write::Delete { .. } => None,
         };
         if txn
             .writes
@@ -90,7 +90,7 @@
                     };
                     self.keys.borrow_mut().insert(key.clone(), stored)
                 }
-                Write::Drop { key } => self.keys.borrow_mut().remove(key),
+                Write::Delete { key } => self.keys.borrow_mut().remove(key),
             };
         }
         Ok(TxnOutcome::Applied(revision))
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -16,7 +16,7 @@
 pub const BODY_LIMIT: usize = 64 * 1024;
 
 /// Seconds after which a worker discards the response to a heartbeat, as the protocol defines.
-pub const ANSWER_DROPPED_S: f64 = 4.0;
+pub const HEARTBEAT_RESPONSE_TIMEOUT_S: f64 = 4.0;
 
 /// Separates job id and index in a task's name.
 const TASK_SEPARATOR: char = '/';
@@ -27,7 +27,7 @@
 }
 
 /// Splits a task's name into job id and index; `None` if it is not of the form `JOB/INDEX`.
-pub fn split_task(name: &str) -> Option<(&str, u32)> {
+pub fn split_task_name(name: &str) -> Option<(&str, u32)> {
     let (job, index) = name.rsplit_once(TASK_SEPARATOR)?;
     if job.is_empty() {
         return None;
--- a/crates/wire/src/peers.rs
+++ b/crates/wire/src/peers.rs
@@ -48,7 +48,7 @@
     /// Size of the image, in gigabytes.
     pub image_gb: f64,
     /// Machine types on which the task may run.
-    pub kinds: Vec<AllowedMachineType>,
+    pub allowed_types: Vec<AllowedMachineType>,
     /// Zone in which it has to run; any if none.
     pub zone: Option<String>,
 }
@@ -80,7 +80,7 @@
     /// Incarnation of its worker.
     pub incarnation: u64,
     /// Whether its lease has certainly ended and no newer incarnation has sent a heartbeat.
-    pub lapsed: bool,
+    pub lease_expired: bool,
     /// Seconds until the cloud takes the machine back, once it has given notice.
     pub notice_s: Option<f64>,
     /// Tasks in the newest heartbeat that counts.
@@ -131,7 +131,7 @@
         token: u64,
         /// Token of the preceding epoch if the owner keeps its records; any other owner starts
         /// without records.
-        prev: u64,
+        previous_token: u64,
         /// Owners of the epoch; they determine the shards.
         members: Vec<String>,
         /// Milliseconds after the receipt until no earlier owner can respond to heartbeats any
@@ -163,7 +163,7 @@
         age_ms: u64,
     },
     /// Jobs that are done or cancelled. None of their tasks may start; running ones are stopped.
-    Terminal {
+    TerminalJobs {
         /// Ids of the jobs.
         jobs: Vec<String>,
     },
@@ -253,9 +253,9 @@
         /// Name of the controller.
         member: String,
         /// Identifies the controller's process.
-        start: u64,
+        process: u64,
         /// Number of the connection among those of this process; a lower one is stale.
-        count: u64,
+        sequence: u64,
     },
     /// Asks for [`ToOwner::Grant`] and [`ToOwner::ViewAge`].
     Ping {
@@ -289,7 +289,7 @@
 }
 
 /// Encodes a message as a frame.
-pub fn frame<T: Encode>(message: &T) -> Vec<u8> {
+pub fn encode_frame<T: Encode>(message: &T) -> Vec<u8> {
     let body = bitcode::encode(message);
     let length = (body.len() + VERSION_BYTES) as u32;
     let mut out = Vec::with_capacity(LENGTH_BYTES + VERSION_BYTES + body.len());
@@ -301,7 +301,7 @@
 
 /// Decodes what follows a frame's length: version and message. `None` if the version is another or
 /// the message can't be decoded.
-pub fn unframe<T: for<'a> Decode<'a>>(inside: &[u8]) -> Option<T> {
+pub fn decode_frame<T: for<'a> Decode<'a>>(inside: &[u8]) -> Option<T> {
     let (version, body) = inside.split_first()?;
     if *version != VERSION {
         return None;
--- a/crates/wire/src/store.rs
+++ b/crates/wire/src/store.rs
@@ -61,7 +61,7 @@
         lease: Option<u64>,
     },
     /// Deletes a key.
-    Drop {
+    Delete {
         /// The key.
         #[serde(rename = "drop")]
         key: String,
@@ -109,15 +109,15 @@
     pub lease: u64,
 }
 
-/// A change of a key in a watch's response: either `put` or `dropped` is present.
+/// A change of a key in a watch's response: either `written_key` or `deleted_key` is present.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Change {
     /// Key that was written.
     #[serde(rename = "write", default)]
-    pub put: Option<String>,
+    pub written_key: Option<String>,
     /// Key that was deleted.
     #[serde(rename = "drop", default)]
-    pub dropped: Option<String>,
+    pub deleted_key: Option<String>,
     /// New value of a key that was written.
     #[serde(rename = "v", default)]
     pub value: Option<Value>,
--- a/crates/wire/src/users.rs
+++ b/crates/wire/src/users.rs
@@ -4,7 +4,7 @@
 use std::collections::HashSet;
 
 /// Largest number of tasks of one job.
-pub const MOST_TASKS: u32 = 100_000;
+pub const MAX_TASKS: u32 = 100_000;
 
 /// Longest job id, in bytes.
 const MAX_ID_BYTES: usize = 100;
@@ -51,7 +51,7 @@
 /// A job as its user describes it. All resources and durations are those of one task.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Job {
-    /// Id of the job, chosen by its user; see [`valid_id`].
+    /// Id of the job, chosen by its user; see [`is_valid_job_id`].
     #[serde(rename = "name_id")]
     pub id: String,
     /// Class of the job, to which the service objectives refer.
@@ -143,10 +143,10 @@
 /// The rule that the value of a job's field breaks.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FieldFault {
-    /// The job's own id is not valid; see [`valid_id`].
+    /// The job's own id is not valid; see [`is_valid_job_id`].
     #[error("not a job id")]
     InvalidId,
-    /// The id of a dependency is not valid; see [`valid_id`].
+    /// The id of a dependency is not valid; see [`is_valid_job_id`].
     #[error("{0:?} is not a job id")]
     InvalidDependency(String),
     /// A name is empty, longer than the limit, or contains whitespace or control characters.
@@ -179,14 +179,14 @@
     /// Checks the rules that don't depend on the known teams and machine types, and returns the
     /// first one that is broken.
     pub fn check(&self) -> Result<(), InvalidJob> {
-        if !valid_id(&self.id) {
+        if !is_valid_job_id(&self.id) {
             return Err(invalid("name_id", FieldFault::InvalidId));
         }
         check_name("docket", &self.class)?;
         check_name("crew", &self.team)?;
         check_name("kit", &self.image)?;
-        if self.tasks == 0 || self.tasks > MOST_TASKS {
-            let fault = FieldFault::InvalidCount { max: MOST_TASKS };
+        if self.tasks == 0 || self.tasks > MAX_TASKS {
+            let fault = FieldFault::InvalidCount { max: MAX_TASKS };
             return Err(invalid("tickets", fault));
         }
         self.check_amounts()?;
@@ -229,7 +229,7 @@
     }
 
     fn check_dependencies(&self) -> Result<(), InvalidJob> {
-        match self.dependencies.iter().find(|id| !valid_id(id)) {
+        match self.dependencies.iter().find(|id| !is_valid_job_id(id)) {
             Some(id) => Err(invalid("awaits", FieldFault::InvalidDependency(id.clone()))),
             None => Ok(()),
         }
@@ -250,7 +250,7 @@
 }
 
 /// Whether a text can be a job id: safe as a part of a store key and of a URL path.
-pub fn valid_id(id: &str) -> bool {
+pub fn is_valid_job_id(id: &str) -> bool {
     let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
     !id.is_empty() && id.len() <= MAX_ID_BYTES && id.bytes().all(is_allowed)
 }
--- a/crates/wire/tests/encodings/peers.rs
+++ b/crates/wire/tests/encodings/peers.rs
@@ -40,7 +40,7 @@
         memory_gb: 64.0,
         image: "img-07".into(),
         image_gb: 6.2,
-        kinds: vec![allowed("g8", true, 1), allowed("c4", false, 2)],
+        allowed_types: vec![allowed("g8", true, 1), allowed("c4", false, 2)],
         zone: zone.map(Into::into),
     }
 }
@@ -63,7 +63,7 @@
         zone: "a".into(),
         spot: true,
         incarnation: 2,
-        lapsed: false,
+        lease_expired: false,
         notice_s,
         tasks,
         pending: vec![task(5), task(6)],
@@ -97,7 +97,7 @@
         samples.push(framed(format!("view_exited_{name}"), &message));
     }
     let lapsed = MachineStatus {
-        lapsed: true,
+        lease_expired: true,
         unreachable: false,
         pending: Vec::new(),
         ..machine_status(Vec::new(), None)
@@ -111,8 +111,8 @@
 fn to_leader() -> Vec<Sample> {
     let hello = ToLeader::Hello {
         member: "rung-2".into(),
-        start: 99,
-        count: 3,
+        process: 99,
+        sequence: 3,
     };
     let hand_back = ToLeader::HandBack {
         job: job(),
@@ -136,7 +136,7 @@
 fn epochs() -> Vec<Sample> {
     let epoch = ToOwner::Epoch {
         token: 41,
-        prev: 40,
+        previous_token: 40,
         members: vec!["rung-0".into(), "rung-2".into()],
         extra_ms: 1500,
         machines: vec![
@@ -146,7 +146,7 @@
     };
     let first = ToOwner::Epoch {
         token: 1,
-        prev: 0,
+        previous_token: 0,
         members: Vec::new(),
         extra_ms: 0,
         machines: Vec::new(),
@@ -172,7 +172,7 @@
         framed("catalog", &catalog),
         framed("grant", &grant),
         framed("known", &ToOwner::ViewAge { n: 7, age_ms: 80 }),
-        framed("over", &ToOwner::Terminal { jobs }),
+        framed("over", &ToOwner::TerminalJobs { jobs }),
     ]
 }
 
--- a/crates/wire/tests/encodings/sample.rs
+++ b/crates/wire/tests/encodings/sample.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Debug;
 use wire::cbor::{decode, encode};
-use wire::peers::{frame, unframe, LENGTH_BYTES};
+use wire::peers::{decode_frame, encode_frame, LENGTH_BYTES};
 
 /// The decoded value's `Debug` text and its encoding, or the error.
 type Decoded = Result<(String, Vec<u8>), String>;
@@ -57,10 +57,10 @@
     Sample {
         name: name.into(),
         content: format!("{message:?}"),
-        bytes: frame(message),
+        bytes: encode_frame(message),
         read: |bytes| {
-            let message: T = unframe(&bytes[LENGTH_BYTES..]).ok_or("no message")?;
-            Ok((format!("{message:?}"), frame(&message)))
+            let message: T = decode_frame(&bytes[LENGTH_BYTES..]).ok_or("no message")?;
+            Ok((format!("{message:?}"), encode_frame(&message)))
         },
         change_fields: false,
     }
--- a/crates/wire/tests/encodings/store.rs
+++ b/crates/wire/tests/encodings/store.rs
@@ -19,7 +19,7 @@
         value: value(),
         lease,
     };
-    let drop = Write::Drop {
+    let drop = Write::Delete {
         key: "lr/binding/wk-1/0".into(),
     };
     let condition = Condition {
@@ -53,14 +53,14 @@
         revision: 431,
     };
     let put = Change {
-        put: Some("lr/job/wk-1".into()),
-        dropped: None,
+        written_key: Some("lr/job/wk-1".into()),
+        deleted_key: None,
         value: Some(value()),
         version: 432,
     };
     let dropped = Change {
-        put: None,
-        dropped: Some("lr/binding/wk-1/0".into()),
+        written_key: None,
+        deleted_key: Some("lr/binding/wk-1/0".into()),
         value: None,
         version: 433,
     };
--- a/crates/wire/tests/examples.rs
+++ b/crates/wire/tests/examples.rs
@@ -5,8 +5,8 @@
 
 use ciborium::{cbor, Value};
 use wire::cbor::{decode, encode};
-use wire::peers::{frame, unframe, ToLeader, ToOwner, LENGTH_BYTES, VERSION};
-use wire::users::{valid_id, FieldFault, InvalidJob, Job, Priority, Shape, MOST_TASKS};
+use wire::peers::{decode_frame, encode_frame, ToLeader, ToOwner, LENGTH_BYTES, VERSION};
+use wire::users::{is_valid_job_id, FieldFault, InvalidJob, Job, Priority, Shape, MAX_TASKS};
 use wire::workers::{Heartbeat, Order, Orders, TaskState, Why};
 
 fn example_job() -> Value {
@@ -79,7 +79,7 @@
 #[test]
 fn invalid_jobs_are_rejected_with_the_field_and_its_fault() {
     let job = example_job();
-    let invalid_count = FieldFault::InvalidCount { max: MOST_TASKS };
+    let invalid_count = FieldFault::InvalidCount { max: MAX_TASKS };
     for (field, value, fault) in [
         ("tickets", Value::from(0), invalid_count.clone()),
         ("tickets", 100_001.into(), invalid_count),
@@ -94,7 +94,10 @@
 #[test]
 fn a_job_id_is_short_and_safe_in_paths() {
     assert!(
-        !valid_id("") && !valid_id("../x") && !valid_id(&"x".repeat(101)) && valid_id("wk-000412")
+        !is_valid_job_id("")
+            && !is_valid_job_id("../x")
+            && !is_valid_job_id(&"x".repeat(101))
+            && is_valid_job_id("wk-000412")
     );
 }
 
@@ -165,7 +168,7 @@
                 value: cbor!({"x" => 1}).unwrap(),
                 lease: Some(7),
             },
-            Write::Drop { key: "c/d".into() },
+            Write::Delete { key: "c/d".into() },
         ],
     };
     let expected = cbor!({"if" => [{"k" => "a/b", "stamp" => 0}],
@@ -179,8 +182,8 @@
     assert_eq!(
         (
             c.revision,
-            c.changes[0].put.as_deref(),
-            c.changes[1].dropped.as_deref()
+            c.changes[0].written_key.as_deref(),
+            c.changes[1].deleted_key.as_deref()
         ),
         (433, Some("c/9"), Some("c/d"))
     );
@@ -196,16 +199,19 @@
         attempt: 9,
         tasks: vec![(0, 3), (7, 1)],
     };
-    let framed = frame(&message);
+    let framed = encode_frame(&message);
     assert_eq!(
         u32::from_be_bytes([framed[0], framed[1], framed[2], framed[3]]) as usize,
         framed.len() - LENGTH_BYTES
     );
-    assert_eq!(unframe::<ToLeader>(&framed[LENGTH_BYTES..]), Some(message));
-    assert_eq!(unframe::<ToOwner>(&[]), None);
+    assert_eq!(
+        decode_frame::<ToLeader>(&framed[LENGTH_BYTES..]),
+        Some(message)
+    );
+    assert_eq!(decode_frame::<ToOwner>(&[]), None);
     let mut other = framed[LENGTH_BYTES..].to_vec();
     other[0] = 99;
-    assert_eq!(unframe::<ToLeader>(&other), None, "another version");
+    assert_eq!(decode_frame::<ToLeader>(&other), None, "another version");
     let mut accepted = 0;
     for seed in 0..2000u64 {
         // Xorshift: whatever the bytes are, decoding must not panic.
@@ -219,7 +225,7 @@
             })
             .collect();
         let inside = [vec![VERSION], noise].concat();
-        accepted += usize::from(unframe::<ToOwner>(&inside).is_some());
+        accepted += usize::from(decode_frame::<ToOwner>(&inside).is_some());
     }
     assert!(accepted < 1000, "too much garbage is decoded: {accepted}");
 }
--- a/crates/wire/tests/production.rs
+++ b/crates/wire/tests/production.rs
@@ -13,7 +13,7 @@
 
 use std::collections::BTreeMap;
 use support::from_hex;
-use wire::peers::{unframe, LENGTH_BYTES};
+use wire::peers::{decode_frame, LENGTH_BYTES};
 use wire::store::{from_value, Value};
 
 /// The samples as production wrote them, by name.
@@ -71,11 +71,11 @@
     let written = written();
     for (name, message) in to_owner() {
         let inside = &written[name][LENGTH_BYTES..];
-        assert_eq!(unframe::<ToOwner>(inside), Some(message), "{name}");
+        assert_eq!(decode_frame::<ToOwner>(inside), Some(message), "{name}");
     }
     for (name, message) in to_leader() {
         let inside = &written[name][LENGTH_BYTES..];
-        assert_eq!(unframe::<ToLeader>(inside), Some(message), "{name}");
+        assert_eq!(decode_frame::<ToLeader>(inside), Some(message), "{name}");
     }
 }
 
--- a/crates/wire/tests/production/samples.rs
+++ b/crates/wire/tests/production/samples.rs
@@ -2,7 +2,7 @@
 use wire::cbor::{decode, encode};
 use wire::cloud::MachineType;
 use wire::peers::{
-    frame, AllowedMachineType, MachineDescriptor, MachineStatus, TaskRequirements, TaskRef, TaskStatus, ToLeader, ToOwner,
+    encode_frame, AllowedMachineType, MachineDescriptor, MachineStatus, TaskRequirements, TaskRef, TaskStatus, ToLeader, ToOwner,
 };
 use wire::store::{
     to_value, StartedArraysRecord, BindingRecord, JobRecord, LeaderRecord, ProgressPage, Recorded,
@@ -114,7 +114,7 @@
         memory_gb: 64.0,
         image: "img-07".into(),
         image_gb: 6.2,
-        kinds: vec![AllowedMachineType {
+        allowed_types: vec![AllowedMachineType {
             kind: "g8".into(),
             spot: true,
             tier: 1,
@@ -131,7 +131,7 @@
         zone: "a".into(),
         spot: false,
         incarnation: 2,
-        lapsed: false,
+        lease_expired: false,
         notice_s: Some(18.5),
         tasks: vec![TaskStatus {
             task: task(),
@@ -160,7 +160,7 @@
             "epoch",
             ToOwner::Epoch {
                 token: 41,
-                prev: 40,
+                previous_token: 40,
                 members: vec!["rung-0".into(), "rung-2".into()],
                 extra_ms: 1500,
                 machines: vec![MachineDescriptor {
@@ -200,7 +200,7 @@
         ("known", ToOwner::ViewAge { n: 7, age_ms: 80 }),
         (
             "over",
-            ToOwner::Terminal {
+            ToOwner::TerminalJobs {
                 jobs: vec!["wk-000412".into()],
             },
         ),
@@ -291,8 +291,8 @@
             "hello",
             ToLeader::Hello {
                 member: "rung-2".into(),
-                start: 99,
-                count: 3,
+                process: 99,
+                sequence: 3,
             },
         ),
         ("ping", ToLeader::Ping { n: 7 }),
@@ -322,7 +322,7 @@
 }
 
 fn frames() -> Vec<Sample> {
-    let owners = to_owner().into_iter().map(|(name, m)| (name, frame(&m)));
-    let leaders = to_leader().into_iter().map(|(name, m)| (name, frame(&m)));
+    let owners = to_owner().into_iter().map(|(name, m)| (name, encode_frame(&m)));
+    let leaders = to_leader().into_iter().map(|(name, m)| (name, encode_frame(&m)));
     owners.chain(leaders).collect()
 }
