--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -149,11 +149,11 @@
 impl World {
     /// A world with the usual settings.
     pub fn new(seed: u64, defect: Defect) -> World {
-        World::with(seed, defect, config())
+        World::with_config(seed, defect, config())
     }
 
     /// A world with other settings.
-    pub fn with(seed: u64, defect: Defect, config: SchedulerConfig) -> World {
+    pub fn with_config(seed: u64, defect: Defect, config: SchedulerConfig) -> World {
         let mut believed = config.clone();
         if defect == Defect::DoubleLimit {
             believed
--- a/crates/model/src/world/controllers.rs
+++ b/crates/model/src/world/controllers.rs
@@ -100,7 +100,7 @@
 impl World {
     /// Controllers that run exchange messages with the leader.
     pub(super) fn run_controllers(&mut self) {
-        let led_by = self.leader_at();
+        let led_by = self.leader_index();
         for i in 0..self.controllers.len() {
             if self.now < self.controllers[i].down_until || self.is_frozen(i) {
                 continue;
--- a/crates/model/src/world/faults.rs
+++ b/crates/model/src/world/faults.rs
@@ -117,7 +117,7 @@
 
     fn strike_controllers(&mut self, fault: Fault, strike: Strike) {
         let (now, i, share) = (self.now, strike.controller, strike.share);
-        let leading = self.leader_at();
+        let leading = self.leader_index();
         match fault {
             Fault::Crash | Fault::CrashDuringElection => self.crash(i),
             Fault::LeaderCrash => leading.into_iter().for_each(|leading| self.crash(leading)),
@@ -140,7 +140,7 @@
 
     fn strike_store(&mut self, fault: Fault, strike: Strike) {
         let (now, share) = (self.now, strike.share);
-        let refused = self.leader_at().unwrap_or(strike.controller);
+        let refused = self.leader_index().unwrap_or(strike.controller);
         match fault {
             Fault::StoreDown => self.store_down_until = now + share * 6.0,
             Fault::StoreRefusesLeader => self.refuse_controller(refused, share * 10.0),
@@ -190,7 +190,7 @@
 
     /// A controller ends and is back, with nothing, after a while.
     pub fn restart_controller(&mut self, i: usize, for_s: f64) {
-        let was_leading = self.leader_at() == Some(i);
+        let was_leading = self.leader_index() == Some(i);
         let controller = Controller {
             value_kb: self.controllers[i].value_kb,
             down_until: self.now + for_s,
--- a/crates/model/src/world/leadership.rs
+++ b/crates/model/src/world/leadership.rs
@@ -174,7 +174,7 @@
     }
 
     /// The controller that leads.
-    pub fn leader_at(&self) -> Option<usize> {
+    pub fn leader_index(&self) -> Option<usize> {
         self.leading.as_ref().map(|leading| leading.controller)
     }
 }
--- a/crates/model/src/world/rich.rs
+++ b/crates/model/src/world/rich.rs
@@ -37,7 +37,7 @@
 impl World {
     /// A world of many machine types, few of each, and of teams that borrow from each other.
     pub fn heterogeneous(seed: u64) -> World {
-        let mut world = World::with(seed, Defect::None, rich_setup());
+        let mut world = World::with_config(seed, Defect::None, rich_setup());
         world.types = rich_types();
         world.rich = Some(Rich::default());
         world
--- a/crates/model/tests/chains.rs
+++ b/crates/model/tests/chains.rs
@@ -73,8 +73,8 @@
     for seed in 0..SEEDS {
         let mut world = chain(seed);
         world.cancel_hints = false;
-        pass_until(&mut world, |world| world.leader_at().is_some());
-        let leader = world.leader_at().unwrap_or(0);
+        pass_until(&mut world, |world| world.leader_index().is_some());
+        let leader = world.leader_index().unwrap_or(0);
         world.refuse_controller(leader, 8.0);
         world.advance(0.3);
         assert!(world.cancel(&id(2)));
@@ -119,7 +119,7 @@
         let mut world = chain(seed);
         for number in 1..4 {
             pass_until(&mut world, |world| world.outcome(&id(number)).is_some());
-            let leader = world.leader_at();
+            let leader = world.leader_index();
             leader
                 .into_iter()
                 .for_each(|i| world.restart_controller(i, 0.4));
@@ -147,7 +147,7 @@
 fn a_chain_is_cancelled_while_all_controllers_end_and_come_back() {
     for seed in 0..SEEDS {
         let mut world = chain(seed);
-        pass_until(&mut world, |world| world.leader_at().is_some());
+        pass_until(&mut world, |world| world.leader_index().is_some());
         assert!(world.cancel(&id(1)));
         (0..3).for_each(|i| world.restart_controller(i, 1.0 + i as f64));
         world.advance(5.0);
--- a/crates/model/tests/common/mod.rs
+++ b/crates/model/tests/common/mod.rs
@@ -33,7 +33,7 @@
             })
         });
         world.advance(2.0);
-        let leader = world.leader_at().unwrap_or(0);
+        let leader = world.leader_index().unwrap_or(0);
         world.reload_records((leader + 1) % 3, 3.0);
         world.reload_records(leader, 0.6);
         world.advance(0.7);
--- a/crates/model/tests/overlapping_faults.rs
+++ b/crates/model/tests/overlapping_faults.rs
@@ -8,7 +8,7 @@
 /// A day with short and long jobs of both teams on machines that run, arrays and gangs; long ones
 /// outlast `cancel_s` and every fault.
 fn busy(seed: u64, defect: Defect, config: SchedulerConfig) -> World {
-    let mut world = World::with(seed, defect, config);
+    let mut world = World::with_config(seed, defect, config);
     world.late_copy_percent = 5;
     for i in 1..=4 {
         let team = if i % 2 == 0 { "red" } else { "blue" };
@@ -85,10 +85,10 @@
 }
 
 fn leader(world: &mut World) -> usize {
-    while world.leader_at().is_none() {
+    while world.leader_index().is_none() {
         world.advance(0.1);
     }
-    world.leader_at().unwrap_or(0)
+    world.leader_index().unwrap_or(0)
 }
 
 /// The store refuses the leader, others confirm cancellations, then it is out for everybody.
--- a/crates/model/tests/world.rs
+++ b/crates/model/tests/world.rs
@@ -107,7 +107,7 @@
 fn a_machine_that_gets_no_responses_traps_no_work() {
     for seed in 0..12 {
         // Long enough for such a worker to come round to its owner again within its lease.
-        let mut world = World::with(
+        let mut world = World::with_config(
             seed,
             Defect::None,
             SchedulerConfig {
@@ -168,7 +168,7 @@
 fn a_large_gang_is_not_starved_by_small_ones() {
     let teams = unlimited_teams(&["red", "blue"]);
     let wait_s = BTreeMap::from([("any".to_string(), 20.0)]);
-    let mut world = World::with(
+    let mut world = World::with_config(
         3,
         Defect::None,
         SchedulerConfig {
