--- a/crates/model/tests/common/mod.rs
+++ b/crates/model/tests/common/mod.rs
@@ -7,8 +7,8 @@
 const SMALL_VALUE_KB: f64 = 0.004;
 
 /// A day on which most jobs have dependencies, with every fault, while the controllers are replaced
-/// one after the other by ones with smaller records; then quiet for `calm_s`.
-pub fn chained_day(seed: u64, defect: Defect, calm_s: f64) -> World {
+/// one after the other by ones with smaller records; then quiet for `quiet_s`.
+pub fn dependency_scenario(seed: u64, defect: Defect, quiet_s: f64) -> World {
     let mut world = World::new(seed, defect);
     world.dependent_percent = 70;
     world.delayed_percent = 6;
@@ -16,12 +16,12 @@
     world.late_write_percent = 6;
     world.run_random(50.0, 0.0);
     world.rolling_restart(6.0, SMALL_VALUE_KB);
-    world.run_random(100.0, calm_s);
+    world.run_random(100.0, quiet_s);
     world
 }
 
 /// A day on which controllers, the leader mostly, reload all records again and again.
-pub fn reloaded_day(seed: u64, defect: Defect) -> World {
+pub fn reload_scenario(seed: u64, defect: Defect) -> World {
     let mut world = World::new(seed, defect);
     world.dependent_percent = 50;
     for round in 0..12 {
--- a/crates/model/tests/chains.rs
+++ b/crates/model/tests/dependency_chains.rs
@@ -6,33 +6,33 @@
 
 const SEEDS: u64 = 12;
 
-fn id(number: u32) -> String {
+fn job_id(number: u32) -> String {
     job(number, "red", Shape::Array, 1, 1.0).id
 }
 
 /// An array of three tasks with dependencies.
-fn after(number: u32, needed: &[u32], estimate_s: f64) -> Job {
+fn array_with_dependencies(number: u32, dependencies: &[u32], estimate_s: f64) -> Job {
     Job {
-        dependencies: needed.iter().map(|n| id(*n)).collect(),
+        dependencies: dependencies.iter().map(|n| job_id(*n)).collect(),
         estimate_s,
         ..job(number, "red", Shape::Array, 3, 1.0)
     }
 }
 
 /// A chain of four jobs, each of which depends on the one before, with machines that run the first.
-fn chain(seed: u64) -> World {
+fn world_with_chain(seed: u64) -> World {
     let mut world = World::new(seed, Defect::None);
-    world.submit(after(1, &[], 20.0));
-    world.submit(after(2, &[1], 2.0));
-    world.submit(after(3, &[2], 2.0));
-    world.submit(after(4, &[1, 3], 2.0));
-    pass_until(&mut world, |world| world.live_tasks(&id(1)) == 3);
+    world.submit(array_with_dependencies(1, &[], 20.0));
+    world.submit(array_with_dependencies(2, &[1], 2.0));
+    world.submit(array_with_dependencies(3, &[2], 2.0));
+    world.submit(array_with_dependencies(4, &[1, 3], 2.0));
+    advance_until(&mut world, |world| world.live_tasks(&job_id(1)) == 3);
     world
 }
 
-fn pass_until(world: &mut World, is_reached: impl Fn(&World) -> bool) {
+fn advance_until(world: &mut World, condition: impl Fn(&World) -> bool) {
     let end = world.now + 200.0;
-    while !is_reached(world) {
+    while !condition(world) {
         assert!(
             world.now < end,
             "it never came to that\n{}",
@@ -43,10 +43,12 @@
 }
 
 fn outcomes(world: &World) -> Vec<Option<&'static str>> {
-    (1..=4).map(|number| world.outcome(&id(number))).collect()
+    (1..=4)
+        .map(|number| world.outcome(&job_id(number)))
+        .collect()
 }
 
-fn ends_well(mut world: World, seed: u64, expected: [&'static str; 4]) {
+fn assert_outcomes(mut world: World, seed: u64, expected: [&'static str; 4]) {
     world.run_until_done(300.0);
     assert!(
         world.violations.is_empty(),
@@ -62,111 +64,111 @@
 }
 
 #[test]
-fn a_chain_runs_in_order() {
+fn chain_runs_in_order() {
     for seed in 0..SEEDS {
-        ends_well(chain(seed), seed, ["done"; 4]);
+        assert_outcomes(world_with_chain(seed), seed, ["done"; 4]);
     }
 }
 
 #[test]
-fn a_follower_confirms_a_cancellation_while_the_store_refuses_the_leader_and_then_is_down() {
+fn follower_confirms_cancellation_before_store_outage() {
     for seed in 0..SEEDS {
-        let mut world = chain(seed);
+        let mut world = world_with_chain(seed);
         world.cancel_hints = false;
-        pass_until(&mut world, |world| world.leader_index().is_some());
+        advance_until(&mut world, |world| world.leader_index().is_some());
         let leader = world.leader_index().unwrap_or(0);
         world.refuse_controller(leader, 8.0);
         world.advance(0.3);
-        assert!(world.cancel(&id(2)));
+        assert!(world.cancel(&job_id(2)));
         world.store_outage(40.0);
         world.advance(45.0);
-        ends_well(world, seed, ["done", "cancelled", "cancelled", "cancelled"]);
+        assert_outcomes(world, seed, ["done", "cancelled", "cancelled", "cancelled"]);
     }
 }
 
 /// One of the two is written first: what follows goes on, or is cancelled with it.
 #[test]
-fn a_cancellation_meets_the_end_of_a_dependency() {
+fn cancellation_races_with_end_of_dependency() {
     let mut seen = [0; 2];
     for seed in 0..SEEDS * 2 {
-        let mut world = chain(seed);
+        let mut world = world_with_chain(seed);
         let cancelled = loop {
             world.advance(0.1);
             if let Some(cancelled) = world.cancel_completed_job() {
-                break cancelled == id(1);
+                break cancelled == job_id(1);
             }
-            if world.outcome(&id(1)).is_some() {
+            if world.outcome(&job_id(1)).is_some() {
                 break false;
             }
         };
         assert!(
-            cancelled || !world.cancel(&id(1)),
+            cancelled || !world.cancel(&job_id(1)),
             "it is answered with done"
         );
         seen[usize::from(cancelled)] += 1;
         if cancelled {
-            ends_well(world, seed, ["cancelled"; 4]);
+            assert_outcomes(world, seed, ["cancelled"; 4]);
         } else {
-            ends_well(world, seed, ["done"; 4]);
+            assert_outcomes(world, seed, ["done"; 4]);
         }
     }
     assert!(seen[1] > 0, "no cancellation came first: {seen:?}");
 }
 
 #[test]
-fn the_leader_ends_between_the_end_of_a_job_and_the_start_of_its_dependents() {
+fn leader_restarts_before_dependents_start() {
     for seed in 0..SEEDS {
-        let mut world = chain(seed);
+        let mut world = world_with_chain(seed);
         for number in 1..4 {
-            pass_until(&mut world, |world| world.outcome(&id(number)).is_some());
+            advance_until(&mut world, |world| world.outcome(&job_id(number)).is_some());
             let leader = world.leader_index();
             leader
                 .into_iter()
                 .for_each(|i| world.restart_controller(i, 0.4));
         }
-        ends_well(world, seed, ["done"; 4]);
+        assert_outcomes(world, seed, ["done"; 4]);
     }
 }
 
 /// Machines with tasks of the first job hang; the tasks run elsewhere, and the job is done while the
 /// earlier attempts may still be there. What needs it starts all the same, and only then.
 #[test]
-fn an_earlier_attempt_hangs_while_its_job_is_done_elsewhere() {
+fn earlier_attempt_hangs_while_job_completes() {
     for seed in 0..SEEDS {
-        let mut world = chain(seed);
+        let mut world = world_with_chain(seed);
         let machines = world.busy_machines(9);
         world.hang_machines(&machines, 30.0);
         world.advance(40.0);
-        ends_well(world, seed, ["done"; 4]);
+        assert_outcomes(world, seed, ["done"; 4]);
     }
 }
 
 /// All controllers end while the chain is cancelled, one after the other or at once, and come back with
 /// records of another size.
 #[test]
-fn a_chain_is_cancelled_while_all_controllers_end_and_come_back() {
+fn chain_is_cancelled_while_controllers_restart() {
     for seed in 0..SEEDS {
-        let mut world = chain(seed);
-        pass_until(&mut world, |world| world.leader_index().is_some());
-        assert!(world.cancel(&id(1)));
+        let mut world = world_with_chain(seed);
+        advance_until(&mut world, |world| world.leader_index().is_some());
+        assert!(world.cancel(&job_id(1)));
         (0..3).for_each(|i| world.restart_controller(i, 1.0 + i as f64));
         world.advance(5.0);
         // Submitted on a job that was cancelled long ago.
-        world.submit(after(5, &[4], 2.0));
+        world.submit(array_with_dependencies(5, &[4], 2.0));
         world.rolling_restart(4.0, 0.004);
-        assert_eq!(world.outcome(&id(5)), Some("cancelled"));
-        ends_well(world, seed, ["cancelled"; 4]);
+        assert_eq!(world.outcome(&job_id(5)), Some("cancelled"));
+        assert_outcomes(world, seed, ["cancelled"; 4]);
     }
 }
 
 /// A zone with workers and a controller is cut off while the jobs before the last are done.
 #[test]
-fn a_controller_is_partitioned_with_its_workers_while_the_chain_goes_on() {
+fn controller_is_partitioned_while_chain_runs() {
     for seed in 0..SEEDS {
-        let mut world = chain(seed);
+        let mut world = world_with_chain(seed);
         let i = seed as usize % 3;
         world.partition_controller(i, 15.0);
         world.advance(20.0);
-        ends_well(world, seed, ["done"; 4]);
+        assert_outcomes(world, seed, ["done"; 4]);
     }
 }
--- a/crates/model/tests/dependencies.rs
+++ b/crates/model/tests/dependency_graph.rs
@@ -7,11 +7,11 @@
 
 /// The jobs of a plain model: what the store's records say, and nothing else.
 #[derive(Default)]
-struct Plain {
+struct ReferenceModel {
     jobs: BTreeMap<String, (Job, DependencyState)>,
 }
 
-impl Plain {
+impl ReferenceModel {
     fn record(&self, id: &str) -> Option<DependencyState> {
         self.jobs.get(id).map(|(_, record)| *record)
     }
@@ -30,7 +30,7 @@
             Some(DependencyState::Cancelled) => true,
             Some(DependencyState::Open(_)) => self
                 .dependencies(id)
-                .any(|needed| self.is_cancelled(needed)),
+                .any(|dependency| self.is_cancelled(dependency)),
         }
     }
 
@@ -40,21 +40,21 @@
 
     fn is_blocked(&self, id: &str) -> bool {
         self.dependencies(id)
-            .any(|needed| self.record(needed) != Some(DependencyState::Done))
+            .any(|dependency| self.record(dependency) != Some(DependencyState::Done))
     }
 
     /// The most urgent of its own and its open descendants'.
     fn priority(&self, id: &str) -> Priority {
         let own = self.jobs[id].0.priority;
         let dependents = self.jobs.keys().filter(|other| {
-            self.is_open(other) && self.dependencies(other).any(|needed| needed == id)
+            self.is_open(other) && self.dependencies(other).any(|dependency| dependency == id)
         });
         dependents
             .map(|d| self.priority(d))
             .fold(own, Priority::min)
     }
 
-    fn open(&self) -> BTreeSet<String> {
+    fn open_jobs(&self) -> BTreeSet<String> {
         self.jobs
             .keys()
             .filter(|id| self.is_open(id))
@@ -65,23 +65,23 @@
 
 /// What a controller makes of the effects, as its leader would.
 #[derive(Default)]
-struct Follower {
+struct ControllerView {
     graph: DependencyGraph,
     cancelled: BTreeSet<String>,
     runnable: BTreeSet<String>,
     priorities: BTreeMap<String, Priority>,
 }
 
-impl Follower {
+impl ControllerView {
     /// The record as this controller has it: what it derived counts as cancelled.
-    fn record(&self, plain: &Plain, id: &str) -> Option<DependencyState> {
+    fn record(&self, reference: &ReferenceModel, id: &str) -> Option<DependencyState> {
         if self.cancelled.contains(id) {
             return Some(DependencyState::Cancelled);
         }
-        plain.record(id)
+        reference.record(id)
     }
 
-    fn take(&mut self, effects: Vec<Effect>) {
+    fn apply(&mut self, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
                 Effect::Unblocked(id) => {
@@ -98,20 +98,20 @@
         }
     }
 
-    fn update(&mut self, plain: &Plain, id: &str) {
-        let (job, record) = &plain.jobs[id];
+    fn update(&mut self, reference: &ReferenceModel, id: &str) {
+        let (job, record) = &reference.jobs[id];
         let effects = match record {
             DependencyState::Open(_) if self.cancelled.contains(id) => Vec::new(),
             DependencyState::Open(_) => {
                 let mut graph = std::mem::take(&mut self.graph);
-                let effects = graph.on_accepted(job, |other| self.record(plain, other));
+                let effects = graph.on_accepted(job, |other| self.record(reference, other));
                 self.graph = graph;
                 effects
             }
             DependencyState::Done => self.graph.on_done(id),
             DependencyState::Cancelled => self.graph.on_cancelled(id),
         };
-        self.take(effects);
+        self.apply(effects);
         if matches!(record, DependencyState::Open(_))
             && !self.cancelled.contains(id)
             && !self.graph.is_blocked(id)
@@ -121,47 +121,47 @@
     }
 
     /// A controller that has just read all records, in the order of their keys.
-    fn loaded(plain: &Plain) -> Follower {
-        let mut follower = Follower::default();
-        for id in plain.jobs.keys() {
-            follower.update(plain, id);
+    fn from_all_records(reference: &ReferenceModel) -> ControllerView {
+        let mut view = ControllerView::default();
+        for id in reference.jobs.keys() {
+            view.update(reference, id);
         }
         // Which of the open jobs may run is asked once all records are known.
-        follower.runnable = plain
-            .open()
+        view.runnable = reference
+            .open_jobs()
             .into_iter()
-            .filter(|id| !follower.graph.is_blocked(id))
+            .filter(|id| !view.graph.is_blocked(id))
             .collect();
-        follower
+        view
     }
 
-    fn agrees_with(&self, plain: &Plain) {
-        for id in plain.jobs.keys() {
-            let derived = self.record(plain, id) == Some(DependencyState::Cancelled);
-            assert_eq!(derived, plain.is_cancelled(id), "cancelled: {id}");
+    fn assert_matches(&self, reference: &ReferenceModel) {
+        for id in reference.jobs.keys() {
+            let derived = self.record(reference, id) == Some(DependencyState::Cancelled);
+            assert_eq!(derived, reference.is_cancelled(id), "cancelled: {id}");
         }
-        for id in plain.open() {
+        for id in reference.open_jobs() {
             assert_eq!(
                 self.graph.is_blocked(&id),
-                plain.is_blocked(&id),
+                reference.is_blocked(&id),
                 "blocked: {id}"
             );
             assert_eq!(
                 self.runnable.contains(&id),
-                !plain.is_blocked(&id),
+                !reference.is_blocked(&id),
                 "runnable: {id}"
             );
-            let own = plain.jobs[&id].0.priority;
+            let own = reference.jobs[&id].0.priority;
             assert_eq!(
                 self.graph.priority(&id, own),
-                plain.priority(&id),
+                reference.priority(&id),
                 "priority: {id}"
             );
         }
     }
 }
 
-const URGENCIES: [Priority; 4] = [
+const PRIORITIES: [Priority; 4] = [
     Priority::Prod,
     Priority::High,
     Priority::Standard,
@@ -169,102 +169,106 @@
 ];
 
 /// A new job that needs up to four earlier ones, whatever became of them.
-fn submit(rng: &mut fastrand::Rng, plain: &mut Plain, number: u32) -> String {
-    let prior_runs: Vec<String> = plain.jobs.keys().cloned().collect();
+fn submit_random_job(
+    rng: &mut fastrand::Rng,
+    reference: &mut ReferenceModel,
+    number: u32,
+) -> String {
+    let earlier_jobs: Vec<String> = reference.jobs.keys().cloned().collect();
     let mut job = job(number, "red", Shape::Array, 1, 1.0);
     // Ids come in no order, so that a page of records has dependents before what they need.
     job.id = format!("wk-{:03}-{number}", rng.u32(0..1000));
-    job.priority = URGENCIES[rng.usize(0..URGENCIES.len())];
-    let needed = if prior_runs.is_empty() {
+    job.priority = PRIORITIES[rng.usize(0..PRIORITIES.len())];
+    let count = if earlier_jobs.is_empty() {
         0
     } else {
         rng.usize(0..5)
     };
-    let names: BTreeSet<String> = (0..needed)
-        .map(|_| prior_runs[rng.usize(0..prior_runs.len())].clone())
+    let names: BTreeSet<String> = (0..count)
+        .map(|_| earlier_jobs[rng.usize(0..earlier_jobs.len())].clone())
         .collect();
     job.dependencies = names.into_iter().collect();
     let id = job.id.clone();
     let record = DependencyState::Open(job.priority);
-    plain.jobs.insert(id.clone(), (job, record));
+    reference.jobs.insert(id.clone(), (job, record));
     id
 }
 
 /// Ends a random open job, if there is one: done if nothing blocks it, or cancelled.
-fn end(rng: &mut fastrand::Rng, plain: &mut Plain) -> Option<String> {
-    let open: Vec<String> = plain.open().into_iter().collect();
+fn end_random_job(rng: &mut fastrand::Rng, reference: &mut ReferenceModel) -> Option<String> {
+    let open: Vec<String> = reference.open_jobs().into_iter().collect();
     let id = open.get(rng.usize(0..open.len().max(1)))?.clone();
-    let record = if plain.is_blocked(&id) || rng.u32(0..4) == 0 {
+    let record = if reference.is_blocked(&id) || rng.u32(0..4) == 0 {
         // Most blocked jobs are left alone: else few chains grow long.
-        if plain.is_blocked(&id) && rng.u32(0..4) > 0 {
+        if reference.is_blocked(&id) && rng.u32(0..4) > 0 {
             return None;
         }
         DependencyState::Cancelled
     } else {
         DependencyState::Done
     };
-    plain.jobs.get_mut(&id)?.1 = record;
+    reference.jobs.get_mut(&id)?.1 = record;
     Some(id)
 }
 
 #[test]
-fn the_graph_agrees_with_a_plain_model() {
-    let (mut cancelled_with, mut unblocked, mut raised) = (0, 0, 0);
+fn graph_agrees_with_reference_model() {
+    let (mut cancelled, mut unblocked, mut reprioritized) = (0, 0, 0);
     for seed in 0..2000 {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let (mut plain, mut follower) = (Plain::default(), Follower::default());
+        let (mut reference, mut view) = (ReferenceModel::default(), ControllerView::default());
         for number in 0..24 {
             let changed = if rng.u32(0..3) > 0 {
-                Some(submit(&mut rng, &mut plain, number))
+                Some(submit_random_job(&mut rng, &mut reference, number))
             } else {
-                end(&mut rng, &mut plain)
+                end_random_job(&mut rng, &mut reference)
             };
             let Some(id) = changed else { continue };
-            follower.update(&plain, &id);
+            view.update(&reference, &id);
             // A record may be told twice.
-            follower.update(&plain, &id);
-            follower.agrees_with(&plain);
+            view.update(&reference, &id);
+            view.assert_matches(&reference);
         }
-        Follower::loaded(&plain).agrees_with(&plain);
-        cancelled_with += follower.cancelled.len();
-        unblocked += follower
+        ControllerView::from_all_records(&reference).assert_matches(&reference);
+        cancelled += view.cancelled.len();
+        unblocked += view
             .runnable
             .iter()
-            .filter(|id| plain.dependencies(id).count() > 0)
+            .filter(|id| reference.dependencies(id).count() > 0)
             .count();
-        raised += follower.priorities.len();
+        reprioritized += view.priorities.len();
     }
     // Each kind of effect came about often.
-    assert!(cancelled_with > 2000 && unblocked > 500 && raised > 2000);
+    assert!(cancelled > 2000 && unblocked > 500 && reprioritized > 2000);
 }
 
 /// A controller may read the record of a job, answering a repeated submission, before it learns of the
 /// jobs that it names.
 #[test]
-fn a_job_named_before_it_is_known_blocks_until_its_record_comes() {
+fn unknown_dependency_blocks_until_its_record_is_read() {
     let record = |known: Option<DependencyState>| move |_: &str| known;
-    let mut needed = job(1, "red", Shape::Array, 1, 1.0);
-    needed.priority = Priority::Standard;
+    let mut dependency = job(1, "red", Shape::Array, 1, 1.0);
+    dependency.priority = Priority::Standard;
     let mut dependent = job(2, "red", Shape::Array, 1, 1.0);
-    dependent.dependencies = vec![needed.id.clone()];
+    dependent.dependencies = vec![dependency.id.clone()];
     for outcome in ["open", "done", "cancelled"] {
         let mut graph = DependencyGraph::default();
         graph.on_accepted(&dependent, record(None));
         assert!(graph.is_blocked(&dependent.id));
         match outcome {
             "open" => {
-                assert!(graph.on_accepted(&needed, record(None)).is_empty());
-                assert!(!graph.is_blocked(&needed.id));
+                assert!(graph.on_accepted(&dependency, record(None)).is_empty());
+                assert!(!graph.is_blocked(&dependency.id));
                 assert!(graph.is_blocked(&dependent.id));
             }
             "done" => {
                 let unblocked = Effect::Unblocked(dependent.id.clone());
-                assert_eq!(graph.on_done(&needed.id), [unblocked]);
+                assert_eq!(graph.on_done(&dependency.id), [unblocked]);
                 assert!(graph.is_empty());
             }
             _ => {
                 let cancelled = Effect::Cancelled(dependent.id.clone());
-                assert_eq!(graph.on_cancelled(&needed.id), [cancelled]);
+                assert_eq!(graph.on_cancelled(&dependency.id), [cancelled]);
                 assert!(graph.is_empty());
             }
         }
--- a/crates/model/tests/world.rs
+++ b/crates/model/tests/invariants.rs
@@ -2,20 +2,20 @@
 
 mod common;
 
-use common::{chained_day, reloaded_day};
+use common::{dependency_scenario, reload_scenario};
 use model::world::{config, job, unlimited_teams, Defect, Fault, JobTimes, World};
 use sched::config::SchedulerConfig;
 use std::collections::{BTreeMap, BTreeSet};
 use wire::users::{Job, Shape};
 
 /// How long it is quiet after a day with dependencies.
-const CALM_S: f64 = 300.0;
+const QUIET_S: f64 = 300.0;
 
 #[test]
-fn rules_hold_with_chains_and_a_roll() {
-    let (mut starts, mut cancelled_with_others, mut blocked) = (0, 0, 0);
+fn rules_hold_with_dependencies_and_rolling_restart() {
+    let (mut starts, mut cancelled_by_dependency, mut blocked) = (0, 0, 0);
     for seed in 0..40 {
-        let world = chained_day(seed, Defect::None, CALM_S);
+        let world = dependency_scenario(seed, Defect::None, QUIET_S);
         assert!(
             world.violations.is_empty(),
             "seed {seed}: {:?}",
@@ -28,61 +28,66 @@
             world.explain()
         );
         starts += world.tasks_started;
-        cancelled_with_others += world.cancelled_by_dependency;
+        cancelled_by_dependency += world.cancelled_by_dependency;
         let times = world.job_times();
         let was_blocked = |times: &&JobTimes| times.ready.is_some_and(|at| at > times.accepted);
         blocked += times.values().filter(was_blocked).count();
     }
     assert!(
-        starts > 3000 && cancelled_with_others > 100 && blocked > 200,
-        "too little happened: {starts} {cancelled_with_others} {blocked}"
+        starts > 3000 && cancelled_by_dependency > 100 && blocked > 200,
+        "too little happened: {starts} {cancelled_by_dependency} {blocked}"
     );
 }
 
 #[test]
-fn starting_before_dependencies_are_done_is_noticed() {
-    let broken = chained_day(1, Defect::StartBlocked, CALM_S).violations;
-    assert!(broken.contains("too_early"), "{broken:?}");
+fn starting_before_dependencies_is_detected() {
+    let violations = dependency_scenario(1, Defect::StartBlocked, QUIET_S).violations;
+    assert!(violations.contains("too_early"), "{violations:?}");
 }
 
 #[test]
-fn taking_a_job_for_open_though_its_dependency_is_cancelled_is_noticed() {
-    let broken = chained_day(1, Defect::IgnoreCancelledDependencies, CALM_S).violations;
-    assert!(broken.contains("orphaned"), "{broken:?}");
+fn ignoring_cancelled_dependencies_is_detected() {
+    let violations =
+        dependency_scenario(1, Defect::IgnoreCancelledDependencies, QUIET_S).violations;
+    assert!(violations.contains("orphaned"), "{violations:?}");
 }
 
-fn days(defect: Defect, seeds: std::ops::Range<u64>, delayed: u32) -> (BTreeSet<String>, u64, u64) {
-    let (mut broken, mut starts, mut leaders) = (BTreeSet::new(), 0, 0);
+fn run_seeds(
+    defect: Defect,
+    seeds: std::ops::Range<u64>,
+    late_percent: u32,
+) -> (BTreeSet<String>, u64, u64) {
+    let (mut violations, mut starts, mut leaders) = (BTreeSet::new(), 0, 0);
     for seed in seeds {
         let mut world = World::new(seed, defect);
-        world.delayed_percent = delayed;
-        world.late_copy_percent = delayed;
-        world.late_write_percent = delayed;
+        world.delayed_percent = late_percent;
+        world.late_copy_percent = late_percent;
+        world.late_write_percent = late_percent;
         world.run_random(150.0, 60.0);
-        broken.append(&mut world.violations);
+        violations.append(&mut world.violations);
         starts += world.tasks_started;
         leaders += world.leaders_elected;
     }
-    (broken, starts, leaders)
+    (violations, starts, leaders)
 }
 
 #[test]
-fn rules_hold_whatever_fails() {
-    let (broken, starts, leaders) = days(Defect::None, 0..40, 3);
-    assert!(broken.is_empty(), "{broken:?}");
+fn rules_hold_under_random_faults() {
+    let (violations, starts, leaders) = run_seeds(Defect::None, 0..40, 3);
+    assert!(violations.is_empty(), "{violations:?}");
     assert!(starts > 5000, "too little happened: {starts} starts");
     assert!(leaders > 100, "too few changes of leader: {leaders}");
 }
 
 #[test]
-fn rules_hold_when_many_messages_are_held_up() {
-    let (broken, starts, _) = days(Defect::None, 0..30, 15);
-    assert!(broken.is_empty(), "{broken:?}");
+fn rules_hold_with_many_late_messages() {
+    let (violations, starts, _) = run_seeds(Defect::None, 0..30, 15);
+    assert!(violations.is_empty(), "{violations:?}");
     assert!(starts > 2000, "too little happened: {starts} starts");
 }
 
 #[test]
-fn all_work_is_done_once_faults_end() {
+fn all_jobs_complete_after_faults_end() {
     for seed in 100..180 {
         let mut world = World::new(seed, Defect::None);
         world.run_random(100.0, 300.0);
@@ -104,7 +109,7 @@
 /// Responses to two machines are lost for good: they get no more tasks, and what they were to start runs
 /// elsewhere.
 #[test]
-fn a_machine_that_gets_no_responses_traps_no_work() {
+fn machine_without_responses_holds_no_work() {
     for seed in 0..12 {
         // Long enough for such a worker to come round to its owner again within its lease.
         let mut world = World::with_config(
@@ -131,9 +136,9 @@
         while world.tasks_started < 3 {
             world.step();
         }
-        let mut unreachable = world.machines();
-        unreachable.truncate(2);
-        world.drop_responses(&unreachable, 1e9);
+        let mut without_responses = world.machines();
+        without_responses.truncate(2);
+        world.drop_responses(&without_responses, 1e9);
         (9..17).for_each(|i| {
             world.submit(job(
                 i,
@@ -165,7 +170,7 @@
 /// next of them. A gang of three in one zone would never see three free at once, unless the
 /// machines of one zone are cordoned for it.
 #[test]
-fn a_large_gang_is_not_starved_by_small_ones() {
+fn large_gang_is_not_starved_by_small_gangs() {
     let teams = unlimited_teams(&["red", "blue"]);
     let wait_s = BTreeMap::from([("any".to_string(), 20.0)]);
     let mut world = World::with_config(
@@ -195,11 +200,11 @@
         world.submit(gang(i, "red", 1));
         (0..4).for_each(|_| world.step());
     }
-    let large = world.job_times()["wk-009999"];
+    let times = world.job_times()["wk-009999"];
     assert!(
-        large.started.is_some_and(|at| at - large.accepted < 60.0),
+        times.started.is_some_and(|at| at - times.accepted < 60.0),
         "it began at {:?}",
-        large.started
+        times.started
     );
     assert!(
         world.open_jobs().len() > 20,
@@ -209,7 +214,7 @@
 }
 
 #[test]
-fn every_kind_of_fault_happens() {
+fn every_random_fault_happens() {
     let mut seen: BTreeMap<Fault, u32> = BTreeMap::new();
     for seed in 0..10 {
         let mut world = World::new(seed, Defect::None);
@@ -223,21 +228,21 @@
 }
 
 #[test]
-fn forgetting_accepted_jobs_is_noticed() {
-    trips_when_calm(Defect::LoseJobs, "forgotten");
+fn forgetting_accepted_jobs_is_detected() {
+    assert_detected_when_quiet(Defect::LoseJobs, "forgotten");
 }
 
 #[test]
-fn never_starting_the_largest_gangs_is_noticed() {
-    trips_when_calm(Defect::HideLargestGangs, "late");
+fn never_starting_largest_gangs_is_detected() {
+    assert_detected_when_quiet(Defect::HideLargestGangs, "late");
 }
 
 #[test]
-fn never_serving_a_team_is_noticed() {
-    trips_when_calm(Defect::HideRedArrays, "unserved");
+fn never_serving_a_team_is_detected() {
+    assert_detected_when_quiet(Defect::HideRedArrays, "unserved");
 }
 
-fn trips_when_calm(defect: Defect, rule: &str) {
+fn assert_detected_when_quiet(defect: Defect, rule: &str) {
     let mut world = World::new(4, defect);
     world.run_random(150.0, 300.0);
     assert!(
@@ -245,57 +250,57 @@
         "{defect:?} went unnoticed: {:?}",
         world.violations
     );
-    let mut whole = World::new(4, Defect::None);
-    whole.run_random(150.0, 300.0);
-    assert!(whole.violations.is_empty(), "{:?}", whole.violations);
+    let mut healthy = World::new(4, Defect::None);
+    healthy.run_random(150.0, 300.0);
+    assert!(healthy.violations.is_empty(), "{:?}", healthy.violations);
 }
 
-fn trips(defect: Defect, rule: &str) {
-    let (broken, _, _) = days(defect, 0..30, 15);
+fn assert_detected(defect: Defect, rule: &str) {
+    let (violations, _, _) = run_seeds(defect, 0..30, 15);
     assert!(
-        broken.contains(rule),
-        "{defect:?} went unnoticed: {broken:?}"
+        violations.contains(rule),
+        "{defect:?} went unnoticed: {violations:?}"
     );
 }
 
 #[test]
-fn trusting_delayed_heartbeats_is_noticed() {
+fn trusting_delayed_heartbeats_is_detected() {
     // What it leads to first depends on luck: a second start, or a limit exceeded by it.
-    let (broken, _, _) = days(Defect::TrustAnyHeartbeat, 0..60, 15);
+    let (violations, _, _) = run_seeds(Defect::TrustAnyHeartbeat, 0..60, 15);
     assert!(
-        broken.contains("ran_twice") || broken.contains("quota"),
-        "went unnoticed: {broken:?}"
+        violations.contains("ran_twice") || violations.contains("quota"),
+        "went unnoticed: {violations:?}"
     );
 }
 
 #[test]
-fn forgetting_the_roster_is_noticed() {
-    trips(Defect::ForgetRoster, "ran_twice");
+fn forgetting_roster_is_detected() {
+    assert_detected(Defect::ForgetRoster, "ran_twice");
 }
 
 #[test]
-fn exceeding_limits_is_noticed() {
-    trips(Defect::DoubleLimit, "quota");
+fn exceeding_limits_is_detected() {
+    assert_detected(Defect::DoubleLimit, "quota");
 }
 
 #[test]
-fn wrong_places_are_noticed() {
-    trips(Defect::IgnoreTypes, "wrong_place");
+fn wrong_placement_is_detected() {
+    assert_detected(Defect::IgnoreTypes, "wrong_place");
 }
 
 #[test]
-fn running_on_after_a_cancellation_is_noticed() {
-    trips(Defect::IgnoreCancel, "ran_cancelled");
+fn running_after_cancellation_is_detected() {
+    assert_detected(Defect::IgnoreCancel, "ran_cancelled");
 }
 
 #[test]
-fn calling_half_a_job_done_is_noticed() {
-    trips(Defect::FinishAtHalf, "not_done");
+fn completing_job_at_half_is_detected() {
+    assert_detected(Defect::FinishAtHalf, "not_done");
 }
 
 #[test]
-fn a_task_that_runs_on_after_its_job_is_done_is_noticed() {
-    let lives = |defect| {
+fn task_outliving_completed_job_is_detected() {
+    let violations_of = |defect| {
         let mut world = World::new(3, defect);
         // More tasks than its team may run at a time: some begin when the others are done.
         world.submit(Job {
@@ -306,17 +311,17 @@
         world.violations
     };
     assert_eq!(
-        lives(Defect::FinishAtHalf),
+        violations_of(Defect::FinishAtHalf),
         BTreeSet::from(["not_done".into()])
     );
-    let broken = lives(Defect::FinishAtHalfUnseen);
-    assert!(broken.contains("orphaned"), "{broken:?}");
+    let violations = violations_of(Defect::FinishAtHalfUnseen);
+    assert!(violations.contains("orphaned"), "{violations:?}");
 }
 
 #[test]
-fn rules_hold_while_controllers_reload_all_records() {
+fn rules_hold_during_reloads() {
     for seed in 0..30 {
-        let world = reloaded_day(seed, Defect::None);
+        let world = reload_scenario(seed, Defect::None);
         assert!(
             world.violations.is_empty(),
             "seed {seed}: {:?}",
@@ -332,10 +337,10 @@
 }
 
 #[test]
-fn a_reload_that_takes_ends_back_is_noticed() {
-    let notices = |seed| {
-        let broken = reloaded_day(seed, Defect::ReloadDiscardsOwnWrites).violations;
-        broken.contains("started_done")
+fn reload_discarding_own_writes_is_detected() {
+    let is_detected = |seed| {
+        let violations = reload_scenario(seed, Defect::ReloadDiscardsOwnWrites).violations;
+        violations.contains("started_done")
     };
-    assert!((0..30).any(notices), "it went unnoticed");
+    assert!((0..30).any(is_detected), "it went unnoticed");
 }
--- a/crates/model/tests/leader_and_owner.rs
+++ b/crates/model/tests/leader_and_owner.rs
@@ -56,7 +56,7 @@
 /// delayed until after the lease has expired. The worker has then forgotten what that heartbeat shows, and
 /// the leader has given it to another machine.
 #[test]
-fn a_heartbeat_of_an_expired_lease_does_not_count_though_none_counted_before() {
+fn heartbeat_sent_under_expired_lease_is_ignored() {
     let mut owner = owner_of_host_1();
     assert!(
         matches!(owner.on_heartbeat(&heartbeat(2, 57, 4), 10.5, &EmptyJobLookup), HeartbeatResponse::Orders(o) if o.token == 5 && o.orders.is_empty())
@@ -89,7 +89,7 @@
     model::world::machine_status(name, "small", tasks)
 }
 
-fn view_of(index: u32, attempt: u64, state: TaskState, why: Option<Why>) -> TaskStatus {
+fn wk1_status(index: u32, attempt: u64, state: TaskState, why: Option<Why>) -> TaskStatus {
     let task = TaskRef {
         job: "wk-1".into(),
         index,
@@ -98,7 +98,7 @@
     task_status(task, state, why)
 }
 
-fn small() -> MachineType {
+fn small_type() -> MachineType {
     MachineType {
         boot_s: 10.0,
         zones: vec!["a".into()],
@@ -117,13 +117,13 @@
 /// The end of another attempt completes the task, but the attempt that is on a machine still uses
 /// its capacity and its team's limit, and is stopped.
 #[test]
-fn an_attempt_stays_charged_when_another_one_is_done() {
+fn attempt_stays_charged_after_another_completes() {
     let spec = array("wk-1");
     let open = OpenJob::new(spec, 1, PriorRuns::Anywhere);
     let roster = roster(["host-1", "host-2"], &roster_record("small"));
-    let mut leader = lone_leader(config(), vec![small()], vec![open], 1, &roster);
+    let mut leader = lone_leader(config(), vec![small_type()], vec![open], 1, &roster);
     leader.tick(0.0, 0);
-    let running = view_of(0, 9, TaskState::Running, None);
+    let running = wk1_status(0, 9, TaskState::Running, None);
     leader.on_owner_message(
         "rung-0",
         ToLeader::MachineStatuses(vec![machine_status("host-1", vec![running])]),
@@ -131,7 +131,7 @@
     );
     assert_eq!(leader.used_by("red").cpus, 4.0);
     leader.take_actions();
-    let done = view_of(0, 7, TaskState::Exited, Some(Why::Done));
+    let done = wk1_status(0, 7, TaskState::Exited, Some(Why::Done));
     leader.on_owner_message(
         "rung-0",
         ToLeader::MachineStatuses(vec![machine_status("host-2", vec![done])]),
@@ -139,24 +139,24 @@
     );
     assert_eq!(leader.used_by("red").cpus, 4.0);
     assert!(leader.done_tasks("wk-1").contains(0));
-    let stop = |d: &Action| matches!(d, Action::Send(_, ToOwner::Stop { machine, task, .. }) if machine == "host-1" && task.attempt == 9);
+    let stop = |action: &Action| matches!(action, Action::Send(_, ToOwner::Stop { machine, task, .. }) if machine == "host-1" && task.attempt == 9);
     assert!(leader.take_actions().iter().any(stop));
 }
 
 /// A job is cancelled while the new leader does not know yet what runs on a machine that hangs:
 /// its tasks may still be there, and count against the team's limit.
 #[test]
-fn a_job_cancelled_before_all_machines_are_known_still_counts() {
+fn cancelled_job_counts_until_machines_reconcile() {
     let roster = roster(["host-1", "host-2", "host-3"], &roster_record("small"));
-    let open = |id: &str, revision, prior_runs| OpenJob::new(array(id), revision, prior_runs);
-    let old = open("wk-1", 1, PriorRuns::Anywhere);
-    let mut leader = lone_leader(config(), vec![small()], vec![old], 1, &roster);
+    let open_job = |id: &str, revision, prior_runs| OpenJob::new(array(id), revision, prior_runs);
+    let old_job = open_job("wk-1", 1, PriorRuns::Anywhere);
+    let mut leader = lone_leader(config(), vec![small_type()], vec![old_job], 1, &roster);
     leader.tick(0.0, 0);
-    let known = ["host-2", "host-3"].map(|n| machine_status(n, Vec::new()));
-    leader.on_owner_message("rung-0", ToLeader::MachineStatuses(known.into()), 1.0);
+    let statuses = ["host-2", "host-3"].map(|n| machine_status(n, Vec::new()));
+    leader.on_owner_message("rung-0", ToLeader::MachineStatuses(statuses.into()), 1.0);
     leader.on_job_terminal("wk-1");
-    leader.add_job(open("wk-2", 2, PriorRuns::None));
-    leader.add_job(open("wk-3", 3, PriorRuns::None));
+    leader.add_job(open_job("wk-2", 2, PriorRuns::None));
+    leader.add_job(open_job("wk-3", 3, PriorRuns::None));
     leader.start_record_result(
         &StartedArraysRecord {
             upto: 3,
@@ -166,7 +166,7 @@
     );
     leader.take_actions();
     leader.tick(2.0, 0);
-    let assigned = |d: Action| match d {
+    let assigned = |action: Action| match action {
         Action::Send(_, ToOwner::Assign { tasks, .. }) => tasks.iter().map(|(_, n)| n).sum::<u32>(),
         _ => 0,
     };
@@ -177,7 +177,7 @@
 /// All controllers start together and join the new leader within two seconds: one epoch, not four
 /// that each move machines on.
 #[test]
-fn a_leader_that_has_just_started_waits_for_the_others_that_start() {
+fn starting_leader_waits_for_other_controllers() {
     let epochs = |starting: bool| {
         let mut leader = Leader::new(
             "rung-0",
@@ -193,7 +193,7 @@
         if starting {
             leader.expect_other_controllers();
         }
-        let mut seen = Vec::new();
+        let mut epoch_sizes = Vec::new();
         for step in 1..40 {
             let now = f64::from(step) / 10.0;
             for (member, at) in [("rung-1", 5), ("rung-2", 12), ("rung-3", 21)] {
@@ -202,17 +202,17 @@
                 }
             }
             leader.tick(now, 3);
-            for d in leader.take_actions() {
-                match d {
+            for action in leader.take_actions() {
+                match action {
                     Action::IssueToken => leader.token_result(Some(leader.token() + 1), now),
                     Action::Send(to, ToOwner::Epoch { members, .. }) if to == "rung-0" => {
-                        seen.push(members.len())
+                        epoch_sizes.push(members.len())
                     }
                     _ => {}
                 }
             }
         }
-        seen
+        epoch_sizes
     };
     assert_eq!(epochs(true), [3]);
     assert_eq!(epochs(false).len(), 4);
@@ -221,47 +221,47 @@
 /// Six dead machines of 1,779 kept all arrays that had begun waiting for 21 s after an end of all
 /// controllers, though all others had sent heartbeats within three.
 #[test]
-fn a_few_machines_that_stay_silent_are_returned_soon() {
-    let returned_at = |silent: usize| {
+fn few_silent_machines_are_deprovisioned_soon() {
+    let deprovisioned_at = |silent: usize| {
         let names: Vec<String> = (0..100).map(|i| format!("host-{i}")).collect();
         let roster = roster(names.clone(), &roster_record("small"));
-        let old = OpenJob::new(array("wk-1"), 1, PriorRuns::Anywhere);
+        let open = OpenJob::new(array("wk-1"), 1, PriorRuns::Anywhere);
         let config = SchedulerConfig {
             heartbeat_s: 10.0,
             ..config()
         };
-        let mut leader = lone_leader(config, vec![small()], vec![old], 1, &roster);
+        let mut leader = lone_leader(config, vec![small_type()], vec![open], 1, &roster);
         leader.tick(0.0, 0);
-        let known = names[silent..]
+        let statuses = names[silent..]
             .iter()
             .map(|n| machine_status(n, Vec::new()))
             .collect();
-        leader.on_owner_message("rung-0", ToLeader::MachineStatuses(known), 2.0);
+        leader.on_owner_message("rung-0", ToLeader::MachineStatuses(statuses), 2.0);
         leader.take_actions();
         (20..400).map(|t| f64::from(t) / 10.0).find(|now| {
             leader.tick(*now, 0);
             leader
                 .take_actions()
                 .iter()
-                .any(|d| matches!(d, Action::Deprovision(names) if names.len() == silent))
+                .any(|action| matches!(action, Action::Deprovision(names) if names.len() == silent))
         })
     };
     assert!(
-        returned_at(2).is_some_and(|at| (7.0..9.0).contains(&at)),
+        deprovisioned_at(2).is_some_and(|at| (7.0..9.0).contains(&at)),
         "{:?}",
-        returned_at(2)
+        deprovisioned_at(2)
     );
     assert!(
-        returned_at(10).is_some_and(|at| at > 20.0),
+        deprovisioned_at(10).is_some_and(|at| at > 20.0),
         "{:?}",
-        returned_at(10)
+        deprovisioned_at(10)
     );
 }
 
 /// An array that waits for its turn is named as untouched, so that a later leader starts it at
 /// once, while it still has to learn what runs on some machine that does not heartbeat.
 #[test]
-fn arrays_that_wait_their_turn_are_not_recorded_as_started() {
+fn queued_arrays_are_not_recorded_as_started() {
     let mut leader = Leader::new(
         "rung-0",
         config(),
@@ -279,10 +279,13 @@
         leader.add_job(OpenJob::new(array(id), 10 + i as u64, prior_runs));
     }
     leader.tick(1.0, 0);
-    let record = leader.take_actions().into_iter().find_map(|d| match d {
-        Action::RecordStartedArrays(record) => Some(record),
-        _ => None,
-    });
+    let record = leader
+        .take_actions()
+        .into_iter()
+        .find_map(|action| match action {
+            Action::RecordStartedArrays(record) => Some(record),
+            _ => None,
+        });
     let record = record.expect("the first in the queue begins");
     assert_eq!(
         (record.upto, record.waiting.as_slice()),
@@ -298,12 +301,12 @@
     assert!(leader
         .take_actions()
         .iter()
-        .any(|d| matches!(d, Action::RecordStartedArrays(again) if *again == record)));
+        .any(|action| matches!(action, Action::RecordStartedArrays(again) if *again == record)));
 }
 
-struct OneJob;
+struct SingleJobLookup;
 
-impl JobLookup for OneJob {
+impl JobLookup for SingleJobLookup {
     fn resources(&self, job: &str) -> Option<Resources> {
         (job == "wk-1").then_some(Resources {
             cpus: 4.0,
@@ -323,16 +326,16 @@
 /// very heartbeat that shows capacity for it; one that finds none in time is handed back; a terminal
 /// job gets nothing.
 #[test]
-fn an_owners_backlog_fills_what_a_heartbeat_shows_to_be_free() {
+fn owner_backlog_fills_capacity_freed_in_heartbeat() {
     let mut owner = owner_of_host_1();
     owner.on_leader_message(
         ToOwner::Catalog {
-            types: vec![small()],
+            types: vec![small_type()],
         },
         10.0,
-        &OneJob,
+        &SingleJobLookup,
     );
-    let starts = |answer: HeartbeatResponse| match answer {
+    let started_tasks = |response: HeartbeatResponse| match response {
         HeartbeatResponse::Orders(o) => o
             .orders
             .iter()
@@ -351,7 +354,10 @@
             saved: None,
         })
         .collect();
-    assert_eq!(starts(owner.on_heartbeat(&busy, 11.0, &OneJob)), 0);
+    assert_eq!(
+        started_tasks(owner.on_heartbeat(&busy, 11.0, &SingleJobLookup)),
+        0
+    );
     let backlog = |job: &str| ToOwner::AssignBacklog {
         job: job.into(),
         attempt: 7,
@@ -359,22 +365,22 @@
         tasks: vec![(0, 3)],
         wait_ms: 4000,
     };
-    owner.on_leader_message(backlog("wk-2"), 11.1, &OneJob);
-    owner.on_leader_message(backlog("wk-1"), 11.2, &OneJob);
+    owner.on_leader_message(backlog("wk-2"), 11.1, &SingleJobLookup);
+    owner.on_leader_message(backlog("wk-1"), 11.2, &SingleJobLookup);
     (busy.seq, busy.tasks) = (2, busy.tasks[..1].to_vec());
     assert_eq!(
-        starts(owner.on_heartbeat(&busy, 12.0, &OneJob)),
+        started_tasks(owner.on_heartbeat(&busy, 12.0, &SingleJobLookup)),
         1,
         "one has ended, one takes its place"
     );
     owner.drain();
     owner.tick(15.5);
     let back: Vec<_> = owner.drain();
-    let handed = |job: &str, tasks: &[(u32, u32)]| {
+    let is_handed_back = |job: &str, tasks: &[(u32, u32)]| {
         back.iter().any(|m| matches!(m, ToLeader::HandBack { job: j, attempt: 7, tasks: t } if j == job && t == tasks))
     };
     assert!(
-        handed("wk-2", &[(0, 3)]) && handed("wk-1", &[(1, 2)]),
+        is_handed_back("wk-2", &[(0, 3)]) && is_handed_back("wk-1", &[(1, 2)]),
         "{back:?}"
     );
 }
--- a/crates/model/tests/preemption.rs
+++ b/crates/model/tests/preemption.rs
@@ -15,7 +15,7 @@
 const HOSTS: [&str; 2] = ["host-1", "host-2"];
 
 /// A leader whose two machines, with capacity for one task each, run the first two tasks of an array.
-struct Scene {
+struct PreemptionScenario {
     leader: Leader,
     now: f64,
     /// What each machine heartbeats.
@@ -39,8 +39,8 @@
     }
 }
 
-impl Scene {
-    fn new(array: Job, gang: Job) -> Scene {
+impl PreemptionScenario {
+    fn new(array: Job, gang: Job) -> PreemptionScenario {
         let roster = roster(HOSTS, &roster_record("small"));
         let open =
             |job: Job, revision, prior_runs| OpenJob::new(Rc::new(job), revision, prior_runs);
@@ -57,7 +57,7 @@
             .zip(0..)
             .map(|(host, index)| (*host, running(index)))
             .collect();
-        let mut scene = Scene {
+        let mut scenario = PreemptionScenario {
             leader,
             now: 0.0,
             tasks,
@@ -65,14 +65,14 @@
             provisioned: 0,
             assigned: 0,
         };
-        scene.pass(1.0);
-        scene.provisioned = 0;
-        scene.leader.add_job(open(gang, 2, PriorRuns::None));
-        scene
+        scenario.advance(1.0);
+        scenario.provisioned = 0;
+        scenario.leader.add_job(open(gang, 2, PriorRuns::None));
+        scenario
     }
 
     /// Lets time pass; says whether capacity for a gang was held meanwhile.
-    fn pass(&mut self, seconds: f64) -> bool {
+    fn advance(&mut self, seconds: f64) -> bool {
         let mut reserved = false;
         let end = self.now + seconds;
         while self.now < end {
@@ -91,18 +91,18 @@
                     _ => {}
                 }
             }
-            let views = self
+            let statuses = self
                 .tasks
                 .iter()
                 .map(|(host, tasks)| machine_status(host, "small", tasks.clone()))
                 .collect();
             self.leader
-                .on_owner_message("rung-0", ToLeader::MachineStatuses(views), self.now);
+                .on_owner_message("rung-0", ToLeader::MachineStatuses(statuses), self.now);
         }
         reserved
     }
 
-    fn exits(&mut self, host: &'static str, index: u32) {
+    fn stop_task(&mut self, host: &'static str, index: u32) {
         self.tasks.insert(
             host,
             vec![array_task(index, TaskState::Exited, Some(Why::Stopped))],
@@ -110,7 +110,7 @@
     }
 }
 
-fn guest_array() -> Job {
+fn best_effort_array() -> Job {
     Job {
         priority: Priority::BestEffort,
         checkpoint_s: 30.0,
@@ -122,11 +122,12 @@
 /// Long tasks of low priority held all machines that a gang fits on; capacity was taken back for single
 /// tasks only, so the gang waited for their ends.
 #[test]
-fn a_whole_gang_has_capacity_reclaimed_and_reserved_until_it_is_complete() {
-    let mut scene = Scene::new(guest_array(), job(2, "red", Shape::Gang, 2, 3.0));
-    assert!(!scene.pass(2.0));
+fn capacity_is_reclaimed_and_held_for_whole_gang() {
+    let mut scenario =
+        PreemptionScenario::new(best_effort_array(), job(2, "red", Shape::Gang, 2, 3.0));
+    assert!(!scenario.advance(2.0));
     assert_eq!(
-        scene
+        scenario
             .stopped
             .iter()
             .map(|task| task.index)
@@ -134,99 +135,107 @@
         [0, 1]
     );
     // One machine is free before the other: the array does not get it back.
-    scene.exits("host-1", 0);
-    assert!(!scene.pass(1.0));
-    scene.exits("host-2", 1);
+    scenario.stop_task("host-1", 0);
+    assert!(!scenario.advance(1.0));
+    scenario.stop_task("host-2", 1);
     assert!(
-        scene.pass(1.0),
+        scenario.advance(1.0),
         "the gang's capacity is held as soon as all of it is free"
     );
-    assert_eq!(scene.assigned, 0, "nothing else is placed there meanwhile");
+    assert_eq!(
+        scenario.assigned, 0,
+        "nothing else is placed there meanwhile"
+    );
     assert!(
-        scene.provisioned <= 2,
+        scenario.provisioned <= 2,
         "{}: only for the tasks that were stopped",
-        scene.provisioned
+        scenario.provisioned
     );
 }
 
 /// Half a gang's capacity serves nobody.
 #[test]
-fn nothing_is_stopped_for_a_gang_that_would_still_lack_capacity() {
-    let mut scene = Scene::new(guest_array(), job(2, "red", Shape::Gang, 3, 2.5));
-    scene.pass(4.0);
-    assert!(scene.stopped.is_empty(), "{:?}", scene.stopped);
+fn nothing_is_preempted_for_unplaceable_gang() {
+    let mut scenario =
+        PreemptionScenario::new(best_effort_array(), job(2, "red", Shape::Gang, 3, 2.5));
+    scenario.advance(4.0);
+    assert!(scenario.stopped.is_empty(), "{:?}", scenario.stopped);
     assert!(
-        scene.provisioned > 0,
+        scenario.provisioned > 0,
         "machines are provisioned for it instead"
     );
 }
 
 /// Work of the same priority that its team runs within its guarantee is left alone.
 #[test]
-fn a_gang_takes_nothing_from_what_is_within_a_guarantee() {
+fn gang_preempts_nothing_within_guarantee() {
     let array = Job {
         priority: Priority::Standard,
-        ..guest_array()
+        ..best_effort_array()
     };
-    let mut scene = Scene::new(array, job(2, "red", Shape::Gang, 2, 3.0));
-    scene.pass(4.0);
-    assert!(scene.stopped.is_empty(), "{:?}", scene.stopped);
+    let mut scenario = PreemptionScenario::new(array, job(2, "red", Shape::Gang, 2, 3.0));
+    scenario.advance(4.0);
+    assert!(scenario.stopped.is_empty(), "{:?}", scenario.stopped);
 }
 
 /// What saves loses no more than the time that takes, however long it has run: it goes before what
 /// began later and would have to begin anew.
 #[test]
-fn what_can_save_is_stopped_before_what_would_lose_its_work() {
-    let mut scene = Scene::new(guest_array(), job(4, "red", Shape::Array, 1, 20.0));
-    let loses = Job {
+fn checkpointed_tasks_are_preempted_first() {
+    let mut scenario =
+        PreemptionScenario::new(best_effort_array(), job(4, "red", Shape::Array, 1, 20.0));
+    let without_checkpoint = Job {
         priority: Priority::BestEffort,
         ..job(3, "blue", Shape::Array, 1, 4.0)
     };
-    let later = TaskRef {
-        job: loses.id.clone(),
+    let later_task = TaskRef {
+        job: without_checkpoint.id.clone(),
         index: 0,
         attempt: ARRAY_ATTEMPT,
     };
-    scene
-        .leader
-        .add_job(OpenJob::new(Rc::new(loses), 3, PriorRuns::None));
-    scene.pass(20.0);
+    scenario.leader.add_job(OpenJob::new(
+        Rc::new(without_checkpoint),
+        3,
+        PriorRuns::None,
+    ));
+    scenario.advance(20.0);
     let state = TaskState::Running;
     let task = TaskStatus {
-        task: later,
+        task: later_task,
         state,
         why: None,
         saved: false,
     };
-    scene.tasks.insert("host-2", vec![task]);
-    scene.pass(4.0);
-    assert!(scene.stopped.is_empty(), "{:?}", scene.stopped);
-    scene.leader.add_job(OpenJob::new(
+    scenario.tasks.insert("host-2", vec![task]);
+    scenario.advance(4.0);
+    assert!(scenario.stopped.is_empty(), "{:?}", scenario.stopped);
+    scenario.leader.add_job(OpenJob::new(
         Rc::new(job(2, "red", Shape::Array, 1, 3.0)),
         4,
         PriorRuns::None,
     ));
-    scene.pass(3.0);
-    let stopped: Vec<&str> = scene.stopped.iter().map(|t| t.job.as_str()).collect();
+    scenario.advance(3.0);
+    let stopped: Vec<&str> = scenario.stopped.iter().map(|t| t.job.as_str()).collect();
     assert_eq!(stopped, ["wk-000001"]);
 }
 
 /// Machines are cordoned for a gang that waits long and for which nothing can be stopped: a younger
 /// one could not use what is stopped for it, and would not have been provisioned for.
 #[test]
-fn nothing_is_stopped_for_a_gang_behind_one_that_cannot_be_placed() {
-    let mut scene = Scene::new(guest_array(), job(2, "red", Shape::Gang, 3, 2.5));
-    scene.pass(12.0);
-    scene.leader.add_job(OpenJob::new(
+fn nothing_is_preempted_behind_unplaceable_gang() {
+    let mut scenario =
+        PreemptionScenario::new(best_effort_array(), job(2, "red", Shape::Gang, 3, 2.5));
+    scenario.advance(12.0);
+    scenario.leader.add_job(OpenJob::new(
         Rc::new(job(3, "red", Shape::Gang, 2, 3.0)),
         3,
         PriorRuns::None,
     ));
-    scene.provisioned = 0;
-    scene.pass(4.0);
-    assert!(scene.stopped.is_empty(), "{:?}", scene.stopped);
+    scenario.provisioned = 0;
+    scenario.advance(4.0);
+    assert!(scenario.stopped.is_empty(), "{:?}", scenario.stopped);
     assert!(
-        scene.provisioned > 0,
+        scenario.provisioned > 0,
         "machines are provisioned for it instead"
     );
 }
@@ -234,7 +243,7 @@
 /// The pass keeps machine types that alone fit some class for that class. What is free of them is no capacity
 /// for another gang: it was taken for such, and nothing was provisioned.
 #[test]
-fn a_gang_is_not_taken_to_have_capacity_where_the_pass_would_not_place_it() {
+fn reserved_machine_type_is_no_capacity_for_gang() {
     let large_only = Job {
         class: "needs-large".into(),
         priority: Priority::BestEffort,
@@ -259,8 +268,8 @@
                 provisioned += request.count;
             }
         }
-        let view = machine_status("host-9", "large", vec![task.clone()]);
-        leader.on_owner_message("rung-0", ToLeader::MachineStatuses(vec![view]), now);
+        let status = machine_status("host-9", "large", vec![task.clone()]);
+        leader.on_owner_message("rung-0", ToLeader::MachineStatuses(vec![status]), now);
         if now == 2.0 {
             leader.add_job(open(job(2, "red", Shape::Gang, 2, 3.0), 3, PriorRuns::None));
         }
--- a/crates/model/tests/plain.rs
+++ b/crates/model/tests/reference_placement.rs
@@ -15,20 +15,20 @@
 use wire::users::{Job, Priority, Shape};
 
 /// A leader that is its only owner, with empty machines that are known and rostered.
-fn leader(machines: &[(&str, &str)], limit: f64) -> Leader {
+fn leader_with_limit(machines: &[(&str, &str)], limit: f64) -> Leader {
     let mut config = config();
     config.teams.get_mut("red").unwrap().cpus_max = limit;
-    leader_with(config, machines)
+    leader_with_config(config, machines)
 }
 
-fn all_started(upto: u64) -> wire::store::StartedArraysRecord {
+fn started_arrays(upto: u64) -> wire::store::StartedArraysRecord {
     wire::store::StartedArraysRecord {
         upto,
         waiting: Vec::new(),
     }
 }
 
-fn leader_with(config: SchedulerConfig, machines: &[(&str, &str)]) -> Leader {
+fn leader_with_config(config: SchedulerConfig, machines: &[(&str, &str)]) -> Leader {
     let mut leader = lone_leader(config, machine_types(), Vec::new(), 0, &BTreeMap::new());
     leader.tick(5.0, 0);
     leader.take_actions();
@@ -44,28 +44,28 @@
     leader
 }
 
-fn placed(actions: &[Action]) -> BTreeMap<String, u32> {
-    let mut out: BTreeMap<String, u32> = BTreeMap::new();
-    for d in actions {
-        match d {
+fn placed_tasks(actions: &[Action]) -> BTreeMap<String, u32> {
+    let mut placed: BTreeMap<String, u32> = BTreeMap::new();
+    for action in actions {
+        match action {
             Action::Send(_, ToOwner::Assign { job, tasks, .. }) => {
-                *out.entry(job.clone()).or_default() += tasks.iter().map(|(_, n)| n).sum::<u32>()
+                *placed.entry(job.clone()).or_default() += tasks.iter().map(|(_, n)| n).sum::<u32>()
             }
             Action::Send(_, ToOwner::Reserve { job, places, .. }) => {
-                *out.entry(job.clone()).or_default() +=
+                *placed.entry(job.clone()).or_default() +=
                     places.iter().map(|(_, _, n)| n).sum::<u32>()
             }
             _ => {}
         }
     }
-    out
+    placed
 }
 
 const CPUS_AND_MEMORY_OF_SMALL: (f64, f64) = (4.0, 16.0);
 const CPUS_AND_MEMORY_OF_LARGE: (f64, f64) = (16.0, 64.0);
 
 /// An empty machine of the plain model.
-fn plain_machine(name: &str, kind: &str) -> ReferenceMachine {
+fn reference_machine(name: &str, kind: &str) -> ReferenceMachine {
     let (cpus, memory_gb) = match kind {
         "small" => CPUS_AND_MEMORY_OF_SMALL,
         _ => CPUS_AND_MEMORY_OF_LARGE,
@@ -112,45 +112,45 @@
     let (mut within, mut beyond, mut cpus) = (Vec::new(), Vec::new(), 0.0);
     for job in jobs {
         cpus += f64::from(job.tasks) * job.cpus;
-        let part = if cpus <= 8.0 {
+        let group = if cpus <= 8.0 {
             &mut within
         } else {
             &mut beyond
         };
-        part.push(job.clone());
+        group.push(job.clone());
     }
     within.extend(beyond);
     within
 }
 
 #[test]
-fn the_one_pass_agrees_with_the_plain_model() {
+fn placement_agrees_with_reference_model() {
     let mut rng = fastrand::Rng::with_seed(3);
     let mut gangs = 0;
     for round in 0..400 {
         let machines = random_machines(&mut rng);
         let limit = f64::from(rng.u32(8..40));
         let jobs = random_jobs(&mut rng, limit);
-        let mut leader = leader(&machines, limit);
+        let mut leader = leader_with_limit(&machines, limit);
         for (spec, revision) in jobs.iter().zip(1..) {
             let spec = Rc::new(spec.clone());
             leader.add_job(OpenJob::new(spec, revision, PriorRuns::None));
         }
-        leader.start_record_result(&all_started(jobs.len() as u64), true);
+        leader.start_record_result(&started_arrays(jobs.len() as u64), true);
         leader.tick(5.1, 0);
         // A class with a task that fits only the large type keeps that type for itself.
         if jobs.iter().any(|job| job.cpus > 4.0) {
             continue;
         }
-        let plain = machines.iter();
-        let mut plain: Vec<ReferenceMachine> = plain
-            .map(|(name, kind)| plain_machine(name, kind))
+        let reference_machines = machines.iter();
+        let mut reference_machines: Vec<ReferenceMachine> = reference_machines
+            .map(|(name, kind)| reference_machine(name, kind))
             .collect();
-        let want = place(&mut plain, &by_guarantee(&jobs), limit);
-        let got = placed(&leader.take_actions());
-        let is_placed_gang = |job: &&Job| job.shape == Shape::Gang && got.contains_key(&job.id);
+        let expected = place(&mut reference_machines, &by_guarantee(&jobs), limit);
+        let actual = placed_tasks(&leader.take_actions());
+        let is_placed_gang = |job: &&Job| job.shape == Shape::Gang && actual.contains_key(&job.id);
         gangs += jobs.iter().filter(is_placed_gang).count();
-        assert_eq!(got, want, "round {round}: {machines:?} {jobs:?}");
+        assert_eq!(actual, expected, "round {round}: {machines:?} {jobs:?}");
     }
     assert!(gangs > 50);
 }
@@ -158,7 +158,7 @@
 /// Ten teams: arrays of one that came first, and take more than all there is, leave the others
 /// what is within their guarantees; its own limit bounds them.
 #[test]
-fn one_teams_large_arrays_leave_the_others_their_guarantees() {
+fn large_arrays_leave_other_teams_their_guarantees() {
     let mut config = config();
     let team = |cpus: f64, cpus_max: f64| sched::config::Team {
         cpus,
@@ -171,36 +171,38 @@
         .collect();
     let names: Vec<String> = (0..10).map(|i| format!("host-{i}")).collect();
     let machines: Vec<(&str, &str)> = names.iter().map(|n| (n.as_str(), "large")).collect();
-    let mut leader = leader_with(config, &machines);
+    let mut leader = leader_with_config(config, &machines);
     for i in 0..13 {
         let (team, tasks) = if i < 3 { (0, 800) } else { (i - 3, 4) };
         let spec = Rc::new(job(i, &format!("team-{team}"), Shape::Array, tasks, 1.0));
         leader.add_job(OpenJob::new(spec, u64::from(i) + 1, PriorRuns::None));
     }
-    leader.start_record_result(&all_started(13), true);
+    leader.start_record_result(&started_arrays(13), true);
     leader.tick(5.1, 0);
-    let got = placed(&leader.take_actions());
+    let actual = placed_tasks(&leader.take_actions());
     for i in 4..13 {
         assert_eq!(
-            got.get(&format!("wk-{i:06}")),
+            actual.get(&format!("wk-{i:06}")),
             Some(&4),
             "team-{} did not get its guarantee",
             i - 3
         );
     }
-    let first: u32 = (0..4).filter_map(|i| got.get(&format!("wk-{i:06}"))).sum();
+    let first: u32 = (0..4)
+        .filter_map(|i| actual.get(&format!("wk-{i:06}")))
+        .sum();
     assert_eq!(first, 50, "the limit of the first team");
 }
 
 /// Machines that an earlier leader rostered stay in use (they once idled until returned).
 #[test]
-fn a_new_leader_uses_the_machines_of_the_roster() {
+fn new_leader_uses_rostered_machines() {
     let roster = roster(["host-1"], &roster_record("small"));
     let mut leader = Leader::new("rung-0", config(), 1, 7, 4.0, Vec::new(), &roster, 0, 0.0);
     leader.set_catalog(vec![machine_type("small", 4.0, 16.0, 0.3)]);
     leader.tick(5.0, 0);
     let usable = leader.take_actions().into_iter().any(
-        |d| matches!(d, Action::Send(_, ToOwner::Epoch { machines, .. }) if machines.iter().any(|c| c.name == "host-1" && c.usable)),
+        |action| matches!(action, Action::Send(_, ToOwner::Epoch { machines, .. }) if machines.iter().any(|c| c.name == "host-1" && c.usable)),
     );
     assert!(usable, "the owner was not told that it may use the machine");
 }
@@ -219,13 +221,13 @@
 ) -> usize {
     let mut config = config();
     config.teams.get_mut("blue").unwrap().cpus = blue_guarantee;
-    let small = vec![machine_type("small", 4.0, 16.0, 0.3)];
-    let mut leader = lone_leader(config, small, Vec::new(), 0, &BTreeMap::new());
+    let types = vec![machine_type("small", 4.0, 16.0, 0.3)];
+    let mut leader = lone_leader(config, types, Vec::new(), 0, &BTreeMap::new());
     leader.tick(5.0, 0);
-    let view = |tasks: Vec<wire::peers::TaskStatus>| {
+    let status_with = |tasks: Vec<wire::peers::TaskStatus>| {
         ToLeader::MachineStatuses(vec![machine_status("host-1", "small", tasks)])
     };
-    leader.on_owner_message("rung-0", view(Vec::new()), 5.0);
+    leader.on_owner_message("rung-0", status_with(Vec::new()), 5.0);
     leader.roster_result("host-1", true, true);
     let add = |leader: &mut Leader, spec: Job, revision: u64| {
         let id = spec.id.clone();
@@ -233,14 +235,17 @@
         if let Some(priority) = inherited.get(id.as_str()) {
             leader.set_priority(&id, *priority);
         }
-        leader.start_record_result(&all_started(revision), true);
+        leader.start_record_result(&started_arrays(revision), true);
     };
     add(&mut leader, job(1, "blue", Shape::Array, 4, 1.0), 1);
     leader.tick(6.0, 0);
-    let assigned = leader.take_actions().into_iter().find_map(|d| match d {
-        Action::Send(_, ToOwner::Assign { attempt, .. }) => Some(attempt),
-        _ => None,
-    });
+    let assigned = leader
+        .take_actions()
+        .into_iter()
+        .find_map(|action| match action {
+            Action::Send(_, ToOwner::Assign { attempt, .. }) => Some(attempt),
+            _ => None,
+        });
     let running = (0..4).map(|index| wire::peers::TaskStatus {
         task: wire::peers::TaskRef {
             job: "wk-000001".into(),
@@ -251,7 +256,7 @@
         why: None,
         saved: false,
     });
-    leader.on_owner_message("rung-0", view(running.collect()), 6.5);
+    leader.on_owner_message("rung-0", status_with(running.collect()), 6.5);
     let urgent = Job {
         priority: red,
         ..job(2, "red", Shape::Array, 1, 2.0)
@@ -263,13 +268,13 @@
         .take_actions()
         .iter()
         .filter(
-            |d| matches!(d, Action::Send(_, ToOwner::Stop { task, .. }) if task.job == "wk-000001"),
+            |action| matches!(action, Action::Send(_, ToOwner::Stop { task, .. }) if task.job == "wk-000001"),
         )
         .count()
 }
 
 #[test]
-fn only_borrowed_capacity_is_reclaimed_and_no_more_than_needed() {
+fn only_borrowed_and_needed_capacity_is_reclaimed() {
     assert_eq!(stopped_for_red(0.0), 2);
     assert_eq!(
         stopped_for_red(12.0),
@@ -281,13 +286,19 @@
 /// First stages of pipelines, best effort, inherited `high` and stopped arrays of others by the thousand:
 /// what is stopped for a job goes by its own priority, what it is spared by the inherited one.
 #[test]
-fn an_inherited_priority_stops_nothing() {
-    let within = 12.0;
+fn inherited_priority_preempts_nothing() {
+    let guarantee = 12.0;
     let high = |id: &'static str| BTreeMap::from([(id, Priority::High)]);
-    let nobody = BTreeMap::new();
-    assert_eq!(stopped_by_priority(within, Priority::High, &nobody), 2);
-    let heir = high("wk-000002");
-    assert_eq!(stopped_by_priority(within, Priority::Standard, &heir), 0);
-    let spared = high("wk-000001");
-    assert_eq!(stopped_by_priority(within, Priority::High, &spared), 0);
+    let none = BTreeMap::new();
+    assert_eq!(stopped_by_priority(guarantee, Priority::High, &none), 2);
+    let inherits = high("wk-000002");
+    assert_eq!(
+        stopped_by_priority(guarantee, Priority::Standard, &inherits),
+        0
+    );
+    let protected = high("wk-000001");
+    assert_eq!(
+        stopped_by_priority(guarantee, Priority::High, &protected),
+        0
+    );
 }
--- a/crates/model/tests/scale_out.rs
+++ b/crates/model/tests/scale_out.rs
@@ -13,15 +13,15 @@
 use wire::users::{Job, Shape};
 
 /// A leader alone, and the provision requests that it asked for.
-struct Scene {
+struct ScaleOutScenario {
     leader: Leader,
     now: f64,
     requests: Vec<(f64, ProvisionRequest)>,
-    machines: Vec<String>,
+    unreported_machines: Vec<String>,
 }
 
-impl Scene {
-    fn new(machines: usize) -> Scene {
+impl ScaleOutScenario {
+    fn new(machines: usize) -> ScaleOutScenario {
         let config = SchedulerConfig {
             teams: unlimited_teams(&["red"]),
             ..config_without_deprovisioning()
@@ -29,18 +29,18 @@
         let machines: Vec<String> = (0..machines).map(|n| format!("host-{n}")).collect();
         let roster = roster(machines.clone(), &roster_record("small"));
         let leader = lone_leader(config, machine_types(), vec![], 0, &roster);
-        let mut scene = Scene {
+        let mut scenario = ScaleOutScenario {
             leader,
             now: 0.0,
             requests: Vec::new(),
-            machines,
+            unreported_machines: machines,
         };
-        scene.pass(1.0);
-        scene
+        scenario.advance(1.0);
+        scenario
     }
 
     /// A gang that fits only on `large` is accepted and ends: that type is kept for its class.
-    fn see_large_gang(&mut self) {
+    fn complete_large_gang(&mut self) {
         let gang = Job {
             class: "large-gang".into(),
             spot: false,
@@ -57,18 +57,18 @@
     }
 
     /// Time passes; the cloud has no machines at all, and the store takes what is written.
-    fn pass(&mut self, seconds: f64) {
+    fn advance(&mut self, seconds: f64) {
         let end = self.now + seconds;
         while self.now < end {
             self.now += 0.25;
             self.leader.tick(self.now, 0);
             // Each machine is shown empty once; what is given to it afterwards stays there.
-            let views: Vec<_> = std::mem::take(&mut self.machines)
+            let statuses: Vec<_> = std::mem::take(&mut self.unreported_machines)
                 .iter()
                 .map(|machine| machine_status(machine, "small", vec![]))
                 .collect();
             self.leader
-                .on_owner_message("rung-0", ToLeader::MachineStatuses(views), self.now);
+                .on_owner_message("rung-0", ToLeader::MachineStatuses(statuses), self.now);
             for action in self.leader.take_actions() {
                 match action {
                     Action::Provision(request) => {
@@ -86,7 +86,7 @@
         }
     }
 
-    fn asked_for(&self, kind: &str) -> impl Iterator<Item = &ProvisionRequest> {
+    fn requests_for(&self, kind: &str) -> impl Iterator<Item = &ProvisionRequest> {
         let requests = self.requests.iter().map(|(_, request)| request);
         let kind = kind.to_string();
         requests.filter(move |request| request.kind == kind)
@@ -96,26 +96,26 @@
 /// Of several offers one was always out of its back-off and was asked for in full again, so that arrays
 /// waited for a minute beside 53 machines of the type kept for gangs that the cloud had left.
 #[test]
-fn refused_machines_are_requested_one_at_a_time() {
-    let mut scene = Scene::new(0);
-    scene.see_large_gang();
-    scene.accept(job(2, "red", Shape::Array, 400, 1.0));
-    scene.pass(20.0);
-    let mut first_asked: BTreeMap<&str, f64> = BTreeMap::new();
-    let mut probes = 0;
-    for (at, request) in scene
+fn refused_types_are_retried_one_machine_at_a_time() {
+    let mut scenario = ScaleOutScenario::new(0);
+    scenario.complete_large_gang();
+    scenario.accept(job(2, "red", Shape::Array, 400, 1.0));
+    scenario.advance(20.0);
+    let mut first_request: BTreeMap<&str, f64> = BTreeMap::new();
+    let mut retries = 0;
+    for (at, request) in scenario
         .requests
         .iter()
         .filter(|(_, request)| request.kind == "small")
     {
-        let first = *first_asked.entry(&request.zone).or_insert(*at);
+        let first = *first_request.entry(&request.zone).or_insert(*at);
         if *at > first {
             assert_eq!(request.count, 1, "asked again in full after {at} s");
-            probes += 1;
+            retries += 1;
         }
     }
-    assert!(probes > 1, "nothing was tried again");
-    let (first, _) = scene
+    assert!(retries > 1, "nothing was tried again");
+    let (first, _) = scenario
         .requests
         .iter()
         .find(|(_, request)| request.kind == "large")
@@ -126,18 +126,20 @@
 /// A small gang that fits on any machine waits. Arrays may have the type kept for large gangs all the
 /// same: in pipelines some small gang waits at nearly all times.
 #[test]
-fn a_small_gang_does_not_keep_arrays_off_the_type_kept_for_large_ones() {
+fn small_gang_does_not_block_arrays_from_reserved_type() {
     for (tasks, cpus, expected) in [(2, 1.0, true), (2, 14.0, false)] {
-        let mut scene = Scene::new(0);
-        scene.see_large_gang();
-        scene.accept(Job {
+        let mut scenario = ScaleOutScenario::new(0);
+        scenario.complete_large_gang();
+        scenario.accept(Job {
             class: "gang".into(),
             ..job(3, "red", Shape::Gang, tasks, cpus)
         });
-        scene.accept(job(2, "red", Shape::Array, 400, 1.0));
-        scene.pass(20.0);
+        scenario.accept(job(2, "red", Shape::Array, 400, 1.0));
+        scenario.advance(20.0);
         // Of a gang's own two machines there is no more than a few tries.
-        let for_arrays = scene.asked_for("large").any(|request| request.count > 2);
+        let for_arrays = scenario
+            .requests_for("large")
+            .any(|request| request.count > 2);
         assert_eq!(for_arrays, expected, "a gang of {cpus} CPUs a task waits");
     }
 }
@@ -145,20 +147,20 @@
 /// What running tasks free while a machine boots was counted as the queue's, though new jobs took it: the
 /// queue only grew. One array alone is still left to what becomes free.
 #[test]
-fn machines_are_provisioned_for_a_queue_that_grows_faster_than_capacity_becomes_free() {
+fn machines_are_provisioned_for_growing_queue() {
     for (arrays, expected) in [(1, false), (60, true)] {
-        let mut scene = Scene::new(10);
-        scene.accept(job(1, "red", Shape::Array, 40, 1.0));
-        scene.pass(2.0);
-        assert!(scene.requests.is_empty(), "all of it runs");
+        let mut scenario = ScaleOutScenario::new(10);
+        scenario.accept(job(1, "red", Shape::Array, 40, 1.0));
+        scenario.advance(2.0);
+        assert!(scenario.requests.is_empty(), "all of it runs");
         // Forty tasks of 3 s free some 13 CPUs a second, and 40 while a machine boots for 3 s.
         for number in 0..arrays {
-            scene.accept(job(2 + number, "red", Shape::Array, 30, 1.0));
-            scene.pass(2.0);
-            scene
+            scenario.accept(job(2 + number, "red", Shape::Array, 30, 1.0));
+            scenario.advance(2.0);
+            scenario
                 .leader
                 .on_job_terminal(&job(2 + number, "red", Shape::Array, 30, 1.0).id);
         }
-        assert_eq!(!scene.requests.is_empty(), expected, "{arrays} arrays");
+        assert_eq!(!scenario.requests.is_empty(), expected, "{arrays} arrays");
     }
 }
--- a/crates/model/tests/notices.rs
+++ b/crates/model/tests/spot_notices.rs
@@ -15,7 +15,7 @@
 
 /// The tasks that are told to stop when the first of two machines, each with two tasks of a job that
 /// saves, gets its notice.
-fn stopped_by_a_notice(shape: Shape) -> BTreeSet<u32> {
+fn stopped_by_notice(shape: Shape) -> BTreeSet<u32> {
     let spec = Job {
         checkpoint_s: 30.0,
         save_s: 2.0,
@@ -26,11 +26,11 @@
         _ => PriorRuns::Anywhere,
     };
     let open = OpenJob::new(Rc::new(spec), 1, prior_runs);
-    let spot = RosterRecord {
+    let record = RosterRecord {
         spot: true,
         ..roster_record("small")
     };
-    let roster = roster(["host-1", "host-2"], &spot);
+    let roster = roster(["host-1", "host-2"], &record);
     let mut leader = lone_leader(
         config(),
         vec![machine_type("small", 4.0, 16.0, 0.3)],
@@ -56,12 +56,12 @@
                 stopped.insert(task.index);
             }
         }
-        let mut views = vec![
+        let mut statuses = vec![
             machine_status("host-1", "small", vec![running(0), running(1)]),
             machine_status("host-2", "small", vec![running(2), running(3)]),
         ];
-        views[0].notice_s = (now > 3.0).then_some(4.0);
-        leader.on_owner_message("rung-0", ToLeader::MachineStatuses(views), now);
+        statuses[0].notice_s = (now > 3.0).then_some(4.0);
+        leader.on_owner_message("rung-0", ToLeader::MachineStatuses(statuses), now);
     }
     stopped
 }
@@ -69,15 +69,12 @@
 /// One machine's notice had all tasks of an array stopped, wherever they ran: 25,600 of 8,274 tasks on
 /// a day with an array that saves on 750 cheap machines.
 #[test]
-fn of_an_array_only_what_is_on_the_machine_is_stopped() {
-    assert_eq!(stopped_by_a_notice(Shape::Array), BTreeSet::from([0, 1]));
+fn notice_stops_only_array_tasks_on_its_machine() {
+    assert_eq!(stopped_by_notice(Shape::Array), BTreeSet::from([0, 1]));
 }
 
 /// A gang that loses a task loses its progress since the last checkpoint: all of it saves together.
 #[test]
-fn of_a_gang_all_is_stopped() {
-    assert_eq!(
-        stopped_by_a_notice(Shape::Gang),
-        BTreeSet::from([0, 1, 2, 3])
-    );
+fn notice_stops_all_tasks_of_gang() {
+    assert_eq!(stopped_by_notice(Shape::Gang), BTreeSet::from([0, 1, 2, 3]));
 }
--- a/crates/model/tests/staleness.rs
+++ b/crates/model/tests/staleness.rs
@@ -16,11 +16,11 @@
 use wire::workers::{Heartbeat, Order, ReportedTask, TaskState, Why};
 
 /// A replica that knows wk-1 as open or as terminal.
-struct Replica {
+struct JobReplica {
     is_terminal: bool,
 }
 
-impl JobLookup for Replica {
+impl JobLookup for JobReplica {
     fn resources(&self, job: &str) -> Option<Resources> {
         (job == "wk-1" && !self.is_terminal).then_some(Resources {
             cpus: 1.0,
@@ -36,18 +36,18 @@
     }
 }
 
-const OPEN: Replica = Replica { is_terminal: false };
-const TERMINAL: Replica = Replica { is_terminal: true };
+const OPEN_JOB: JobReplica = JobReplica { is_terminal: false };
+const TERMINAL_JOB: JobReplica = JobReplica { is_terminal: true };
 
 /// An owner of one machine that knows the machine types and has just read the store.
-fn owner_with_fresh_view() -> Owner {
+fn owner_with_fresh_replica() -> Owner {
     let mut owner = owner_of_one_machine(config());
     owner.on_leader_message(
         ToOwner::Catalog {
             types: vec![model::world::machine_type("small", 4.0, 16.0, 0.3)],
         },
         10.0,
-        &OPEN,
+        &OPEN_JOB,
     );
     owner.authority.record_read(10.0);
     owner
@@ -71,14 +71,14 @@
     )
 }
 
-fn orders(answer: HeartbeatResponse) -> Vec<Order> {
-    match answer {
+fn orders(response: HeartbeatResponse) -> Vec<Order> {
+    match response {
         HeartbeatResponse::Orders(o) => o.orders,
         other => panic!("no orders: {other:?}"),
     }
 }
 
-fn stop() -> Order {
+fn stop_order() -> Order {
     Order::Stop {
         task: "wk-1/0".into(),
         attempt: 3,
@@ -86,7 +86,7 @@
     }
 }
 
-fn assign() -> ToOwner {
+fn assignment() -> ToOwner {
     ToOwner::Assign {
         job: "wk-1".into(),
         attempt: 3,
@@ -96,7 +96,7 @@
 }
 
 /// A task of another job that waits at the owner for what becomes free.
-fn backlog(job: &str) -> ToOwner {
+fn backlog_assignment(job: &str) -> ToOwner {
     ToOwner::AssignBacklog {
         job: job.into(),
         attempt: 7,
@@ -107,7 +107,7 @@
 }
 
 /// Whether an owner sets resources aside for a gang of one task.
-fn reserves(owner: &mut Owner, attempt: u64, cpus: f64, now: f64) -> bool {
+fn try_reserve(owner: &mut Owner, attempt: u64, cpus: f64, now: f64) -> bool {
     let reserve = ToOwner::Reserve {
         job: "wk-2".into(),
         attempt,
@@ -117,25 +117,29 @@
     };
     owner.drain();
     owner.on_leader_message(reserve, now, &EmptyJobLookup);
-    let answered = owner.drain().into_iter().find_map(|message| match message {
+    let result = owner.drain().into_iter().find_map(|message| match message {
         ToLeader::ReserveResult { reserved, .. } => Some(reserved),
         _ => None,
     });
-    answered.expect("the owner answers")
+    result.expect("the owner answers")
 }
 
 /// Leaders changed faster than a machine sent heartbeats: each response only told it the next token
 /// and prolonged its lease, so that a cancelled task ran on past `cancel_s`.
 #[test]
-fn a_response_to_a_heartbeat_that_does_not_count_stops_terminal_jobs() {
-    let mut owner = owner_with_fresh_view();
+fn response_to_ignored_heartbeat_stops_terminal_jobs() {
+    let mut owner = owner_with_fresh_replica();
     assert_eq!(
-        orders(owner.on_heartbeat(&heartbeat(1, 4, Some(TaskState::Running)), 11.0, &OPEN)),
+        orders(owner.on_heartbeat(&heartbeat(1, 4, Some(TaskState::Running)), 11.0, &OPEN_JOB)),
         vec![]
     );
     assert_eq!(
-        orders(owner.on_heartbeat(&heartbeat(2, 4, Some(TaskState::Running)), 12.0, &TERMINAL)),
-        vec![stop()]
+        orders(owner.on_heartbeat(
+            &heartbeat(2, 4, Some(TaskState::Running)),
+            12.0,
+            &TERMINAL_JOB
+        )),
+        vec![stop_order()]
     );
     // The leader said so, and this controller's own replica is blind.
     owner.on_leader_message(
@@ -143,14 +147,14 @@
             jobs: vec!["wk-1".into()],
         },
         12.5,
-        &OPEN,
+        &OPEN_JOB,
     );
     assert_eq!(
-        orders(owner.on_heartbeat(&heartbeat(3, 4, Some(TaskState::Fetching)), 13.0, &OPEN)),
-        vec![stop()]
+        orders(owner.on_heartbeat(&heartbeat(3, 4, Some(TaskState::Fetching)), 13.0, &OPEN_JOB)),
+        vec![stop_order()]
     );
     assert_eq!(
-        orders(owner.on_heartbeat(&heartbeat(4, 4, Some(TaskState::Exited)), 14.0, &OPEN)),
+        orders(owner.on_heartbeat(&heartbeat(4, 4, Some(TaskState::Exited)), 14.0, &OPEN_JOB)),
         vec![]
     );
 }
@@ -158,64 +162,68 @@
 /// A stop goes with every response until a heartbeat shows the task gone, though the leader never asks
 /// for it: it may have started after the job's record was terminal.
 #[test]
-fn tasks_of_terminal_jobs_are_stopped_until_they_are_seen_to_be_gone() {
-    let mut owner = owner_with_fresh_view();
+fn stops_repeat_until_tasks_are_gone() {
+    let mut owner = owner_with_fresh_replica();
     for seq in 1..4 {
         assert_eq!(
             orders(owner.on_heartbeat(
                 &heartbeat(seq, 5, Some(TaskState::Running)),
                 10.0 + seq as f64,
-                &TERMINAL
+                &TERMINAL_JOB
             )),
-            vec![stop()]
+            vec![stop_order()]
         );
     }
     // A new epoch under which the records go on, and one under which they begin anew.
-    for (token, prev) in [(6, 5), (7, 0)] {
+    for (token, previous_token) in [(6, 5), (7, 0)] {
         owner.on_leader_message(
             ToOwner::Epoch {
                 token,
-                previous_token: prev,
+                previous_token,
                 members: vec!["rung-1".into()],
                 extra_ms: 0,
                 machines: vec![],
             },
             14.0,
-            &TERMINAL,
+            &TERMINAL_JOB,
         );
         assert_eq!(
             orders(owner.on_heartbeat(
                 &heartbeat(token, token, Some(TaskState::Running)),
                 14.0,
-                &TERMINAL
+                &TERMINAL_JOB
             )),
-            vec![stop()]
+            vec![stop_order()]
         );
     }
     assert_eq!(
-        orders(owner.on_heartbeat(&heartbeat(8, 7, Some(TaskState::Exited)), 15.0, &TERMINAL)),
+        orders(owner.on_heartbeat(
+            &heartbeat(8, 7, Some(TaskState::Exited)),
+            15.0,
+            &TERMINAL_JOB
+        )),
         vec![]
     );
 }
 
 /// A start that the owner holds when its job is cancelled is neither sent nor shown as pending.
 #[test]
-fn no_task_of_a_terminal_job_starts() {
+fn tasks_of_terminal_job_do_not_start() {
     for is_notified in [false, true] {
-        let mut owner = owner_with_fresh_view();
-        owner.on_heartbeat(&heartbeat(1, 5, None), 11.0, &OPEN);
-        owner.on_leader_message(assign(), 11.0, &OPEN);
+        let mut owner = owner_with_fresh_replica();
+        owner.on_heartbeat(&heartbeat(1, 5, None), 11.0, &OPEN_JOB);
+        owner.on_leader_message(assignment(), 11.0, &OPEN_JOB);
         let replica = if is_notified {
             owner.on_leader_message(
                 ToOwner::TerminalJobs {
                     jobs: vec!["wk-1".into()],
                 },
                 11.2,
-                &OPEN,
+                &OPEN_JOB,
             );
-            OPEN
+            OPEN_JOB
         } else {
-            TERMINAL
+            TERMINAL_JOB
         };
         assert_eq!(
             orders(owner.on_heartbeat(&heartbeat(2, 5, None), 11.5, &replica)),
@@ -232,11 +240,11 @@
         );
     }
     // The same when the job is open: the check above can fail.
-    let mut owner = owner_with_fresh_view();
-    owner.on_heartbeat(&heartbeat(1, 5, None), 11.0, &OPEN);
-    owner.on_leader_message(assign(), 11.0, &OPEN);
+    let mut owner = owner_with_fresh_replica();
+    owner.on_heartbeat(&heartbeat(1, 5, None), 11.0, &OPEN_JOB);
+    owner.on_leader_message(assignment(), 11.0, &OPEN_JOB);
     assert_eq!(
-        orders(owner.on_heartbeat(&heartbeat(2, 5, None), 11.5, &OPEN)),
+        orders(owner.on_heartbeat(&heartbeat(2, 5, None), 11.5, &OPEN_JOB)),
         vec![Order::Start {
             task: "wk-1/0".into(),
             attempt: 3
@@ -247,10 +255,10 @@
 /// Seen on a day at production size: a controller without the state service for minutes refused 1,209 of
 /// 1,256 reservations, since it did not know the jobs of the tasks that it had started itself.
 #[test]
-fn an_owner_with_a_stale_view_knows_what_it_started() {
-    let mut owner = owner_with_fresh_view();
+fn owner_with_stale_replica_knows_its_own_tasks() {
+    let mut owner = owner_with_fresh_replica();
     owner.on_heartbeat(&heartbeat(1, 5, None), 11.0, &EmptyJobLookup);
-    owner.on_leader_message(assign(), 11.0, &EmptyJobLookup);
+    owner.on_leader_message(assignment(), 11.0, &EmptyJobLookup);
     assert_eq!(
         orders(owner.on_heartbeat(&heartbeat(2, 5, None), 11.5, &EmptyJobLookup)).len(),
         1
@@ -260,68 +268,68 @@
         12.0,
         &EmptyJobLookup,
     );
-    assert!(reserves(&mut owner, 8, 3.0, 12.0));
+    assert!(try_reserve(&mut owner, 8, 3.0, 12.0));
     assert!(
-        !reserves(&mut owner, 9, 1.0, 12.0),
+        !try_reserve(&mut owner, 9, 1.0, 12.0),
         "the machine has four CPUs"
     );
     // Of what was not given through this owner it can't know what it takes.
-    let mut owner = owner_with_fresh_view();
+    let mut owner = owner_with_fresh_replica();
     owner.on_heartbeat(
         &heartbeat(1, 5, Some(TaskState::Running)),
         11.0,
         &EmptyJobLookup,
     );
-    assert!(!reserves(&mut owner, 8, 1.0, 11.0));
+    assert!(!try_reserve(&mut owner, 8, 1.0, 11.0));
 }
 
 /// The same for tasks of the backlog; those of terminal jobs do not start.
 #[test]
-fn an_owner_with_a_stale_view_starts_its_backlog() {
-    let starts = |over: bool, jobs: &dyn JobLookup, job: &str| {
-        let mut owner = owner_with_fresh_view();
-        owner.on_heartbeat(&heartbeat(1, 5, Some(TaskState::Running)), 11.0, &OPEN);
-        owner.on_leader_message(backlog(job), 11.0, &OPEN);
-        if over {
+fn owner_with_stale_replica_starts_its_backlog() {
+    let started_tasks = |is_terminal: bool, jobs: &dyn JobLookup, job: &str| {
+        let mut owner = owner_with_fresh_replica();
+        owner.on_heartbeat(&heartbeat(1, 5, Some(TaskState::Running)), 11.0, &OPEN_JOB);
+        owner.on_leader_message(backlog_assignment(job), 11.0, &OPEN_JOB);
+        if is_terminal {
             let jobs = vec![job.into()];
-            owner.on_leader_message(ToOwner::TerminalJobs { jobs }, 11.2, &OPEN);
+            owner.on_leader_message(ToOwner::TerminalJobs { jobs }, 11.2, &OPEN_JOB);
         }
         let orders = orders(owner.on_heartbeat(&heartbeat(2, 5, None), 11.5, jobs));
         let is_start = |order: &&Order| matches!(order, Order::Start { .. });
         orders.iter().filter(is_start).count()
     };
-    assert_eq!(starts(false, &EmptyJobLookup, "wk-3"), 1);
-    assert_eq!(starts(true, &EmptyJobLookup, "wk-3"), 0);
-    assert_eq!(starts(false, &TERMINAL, "wk-1"), 0);
-    assert_eq!(starts(false, &OPEN, "wk-1"), 1);
+    assert_eq!(started_tasks(false, &EmptyJobLookup, "wk-3"), 1);
+    assert_eq!(started_tasks(true, &EmptyJobLookup, "wk-3"), 0);
+    assert_eq!(started_tasks(false, &TERMINAL_JOB, "wk-1"), 0);
+    assert_eq!(started_tasks(false, &OPEN_JOB, "wk-1"), 1);
 }
 
 /// Starts need a view as fresh as the leadership; responses, which prolong leases, need one only so
 /// fresh that what was cancelled since is gone in time.
 #[test]
-fn a_stale_view_ends_starts_first_and_then_responses() {
+fn stale_replica_ends_starts_then_responses() {
     let config = config();
-    let mut owner = owner_with_fresh_view();
-    owner.on_heartbeat(&heartbeat(1, 5, None), 10.5, &OPEN);
-    owner.on_leader_message(assign(), 10.5, &OPEN);
+    let mut owner = owner_with_fresh_replica();
+    owner.on_heartbeat(&heartbeat(1, 5, None), 10.5, &OPEN_JOB);
+    owner.on_leader_message(assignment(), 10.5, &OPEN_JOB);
     let stale = 10.0 + config.max_start_staleness_s() + 0.01;
     assert_eq!(
-        orders(owner.on_heartbeat(&heartbeat(2, 5, None), stale, &OPEN)),
+        orders(owner.on_heartbeat(&heartbeat(2, 5, None), stale, &OPEN_JOB)),
         vec![]
     );
     // It was only put off.
     owner.authority.record_read(stale);
     assert_eq!(
-        orders(owner.on_heartbeat(&heartbeat(3, 5, None), stale + 0.1, &OPEN)).len(),
+        orders(owner.on_heartbeat(&heartbeat(3, 5, None), stale + 0.1, &OPEN_JOB)).len(),
         1
     );
     let end = stale + config.max_response_staleness_s();
     assert!(matches!(
-        owner.on_heartbeat(&heartbeat(4, 5, None), end - 0.01, &OPEN),
+        owner.on_heartbeat(&heartbeat(4, 5, None), end - 0.01, &OPEN_JOB),
         HeartbeatResponse::Orders(_)
     ));
     assert_eq!(
-        owner.on_heartbeat(&heartbeat(5, 5, None), end + 0.01, &OPEN),
+        owner.on_heartbeat(&heartbeat(5, 5, None), end + 0.01, &OPEN_JOB),
         HeartbeatResponse::Unavailable
     );
     // The last lease that such a response can prolong ends within cancel_s of the read.
@@ -331,7 +339,7 @@
 /// An outage preserves the lease in the store: what its renewal gives back is worth nothing until a
 /// read that was sent after it.
 #[test]
-fn authority_that_ran_out_comes_back_with_a_read_sent_after_the_renewal() {
+fn expired_authority_needs_read_sent_after_renewal() {
     let mut authority = Authority::new(&config());
     authority.record_read(0.5);
     authority.renew(3.0, 1.0);
@@ -362,22 +370,22 @@
 }
 
 #[test]
-fn settings_without_time_between_lease_and_cancel_keep_the_freshest_bound() {
-    let tight = SchedulerConfig {
+fn no_margin_between_lease_and_cancel_bounds_staleness() {
+    let config_without_margin = SchedulerConfig {
         cancel_s: 9.0,
         ..config()
     };
-    assert!(!tight.cancels_in_time() && config().cancels_in_time());
+    assert!(!config_without_margin.cancels_in_time() && config().cancels_in_time());
     assert_eq!(
-        tight.max_response_staleness_s(),
-        tight.max_start_staleness_s()
+        config_without_margin.max_response_staleness_s(),
+        config_without_margin.max_start_staleness_s()
     );
 }
 
 /// The leader hears of a cancellation from who confirmed it, later from the store, and tells the
 /// owners at once and at each new epoch.
 #[test]
-fn a_cancellation_reaches_the_owners_once_and_with_each_new_epoch() {
+fn owners_hear_cancellation_once_and_per_epoch() {
     let config = SchedulerConfig {
         teams: BTreeMap::new(),
         ..config()
@@ -395,11 +403,15 @@
     leader.on_owner_contact("rung-1", 0.0);
     leader.tick(1.0, 1);
     let notified = |leader: &mut Leader| -> Vec<Vec<String>> {
-        let over = |d| match d {
+        let terminal_jobs = |action| match action {
             Action::Send(to, ToOwner::TerminalJobs { jobs }) if to == "rung-1" => Some(jobs),
             _ => None,
         };
-        leader.take_actions().into_iter().filter_map(over).collect()
+        leader
+            .take_actions()
+            .into_iter()
+            .filter_map(terminal_jobs)
+            .collect()
     };
     assert_eq!(notified(&mut leader), vec![vec!["wk-000009".to_string()]]);
     leader.on_owner_message(
@@ -425,9 +437,9 @@
 /// A start that the owner took on by itself and gave up before any view showed it: the leader has to
 /// hear of it, or the task stays with that owner for ever.
 #[test]
-fn a_start_that_is_given_up_before_it_was_shown_is_handed_back() {
-    let mut owner = owner_with_fresh_view();
-    owner.on_heartbeat(&heartbeat(1, 5, None), 10.5, &OPEN);
+fn start_dropped_before_status_is_handed_back() {
+    let mut owner = owner_with_fresh_replica();
+    owner.on_heartbeat(&heartbeat(1, 5, None), 10.5, &OPEN_JOB);
     owner.tick(11.0);
     owner.drain();
     let ToOwner::Assign {
@@ -435,7 +447,7 @@
         attempt,
         requirements,
         tasks,
-    } = assign()
+    } = assignment()
     else {
         unreachable!()
     };
@@ -448,11 +460,11 @@
             wait_ms: 5000,
         },
         11.0,
-        &OPEN,
+        &OPEN_JOB,
     );
     owner.drain();
     assert_eq!(
-        orders(owner.on_heartbeat(&heartbeat(2, 5, None), 11.01, &OPEN)).len(),
+        orders(owner.on_heartbeat(&heartbeat(2, 5, None), 11.01, &OPEN_JOB)).len(),
         1
     );
     owner.on_leader_message(
@@ -461,12 +473,12 @@
             usable: false,
         },
         11.02,
-        &OPEN,
+        &OPEN_JOB,
     );
     assert_eq!(
-        orders(owner.on_heartbeat(&heartbeat(3, 5, None), 11.03, &OPEN)),
+        orders(owner.on_heartbeat(&heartbeat(3, 5, None), 11.03, &OPEN_JOB)),
         vec![]
     );
-    let back = |m: &ToLeader| matches!(m, ToLeader::HandBack { job, attempt: 3, tasks } if job == "wk-1" && *tasks == [(0, 1)]);
-    assert!(owner.drain().iter().any(back));
+    let handed_back = |m: &ToLeader| matches!(m, ToLeader::HandBack { job, attempt: 3, tasks } if job == "wk-1" && *tasks == [(0, 1)]);
+    assert!(owner.drain().iter().any(handed_back));
 }
--- a/crates/model/tests/trace.rs
+++ b/crates/model/tests/trace.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::{chained_day, reloaded_day};
+use common::{dependency_scenario, reload_scenario};
 use model::world::{job, CloudEvent, Defect, Trace, World};
 use std::ops::Range;
 use wire::users::{Job, Priority, Shape};
@@ -12,14 +12,14 @@
 const RECORDED: &str = include_str!("trace.digest");
 
 /// A day with every fault at random, then quiet.
-fn plain_day(seed: u64) -> World {
+fn random_faults_scenario(seed: u64) -> World {
     let mut world = World::new(seed, Defect::None);
     world.run_random(150.0, 60.0);
     world
 }
 
 /// The same with many messages and writes that come late or twice.
-fn late_day(seed: u64) -> World {
+fn late_messages_scenario(seed: u64) -> World {
     let mut world = World::new(seed, Defect::None);
     world.delayed_percent = 15;
     world.late_copy_percent = 15;
@@ -29,7 +29,7 @@
 }
 
 /// Everything works, and more jobs come than the machines hold, with a cancellation now and then.
-fn crowded_day(seed: u64) -> World {
+fn overload_scenario(seed: u64) -> World {
     let mut world = World::new(seed, Defect::None);
     for round in 1..60 {
         let team = if round % 3 == 0 { "blue" } else { "red" };
@@ -54,7 +54,7 @@
 
 /// Many machine types, few of each: notices, checkpoints, GPUs, work that is stopped for other teams' or
 /// for more urgent work, and quiet spells in which machines are returned. Every other day has faults, too.
-fn rich_day(seed: u64) -> World {
+fn heterogeneous_scenario(seed: u64) -> World {
     let mut world = World::heterogeneous(seed);
     world.run_heterogeneous(15.0, 50, false);
     world.submit_bulk(&["small", "steady"]);
@@ -64,7 +64,7 @@
     world.run_heterogeneous(60.0, 50, seed % 2 == 1);
     world.run_until_done(300.0);
     world.advance(45.0);
-    let happened = |event| world.cloud_events.get(&event).copied().unwrap_or(0);
+    let count = |event| world.cloud_events.get(&event).copied().unwrap_or(0);
     for event in [
         CloudEvent::PreemptionNotice,
         CloudEvent::Save,
@@ -72,7 +72,7 @@
         CloudEvent::ProvisionRefused,
         CloudEvent::Deprovision,
     ] {
-        assert!(happened(event) > 0, "no {event:?} on day {seed}");
+        assert!(count(event) > 0, "no {event:?} on day {seed}");
     }
     assert_eq!(
         world.violations,
@@ -95,11 +95,11 @@
 ];
 
 /// Plays the days of a group and compares their digest with the recorded one.
-fn compare(name: &str, seeds: Range<u64>, day: fn(u64) -> World) {
+fn assert_digest(name: &str, seeds: Range<u64>, scenario: fn(u64) -> World) {
     let mut group = Trace::default();
     let mut events = 0;
     for seed in seeds.clone() {
-        let world = day(seed);
+        let world = scenario(seed);
         events += world.trace().events();
         group.number(world.trace().digest());
     }
@@ -125,33 +125,35 @@
 }
 
 #[test]
-fn plain_days_are_as_recorded() {
-    compare("plain", 0..40, plain_day);
+fn random_faults_match_recorded_digest() {
+    assert_digest("plain", 0..40, random_faults_scenario);
 }
 
 #[test]
-fn late_days_are_as_recorded() {
-    compare("late", 0..40, late_day);
+fn late_messages_match_recorded_digest() {
+    assert_digest("late", 0..40, late_messages_scenario);
 }
 
 #[test]
-fn chained_days_are_as_recorded() {
-    compare("chained", 0..100, |seed| {
-        chained_day(seed, Defect::None, 120.0)
+fn dependencies_match_recorded_digest() {
+    assert_digest("chained", 0..100, |seed| {
+        dependency_scenario(seed, Defect::None, 120.0)
     });
 }
 
 #[test]
-fn reloaded_days_are_as_recorded() {
-    compare("reloaded", 0..80, |seed| reloaded_day(seed, Defect::None));
+fn reloads_match_recorded_digest() {
+    assert_digest("reloaded", 0..80, |seed| {
+        reload_scenario(seed, Defect::None)
+    });
 }
 
 #[test]
-fn rich_days_are_as_recorded() {
-    compare("rich", 0..16, rich_day);
+fn heterogeneous_worlds_match_recorded_digest() {
+    assert_digest("rich", 0..16, heterogeneous_scenario);
 }
 
 #[test]
-fn crowded_days_are_as_recorded() {
-    compare("crowded", 0..60, crowded_day);
+fn overload_matches_recorded_digest() {
+    assert_digest("crowded", 0..60, overload_scenario);
 }
--- a/crates/model/tests/waits.rs
+++ b/crates/model/tests/waits.rs
@@ -14,14 +14,14 @@
 use wire::workers::{TaskState, Why};
 
 /// The machine type of these tests.
-fn small_type() -> Vec<MachineType> {
+fn small_types() -> Vec<MachineType> {
     vec![machine_type("small", 4.0, 16.0, 0.3)]
 }
 
 /// A job's tasks fail again and again; with heartbeats every 10 s the back-off grew to 800 s, so that
 /// it waited beside a free machine long after the faulty one was gone.
 #[test]
-fn a_job_that_failed_often_is_tried_again_within_the_users_time() {
+fn retry_backoff_is_bounded() {
     let config = SchedulerConfig {
         heartbeat_s: 10.0,
         lease_s: 45.0,
@@ -31,50 +31,56 @@
     let spec = Rc::new(job(1, "red", Shape::Array, 1, 1.0));
     let open = OpenJob::new(spec, 1, PriorRuns::Anywhere);
     let roster = roster(["host-1"], &roster_record("small"));
-    let mut leader = lone_leader(config, small_type(), vec![open], 1, &roster);
-    let (mut now, mut tries, mut seq) = (0.0, Vec::new(), 0);
+    let mut leader = lone_leader(config, small_types(), vec![open], 1, &roster);
+    let (mut now, mut attempts, mut seq) = (0.0, Vec::new(), 0);
     while now < 600.0 {
         now += 0.5;
         leader.tick(now, 0);
-        let mut exits = Vec::new();
+        let mut failed = Vec::new();
         for action in leader.take_actions() {
             if let Action::Send(_, ToOwner::Assign { job, attempt, .. }) = action {
-                tries.push(now);
+                attempts.push(now);
                 let task = TaskRef {
                     job,
                     index: 0,
                     attempt,
                 };
-                exits.push(task_status(task, TaskState::Exited, Some(Why::Error)));
+                failed.push(task_status(task, TaskState::Exited, Some(Why::Error)));
             }
         }
         seq += 1;
-        let mut view = machine_status("host-1", "small", exits);
-        view.incarnation = seq;
-        leader.on_owner_message("rung-0", ToLeader::MachineStatuses(vec![view]), now);
+        let mut status = machine_status("host-1", "small", failed);
+        status.incarnation = seq;
+        leader.on_owner_message("rung-0", ToLeader::MachineStatuses(vec![status]), now);
     }
-    let waits: Vec<f64> = tries.windows(2).map(|pair| pair[1] - pair[0]).collect();
-    assert!(waits.len() > 8, "{tries:?}");
-    assert!(waits[4] > waits[0], "it does not grow: {waits:?}");
-    assert!(waits.iter().all(|wait| *wait < 60.0), "{waits:?}");
+    let intervals: Vec<f64> = attempts.windows(2).map(|pair| pair[1] - pair[0]).collect();
+    assert!(intervals.len() > 8, "{attempts:?}");
+    assert!(
+        intervals[4] > intervals[0],
+        "it does not grow: {intervals:?}"
+    );
+    assert!(
+        intervals.iter().all(|interval| *interval < 60.0),
+        "{intervals:?}"
+    );
 }
 
 /// `one_zone` together with `spread`: a gang of several tasks can never be placed and an array only
 /// half at a time. The gang stays known, provisions nothing and holds nobody up, until it is cancelled.
 #[test]
-fn a_gang_that_no_zone_may_hold_stays_known_and_costs_nothing() {
-    let both = |id: u32, shape, tasks| Job {
+fn gang_that_fits_no_zone_provisions_nothing() {
+    let unplaceable_job = |id: u32, shape, tasks| Job {
         one_zone: true,
         spread: true,
         ..job(id, "red", shape, tasks, 1.0)
     };
     for seed in 0..4 {
         let mut world = World::new(seed, Defect::None);
-        world.submit(both(1, Shape::Gang, 2));
+        world.submit(unplaceable_job(1, Shape::Gang, 2));
         world.advance(60.0);
         assert_eq!(world.machines_provisioned(), 0, "seed {seed}");
-        world.submit(both(2, Shape::Array, 4));
-        world.submit(both(3, Shape::Gang, 1));
+        world.submit(unplaceable_job(2, Shape::Array, 4));
+        world.submit(unplaceable_job(3, Shape::Gang, 1));
         world.submit(job(4, "red", Shape::Gang, 3, 1.0));
         world.advance(120.0);
         assert_eq!(
@@ -101,7 +107,7 @@
 /// came when the gang was ending already and was ignored, so that its task stayed with that owner for
 /// ever.
 #[test]
-fn a_gang_whose_owners_all_refuse_the_binding_begins_anew() {
+fn gang_retries_after_all_owners_refuse_binding() {
     let spec = Rc::new(job(1, "red", Shape::Gang, 2, 3.0));
     let members = ["rung-1", "rung-2"].map(String::from);
     let host = |owner: &str| {
@@ -113,7 +119,7 @@
     let hosts = ["rung-1", "rung-2"].map(host);
     let roster = roster(hosts.clone(), &roster_record("small"));
     let open = OpenJob::new(spec, 1, PriorRuns::None);
-    let mut leader = lone_leader(config(), small_type(), vec![open], 1, &roster);
+    let mut leader = lone_leader(config(), small_types(), vec![open], 1, &roster);
     members.iter().for_each(|m| leader.on_owner_contact(m, 0.5));
     leader.tick(0.6, 2);
     for (member, host) in members.iter().zip(&hosts) {
@@ -121,15 +127,18 @@
         leader.on_owner_message(member, ToLeader::MachineStatuses(vec![empty]), 0.7);
     }
     let mut now = 0.8;
-    let mut reserve = |leader: &mut Leader| {
+    let mut reserve_and_refuse = |leader: &mut Leader| {
         for _ in 0..100 {
             now += 0.5;
             members.iter().for_each(|m| leader.on_owner_contact(m, now));
             leader.tick(now, 2);
-            let reserved = leader.take_actions().into_iter().find_map(|d| match d {
-                Action::Send(_, ToOwner::Reserve { attempt, .. }) => Some(attempt),
-                _ => None,
-            });
+            let reserved = leader
+                .take_actions()
+                .into_iter()
+                .find_map(|action| match action {
+                    Action::Send(_, ToOwner::Reserve { attempt, .. }) => Some(attempt),
+                    _ => None,
+                });
             if let Some(attempt) = reserved {
                 for member in &members {
                     leader.on_owner_message(member, reserve_result(attempt, true), now);
@@ -143,9 +152,9 @@
         }
         None
     };
-    let first = reserve(&mut leader).expect("it is held at first");
-    let again = reserve(&mut leader).expect("it is held again");
-    assert!(again > first);
+    let first = reserve_and_refuse(&mut leader).expect("it is held at first");
+    let second = reserve_and_refuse(&mut leader).expect("it is held again");
+    assert!(second > first);
 }
 
 /// The tasks of an assignment, each of which fails.
@@ -167,7 +176,7 @@
 /// A job that was submitted with a mistake fails on every machine. Two such jobs made healthy machines
 /// look faulty, which were drained, and others were provisioned for what failed there again.
 #[test]
-fn a_job_that_fails_on_every_machine_drains_and_provisions_none() {
+fn job_failing_everywhere_drains_no_machine() {
     let open = |id, revision| {
         let spec = Rc::new(job(id, "red", Shape::Array, 12, 1.0));
         OpenJob::new(spec, revision, PriorRuns::Anywhere)
@@ -176,13 +185,13 @@
     let roster = roster(hosts.clone(), &roster_record("small"));
     let jobs = vec![open(1, 1), open(2, 2)];
     let config = config_without_deprovisioning();
-    let mut leader = lone_leader(config, small_type(), jobs, 2, &roster);
-    let (mut now, mut assigned, mut bad) = (0.0, Vec::new(), Vec::new());
-    let mut waiting: BTreeMap<String, Vec<TaskStatus>> = BTreeMap::new();
+    let mut leader = lone_leader(config, small_types(), jobs, 2, &roster);
+    let (mut now, mut assigned, mut unexpected) = (0.0, Vec::new(), Vec::new());
+    let mut reports: BTreeMap<String, Vec<TaskStatus>> = BTreeMap::new();
     while now < 200.0 {
         now += 0.5;
         leader.tick(now, 0);
-        let mut turn = 0;
+        let mut next_host = 0;
         for action in leader.take_actions() {
             match action {
                 Action::Send(
@@ -198,29 +207,29 @@
                     assigned.push((now, failed.len()));
                     for task in failed {
                         // Spread over the machines, as an owner does.
-                        let host = hosts[turn % hosts.len()].clone();
-                        waiting.entry(host).or_default().push(task);
-                        turn += 1;
+                        let host = hosts[next_host % hosts.len()].clone();
+                        reports.entry(host).or_default().push(task);
+                        next_host += 1;
                     }
                 }
-                Action::Provision(_) if now > 2.0 => bad.push(format!("{now}: provisioned")),
+                Action::Provision(_) if now > 2.0 => unexpected.push(format!("{now}: provisioned")),
                 Action::Send(
                     _,
                     ToOwner::SetUsable {
                         machine,
                         usable: false,
                     },
-                ) => bad.push(format!("{now}: {machine} drained")),
+                ) => unexpected.push(format!("{now}: {machine} drained")),
                 _ => {}
             }
         }
-        let views = hosts
+        let statuses = hosts
             .iter()
-            .map(|h| machine_status(h, "small", waiting.remove(h).unwrap_or_default()))
+            .map(|h| machine_status(h, "small", reports.remove(h).unwrap_or_default()))
             .collect();
-        leader.on_owner_message("rung-0", ToLeader::MachineStatuses(views), now);
+        leader.on_owner_message("rung-0", ToLeader::MachineStatuses(statuses), now);
     }
-    assert_eq!(bad, Vec::<String>::new());
+    assert_eq!(unexpected, Vec::<String>::new());
     // After the first ones, one task at a time shows whether it still fails.
     assert!(
         assigned.len() > 8 && assigned[2..].iter().all(|(_, n)| *n == 1),
@@ -229,7 +238,7 @@
 }
 
 /// Whether a leader tells some owner to drain a machine.
-fn drains_a_machine(leader: &mut Leader) -> bool {
+fn drains_machine(leader: &mut Leader) -> bool {
     leader.take_actions().iter().any(|action| {
         matches!(
             action,
@@ -240,7 +249,7 @@
 
 /// Machines stood idle for as long after the last job of a day as between the jobs of a busy hour.
 #[test]
-fn idle_machines_are_returned_sooner_when_no_jobs_come() {
+fn idle_machines_are_released_sooner_without_jobs() {
     let config = SchedulerConfig {
         idle_retention_boots: 20.0,
         ..config()
@@ -248,27 +257,27 @@
     let hosts = (0..4).map(|i| format!("host-{i}"));
     let roster = roster(hosts, &roster_record("small"));
     let first_drained = |every_s: f64| {
-        let mut leader = lone_leader(config.clone(), small_type(), vec![], 1, &roster);
+        let mut leader = lone_leader(config.clone(), small_types(), vec![], 1, &roster);
         let (mut now, mut jobs) = (0.0, 0);
         loop {
             now += 0.5;
             leader.tick(now, 0);
-            if drains_a_machine(&mut leader) {
+            if drains_machine(&mut leader) {
                 return now;
             }
-            let views = roster
+            let statuses = roster
                 .keys()
                 .map(|host| machine_status(host, "small", vec![]))
                 .collect();
-            leader.on_owner_message("rung-0", ToLeader::MachineStatuses(views), now);
+            leader.on_owner_message("rung-0", ToLeader::MachineStatuses(statuses), now);
             if now >= f64::from(jobs + 1) * every_s {
                 // A job of another type: it comes, and leaves these machines idle.
                 jobs += 1;
-                let elsewhere = Job {
+                let large_only_job = Job {
                     types: Some(vec!["large".into()]),
                     ..job(jobs, "red", Shape::Array, 2, 4.0)
                 };
-                let open = OpenJob::new(Rc::new(elsewhere), u64::from(jobs), PriorRuns::None);
+                let open = OpenJob::new(Rc::new(large_only_job), u64::from(jobs), PriorRuns::None);
                 leader.add_job(open);
             }
         }
@@ -281,7 +290,7 @@
 /// Of a job that failed on two machines both were blamed again at the second failure, also the one that had
 /// completed other work since: the next job's failure there had a healthy machine drained.
 #[test]
-fn only_the_machine_of_a_failure_is_blamed_for_it() {
+fn only_machine_of_failure_counts_as_faulty() {
     let open = |id, revision| {
         let spec = Rc::new(job(id, "red", Shape::Array, 6, 1.0));
         OpenJob::new(spec, revision, PriorRuns::Anywhere)
@@ -289,7 +298,7 @@
     let roster = roster(["host-1", "host-2"], &roster_record("small"));
     let jobs = vec![open(1, 1), open(2, 2), open(3, 3)];
     let config = config_without_deprovisioning();
-    let mut leader = lone_leader(config, small_type(), jobs, 3, &roster);
+    let mut leader = lone_leader(config, small_types(), jobs, 3, &roster);
     let task = |job: u32, index| TaskRef {
         job: format!("wk-{job:06}"),
         index,
@@ -298,19 +307,19 @@
     let running = |task| task_status(task, TaskState::Running, None);
     let exited = |task, why| task_status(task, TaskState::Exited, Some(why));
     let mut now = 0.0;
-    let mut drained = |host_1: Vec<TaskStatus>, host_2: Vec<TaskStatus>| {
+    let mut drains_on_statuses = |host_1: Vec<TaskStatus>, host_2: Vec<TaskStatus>| {
         now += 1.0;
         leader.tick(now, 0);
-        let views = vec![
+        let statuses = vec![
             machine_status("host-1", "small", host_1),
             machine_status("host-2", "small", host_2),
         ];
-        leader.on_owner_message("rung-0", ToLeader::MachineStatuses(views), now);
+        leader.on_owner_message("rung-0", ToLeader::MachineStatuses(statuses), now);
         leader.tick(now + 0.9, 0);
-        drains_a_machine(&mut leader)
+        drains_machine(&mut leader)
     };
     // Job 1 fails on the first machine, which then completes a task of job 3.
-    drained(
+    drains_on_statuses(
         vec![
             running(task(1, 0)),
             running(task(3, 0)),
@@ -318,7 +327,7 @@
         ],
         vec![running(task(1, 1))],
     );
-    assert!(!drained(
+    assert!(!drains_on_statuses(
         vec![
             exited(task(1, 0), Why::Error),
             running(task(3, 0)),
@@ -326,17 +335,17 @@
         ],
         vec![running(task(1, 1))]
     ));
-    assert!(!drained(
+    assert!(!drains_on_statuses(
         vec![exited(task(3, 0), Why::Done), running(task(2, 0))],
         vec![running(task(1, 1))]
     ));
     // It fails on the second one as well, and job 2 on the first.
-    assert!(!drained(
+    assert!(!drains_on_statuses(
         vec![running(task(2, 0))],
         vec![exited(task(1, 1), Why::Error)]
     ));
     assert!(
-        !drained(vec![exited(task(2, 0), Why::Error)], vec![]),
+        !drains_on_statuses(vec![exited(task(2, 0), Why::Error)], vec![]),
         "a healthy machine is drained"
     );
 }
