--- a/crates/sched/src/leader/queue/arrays.rs
+++ b/crates/sched/src/leader/queue/arrays.rs
@@ -20,24 +20,24 @@
 
 impl ZoneLimits {
     /// How many tasks may still go to a zone.
-    fn left_in(&self, zone: &Rc<str>) -> u32 {
+    fn remaining_in(&self, zone: &Rc<str>) -> u32 {
         match self {
             ZoneLimits::Unlimited => u32::MAX,
-            ZoneLimits::PerZone(left) => left.get(zone).copied().unwrap_or(0),
+            ZoneLimits::PerZone(limits) => limits.get(zone).copied().unwrap_or(0),
         }
     }
 
     /// Charges tasks to a zone.
     fn charge(&mut self, zone: &Rc<str>, tasks: u32) {
         if let ZoneLimits::PerZone(limits) = self {
-            if let Some(left) = limits.get_mut(zone) {
-                *left = left.saturating_sub(tasks);
+            if let Some(remaining) = limits.get_mut(zone) {
+                *remaining = remaining.saturating_sub(tasks);
             }
         }
     }
 
     /// The zone that an owner has to keep to for tasks placed there, if zones matter.
-    fn binding_zone(&self, zone: &Rc<str>) -> Option<Rc<str>> {
+    fn required_zone(&self, zone: &Rc<str>) -> Option<Rc<str>> {
         match self {
             ZoneLimits::Unlimited => None,
             ZoneLimits::PerZone(_) => Some(zone.clone()),
@@ -79,11 +79,11 @@
             .cluster
             .machines
             .index()
-            .fits_outside_cordon(&requirements, pass.cordon_against(id));
+            .fits_outside_cordon(&requirements, pass.cordon_applying_to(id));
         // Recorded before its first start, so that a later leader knows which jobs an earlier
         // one has never touched and need not wait for every machine with them.
         if job.start_record != StartRecord::Written {
-            self.await_start_record(id, &fits, admitted, pass);
+            self.defer_until_start_record(id, &fits, admitted, pass);
             return;
         }
         let Some(zone_limits) = self.zone_limits_of(id, &fits) else {
@@ -92,18 +92,18 @@
         let zones_matter = matches!(zone_limits, ZoneLimits::PerZone(_));
         let placed = self.assign_array(id, &requirements, admitted, fits, zone_limits, pass);
         if placed < admitted {
-            let left = admitted - placed;
-            pass.queued_cpus += requirements.cpus * f64::from(left);
-            self.note_unmet(id, left, pass.now);
+            let unplaced = admitted - placed;
+            pass.unplaced_cpus += requirements.cpus * f64::from(unplaced);
+            self.record_unmet(id, unplaced, pass.now);
             if !zones_matter {
-                self.assign_backlog(id, requirements, left, pass);
+                self.assign_to_backlogs(id, requirements, unplaced, pass);
             }
         }
     }
 
     /// Requests the record that an array has begun, if its turn comes now or soon: the record is then
     /// written in time. Until it is, none of the array's tasks may start.
-    fn await_start_record(
+    fn defer_until_start_record(
         &mut self,
         id: &str,
         fits: &[MachineFit],
@@ -117,14 +117,14 @@
             .min(admitted);
         let unmet = admitted - fitting;
         if unmet > 0 {
-            self.note_unmet(id, unmet, pass.now);
+            self.record_unmet(id, unmet, pass.now);
         }
-        let soon = self.turn_comes_soon(pass);
+        let capacity_expected = self.expects_capacity_soon(pass);
         let Some(job) = self.cluster.jobs.get_mut(id) else {
             return;
         };
-        pass.queued_cpus += f64::from(unmet) * job.spec.cpus;
-        if soon || fitting > 0 {
+        pass.unplaced_cpus += f64::from(unmet) * job.spec.cpus;
+        if capacity_expected || fitting > 0 {
             job.start_record = StartRecord::Requested;
         }
     }
@@ -167,13 +167,13 @@
             if ready.len() == 0 {
                 break;
             }
-            let most = fit.slots.min(zone_limits.left_in(&fit.zone));
-            let tasks: Vec<u32> = ready.by_ref().take(most as usize).collect();
+            let max_tasks = fit.slots.min(zone_limits.remaining_in(&fit.zone));
+            let tasks: Vec<u32> = ready.by_ref().take(max_tasks as usize).collect();
             if tasks.is_empty() {
                 continue;
             }
             zone_limits.charge(&fit.zone, tasks.len() as u32);
-            let zone = zone_limits.binding_zone(&fit.zone);
+            let zone = zone_limits.required_zone(&fit.zone);
             placed += self.assign_to_machine(&mut assignment, &fit.name, zone, tasks, pass.now);
         }
         pass.charge(&spec.team, resources, placed);
--- a/crates/sched/src/leader/queue/bookkeeping.rs
+++ b/crates/sched/src/leader/queue/bookkeeping.rs
@@ -7,13 +7,13 @@
 use wire::peers::TaskRequirements;
 
 /// Most images remembered for a machine, the newest first.
-const IMAGES_REMEMBERED: usize = 8;
+const MAX_IMAGES_PER_MACHINE: usize = 8;
 
 impl Leader {
     /// What found no capacity counts as demand. For what fails wherever it is tried nothing is
     /// provisioned at once; but should it be the machines' fault after all, it must not wait for
     /// ever.
-    pub(super) fn note_unmet(&mut self, id: &str, tasks: u32, now: Secs) {
+    pub(super) fn record_unmet(&mut self, id: &str, tasks: u32, now: Secs) {
         let counts =
             self.cluster.jobs.get(id).is_some_and(|job| {
                 !job.fails_everywhere() || now - job.backoff_until > MAX_BACKOFF_S
@@ -34,15 +34,15 @@
         self.cluster
             .machines
             .take_capacity(machine, resources, tasks, &requirements.image);
-        self.note_image(machine, &requirements.image);
+        self.record_image(machine, &requirements.image);
     }
 
     /// Remembers an image as the newest on a machine.
-    fn note_image(&mut self, machine: &str, image: &str) {
+    fn record_image(&mut self, machine: &str, image: &str) {
         if let Some(state) = self.cluster.machines.get_mut(machine) {
             state.images.retain(|known| known != image);
             state.images.insert(0, image.to_string());
-            state.images.truncate(IMAGES_REMEMBERED);
+            state.images.truncate(MAX_IMAGES_PER_MACHINE);
         }
         self.cluster.machines.mark_dirty(machine);
     }
--- a/crates/sched/src/leader/queue/cordon.rs
+++ b/crates/sched/src/leader/queue/cordon.rs
@@ -22,7 +22,7 @@
         scarce: &BTreeSet<(String, bool)>,
         now: Secs,
     ) -> Option<Cordon> {
-        let job = self.longest_waiting_gang(now)?;
+        let job = self.gang_needing_cordon(now)?;
         let mut requirements = self.cluster.requirements_avoiding_scarce(job, scarce);
         if requirements.zone.is_none() {
             requirements.zone = self.autoscaler.gang_zone(&job.spec.id).cloned();
@@ -35,7 +35,7 @@
 
     /// The oldest gang of several tasks that the last pass could not place and that either has
     /// waited too long or has other tasks stopped to make room for it.
-    fn longest_waiting_gang(&self, now: Secs) -> Option<&Job> {
+    fn gang_needing_cordon(&self, now: Secs) -> Option<&Job> {
         let is_waiting_gang = |job: &Job| {
             job.is_multi_task_gang()
                 && job.phase == GangPhase::Idle
--- a/crates/sched/src/leader/queue/gangs.rs
+++ b/crates/sched/src/leader/queue/gangs.rs
@@ -2,7 +2,7 @@
 //! only then are the owners asked to reserve it.
 
 use super::pass::Pass;
-use super::{jitter, MS_PER_S};
+use super::{jitter_factor, MS_PER_S};
 use crate::capacity_index::MachineFit;
 use crate::leader::{Action, GangPhase, Job, Leader};
 use crate::placement::Resources;
@@ -67,14 +67,14 @@
             return;
         }
         let tasks = job.spec.tasks;
-        let Some(shares) = self.fit_gang(job, requirements, pass.cordon_against(id)) else {
-            self.note_unmet(id, tasks, pass.now);
+        let Some(shares) = self.fit_gang(job, requirements, pass.cordon_applying_to(id)) else {
+            self.record_unmet(id, tasks, pass.now);
             return;
         };
         pass.charge(&job.spec.team, job.resources(), tasks);
         let attempt = self.next_attempt();
-        let placements = self.take_shares(attempt, requirements, shares);
-        self.reserve(id, attempt, requirements, placements, pass.now);
+        let placements = self.take_gang_capacity(attempt, requirements, shares);
+        self.request_reservations(id, attempt, requirements, placements, pass.now);
     }
 
     /// Chooses machines for all tasks of a gang; if they have to be in one zone, in the first by name
@@ -97,7 +97,7 @@
                     .machines
                     .index()
                     .fits_outside_cordon(&requirements, cordon);
-                distribute(fits, job.spec.tasks, most_in_zone(job))
+                distribute_tasks(fits, job.spec.tasks, max_tasks_per_zone(job))
             })
     }
 
@@ -111,7 +111,7 @@
     }
 
     /// Takes a gang's capacity out of the leader's view, and numbers its tasks machine by machine.
-    fn take_shares(
+    fn take_gang_capacity(
         &mut self,
         attempt: u64,
         requirements: &TaskRequirements,
@@ -149,7 +149,7 @@
     }
 
     /// Asks the owners to reserve a gang's capacity for a while.
-    fn reserve(
+    fn request_reservations(
         &mut self,
         id: &str,
         attempt: u64,
@@ -158,12 +158,12 @@
         now: Secs,
     ) {
         // Jitter, so that gangs reserved in one burst don't lapse in step.
-        let wait_s = self.cluster.config.reservation_s * jitter(&mut self.rng);
+        let wait_s = self.cluster.config.reservation_s * jitter_factor(&mut self.rng);
         log::info!(
             "event=reserve job={id} attempt={attempt} machines={} wait_s={wait_s:.1}",
             placements.len()
         );
-        let by_owner = by_owner(&placements);
+        let by_owner = group_by_owner(&placements);
         if let Some(job) = self.cluster.jobs.get_mut(id) {
             job.phase = GangPhase::Reserving {
                 attempt,
@@ -195,12 +195,12 @@
     let is_idle = job.phase == GangPhase::Idle && job.active.is_empty();
     // In one zone and yet spread over several: no zone may hold all of it. Such a gang waits until
     // it is cancelled, and does not count as unmet, so that nothing is provisioned for it.
-    let contradicts_itself = job.spec.one_zone && most_in_zone(job) < job.spec.tasks;
-    is_whole && is_idle && admitted >= job.spec.tasks && !contradicts_itself
+    let zone_rules_conflict = job.spec.one_zone && max_tasks_per_zone(job) < job.spec.tasks;
+    is_whole && is_idle && admitted >= job.spec.tasks && !zone_rules_conflict
 }
 
 /// The most tasks of a gang that one zone may hold: half of them, rounded up, if it is spread.
-fn most_in_zone(job: &Job) -> u32 {
+fn max_tasks_per_zone(job: &Job) -> u32 {
     if job.spec.spread {
         job.spec.tasks.div_ceil(2)
     } else {
@@ -208,29 +208,33 @@
     }
 }
 
-/// Distributes a gang's tasks over machines, the best first and at most `most_in_zone` in one zone;
+/// Distributes a gang's tasks over machines, the best first and at most `max_tasks_per_zone` in one zone;
 /// `None` if they don't all fit.
-fn distribute(fits: Vec<MachineFit>, tasks: u32, most_in_zone: u32) -> Option<Vec<MachineShare>> {
+fn distribute_tasks(
+    fits: Vec<MachineFit>,
+    tasks: u32,
+    max_tasks_per_zone: u32,
+) -> Option<Vec<MachineShare>> {
     let mut used_by_zone: BTreeMap<Rc<str>, u32> = BTreeMap::new();
-    let mut left = tasks;
+    let mut remaining = tasks;
     let mut shares = Vec::new();
     for fit in fits {
         let used = used_by_zone.entry(fit.zone).or_default();
-        let share = fit.slots.min(left).min(most_in_zone - *used);
+        let share = fit.slots.min(remaining).min(max_tasks_per_zone - *used);
         if share > 0 {
             *used += share;
-            left -= share;
+            remaining -= share;
             shares.push(MachineShare {
                 machine: fit.name,
                 tasks: share,
             });
         }
     }
-    (left == 0).then_some(shares)
+    (remaining == 0).then_some(shares)
 }
 
 /// What each owner is to reserve.
-fn by_owner(placements: &[OwnedPlacement]) -> BTreeMap<String, Vec<GangPlacement>> {
+fn group_by_owner(placements: &[OwnedPlacement]) -> BTreeMap<String, Vec<GangPlacement>> {
     let mut by_owner: BTreeMap<String, Vec<GangPlacement>> = BTreeMap::new();
     for OwnedPlacement { owner, placement } in placements {
         by_owner
--- a/crates/sched/src/leader/queue/mod.rs
+++ b/crates/sched/src/leader/queue/mod.rs
@@ -62,13 +62,13 @@
         let scarce = self.cluster.scarce_types();
         Pass {
             now,
-            limits: self.cluster.quota_headroom(),
+            remaining_quota: self.cluster.quota_headroom(),
             cordon: self.cordon_for_gang(&scarce, now),
-            scarce_awaited: self.cluster.gang_waits_for_scarce_types(&scarce),
-            scarce,
-            backlog: None,
-            queued_cpus: 0.0,
-            turnover: None,
+            scarce_types_awaited: self.cluster.gang_waits_for_scarce_types(&scarce),
+            scarce_types: scarce,
+            backlog_cpus: None,
+            unplaced_cpus: 0.0,
+            freed_cpus_per_s: None,
         }
     }
 
@@ -101,7 +101,7 @@
         let Some(job) = self.cluster.jobs.get(id) else {
             return;
         };
-        let admitted = pass.admit(job);
+        let admitted = pass.admissible_tasks(job);
         if admitted == 0 {
             return;
         }
@@ -116,15 +116,17 @@
     /// Where an entry's tasks may run. Machine types that are the only ones for some gangs are
     /// spared; arrays take them too, last of all, while no such gang waits for capacity.
     fn entry_requirements(&self, job: &Job, pass: &Pass) -> TaskRequirements {
-        let mut requirements = self.cluster.requirements_avoiding_scarce(job, &pass.scarce);
-        if job.is_gang() || pass.scarce_awaited {
+        let mut requirements = self
+            .cluster
+            .requirements_avoiding_scarce(job, &pass.scarce_types);
+        if job.is_gang() || pass.scarce_types_awaited {
             return requirements;
         }
-        let mut spared = self.cluster.requirements(job, None).kinds;
-        spared.retain(|offer| !contains_offer(&requirements.kinds, offer));
+        let mut scarce_offers = self.cluster.requirements(job, None).kinds;
+        scarce_offers.retain(|offer| !contains_offer(&requirements.kinds, offer));
         requirements
             .kinds
-            .extend(spared.into_iter().map(|offer| AllowedMachineType {
+            .extend(scarce_offers.into_iter().map(|offer| AllowedMachineType {
                 tier: SCARCE_TYPE_TIER,
                 ..offer
             }));
@@ -142,6 +144,6 @@
 
 /// A random factor from 0.75 to 1.25 for a wait, so that those who begin to wait at the same time
 /// don't end in step.
-fn jitter(rng: &mut fastrand::Rng) -> f64 {
+fn jitter_factor(rng: &mut fastrand::Rng) -> f64 {
     0.75 + 0.5 * rng.f64()
 }
--- a/crates/sched/src/leader/queue/pass.rs
+++ b/crates/sched/src/leader/queue/pass.rs
@@ -9,33 +9,33 @@
 
 /// The state of one pass over the queue.
 ///
-/// Invariant: whatever an entry is given is charged at once, its quota to `limits` here, its
-/// capacity to the cluster's index, and its share of an owner's backlog to `backlog`. So no entry
+/// Invariant: whatever an entry is given is charged at once, its quota to `remaining_quota` here, its
+/// capacity to the cluster's index, and its share of an owner's backlog to `backlog_cpus`. So no entry
 /// is placed on what an earlier entry of the same pass has already taken.
 pub(super) struct Pass {
     /// When the pass takes place.
     pub(super) now: Secs,
     /// What each team may still use, beside what its tasks use and may be using unseen.
-    pub(super) limits: BTreeMap<String, Resources>,
+    pub(super) remaining_quota: BTreeMap<String, Resources>,
     /// Machines cordoned for a gang that has waited long.
     pub(super) cordon: Option<Cordon>,
     /// Machine types (with spot or not) that are the only ones for some class of jobs.
-    pub(super) scarce: BTreeSet<(String, bool)>,
+    pub(super) scarce_types: BTreeSet<(String, bool)>,
     /// Whether a gang that fits no other machine types waits for the scarce ones.
-    pub(super) scarce_awaited: bool,
+    pub(super) scarce_types_awaited: bool,
     /// CPUs of tasks that may still join the backlog of each owner; computed on first use.
-    pub(super) backlog: Option<BTreeMap<String, f64>>,
+    pub(super) backlog_cpus: Option<BTreeMap<String, f64>>,
     /// CPUs of array tasks that found no capacity so far.
-    pub(super) queued_cpus: f64,
+    pub(super) unplaced_cpus: f64,
     /// CPUs that running array tasks free per second; computed on first use, and again after each
     /// charge, which may have added running tasks.
-    pub(super) turnover: Option<f64>,
+    pub(super) freed_cpus_per_s: Option<f64>,
 }
 
 impl Pass {
     /// How many more tasks of a job its team's limit admits (all or nothing for a gang).
-    pub(super) fn admit(&self, job: &Job) -> u32 {
-        let Some(free) = self.limits.get(&job.spec.team) else {
+    pub(super) fn admissible_tasks(&self, job: &Job) -> u32 {
+        let Some(free) = self.remaining_quota.get(&job.spec.team) else {
             return 0;
         };
         let within_limit = free
@@ -56,7 +56,7 @@
     }
 
     /// The machines that are cordoned for another job than this.
-    pub(super) fn cordon_against(&self, id: &str) -> Option<&TaskRequirements> {
+    pub(super) fn cordon_applying_to(&self, id: &str) -> Option<&TaskRequirements> {
         self.cordon
             .as_ref()
             .filter(|cordon| cordon.job != id)
@@ -65,10 +65,10 @@
 
     /// Charges `tasks` placed tasks of the given size to their team.
     pub(super) fn charge(&mut self, team: &str, resources: Resources, tasks: u32) {
-        if let Some(free) = self.limits.get_mut(team) {
+        if let Some(free) = self.remaining_quota.get_mut(team) {
             free.sub(without_memory(resources.scaled(tasks)));
         }
-        self.turnover = None;
+        self.freed_cpus_per_s = None;
     }
 }
 
--- a/crates/sched/src/leader/queue/reservations.rs
+++ b/crates/sched/src/leader/queue/reservations.rs
@@ -2,7 +2,7 @@
 //! it is durable all tasks start. Where one part fails, the whole reservation ends.
 
 use super::gangs::GangPlacement;
-use super::jitter;
+use super::jitter_factor;
 use crate::leader::{Action, GangPhase, Leader, TaskLocation};
 use crate::Secs;
 use std::collections::BTreeSet;
@@ -10,7 +10,7 @@
 
 /// A gang's back-off before it is doubled, as one of so many parts of the time for which capacity is
 /// reserved.
-const BACKOFF_PARTS: f64 = 20.0;
+const BACKOFF_BASE_DIVISOR: f64 = 20.0;
 
 /// A gang's back-off doubles with each failure in a row, this many times at most.
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
@@ -28,18 +28,22 @@
             return;
         };
         if reserved {
-            self.reservation_confirmed(&id, attempt, from);
+            self.on_reservation_confirmed(&id, attempt, from);
         } else {
-            self.reservation_refused(&id, from, now);
+            self.on_reservation_refused(&id, from, now);
         }
     }
 
     /// The gang that an attempt belongs to, if that is still its present one.
     fn gang_of_attempt(&self, attempt: u64) -> Option<String> {
         let (id, _) = self.cluster.jobs.iter().find(|(_, job)| match &job.phase {
-            GangPhase::Reserving { attempt: of, .. }
-            | GangPhase::Binding { attempt: of, .. }
-            | GangPhase::Running { attempt: of } => *of == attempt,
+            GangPhase::Reserving {
+                attempt: current, ..
+            }
+            | GangPhase::Binding {
+                attempt: current, ..
+            }
+            | GangPhase::Running { attempt: current } => *current == attempt,
             // Another owner has refused its part before.
             GangPhase::Ending => job.active.values().any(|task| task.attempt == attempt),
             GangPhase::Idle => false,
@@ -48,7 +52,7 @@
     }
 
     /// Requests that the binding be written, once every owner has reserved its part.
-    fn reservation_confirmed(&mut self, id: &str, attempt: u64, from: &str) {
+    fn on_reservation_confirmed(&mut self, id: &str, attempt: u64, from: &str) {
         let Some(job) = self.cluster.jobs.get_mut(id) else {
             return;
         };
@@ -80,7 +84,7 @@
 
     /// Ends a reservation that an owner has refused, or, where the gang has started meanwhile, takes
     /// back the tasks that were assigned to that owner.
-    fn reservation_refused(&mut self, id: &str, from: &str, now: Secs) {
+    fn on_reservation_refused(&mut self, id: &str, from: &str, now: Secs) {
         let Some(job) = self.cluster.jobs.get(id) else {
             return;
         };
@@ -91,7 +95,7 @@
             }
             GangPhase::Running { .. } | GangPhase::Ending => {
                 // The capacity was given up before the binding came: the gang has to begin anew.
-                let lost: Vec<u32> = job
+                let lost_tasks: Vec<u32> = job
                     .active
                     .iter()
                     .filter(|(_, task)| {
@@ -99,7 +103,7 @@
                     })
                     .map(|(index, _)| *index)
                     .collect();
-                for index in lost {
+                for index in lost_tasks {
                     self.requeue_task(id, index);
                 }
             }
@@ -113,14 +117,14 @@
             return;
         };
         let GangPhase::Binding {
-            attempt: bound,
+            attempt: bound_attempt,
             until,
             places,
         } = &job.phase
         else {
             return;
         };
-        if *bound != attempt {
+        if *bound_attempt != attempt {
             return;
         }
         // A machine that was returned meanwhile took its reserved capacity with it.
@@ -143,7 +147,7 @@
         }
         let mut owners = BTreeSet::new();
         for placement in placements {
-            let Some(owner) = self.end_machine_reservation(&placement.machine, attempt) else {
+            let Some(owner) = self.release_machine_reservation(&placement.machine, attempt) else {
                 continue;
             };
             for index in placement.first_task..placement.first_task + placement.tasks {
@@ -169,9 +173,9 @@
         if failed {
             job.failures += 1;
             let doublings = job.failures.min(MAX_BACKOFF_DOUBLINGS);
-            let wait_s = self.cluster.config.reservation_s / BACKOFF_PARTS
+            let wait_s = self.cluster.config.reservation_s / BACKOFF_BASE_DIVISOR
                 * f64::from(1u32 << doublings)
-                * jitter(&mut self.rng);
+                * jitter_factor(&mut self.rng);
             job.backoff_until = now + wait_s;
         }
         self.release_reservation(&phase);
@@ -191,7 +195,7 @@
         };
         let owners: BTreeSet<String> = places
             .iter()
-            .filter_map(|(machine, _, _)| self.end_machine_reservation(machine, *attempt))
+            .filter_map(|(machine, _, _)| self.release_machine_reservation(machine, *attempt))
             .collect();
         for owner in owners {
             self.actions.push(Action::Send(
@@ -204,7 +208,7 @@
 
     /// Ends what an attempt has reserved on a machine, and returns the machine's owner; none if the
     /// machine is gone.
-    fn end_machine_reservation(&mut self, machine: &str, attempt: u64) -> Option<String> {
+    fn release_machine_reservation(&mut self, machine: &str, attempt: u64) -> Option<String> {
         let state = self.cluster.machines.get_mut(machine)?;
         state.reserved.remove(&attempt);
         let owner = state.owner.clone();
