--- a/crates/sched/src/leader/preemption/gang_plan.rs
+++ b/crates/sched/src/leader/preemption/gang_plan.rs
@@ -1,24 +1,24 @@
 //! Planning capacity for a whole gang. Half a gang's capacity serves nobody: without capacity for
 //! the whole nothing is stopped.
 
-use super::task_plan::{Supply, TaskPlan};
+use super::task_plan::{ClusterSnapshot, TaskPlan};
 use crate::leader::Job;
 use std::collections::BTreeSet;
 use wire::peers::TaskRequirements;
 
-/// How a whole gang gets its capacity, and the supply that is left then.
-struct ZonePlan<'a> {
+/// How a whole gang gets its capacity, and the snapshot that is left then.
+struct GangPlan<'a> {
     /// CPU seconds of work that are lost.
     lost_cpu_s: f64,
     /// One for each task.
     tasks: Vec<TaskPlan<'a>>,
     /// Of the machines only those that the gang may use.
-    left: Supply<'a>,
+    remaining: ClusterSnapshot<'a>,
 }
 
-impl<'a> Supply<'a> {
+impl<'a> ClusterSnapshot<'a> {
     /// Finds capacity for all tasks of a gang, in the zone where that costs least if they have to be
-    /// in one, and takes it out of the supply; `None` if there is not enough.
+    /// in one, and takes it out of the snapshot; `None` if there is not enough.
     pub(super) fn plan_gang(
         &mut self,
         job: &Job,
@@ -38,8 +38,8 @@
                 self.plan_in_zone(job, &requirements)
             })
             .min_by(|one, other| one.lost_cpu_s.total_cmp(&other.lost_cpu_s))?;
-        self.candidates.extend(plan.left.candidates);
-        self.usage = plan.left.usage;
+        self.candidates.extend(plan.remaining.candidates);
+        self.usage = plan.remaining.usage;
         Some(plan.tasks)
     }
 
@@ -56,26 +56,26 @@
     }
 
     /// What would have to be stopped in one zone for a whole gang; `None` if it can't have enough there.
-    fn plan_in_zone(&self, job: &Job, requirements: &TaskRequirements) -> Option<ZonePlan<'a>> {
-        let mut left = self.allowed_by(requirements);
+    fn plan_in_zone(&self, job: &Job, requirements: &TaskRequirements) -> Option<GangPlan<'a>> {
+        let mut remaining = self.restricted_to(requirements);
         let tasks: Vec<TaskPlan> = (0..job.spec.tasks)
-            .map(|_| left.plan_task(job, requirements))
+            .map(|_| remaining.plan_task(job, requirements))
             .collect::<Option<_>>()?;
         let lost_cpu_s = tasks
             .iter()
             .flat_map(|task| &task.victims)
             .map(|victim| victim.lost_cpu_s())
             .sum();
-        Some(ZonePlan {
+        Some(GangPlan {
             lost_cpu_s,
             tasks,
-            left,
+            remaining,
         })
     }
 
     /// A copy to plan on, with only the machines that these requirements allow.
-    fn allowed_by(&self, requirements: &TaskRequirements) -> Supply<'a> {
-        Supply {
+    fn restricted_to(&self, requirements: &TaskRequirements) -> ClusterSnapshot<'a> {
+        ClusterSnapshot {
             candidates: self
                 .candidates
                 .iter()
--- a/crates/sched/src/leader/preemption/mod.rs
+++ b/crates/sched/src/leader/preemption/mod.rs
@@ -29,16 +29,17 @@
 use team_usage::TeamUsage;
 
 /// Part of the time allowed for a guaranteed start that is left to capacity freed by itself.
-const GRACE_SHARE: f64 = 0.2;
+const PREEMPTION_DELAY_SHARE: f64 = 0.2;
 
 /// Rounds of preemption within that part of the time.
-const ROUNDS_PER_GRACE: f64 = 2.0;
+const ROUNDS_PER_DELAY: f64 = 2.0;
 
 impl Leader {
     /// Stops what the protocol allows for entries that the pass could not place. All tasks are
     /// examined only when there is an entry for which others may be stopped.
     pub(crate) fn preempt(&mut self, now: Secs) {
-        let interval_s = self.cluster.config.guarantee_s * GRACE_SHARE / ROUNDS_PER_GRACE;
+        let interval_s =
+            self.cluster.config.guarantee_s * PREEMPTION_DELAY_SHARE / ROUNDS_PER_DELAY;
         if now - self.last_preemption_at < interval_s {
             return;
         }
@@ -53,7 +54,7 @@
         let planner = Planner::new(&self.cluster, usage, &scarce, cordon.as_ref(), now);
         let preemptions = planner.plan(&entries);
         for preemption in preemptions {
-            self.carry_out(preemption);
+            self.stop_victims(preemption);
         }
     }
 }
--- a/crates/sched/src/leader/preemption/planner.rs
+++ b/crates/sched/src/leader/preemption/planner.rs
@@ -1,9 +1,9 @@
 //! Planning for all entries of a round, one after the other.
 
 use super::candidates::candidates;
-use super::eligibility::Entry;
+use super::eligibility::UnplacedEntry;
 use super::stops::{grace_s, Preemption, Stop};
-use super::task_plan::{Supply, TaskPlan};
+use super::task_plan::{ClusterSnapshot, TaskPlan};
 use super::team_usage::TeamUsage;
 use crate::cluster::Cluster;
 use crate::leader::queue::Cordon;
@@ -13,13 +13,13 @@
 
 /// Heartbeat intervals within which a stop has reached its machine and the machine has shown the
 /// end.
-const HEARTBEATS_TO_STOP: f64 = 3.0;
+const STOP_HEARTBEAT_INTERVALS: f64 = 3.0;
 
 /// Plans one round of preemption; the cluster stays as it is.
 pub(super) struct Planner<'a> {
     cluster: &'a Cluster,
     /// What is left by the plans made so far.
-    supply: Supply<'a>,
+    snapshot: ClusterSnapshot<'a>,
     /// Machine types (with spot or not) that are the only ones for some class of jobs.
     scarce: &'a BTreeSet<(String, bool)>,
     /// The gang for which machines are cordoned, as long as nothing is stopped for it. Until it is
@@ -40,24 +40,24 @@
         cordon: Option<&'a Cordon>,
         now: Secs,
     ) -> Planner<'a> {
-        let frees_capacity = |job: &Job| now < job.preempting_until;
+        let is_reclaiming = |job: &Job| now < job.preempting_until;
         Planner {
             cluster,
-            supply: Supply {
+            snapshot: ClusterSnapshot {
                 candidates: candidates(cluster, now),
                 usage,
             },
             scarce,
             blocking_gang: cordon
                 .map(|cordon| cordon.job.as_str())
-                .filter(|id| !cluster.jobs.get(id).is_some_and(frees_capacity)),
+                .filter(|id| !cluster.jobs.get(id).is_some_and(is_reclaiming)),
             now,
             preemptions: Vec::new(),
         }
     }
 
     /// What is to be stopped for these entries, in the order of the queue.
-    pub(super) fn plan(mut self, entries: &[Entry]) -> Vec<Preemption> {
+    pub(super) fn plan(mut self, entries: &[UnplacedEntry]) -> Vec<Preemption> {
         for entry in entries {
             if entry.job.is_multi_task_gang() {
                 self.plan_for_gang(entry.job);
@@ -75,10 +75,10 @@
             return;
         }
         let requirements = self.cluster.requirements_avoiding_scarce(job, self.scarce);
-        let Some(tasks) = self.supply.plan_gang(job, &requirements) else {
+        let Some(tasks) = self.snapshot.plan_gang(job, &requirements) else {
             return;
         };
-        let reclaims_until = self.stopped_by(&tasks);
+        let reclaims_until = self.reclaim_deadline(&tasks);
         if self.now < reclaims_until && self.blocking_gang == Some(id) {
             self.blocking_gang = None;
         }
@@ -90,10 +90,10 @@
     }
 
     /// Plans for the tasks of an entry one by one, until there is no capacity for the next.
-    fn plan_for_tasks(&mut self, entry: &Entry) {
+    fn plan_for_tasks(&mut self, entry: &UnplacedEntry) {
         let requirements = self.cluster.requirements(entry.job, None);
         let tasks: Vec<TaskPlan> = (0..entry.tasks)
-            .map_while(|_| self.supply.plan_task(entry.job, &requirements))
+            .map_while(|_| self.snapshot.plan_task(entry.job, &requirements))
             .collect();
         self.preemptions.push(Preemption {
             job: entry.job.spec.id.clone(),
@@ -103,13 +103,13 @@
     }
 
     /// When the victims of these plans will be gone at the latest, the time to save included.
-    fn stopped_by(&self, tasks: &[TaskPlan]) -> Secs {
+    fn reclaim_deadline(&self, tasks: &[TaskPlan]) -> Secs {
         let longest_grace_s = tasks
             .iter()
             .flat_map(|task| &task.victims)
             .map(|victim| grace_s(self.cluster, victim.job))
             .fold(0.0, f64::max);
-        self.now + longest_grace_s + self.cluster.config.heartbeat_s * HEARTBEATS_TO_STOP
+        self.now + longest_grace_s + self.cluster.config.heartbeat_s * STOP_HEARTBEAT_INTERVALS
     }
 
     /// The stops of these plans.
--- a/crates/sched/src/leader/preemption/stops.rs
+++ b/crates/sched/src/leader/preemption/stops.rs
@@ -5,7 +5,7 @@
 use crate::Secs;
 
 /// The time allowed for saving, as a multiple of what the job says that it takes.
-const SAVE_MARGIN: f64 = 1.2;
+const SAVE_TIME_FACTOR: f64 = 1.2;
 
 /// Seconds allowed beside that.
 const SAVE_EXTRA_S: Secs = 0.5;
@@ -35,7 +35,7 @@
 impl Leader {
     /// Stops the victims of a plan. For a whole gang the capacity that becomes free is cordoned
     /// meanwhile.
-    pub(super) fn carry_out(&mut self, preemption: Preemption) {
+    pub(super) fn stop_victims(&mut self, preemption: Preemption) {
         let job = self.cluster.jobs.get_mut(&preemption.job);
         if let (Some(job), Some(until)) = (job, preemption.reclaims_until) {
             job.preempting_until = until;
@@ -64,5 +64,5 @@
         .jobs
         .get(id)
         .filter(|job| job.spec.checkpoint_s > 0.0)
-        .map_or(0.0, |job| job.spec.save_s * SAVE_MARGIN + SAVE_EXTRA_S)
+        .map_or(0.0, |job| job.spec.save_s * SAVE_TIME_FACTOR + SAVE_EXTRA_S)
 }
--- a/crates/sched/src/leader/preemption/task_plan.rs
+++ b/crates/sched/src/leader/preemption/task_plan.rs
@@ -8,7 +8,7 @@
 
 /// What is left to plan with: the capacity of machines, and what teams use.
 #[derive(Clone)]
-pub(super) struct Supply<'a> {
+pub(super) struct ClusterSnapshot<'a> {
     /// The machines, with what earlier plans have taken or freed there.
     pub(super) candidates: Candidates<'a>,
     /// What teams use, without the victims of earlier plans.
@@ -24,7 +24,7 @@
 }
 
 /// Victims on one machine that make room for a task.
-struct Choice<'a> {
+struct VictimSet<'a> {
     machine: &'a str,
     /// CPU seconds of work that are lost with them.
     lost_cpu_s: f64,
@@ -32,23 +32,27 @@
     positions: Vec<usize>,
 }
 
-impl<'a> Supply<'a> {
-    /// Finds capacity for one task where that costs least, and takes it out of the supply; `None` if
+impl<'a> ClusterSnapshot<'a> {
+    /// Finds capacity for one task where that costs least, and takes it out of the snapshot; `None` if
     /// there is none.
     pub(super) fn plan_task(
         &mut self,
         job: &Job,
         requirements: &TaskRequirements,
     ) -> Option<TaskPlan<'a>> {
-        if let Some(plan) = self.take_free(job, requirements) {
+        if let Some(plan) = self.take_free_capacity(job, requirements) {
             return Some(plan);
         }
-        let choice = self.cheapest_choice(job, requirements)?;
-        self.take_choice(job, choice)
+        let victim_set = self.cheapest_victims(job, requirements)?;
+        self.take_victims_capacity(job, victim_set)
     }
 
     /// Takes capacity that is free, or will be by earlier stops.
-    fn take_free(&mut self, job: &Job, requirements: &TaskRequirements) -> Option<TaskPlan<'a>> {
+    fn take_free_capacity(
+        &mut self,
+        job: &Job,
+        requirements: &TaskRequirements,
+    ) -> Option<TaskPlan<'a>> {
         let resources = job.resources();
         let (name, machine) = self
             .candidates
@@ -63,40 +67,51 @@
 
     /// The victims with which the least work is lost, on one of the machines that the task may use;
     /// among equals the first machine by name.
-    fn cheapest_choice(&self, job: &Job, requirements: &TaskRequirements) -> Option<Choice<'a>> {
-        let mut best: Option<Choice> = None;
+    fn cheapest_victims(
+        &self,
+        job: &Job,
+        requirements: &TaskRequirements,
+    ) -> Option<VictimSet<'a>> {
+        let mut best: Option<VictimSet> = None;
         for (name, machine) in &self.candidates {
             if machine.victims.is_empty() || !machine.allows(requirements) {
                 continue;
             }
-            let Some(choice) = choose_victims(name, machine, job) else {
+            let Some(victim_set) = choose_victims(name, machine, job) else {
                 continue;
             };
             let is_better = best
                 .as_ref()
-                .is_none_or(|best| choice.lost_cpu_s < best.lost_cpu_s);
-            let chosen = choice.positions.iter().map(|at| &machine.victims[*at]);
-            if is_better && self.usage.only_borrowed(job, chosen) {
-                best = Some(choice);
+                .is_none_or(|best| victim_set.lost_cpu_s < best.lost_cpu_s);
+            let chosen = victim_set
+                .positions
+                .iter()
+                .map(|position| &machine.victims[*position]);
+            if is_better && self.usage.takes_only_borrowed(job, chosen) {
+                best = Some(victim_set);
             }
         }
         best
     }
 
     /// Takes the capacity that the chosen victims free.
-    fn take_choice(&mut self, job: &Job, choice: Choice<'a>) -> Option<TaskPlan<'a>> {
-        let machine = self.candidates.get_mut(choice.machine)?;
+    fn take_victims_capacity(
+        &mut self,
+        job: &Job,
+        victim_set: VictimSet<'a>,
+    ) -> Option<TaskPlan<'a>> {
+        let machine = self.candidates.get_mut(victim_set.machine)?;
         let mut victims = Vec::new();
         // From the last, so that the positions of the others stay what they are.
-        for at in choice.positions.into_iter().rev() {
-            let victim = machine.victims.remove(at);
+        for position in victim_set.positions.into_iter().rev() {
+            let victim = machine.victims.remove(position);
             machine.free.add(victim.resources);
             self.usage.release(victim.team, victim.resources);
             victims.push(victim);
         }
         machine.free.sub(job.resources());
         Some(TaskPlan {
-            machine: choice.machine,
+            machine: victim_set.machine,
             victims,
         })
     }
@@ -104,20 +119,24 @@
 
 /// The fewest victims on one machine that make room for a task of a job, taken in the order of what
 /// they lose; `None` if all of them together don't.
-fn choose_victims<'a>(name: &'a str, machine: &CandidateMachine, job: &Job) -> Option<Choice<'a>> {
+fn choose_victims<'a>(
+    name: &'a str,
+    machine: &CandidateMachine,
+    job: &Job,
+) -> Option<VictimSet<'a>> {
     let resources = job.resources();
     let mut free = machine.free;
     let mut lost_cpu_s = 0.0;
     let mut positions = Vec::new();
-    for (at, victim) in machine.victims.iter().enumerate() {
+    for (position, victim) in machine.victims.iter().enumerate() {
         if !victim.may_be_stopped_for(job) {
             continue;
         }
         free.add(victim.resources);
         lost_cpu_s += victim.lost_cpu_s();
-        positions.push(at);
+        positions.push(position);
         if free.can_fit(resources) {
-            return Some(Choice {
+            return Some(VictimSet {
                 machine: name,
                 lost_cpu_s,
                 positions,
--- a/crates/sched/src/leader/preemption/team_usage.rs
+++ b/crates/sched/src/leader/preemption/team_usage.rs
@@ -51,13 +51,13 @@
 
     /// Whether stopping these for a job takes only borrowed capacity, so that every team keeps what
     /// its guarantee gives it. Work of a lower priority may be stopped whatever its team uses.
-    pub(super) fn only_borrowed<'v>(
+    pub(super) fn takes_only_borrowed<'v>(
         &self,
         job: &Job,
         victims: impl Iterator<Item = &'v Victim<'v>>,
     ) -> bool {
         let mut taken: BTreeMap<&str, Resources> = BTreeMap::new();
-        for victim in victims.filter(|victim| !victim.is_outranked_by(job)) {
+        for victim in victims.filter(|victim| !victim.has_lower_priority_than(job)) {
             taken.entry(victim.team).or_default().add(victim.resources);
         }
         taken
--- a/crates/sched/src/leader/preemption/victims.rs
+++ b/crates/sched/src/leader/preemption/victims.rs
@@ -26,7 +26,7 @@
     priority: Priority,
     within_guarantee: bool,
     /// Stopping it loses more than waiting for its end.
-    costly: bool,
+    costly_to_repeat: bool,
 }
 
 impl<'a> Victim<'a> {
@@ -59,7 +59,7 @@
             team: &job.spec.team,
             priority: job.priority,
             within_guarantee: job.within_guarantee,
-            costly: !can_save && lost_s > cluster.expected_run_s(job) * MAX_LOST_SHARE,
+            costly_to_repeat: !can_save && lost_s > cluster.expected_run_s(job) * MAX_LOST_SHARE,
         })
     }
 
@@ -69,7 +69,7 @@
     }
 
     /// Whether its priority is lower than a job's.
-    pub(super) fn is_outranked_by(&self, job: &Job) -> bool {
+    pub(super) fn has_lower_priority_than(&self, job: &Job) -> bool {
         self.priority > job.spec.priority
     }
 
@@ -79,7 +79,7 @@
         let reclaimable = job.within_guarantee
             && !self.within_guarantee
             && self.team != job.spec.team
-            && !self.costly;
-        self.is_outranked_by(job) || reclaimable
+            && !self.costly_to_repeat;
+        self.has_lower_priority_than(job) || reclaimable
     }
 }
