--- a/crates/sched/src/leader/preemption/candidates.rs
+++ b/crates/sched/src/leader/preemption/candidates.rs
@@ -1,4 +1,4 @@
-//! The machines on which capacity can be had, and what may be stopped on each.
+//! The machines on which preemption can free capacity, and the tasks that may be stopped on each.
 
 use super::victims::Victim;
 use crate::cluster::{Cluster, Machine};
@@ -7,22 +7,22 @@
 use std::collections::BTreeMap;
 use wire::peers::TaskRequirements;
 
-/// Machines on which capacity can be had, by name.
+/// Candidate machines by name.
 pub(super) type Candidates<'a> = BTreeMap<&'a str, CandidateMachine<'a>>;
 
-/// A machine with what may be stopped there.
+/// A machine that takes tasks, with the tasks that may be stopped there.
 #[derive(Clone)]
 pub(super) struct CandidateMachine<'a> {
     kind: &'a str,
     zone: &'a str,
     spot: bool,
-    /// Its free capacity once the tasks that were told to stop are gone.
+    /// Its free capacity, counting the tasks that are already being stopped as gone.
     pub(super) free: Resources,
-    /// What may be stopped there, what loses least first.
+    /// The tasks that may be stopped there, ordered by the seconds of work lost, least first.
     pub(super) victims: Vec<Victim<'a>>,
 }
 
-/// All machines that take tasks.
+/// Returns all machines that currently take tasks, as candidates.
 pub(super) fn candidates(cluster: &Cluster, now: Secs) -> Candidates<'_> {
     cluster
         .machines
@@ -35,7 +35,7 @@
 }
 
 impl<'a> CandidateMachine<'a> {
-    /// A machine as a candidate; none if the catalog does not know its type.
+    /// Returns a machine as a candidate; `None` if the catalog does not list its type.
     fn of(cluster: &'a Cluster, machine: &'a Machine, now: Secs) -> Option<CandidateMachine<'a>> {
         let mut free = machine.free(cluster.capacity(&machine.kind)?);
         let mut victims = Vec::new();
@@ -62,12 +62,13 @@
         })
     }
 
-    /// The machine's zone.
+    /// Returns the machine's zone.
     pub(super) fn zone(&self) -> &'a str {
         self.zone
     }
 
-    /// Whether tasks with these requirements may run there, capacity apart.
+    /// Returns whether tasks with these requirements may run on the machine, regardless of
+    /// capacity.
     pub(super) fn allows(&self, requirements: &TaskRequirements) -> bool {
         tier(requirements, self.kind, self.zone, self.spot).is_some()
     }
--- a/crates/sched/src/leader/preemption/eligibility.rs
+++ b/crates/sched/src/leader/preemption/eligibility.rs
@@ -1,4 +1,4 @@
-//! Eligibility: for which entries of the queue tasks of others may be stopped.
+//! Eligibility: which queue entries may preempt tasks of other jobs.
 
 use super::team_usage::TeamUsage;
 use super::PREEMPTION_DELAY_SHARE;
@@ -8,20 +8,21 @@
 use std::ops::RangeInclusive;
 use wire::users::Priority;
 
-/// A job that missed its guaranteed start waits for capacity to become free, which is soon as a rule
-/// and loses no work. After this many times the time allowed for the start, capacity may be taken
-/// back for it again.
+/// Multiple of the time allowed for a guaranteed start after which a job that missed its start may
+/// preempt again. Until then it waits for capacity to become free, which usually happens soon and
+/// loses no work.
 const STARVATION_FACTOR: f64 = 12.0;
 
-/// An entry of the queue that found no capacity, and may have others stopped for it.
+/// A queue entry that found no capacity.
 pub(super) struct UnplacedEntry<'a> {
-    /// The job that waits.
+    /// The waiting job.
     pub(super) job: &'a Job,
-    /// How many of its tasks found no capacity.
+    /// Number of its tasks that found no capacity.
     pub(super) tasks: u32,
 }
 
-/// The entries that the last pass could not place and that may have others stopped now.
+/// Returns the entries that the last pass could not place and that may preempt tasks of other jobs
+/// now.
 pub(super) fn eligible_entries(cluster: &Cluster, now: Secs) -> Vec<UnplacedEntry<'_>> {
     cluster
         .unplaced
@@ -36,8 +37,8 @@
         .collect()
 }
 
-/// Whether anything runs that may be stopped for one of these entries, as far as can be told without
-/// a look at all tasks: borrowed capacity is in use, or work of lower priority runs.
+/// Returns whether there may be something to preempt for one of these entries: borrowed capacity is
+/// in use, or work of lower priority is active. A cheap check made before all tasks are examined.
 pub(super) fn any_preemptible(
     cluster: &Cluster,
     entries: &[UnplacedEntry],
@@ -51,7 +52,7 @@
     !entries.is_empty() && (usage.any_borrowed() || lower_priority_work_runs())
 }
 
-/// Whether others may be stopped for a job that found no capacity.
+/// Returns whether a job that found no capacity may preempt tasks of other jobs.
 fn may_preempt(cluster: &Cluster, job: &Job, now: Secs) -> bool {
     let waited_s = now - job.first_seen_at;
     let in_window = preemption_window(cluster, job).contains(&waited_s);
@@ -60,14 +61,15 @@
         && (job.within_guarantee || runs_lower_priority(cluster, job.spec.priority))
 }
 
-/// The range of waiting times, in seconds, in which others may be stopped for a job.
+/// Returns the range of waiting times, in seconds, in which a job may preempt others.
 fn preemption_window(cluster: &Cluster, job: &Job) -> RangeInclusive<Secs> {
     let guarantee_s = cluster.config.guarantee_s;
     if !job.is_multi_task_gang() {
         return guarantee_s * PREEMPTION_DELAY_SHARE..=guarantee_s;
     }
-    // Many machines at once seldom become free by themselves, and would be provisioned meanwhile.
-    // It is worth trying for as long as the objective of the gang's class can still be met.
+    // Many machines seldom become free on their own at the same time, and machines would be
+    // provisioned in the meantime. So a gang may preempt from the start, and for as long as the
+    // objective of its class can still be met.
     let objective_s = cluster
         .config
         .wait_s
@@ -77,7 +79,7 @@
     0.0..=objective_s.max(guarantee_s)
 }
 
-/// Whether work of a lower priority than this runs.
+/// Returns whether any job of a lower priority than the given one has active tasks.
 fn runs_lower_priority(cluster: &Cluster, priority: Priority) -> bool {
     cluster
         .jobs
--- a/crates/sched/src/leader/preemption/gang_plan.rs
+++ b/crates/sched/src/leader/preemption/gang_plan.rs
@@ -1,24 +1,24 @@
-//! Planning capacity for a whole gang. Half a gang's capacity serves nobody: without capacity for
-//! the whole nothing is stopped.
+//! Capacity planning for a whole gang. Part of a gang's capacity is of no use, so nothing is
+//! stopped unless there is capacity for all of its tasks.
 
 use super::task_plan::{ClusterSnapshot, TaskPlan};
 use crate::leader::Job;
 use std::collections::BTreeSet;
 use wire::peers::TaskRequirements;
 
-/// How a whole gang gets its capacity, and the snapshot that is left then.
+/// A plan for a whole gang, and the snapshot after it.
 struct GangPlan<'a> {
-    /// CPU seconds of work that are lost.
+    /// Work lost with the victims, in CPU seconds.
     lost_cpu_s: f64,
-    /// One for each task.
+    /// The plans of the gang's tasks, one for each.
     tasks: Vec<TaskPlan<'a>>,
-    /// Of the machines only those that the gang may use.
+    /// What is left to plan with, limited to the machines that the gang may use.
     remaining: ClusterSnapshot<'a>,
 }
 
 impl<'a> ClusterSnapshot<'a> {
-    /// Finds capacity for all tasks of a gang, in the zone where that costs least if they have to be
-    /// in one, and takes it out of the snapshot; `None` if there is not enough.
+    /// Finds capacity for all tasks of a gang and takes it out of the snapshot; `None` if there is
+    /// not enough. A gang that must run in one zone gets the zone in which the least work is lost.
     pub(super) fn plan_gang(
         &mut self,
         job: &Job,
@@ -43,8 +43,7 @@
         Some(plan.tasks)
     }
 
-    /// The zones that a gang may get its capacity in, each tried on its own; `None` stands for all
-    /// zones at once.
+    /// Returns the zones to plan for, each on its own; `None` stands for all zones together.
     fn zones_to_try(&self, job: &Job, requirements: &TaskRequirements) -> BTreeSet<Option<String>> {
         if requirements.zone.is_some() || !job.spec.one_zone {
             return BTreeSet::from([requirements.zone.clone()]);
@@ -55,7 +54,8 @@
             .collect()
     }
 
-    /// What would have to be stopped in one zone for a whole gang; `None` if it can't have enough there.
+    /// Plans capacity for a whole gang within the zone of the requirements, if they name one;
+    /// `None` if there is not enough.
     fn plan_in_zone(&self, job: &Job, requirements: &TaskRequirements) -> Option<GangPlan<'a>> {
         let mut remaining = self.restricted_to(requirements);
         let tasks: Vec<TaskPlan> = (0..job.spec.tasks)
@@ -73,7 +73,7 @@
         })
     }
 
-    /// A copy to plan on, with only the machines that these requirements allow.
+    /// Returns a copy to plan on, with only the machines that these requirements allow.
     fn restricted_to(&self, requirements: &TaskRequirements) -> ClusterSnapshot<'a> {
         ClusterSnapshot {
             candidates: self
--- a/crates/sched/src/leader/preemption/mod.rs
+++ b/crates/sched/src/leader/preemption/mod.rs
@@ -1,18 +1,18 @@
-//! Preemption: capacity is taken back for work within its team's guarantee, and for work of higher
-//! priority.
+//! Preemption: running tasks are stopped to make room for jobs within their team's guarantee, and
+//! for jobs of higher priority.
 //!
-//! Only two kinds of tasks are stopped: work that another team runs on borrowed capacity, beyond
-//! its own guarantee, and work of lower priority. Those that began last lose least, so they go
-//! first, and no more than the guarantee lacks. For a gang of several tasks either all of its
-//! capacity is taken back or nothing is stopped.
+//! Only two kinds of tasks are stopped: tasks that another team runs on borrowed capacity, beyond
+//! its own guarantee, and tasks of lower priority. Tasks that started last lose the least work and
+//! are stopped first, and no more is taken than the guarantee lacks. For a gang of several tasks,
+//! either capacity for the whole gang is reclaimed or nothing is stopped.
 //!
-//! The steps, of which only the last changes anything:
+//! The steps, of which only the last changes any state:
 //!
-//! 1. `eligibility`: which of the entries that the pass could not place may have tasks stopped;
-//! 2. `candidates`: the machines, and on each the `victims` that may be stopped there;
-//! 3. `task_plan` and `gang_plan`: where capacity is taken back at the least loss, within what
-//!    `team_usage` allows, for all entries one after the other by `planner`;
-//! 4. `stops`: the planned victims are stopped.
+//! 1. `eligibility`: selects the entries that the pass could not place and that may preempt others;
+//! 2. `candidates`: collects the machines, each with the `victims` that may be stopped there;
+//! 3. `planner`: plans for the entries one after the other. `task_plan` and `gang_plan` choose
+//!    where the least work is lost, within the limits of `team_usage`;
+//! 4. `stops`: stops the planned victims.
 
 mod candidates;
 mod eligibility;
@@ -28,15 +28,17 @@
 use planner::Planner;
 use team_usage::TeamUsage;
 
-/// Part of the time allowed for a guaranteed start that is left to capacity freed by itself.
+/// Fraction of the time allowed for a guaranteed start during which nothing is preempted for a job
+/// (multi-task gangs excepted), so that capacity can first become free on its own.
 const PREEMPTION_DELAY_SHARE: f64 = 0.2;
 
-/// Rounds of preemption within that part of the time.
+/// Number of preemption rounds within that delay, which sets the interval between rounds.
 const ROUNDS_PER_DELAY: f64 = 2.0;
 
 impl Leader {
-    /// Stops what the protocol allows for entries that the pass could not place. All tasks are
-    /// examined only when there is an entry for which others may be stopped.
+    /// Runs a preemption round, if one is due, for the entries that the pass could not place. All
+    /// tasks are examined only if there is an entry that may preempt others and something to
+    /// preempt.
     pub(crate) fn preempt(&mut self, now: Secs) {
         let interval_s =
             self.cluster.config.guarantee_s * PREEMPTION_DELAY_SHARE / ROUNDS_PER_DELAY;
--- a/crates/sched/src/leader/preemption/planner.rs
+++ b/crates/sched/src/leader/preemption/planner.rs
@@ -1,4 +1,4 @@
-//! Planning for all entries of a round, one after the other.
+//! Planning of a preemption round, entry by entry.
 
 use super::candidates::candidates;
 use super::eligibility::UnplacedEntry;
@@ -11,28 +11,29 @@
 use crate::Secs;
 use std::collections::BTreeSet;
 
-/// Heartbeat intervals within which a stop has reached its machine and the machine has shown the
-/// end.
+/// Number of heartbeat intervals within which a stop reaches its machine and the machine reports
+/// that the task has ended.
 const STOP_HEARTBEAT_INTERVALS: f64 = 3.0;
 
-/// Plans one round of preemption; the cluster stays as it is.
+/// Plans one round of preemption without changing the cluster.
 pub(super) struct Planner<'a> {
     cluster: &'a Cluster,
-    /// What is left by the plans made so far.
+    /// Capacity and usage as they will be after the plans made so far.
     snapshot: ClusterSnapshot<'a>,
-    /// Machine types (with spot or not) that are the only ones for some class of jobs.
+    /// Machine types, by name and whether spot, that are the only ones to fit some job class.
     scarce: &'a BTreeSet<(String, bool)>,
-    /// The gang for which machines are cordoned, as long as nothing is stopped for it. Until it is
-    /// placed no other gang can be, whatever is stopped for that one.
+    /// The gang for which machines are cordoned, unless tasks are already being stopped for it.
+    /// Nothing is planned for other gangs while it is set: they cannot be placed before this one,
+    /// whatever is stopped for them.
     blocking_gang: Option<&'a str>,
-    /// When the round takes place.
+    /// The time of the round.
     now: Secs,
-    /// The plans made so far, in the order of the queue.
+    /// The plans made so far, in queue order.
     preemptions: Vec<Preemption>,
 }
 
 impl<'a> Planner<'a> {
-    /// A planner that has nothing planned yet.
+    /// Returns a planner with no plans yet.
     pub(super) fn new(
         cluster: &'a Cluster,
         usage: TeamUsage<'a>,
@@ -56,7 +57,7 @@
         }
     }
 
-    /// What is to be stopped for these entries, in the order of the queue.
+    /// Returns the preemptions for these entries, in queue order.
     pub(super) fn plan(mut self, entries: &[UnplacedEntry]) -> Vec<Preemption> {
         for entry in entries {
             if entry.job.is_multi_task_gang() {
@@ -68,7 +69,7 @@
         self.preemptions
     }
 
-    /// Plans for all of a gang, on the machines on which the pass would place it.
+    /// Plans for a whole gang, on the machines on which the pass would place it.
     fn plan_for_gang(&mut self, job: &Job) {
         let id = job.spec.id.as_str();
         if self.blocking_gang.is_some_and(|blocking| blocking != id) {
@@ -89,7 +90,7 @@
         });
     }
 
-    /// Plans for the tasks of an entry one by one, until there is no capacity for the next.
+    /// Plans for the tasks of an entry one by one, until no capacity is found for the next.
     fn plan_for_tasks(&mut self, entry: &UnplacedEntry) {
         let requirements = self.cluster.requirements(entry.job, None);
         let tasks: Vec<TaskPlan> = (0..entry.tasks)
@@ -102,7 +103,8 @@
         });
     }
 
-    /// When the victims of these plans will be gone at the latest, the time to save included.
+    /// Returns the time by which the victims of these plans will be gone, including their grace
+    /// period for saving.
     fn reclaim_deadline(&self, tasks: &[TaskPlan]) -> Secs {
         let longest_grace_s = tasks
             .iter()
@@ -112,7 +114,7 @@
         self.now + longest_grace_s + self.cluster.config.heartbeat_s * STOP_HEARTBEAT_INTERVALS
     }
 
-    /// The stops of these plans.
+    /// Returns the stops that carry out these plans.
     fn stops(&self, tasks: Vec<TaskPlan>) -> Vec<Stop> {
         tasks
             .into_iter()
--- a/crates/sched/src/leader/preemption/stops.rs
+++ b/crates/sched/src/leader/preemption/stops.rs
@@ -1,40 +1,41 @@
-//! Carrying a plan out: its victims are stopped, with time to save where their jobs can.
+//! Execution of preemption plans: victims are stopped, with a grace period for saving if their job
+//! saves checkpoints.
 
 use crate::cluster::Cluster;
 use crate::leader::Leader;
 use crate::Secs;
 
-/// The time allowed for saving, as a multiple of what the job says that it takes.
+/// Grace period as a multiple of the save time that the job declares.
 const SAVE_TIME_FACTOR: f64 = 1.2;
 
-/// Seconds allowed beside that.
+/// Seconds added to that.
 const SAVE_EXTRA_S: Secs = 0.5;
 
-/// What is stopped for one entry.
+/// The tasks to be stopped for one queue entry.
 pub(super) struct Preemption {
-    /// The job that gets the capacity.
+    /// The job that the capacity is freed for.
     pub(super) job: String,
-    /// The tasks that give it up.
+    /// The tasks to be stopped.
     pub(super) stops: Vec<Stop>,
-    /// For a whole gang, until when the capacity is cordoned for it.
+    /// For a multi-task gang, the time until which the capacity is cordoned for it.
     pub(super) reclaims_until: Option<Secs>,
 }
 
 /// A task that is to be stopped.
 pub(super) struct Stop {
-    /// The machine that it is on.
+    /// The machine that the task is on.
     pub(super) machine: String,
-    /// The job that it belongs to.
+    /// The task's job.
     pub(super) job: String,
-    /// Its index in the job.
+    /// The task's index in its job.
     pub(super) index: u32,
-    /// How long it may take to save.
+    /// The grace period for saving, in seconds.
     pub(super) grace_s: Secs,
 }
 
 impl Leader {
-    /// Stops the victims of a plan. For a whole gang the capacity that becomes free is cordoned
-    /// meanwhile.
+    /// Stops the victims of a plan. For a multi-task gang, the capacity that becomes free is
+    /// cordoned until `reclaims_until`.
     pub(super) fn stop_victims(&mut self, preemption: Preemption) {
         let job = self.cluster.jobs.get_mut(&preemption.job);
         if let (Some(job), Some(until)) = (job, preemption.reclaims_until) {
@@ -52,13 +53,14 @@
         }
     }
 
-    /// How long a task of a job may take to save when it is stopped.
+    /// Returns the grace period, in seconds, for a stopped task of a job to save.
     pub(crate) fn grace_s(&self, id: &str) -> Secs {
         grace_s(&self.cluster, id)
     }
 }
 
-/// How long a task of a job may take to save when it is stopped; no time if it can't.
+/// Returns the grace period, in seconds, for a stopped task of a job to save; 0 if the job cannot
+/// save.
 pub(super) fn grace_s(cluster: &Cluster, id: &str) -> Secs {
     cluster
         .jobs
--- a/crates/sched/src/leader/preemption/task_plan.rs
+++ b/crates/sched/src/leader/preemption/task_plan.rs
@@ -1,4 +1,4 @@
-//! Planning capacity for one task.
+//! Capacity planning for one task.
 
 use super::candidates::{CandidateMachine, Candidates};
 use super::team_usage::TeamUsage;
@@ -6,35 +6,35 @@
 use crate::leader::Job;
 use wire::peers::TaskRequirements;
 
-/// What is left to plan with: the capacity of machines, and what teams use.
+/// A snapshot of machine capacity and team usage that plans are applied to as they are made.
 #[derive(Clone)]
 pub(super) struct ClusterSnapshot<'a> {
-    /// The machines, with what earlier plans have taken or freed there.
+    /// The machines, with the capacity that earlier plans have taken or freed there.
     pub(super) candidates: Candidates<'a>,
-    /// What teams use, without the victims of earlier plans.
+    /// The teams' usage, without the victims of earlier plans.
     pub(super) usage: TeamUsage<'a>,
 }
 
-/// How one task gets its capacity.
+/// The plan that provides capacity for one task.
 pub(super) struct TaskPlan<'a> {
-    /// The machine on which it will have it.
+    /// The machine that will have the capacity.
     pub(super) machine: &'a str,
-    /// What is to be stopped there; nothing if earlier stops free enough.
+    /// The tasks to be stopped there; none if enough is free or freed by earlier stops.
     pub(super) victims: Vec<Victim<'a>>,
 }
 
-/// Victims on one machine that make room for a task.
+/// Victims on one machine that together make room for a task.
 struct VictimSet<'a> {
     machine: &'a str,
-    /// CPU seconds of work that are lost with them.
+    /// Work lost with them, in CPU seconds.
     lost_cpu_s: f64,
-    /// Positions among the machine's victims, ascending.
+    /// Their positions in the machine's `victims`, ascending.
     positions: Vec<usize>,
 }
 
 impl<'a> ClusterSnapshot<'a> {
-    /// Finds capacity for one task where that costs least, and takes it out of the snapshot; `None` if
-    /// there is none.
+    /// Finds capacity for one task where the least work is lost, and takes it out of the snapshot;
+    /// `None` if there is none.
     pub(super) fn plan_task(
         &mut self,
         job: &Job,
@@ -47,7 +47,8 @@
         self.take_victims_capacity(job, victim_set)
     }
 
-    /// Takes capacity that is free, or will be by earlier stops.
+    /// Takes capacity that is free or will be freed by earlier stops; `None` if no machine has
+    /// enough.
     fn take_free_capacity(
         &mut self,
         job: &Job,
@@ -65,8 +66,8 @@
         })
     }
 
-    /// The victims with which the least work is lost, on one of the machines that the task may use;
-    /// among equals the first machine by name.
+    /// Returns the victims with which the least work is lost, among the machines that the task may
+    /// use; on a tie, those of the first machine by name.
     fn cheapest_victims(
         &self,
         job: &Job,
@@ -94,7 +95,7 @@
         best
     }
 
-    /// Takes the capacity that the chosen victims free.
+    /// Takes the capacity that the chosen victims free, and removes them from the snapshot.
     fn take_victims_capacity(
         &mut self,
         job: &Job,
@@ -102,7 +103,7 @@
     ) -> Option<TaskPlan<'a>> {
         let machine = self.candidates.get_mut(victim_set.machine)?;
         let mut victims = Vec::new();
-        // From the last, so that the positions of the others stay what they are.
+        // In descending order, so that each removal leaves the remaining positions valid.
         for position in victim_set.positions.into_iter().rev() {
             let victim = machine.victims.remove(position);
             machine.free.add(victim.resources);
@@ -117,8 +118,8 @@
     }
 }
 
-/// The fewest victims on one machine that make room for a task of a job, taken in the order of what
-/// they lose; `None` if all of them together don't.
+/// Chooses victims on one machine for a task of a job, least work lost first, until there is room
+/// for the task; `None` if all eligible victims together do not make enough.
 fn choose_victims<'a>(
     name: &'a str,
     machine: &CandidateMachine,
--- a/crates/sched/src/leader/preemption/team_usage.rs
+++ b/crates/sched/src/leader/preemption/team_usage.rs
@@ -1,4 +1,4 @@
-//! What teams use, and which of it is borrowed: used beyond their guarantee.
+//! Team resource usage, and how much of it is borrowed, that is, beyond the team's guarantee.
 
 use super::victims::Victim;
 use crate::cluster::Cluster;
@@ -7,7 +7,7 @@
 use crate::placement::{Resources, ROUNDING_TOLERANCE};
 use std::collections::BTreeMap;
 
-/// What each team uses once all tasks that were told to stop, and all that are planned to, are gone.
+/// The usage of each team without the tasks that are being stopped or planned to be stopped.
 #[derive(Clone)]
 pub(super) struct TeamUsage<'a> {
     teams: &'a BTreeMap<String, Team>,
@@ -15,7 +15,7 @@
 }
 
 impl<'a> TeamUsage<'a> {
-    /// What each team uses once the tasks that were told to stop are gone.
+    /// Returns each team's usage without the tasks that are already being stopped.
     pub(super) fn after_stops(cluster: &'a Cluster) -> TeamUsage<'a> {
         let mut usage = TeamUsage {
             teams: &cluster.config.teams,
@@ -33,7 +33,7 @@
         usage
     }
 
-    /// Whether any team uses more CPUs than its guarantee.
+    /// Returns whether any team uses more CPUs than its guarantee.
     pub(super) fn any_borrowed(&self) -> bool {
         self.used.iter().any(|(team, used)| {
             self.teams
@@ -42,15 +42,17 @@
         })
     }
 
-    /// Takes a task that is planned to stop off its team's account.
+    /// Deducts the resources of tasks that are being stopped, or planned to be, from a team's
+    /// usage.
     pub(super) fn release(&mut self, team: &str, resources: Resources) {
         if let Some(used) = self.used.get_mut(team) {
             used.sub(resources);
         }
     }
 
-    /// Whether stopping these for a job takes only borrowed capacity, so that every team keeps what
-    /// its guarantee gives it. Work of a lower priority may be stopped whatever its team uses.
+    /// Returns whether stopping these victims for a job takes only borrowed capacity, so that every
+    /// team keeps its guarantee. Victims of a lower priority than the job are not counted: they may
+    /// be stopped whatever their team uses.
     pub(super) fn takes_only_borrowed<'v>(
         &self,
         job: &Job,
@@ -65,7 +67,8 @@
             .all(|(team, resources)| self.keeps_guarantee(team, resources))
     }
 
-    /// Whether a team keeps what its guarantee gives it if this is taken from it.
+    /// Returns whether a team keeps its guarantee if `taken` is deducted from its usage; false for
+    /// an unknown team.
     fn keeps_guarantee(&self, name: &str, taken: Resources) -> bool {
         let Some(team) = self.teams.get(name) else {
             return false;
--- a/crates/sched/src/leader/preemption/victims.rs
+++ b/crates/sched/src/leader/preemption/victims.rs
@@ -1,4 +1,4 @@
-//! Tasks that may be stopped for others, and what is lost with them.
+//! Tasks that may be preempted, and the work that is lost with them.
 
 use crate::cluster::Cluster;
 use crate::leader::{ActiveTask, Job, TaskLocation};
@@ -6,32 +6,32 @@
 use crate::Secs;
 use wire::users::Priority;
 
-/// Borrowed work that can't save is stopped only in this first part of its expected run: later,
-/// repeating it costs more than waiting for its end.
+/// Fraction of its expected run time within which a task that borrows capacity and cannot save may
+/// be stopped. Later, repeating the lost work costs more than waiting for the task to end.
 const MAX_LOST_SHARE: f64 = 0.25;
 
-/// A task that may be stopped.
+/// A task that may be preempted.
 #[derive(Clone)]
 pub(super) struct Victim<'a> {
-    /// The job that it belongs to.
+    /// The task's job.
     pub(super) job: &'a str,
-    /// Its index in the job.
+    /// The task's index in its job.
     pub(super) index: u32,
-    /// What it takes of its machine.
+    /// The resources that it uses on its machine.
     pub(super) resources: Resources,
-    /// Seconds of its work that are lost.
+    /// Work lost if it is stopped, in seconds of run time.
     pub(super) lost_s: Secs,
-    /// The team that is charged for it.
+    /// The team that it is charged to.
     pub(super) team: &'a str,
     priority: Priority,
     within_guarantee: bool,
-    /// Stopping it loses more than waiting for its end.
+    /// Whether repeating its work costs more than waiting for it to end.
     costly_to_repeat: bool,
 }
 
 impl<'a> Victim<'a> {
-    /// A task as a victim; `None` if it can't be stopped alone, is not known to be on its machine, or
-    /// is stopped anyway as its job is over.
+    /// Returns a task as a victim; `None` if it cannot be stopped alone, is not confirmed to be on
+    /// its machine, or is being stopped anyway because its job is over.
     pub(super) fn of(
         cluster: &Cluster,
         job: &'a Job,
@@ -45,7 +45,7 @@
         }
         let ran_s = if task.running { now - task.since } else { 0.0 };
         let can_save = job.spec.checkpoint_s > 0.0;
-        // What saves when it is stopped loses no more than the time that takes.
+        // A task that saves when it is stopped loses at most the time that saving takes.
         let lost_s = if can_save {
             ran_s.min(job.spec.save_s)
         } else {
@@ -63,18 +63,18 @@
         })
     }
 
-    /// CPU seconds of work that are lost with it.
+    /// Returns the work lost if it is stopped, in CPU seconds.
     pub(super) fn lost_cpu_s(&self) -> f64 {
         self.lost_s * self.resources.cpus
     }
 
-    /// Whether its priority is lower than a job's.
+    /// Returns whether its priority is lower than the job's.
     pub(super) fn has_lower_priority_than(&self, job: &Job) -> bool {
         self.priority > job.spec.priority
     }
 
-    /// Whether it may be stopped for a job: it is of lower priority, or borrows from the job's
-    /// guarantee for another team and is not too costly to repeat.
+    /// Returns whether it may be stopped for a job: either it has a lower priority, or the job is
+    /// within its guarantee and this task of another team is not, and is not too costly to repeat.
     pub(super) fn may_be_stopped_for(&self, job: &Job) -> bool {
         let reclaimable = job.within_guarantee
             && !self.within_guarantee
--- a/crates/sched/src/leader/queue/arrays.rs
+++ b/crates/sched/src/leader/queue/arrays.rs
@@ -1,5 +1,5 @@
-//! Placement of arrays: ready tasks are assigned to the owners of machines with free resources, and
-//! what is left over joins the owners' backlogs.
+//! Array placement: ready tasks are assigned to the owners of machines with free resources, and the
+//! remaining tasks are sent to the owners' backlogs.
 
 use super::pass::Pass;
 use crate::capacity_index::MachineFit;
@@ -10,16 +10,16 @@
 use std::rc::Rc;
 use wire::peers::{TaskRequirements, ToOwner};
 
-/// How many more tasks of an array each zone may take.
+/// Limits on how many more tasks of an array may be placed in each zone.
 enum ZoneLimits {
-    /// Any number: the job places no condition on zones.
+    /// The job has no zone constraint.
     Unlimited,
-    /// So many tasks in each zone, and none in a zone that is not named.
+    /// The number of further tasks per zone; zones that are not listed take none.
     PerZone(BTreeMap<Rc<str>, u32>),
 }
 
 impl ZoneLimits {
-    /// How many tasks may still go to a zone.
+    /// Returns how many more tasks may be placed in a zone.
     fn remaining_in(&self, zone: &Rc<str>) -> u32 {
         match self {
             ZoneLimits::Unlimited => u32::MAX,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Charges tasks to a zone.
+    /// Deducts placed tasks from a zone's limit.
     fn charge(&mut self, zone: &Rc<str>, tasks: u32) {
         if let ZoneLimits::PerZone(limits) = self {
             if let Some(remaining) = limits.get_mut(zone) {
@@ -36,7 +36,8 @@
         }
     }
 
-    /// The zone that an owner has to keep to for tasks placed there, if zones matter.
+    /// Returns the zone that the owner must use for tasks placed in `zone`; `None` if the job has
+    /// no zone constraint.
     fn required_zone(&self, zone: &Rc<str>) -> Option<Rc<str>> {
         match self {
             ZoneLimits::Unlimited => None,
@@ -45,7 +46,7 @@
     }
 }
 
-/// The owner that tasks are assigned to, and the zone that it has to keep to.
+/// The owner that tasks are assigned to, and the zone that it must place them in, if any.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Destination {
     owner: String,
@@ -55,16 +56,16 @@
 /// The tasks of one array that are assigned in one pass.
 struct Assignment<'a> {
     job: &'a str,
-    /// Shared by all tasks that are assigned together.
+    /// The attempt number shared by all tasks of the assignment.
     attempt: u64,
     requirements: &'a TaskRequirements,
-    /// Task indexes; each destination gets one message.
+    /// Task indexes by destination; each destination is sent one message.
     by_destination: BTreeMap<Destination, Vec<u32>>,
 }
 
 impl Leader {
-    /// Places up to `admitted` ready tasks of an array; what finds no capacity counts as unmet and
-    /// may join the owners' backlogs.
+    /// Places up to `admitted` ready tasks of an array. Tasks that find no capacity count as unmet
+    /// demand and, unless the job has a zone constraint, may be sent to the owners' backlogs.
     pub(super) fn place_array(
         &mut self,
         id: &str,
@@ -80,8 +81,9 @@
             .machines
             .index()
             .fits_outside_cordon(&requirements, pass.cordon_applying_to(id));
-        // Recorded before its first start, so that a later leader knows which jobs an earlier
-        // one has never touched and need not wait for every machine with them.
+        // The store records that an array has started before its first task starts. A later leader
+        // can then start arrays without a record at once, without waiting for the state of every
+        // machine.
         if job.start_record != StartRecord::Written {
             self.defer_until_start_record(id, &fits, admitted, pass);
             return;
@@ -101,8 +103,8 @@
         }
     }
 
-    /// Requests the record that an array has begun, if its turn comes now or soon: the record is then
-    /// written in time. Until it is, none of the array's tasks may start.
+    /// Requests the start record of an array if there is capacity for it now or is expected soon,
+    /// so that the record is durable by then. No task of the array may start before it is.
     fn defer_until_start_record(
         &mut self,
         id: &str,
@@ -129,8 +131,8 @@
         }
     }
 
-    /// How many tasks of an array each zone may take. `None` if zones matter to the job and it is not
-    /// known where one of its tasks is: until that is settled, nothing more of it is placed.
+    /// Returns the zone limits of an array. `None` if the job has a zone constraint and the zone of
+    /// one of its active tasks is unknown; until it is known, no more tasks are placed.
     fn zone_limits_of(&self, id: &str, fits: &[MachineFit]) -> Option<ZoneLimits> {
         let job = self.cluster.jobs.get(id)?;
         if !job.spec.one_zone && !job.spec.spread {
@@ -139,8 +141,8 @@
         self.cluster.zone_limits(job, fits).map(ZoneLimits::PerZone)
     }
 
-    /// Assigns ready tasks to the machines that fit, the best machine first, and returns how many
-    /// found one.
+    /// Assigns ready tasks to the machines in `fits`, best machine first, and returns how many were
+    /// placed.
     fn assign_array(
         &mut self,
         id: &str,
@@ -181,7 +183,8 @@
         placed
     }
 
-    /// Takes capacity of one machine for tasks of an array, and returns how many it took.
+    /// Assigns tasks of an array to one machine, takes its capacity for them and returns how many
+    /// were placed.
     fn assign_to_machine(
         &mut self,
         assignment: &mut Assignment,
@@ -214,7 +217,7 @@
         count
     }
 
-    /// Tells the owners which tasks to place and start.
+    /// Sends each owner the tasks that it is to place and start.
     fn send_assignment(&mut self, assignment: Assignment) {
         for (destination, indexes) in assignment.by_destination {
             let mut requirements = assignment.requirements.clone();
--- a/crates/sched/src/leader/queue/backlog.rs
+++ b/crates/sched/src/leader/queue/backlog.rs
@@ -1,6 +1,6 @@
-//! Backlogs: array tasks that found no capacity wait at the owners for the first that becomes free.
-//! A task's end and the next one's start then take one heartbeat and its answer, without the leader
-//! in between.
+//! Owner backlogs: array tasks that found no capacity wait at an owner and start on the first
+//! machine there that has free resources. The end of one task and the start of the next then take a
+//! single heartbeat and its response, without a round trip to the leader.
 
 use super::pass::Pass;
 use super::{contains_offer, MS_PER_S};
@@ -12,30 +12,33 @@
 use std::collections::BTreeMap;
 use wire::peers::{TaskRequirements, ToOwner};
 
-/// Reaction times of the leader for which an owner's backlog lasts: it takes what array tasks free
-/// there in that time.
+/// Size of the backlogs, in leader reaction times: together they hold as many CPUs as array tasks
+/// are expected to free in that time.
 const BACKLOG_REACTION_TIMES: f64 = 2.0;
 
-/// Reaction times of the leader after which an owner hands back a task that found no capacity.
+/// Longest wait in a backlog, in leader reaction times; after that the owner hands the task back to
+/// the leader.
 const BACKLOG_WAIT_REACTION_TIMES: f64 = 5.0;
 
-/// The fewest CPUs that a task counts for in a backlog: one may ask for none at all.
+/// Least number of CPUs that a task counts as in a backlog, since a task may request none.
 const MIN_BACKLOG_CPUS: f64 = 0.01;
 
-/// Two passes take place in each heartbeat interval, or in each period of this many seconds if the
-/// interval is longer (see `Leader::tick`).
+/// Upper limit, in seconds, on the period in which two passes run; the period is a heartbeat
+/// interval if that is shorter (see `Leader::pass_is_due`).
 const MAX_TWO_PASS_PERIOD_S: Secs = 1.0;
 
 impl Leader {
-    /// The time from the heartbeat that shows free capacity to the leader's assignment of a task to
-    /// it: the owner collects changes for a part of a heartbeat interval, then the next pass is due.
+    /// Returns the leader's reaction time: the time from a heartbeat that reports free capacity to
+    /// the assignment of a task to it. The owner batches changes for a fraction of a heartbeat
+    /// interval, after which they wait for the next pass.
     fn reaction_time_s(&self) -> Secs {
         let heartbeat_s = self.cluster.config.heartbeat_s;
         heartbeat_s.min(MAX_TWO_PASS_PERIOD_S) / 2.0 + heartbeat_s / STATUS_UPDATES_PER_HEARTBEAT
     }
 
-    /// Whether running array tasks are expected to free what the arrays so far in this pass lack
-    /// within the time that a task may wait in a backlog, so that the next array's turn comes soon.
+    /// Returns whether active array tasks are expected to free enough CPUs, within the time that a
+    /// task may wait in a backlog, for all array tasks that this pass has not placed so far. The
+    /// next array can then expect capacity soon.
     pub(super) fn expects_capacity_soon(&self, pass: &mut Pass) -> bool {
         let freed_cpus_per_s = *pass
             .freed_cpus_per_s
@@ -44,8 +47,9 @@
             <= freed_cpus_per_s * self.reaction_time_s() * BACKLOG_WAIT_REACTION_TIMES
     }
 
-    /// CPUs of tasks that may join each owner's backlog: what array tasks free there in a short
-    /// time, less what waits already.
+    /// Returns the CPUs of further tasks that each owner's backlog can take: the owner's share of
+    /// the CPUs that array tasks are expected to free in `BACKLOG_REACTION_TIMES`, in proportion to
+    /// the CPUs in use on its machines, less what already waits there.
     fn backlog_capacity_by_owner(&self) -> BTreeMap<String, f64> {
         let mut used: BTreeMap<&str, f64> = BTreeMap::new();
         for machine in self.cluster.machines.values().filter(|m| m.accepts_tasks()) {
@@ -63,7 +67,7 @@
             .collect()
     }
 
-    /// Lets up to `max_tasks` tasks that found no capacity join the owners' backlogs.
+    /// Sends up to `max_tasks` ready tasks that found no capacity to the owners' backlogs.
     pub(super) fn assign_to_backlogs(
         &mut self,
         id: &str,
@@ -94,7 +98,7 @@
         pass.charge(&spec.team, resources, count);
     }
 
-    /// Hands ready tasks to the owners, to each as many as its backlog takes.
+    /// Sends each owner as many of the ready tasks as its backlog can take.
     fn send_to_backlogs(
         &mut self,
         id: &str,
@@ -130,13 +134,14 @@
     }
 }
 
-/// How many tasks of this size a backlog of so many CPUs takes.
+/// Returns how many tasks of the given size fit into `cpus` of backlog.
 fn tasks_fitting(cpus: f64, task: Resources) -> u32 {
     (cpus / task.cpus.max(MIN_BACKLOG_CPUS)).floor().max(0.0) as u32
 }
 
-/// The requirements without the machine types that are cordoned; `None` if no type is left. The zone
-/// of the cordon does not matter, as an owner is free to choose among the machines of its part.
+/// Returns the requirements without the cordoned machine types; `None` if no type is left. The
+/// types are excluded in all zones, because an owner may place a backlog task on any machine of its
+/// shard.
 fn outside_cordon(
     mut requirements: TaskRequirements,
     cordon: Option<&TaskRequirements>,
--- a/crates/sched/src/leader/queue/bookkeeping.rs
+++ b/crates/sched/src/leader/queue/bookkeeping.rs
@@ -1,4 +1,4 @@
-//! What placing a task changes in the leader's view of the cluster, for arrays and gangs alike.
+//! Updates to the leader's view of the cluster when tasks are placed; shared by arrays and gangs.
 
 use crate::leader::MAX_BACKOFF_S;
 use crate::leader::{ActiveTask, Leader, TaskLocation};
@@ -6,13 +6,14 @@
 use crate::Secs;
 use wire::peers::TaskRequirements;
 
-/// Most images remembered for a machine, the newest first.
+/// Number of images tracked per machine, newest first.
 const MAX_IMAGES_PER_MACHINE: usize = 8;
 
 impl Leader {
-    /// What found no capacity counts as demand. For what fails wherever it is tried nothing is
-    /// provisioned at once; but should it be the machines' fault after all, it must not wait for
-    /// ever.
+    /// Records tasks that found no capacity as unmet demand. A job that fails on every machine is
+    /// not counted, so that nothing is provisioned for it, until it has waited for longer than
+    /// `MAX_BACKOFF_S` after its backoff: the machines may be at fault after all, and the job must
+    /// not wait forever.
     pub(super) fn record_unmet(&mut self, id: &str, tasks: u32, now: Secs) {
         let counts =
             self.cluster.jobs.get(id).is_some_and(|job| {
@@ -23,7 +24,8 @@
         }
     }
 
-    /// Takes capacity of a machine out of the index for `tasks` tasks, and expects their image there.
+    /// Takes a machine's capacity for `tasks` tasks out of the index, and records their image
+    /// there, since it is about to be fetched.
     pub(super) fn take_capacity(
         &mut self,
         machine: &str,
@@ -37,7 +39,7 @@
         self.record_image(machine, &requirements.image);
     }
 
-    /// Remembers an image as the newest on a machine.
+    /// Records an image as the newest on a machine.
     fn record_image(&mut self, machine: &str, image: &str) {
         if let Some(state) = self.cluster.machines.get_mut(machine) {
             state.images.retain(|known| known != image);
@@ -47,7 +49,7 @@
         self.cluster.machines.mark_dirty(machine);
     }
 
-    /// Records that a task is in an owner's hands from now on, to be started.
+    /// Records a task as active from now on, not yet running, at the given location.
     pub(super) fn assign_task(
         &mut self,
         id: &str,
--- a/crates/sched/src/leader/queue/cordon.rs
+++ b/crates/sched/src/leader/queue/cordon.rs
@@ -1,22 +1,23 @@
-//! Machines that are cordoned for a gang that has waited long.
+//! Machines that are cordoned for a waiting gang, so that no other job takes them.
 
 use crate::leader::{GangPhase, Job, Leader};
 use crate::Secs;
 use std::collections::BTreeSet;
 use wire::peers::TaskRequirements;
 
-/// A gang that has waited long, and the machines that no other job may take meanwhile.
+/// A waiting gang, and the machines that no other job may take until it is placed.
 pub(crate) struct Cordon {
     /// The gang's id.
     pub(crate) job: String,
-    /// Every machine that satisfies these requirements is cordoned.
+    /// The gang's requirements; every machine that satisfies them is cordoned.
     pub(crate) requirements: TaskRequirements,
 }
 
 impl Leader {
-    /// The gang of several tasks that has waited longest, if too long, and the machines left to it:
-    /// all that it may use of one zone. Without this, smaller gangs and arrays take each machine
-    /// that becomes free, for ever.
+    /// Returns the cordon for the oldest multi-task gang that needs one. It covers the machines
+    /// that the gang may use, in one zone if the job or the autoscaler has chosen a zone. Without a
+    /// cordon, smaller gangs and arrays could take every machine that becomes free and starve the
+    /// gang.
     pub(crate) fn cordon_for_gang(
         &self,
         scarce: &BTreeSet<(String, bool)>,
@@ -33,8 +34,8 @@
         })
     }
 
-    /// The oldest gang of several tasks that the last pass could not place and that either has
-    /// waited too long or has other tasks stopped to make room for it.
+    /// Returns the oldest multi-task gang that the last pass could not place and that either has
+    /// waited too long or is having other tasks preempted for it.
     fn gang_needing_cordon(&self, now: Secs) -> Option<&Job> {
         let is_waiting_gang = |job: &Job| {
             job.is_multi_task_gang()
--- a/crates/sched/src/leader/queue/gangs.rs
+++ b/crates/sched/src/leader/queue/gangs.rs
@@ -1,5 +1,5 @@
-//! Placement of gangs: capacity is found for the whole gang in the leader's view of the cluster, and
-//! only then are the owners asked to reserve it.
+//! Gang placement: the leader finds capacity for the whole gang in its view of the cluster before
+//! it asks the owners to reserve it.
 
 use super::pass::Pass;
 use super::{jitter_factor, MS_PER_S};
@@ -11,18 +11,18 @@
 use std::rc::Rc;
 use wire::peers::{TaskRequirements, ToOwner};
 
-/// Consecutive tasks of a gang that are to run on one machine.
+/// Consecutive tasks of a gang that are placed on one machine.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct GangPlacement {
     /// The machine's name.
     pub(super) machine: String,
-    /// Index of the first of the tasks.
+    /// Index of the first task.
     pub(super) first_task: u32,
-    /// How many tasks.
+    /// Number of tasks.
     pub(super) tasks: u32,
 }
 
-// Messages, records and `Phase` have placements as tuples.
+// Messages, stored records and `Phase` represent placements as tuples.
 impl From<GangPlacement> for (String, u32, u32) {
     fn from(placement: GangPlacement) -> (String, u32, u32) {
         (placement.machine, placement.first_task, placement.tasks)
@@ -39,20 +39,21 @@
     }
 }
 
-/// How many tasks of a gang a machine takes.
+/// The number of a gang's tasks that a machine takes.
 struct MachineShare {
     machine: Rc<str>,
     tasks: u32,
 }
 
-/// A placement, and who owns its machine.
+/// A placement and the owner of its machine.
 struct OwnedPlacement {
     owner: String,
     placement: GangPlacement,
 }
 
 impl Leader {
-    /// Finds capacity for a whole gang and has it reserved; a gang that finds none counts as unmet.
+    /// Finds capacity for a whole gang and requests its reservation; a gang that finds none counts
+    /// as unmet demand.
     pub(super) fn place_gang(
         &mut self,
         id: &str,
@@ -77,8 +78,8 @@
         self.request_reservations(id, attempt, requirements, placements, pass.now);
     }
 
-    /// Chooses machines for all tasks of a gang; if they have to be in one zone, in the first by name
-    /// that has capacity for them all. `None` if the gang does not fit as a whole.
+    /// Chooses machines for all tasks of a gang. A gang that must run in one zone gets the first
+    /// zone, by name, that has capacity for all tasks. `None` if the gang does not fit as a whole.
     fn fit_gang(
         &self,
         job: &Job,
@@ -101,7 +102,7 @@
             })
     }
 
-    /// The zones in which a gang is tried, one after the other; `None` stands for all zones at once.
+    /// Returns the zones to try for a gang, in order; `None` stands for all zones together.
     fn zones_to_try(&self, job: &Job, requirements: &TaskRequirements) -> Vec<Option<String>> {
         if requirements.zone.is_some() || !job.spec.one_zone {
             return vec![requirements.zone.clone()];
@@ -110,7 +111,8 @@
         zones.iter().map(|zone| Some(zone.to_string())).collect()
     }
 
-    /// Takes a gang's capacity out of the leader's view, and numbers its tasks machine by machine.
+    /// Takes a gang's capacity out of the leader's view of the cluster, and numbers its tasks
+    /// machine by machine.
     fn take_gang_capacity(
         &mut self,
         attempt: u64,
@@ -148,7 +150,7 @@
         placements
     }
 
-    /// Asks the owners to reserve a gang's capacity for a while.
+    /// Asks the owners to reserve a gang's capacity for a limited time.
     fn request_reservations(
         &mut self,
         id: &str,
@@ -157,7 +159,7 @@
         placements: Vec<OwnedPlacement>,
         now: Secs,
     ) {
-        // Jitter, so that gangs reserved in one burst don't lapse in step.
+        // With jitter, so that gangs reserved in one burst do not expire at the same time.
         let wait_s = self.cluster.config.reservation_s * jitter_factor(&mut self.rng);
         log::info!(
             "event=reserve job={id} attempt={attempt} machines={} wait_s={wait_s:.1}",
@@ -188,18 +190,20 @@
     }
 }
 
-/// Whether capacity may be sought for a gang now.
+/// Returns whether the leader may look for capacity for a gang now.
 fn may_reserve(job: &Job, admitted: u32) -> bool {
-    // The count check: a gang with fewer tasks than its minimum is turned away.
+    // All of the gang's tasks must be ready or active; a gang never starts with fewer.
     let is_whole = job.ready_tasks.len() + job.active.len() as u32 >= job.min_tasks();
     let is_idle = job.phase == GangPhase::Idle && job.active.is_empty();
-    // In one zone and yet spread over several: no zone may hold all of it. Such a gang waits until
-    // it is cancelled, and does not count as unmet, so that nothing is provisioned for it.
+    // A gang that must be in one zone and also spread over zones can never be placed. It waits
+    // until it is cancelled, and does not count as unmet demand, so that nothing is provisioned for
+    // it.
     let zone_rules_conflict = job.spec.one_zone && max_tasks_per_zone(job) < job.spec.tasks;
     is_whole && is_idle && admitted >= job.spec.tasks && !zone_rules_conflict
 }
 
-/// The most tasks of a gang that one zone may hold: half of them, rounded up, if it is spread.
+/// Returns how many tasks of a gang one zone may hold: half of them, rounded up, if the gang is to
+/// be spread over zones, otherwise all.
 fn max_tasks_per_zone(job: &Job) -> u32 {
     if job.spec.spread {
         job.spec.tasks.div_ceil(2)
@@ -208,8 +212,8 @@
     }
 }
 
-/// Distributes a gang's tasks over machines, the best first and at most `max_tasks_per_zone` in one zone;
-/// `None` if they don't all fit.
+/// Distributes a gang's tasks over machines, best machine first, with at most `max_tasks_per_zone`
+/// in a zone; `None` if not all tasks fit.
 fn distribute_tasks(
     fits: Vec<MachineFit>,
     tasks: u32,
@@ -233,7 +237,7 @@
     (remaining == 0).then_some(shares)
 }
 
-/// What each owner is to reserve.
+/// Groups the placements of a gang by the owner that is to reserve them.
 fn group_by_owner(placements: &[OwnedPlacement]) -> BTreeMap<String, Vec<GangPlacement>> {
     let mut by_owner: BTreeMap<String, Vec<GangPlacement>> = BTreeMap::new();
     for OwnedPlacement { owner, placement } in placements {
--- a/crates/sched/src/leader/queue/mod.rs
+++ b/crates/sched/src/leader/queue/mod.rs
@@ -1,14 +1,15 @@
-//! The queue and the pass that places its entries.
+//! The job queue and the scheduling pass that places its entries.
 //!
-//! An entry is a job with tasks that are ready to start; a gang is one entry, and so is an array.
-//! One pass goes through all entries in queue order and takes each through the same steps:
+//! An entry is a job with tasks that are ready to start, either a gang or an array. A pass visits
+//! the entries in queue order and applies the same steps to each:
 //!
-//! - a gang: order, admit by quota, fit, reserve; the binding follows once its capacity is reserved;
-//! - an array: order, admit by quota, fit, assign, and leave the rest to the owners' backlogs.
+//! - gang: check the quota, find capacity for all tasks, reserve it; the binding is written once
+//!   every owner has confirmed its reservation;
+//! - array: check the quota, find capacity, assign tasks, send the rest to the owners' backlogs.
 //!
-//! Order: entries within their team's guarantee first, then by priority, creation (the store's
-//! revision), id. An entry that backs off or does not fit is passed over and does not block those
-//! behind it.
+//! Entries are ordered by whether they are within their team's guarantee, then by priority,
+//! creation (the revision in the state store) and job id. An entry that is in backoff or does not
+//! fit is skipped and does not block the entries behind it.
 
 mod arrays;
 mod backlog;
@@ -26,14 +27,13 @@
 use wire::peers::{AllowedMachineType, TaskRequirements};
 use wire::users::Priority;
 
-/// The tier of scarce machine types for arrays: after the spot (0) and on-demand (1) offers of all
-/// other types, so that arrays take them last of all.
+/// Placement tier of scarce machine types for arrays. It follows the tiers of spot (0) and
+/// on-demand (1) machines of all other types, so that arrays use scarce types last.
 const SCARCE_TYPE_TIER: u8 = 2;
 
-/// Milliseconds in a second.
 const MS_PER_S: f64 = 1000.0;
 
-/// An entry's place in the queue; the fields are compared in this order.
+/// The sort key of a queue entry; the derived ordering compares the fields in declaration order.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct QueueKey {
     beyond_guarantee: bool,
@@ -43,7 +43,8 @@
 }
 
 impl Leader {
-    /// One pass over the queue: places what has quota and capacity, and notes what found none.
+    /// Runs one pass over the queue: places tasks that have quota and capacity, and records those
+    /// that found no capacity as unmet demand.
     pub(crate) fn schedule(&mut self, now: Secs) {
         self.cluster.refresh_index();
         self.cluster.mark_within_guarantee();
@@ -56,8 +57,8 @@
         self.request_start_record();
     }
 
-    /// What a pass knows before its first entry. The cordon and the wait for scarce types follow
-    /// from what the previous pass could not place.
+    /// Returns the state of a pass before its first entry. The cordon and `scarce_types_awaited`
+    /// are derived from the entries that the previous pass could not place.
     fn begin_pass(&self, now: Secs) -> Pass {
         let scarce = self.cluster.scarce_types();
         Pass {
@@ -72,7 +73,7 @@
         }
     }
 
-    /// The entries that may be placed now, in queue order.
+    /// Returns the entries that may be placed now, in queue order.
     fn queue_order(&self, now: Secs) -> Vec<QueueKey> {
         let may_be_placed = |job: &Job| {
             !job.ready_tasks.is_empty()
@@ -96,7 +97,7 @@
         order
     }
 
-    /// Admits one entry by its team's quota and places as much of it as fits.
+    /// Places as much of one entry as its team's quota admits and as fits.
     fn place_entry(&mut self, id: &str, pass: &mut Pass) {
         let Some(job) = self.cluster.jobs.get(id) else {
             return;
@@ -113,8 +114,9 @@
         }
     }
 
-    /// Where an entry's tasks may run. Machine types that are the only ones for some gangs are
-    /// spared; arrays take them too, last of all, while no such gang waits for capacity.
+    /// Returns what an entry's tasks require of a machine. Scarce machine types are left out unless
+    /// the job fits no other type; arrays may also use them, in the last tier, while no gang waits
+    /// for scarce types.
     fn entry_requirements(&self, job: &Job, pass: &Pass) -> TaskRequirements {
         let mut requirements = self
             .cluster
@@ -134,16 +136,16 @@
     }
 }
 
-/// Whether a machine type is among these with the same purchase option (spot or on-demand),
-/// whatever its tier.
+/// Returns whether `offers` contains the machine type with the same purchase option (spot or
+/// on-demand), in any tier.
 fn contains_offer(offers: &[AllowedMachineType], wanted: &AllowedMachineType) -> bool {
     offers
         .iter()
         .any(|offer| offer.kind == wanted.kind && offer.spot == wanted.spot)
 }
 
-/// A random factor from 0.75 to 1.25 for a wait, so that those who begin to wait at the same time
-/// don't end in step.
+/// Returns a random factor from 0.75 to 1.25 for a wait time, so that waits that begin at the same
+/// time do not end at the same time.
 fn jitter_factor(rng: &mut fastrand::Rng) -> f64 {
     0.75 + 0.5 * rng.f64()
 }
--- a/crates/sched/src/leader/queue/pass.rs
+++ b/crates/sched/src/leader/queue/pass.rs
@@ -1,4 +1,4 @@
-//! What one pass over the queue keeps for itself.
+//! State of one scheduling pass and the quota checks made with it.
 
 use super::cordon::Cordon;
 use crate::leader::Job;
@@ -9,31 +9,34 @@
 
 /// The state of one pass over the queue.
 ///
-/// Invariant: whatever an entry is given is charged at once, its quota to `remaining_quota` here, its
-/// capacity to the cluster's index, and its share of an owner's backlog to `backlog_cpus`. So no entry
-/// is placed on what an earlier entry of the same pass has already taken.
+/// Invariant: each placement is charged immediately: quota to `remaining_quota`, capacity to the
+/// cluster's capacity index, and backlog space to `backlog_cpus`. No entry can therefore use
+/// resources that an earlier entry of the same pass has taken.
 pub(super) struct Pass {
-    /// When the pass takes place.
+    /// The time of the pass.
     pub(super) now: Secs,
-    /// What each team may still use, beside what its tasks use and may be using unseen.
+    /// The quota left to each team, after the tasks it runs, its reservations, and tasks that may
+    /// be running unknown to the leader.
     pub(super) remaining_quota: BTreeMap<String, Resources>,
-    /// Machines cordoned for a gang that has waited long.
+    /// The machines cordoned for a gang that has waited too long or is being given capacity by
+    /// preemption.
     pub(super) cordon: Option<Cordon>,
-    /// Machine types (with spot or not) that are the only ones for some class of jobs.
+    /// Machine types, by name and whether spot, that are the only ones to fit some job class.
     pub(super) scarce_types: BTreeSet<(String, bool)>,
-    /// Whether a gang that fits no other machine types waits for the scarce ones.
+    /// Whether a gang that fits only scarce machine types is waiting for capacity.
     pub(super) scarce_types_awaited: bool,
-    /// CPUs of tasks that may still join the backlog of each owner; computed on first use.
+    /// CPUs of further tasks that each owner's backlog can take; computed on first use.
     pub(super) backlog_cpus: Option<BTreeMap<String, f64>>,
-    /// CPUs of array tasks that found no capacity so far.
+    /// CPUs of the array tasks that have found no capacity so far in this pass.
     pub(super) unplaced_cpus: f64,
-    /// CPUs that running array tasks free per second; computed on first use, and again after each
-    /// charge, which may have added running tasks.
+    /// CPUs per second that active array tasks are expected to free; computed on first use, and
+    /// again after each charge, which may have added active tasks.
     pub(super) freed_cpus_per_s: Option<f64>,
 }
 
 impl Pass {
-    /// How many more tasks of a job its team's limit admits (all or nothing for a gang).
+    /// Returns how many ready tasks of a job the team's remaining quota admits; all or none of a
+    /// gang's.
     pub(super) fn admissible_tasks(&self, job: &Job) -> u32 {
         let Some(free) = self.remaining_quota.get(&job.spec.team) else {
             return 0;
@@ -49,13 +52,14 @@
             };
         }
         if job.fails_everywhere() {
-            // One at a time shows whether it still fails.
+            // A job that failed on several machines runs one task at a time until one succeeds.
             return within_limit.min(1).saturating_sub(job.active.len() as u32);
         }
         within_limit
     }
 
-    /// The machines that are cordoned for another job than this.
+    /// Returns the requirements that describe the machines cordoned for a job other than `id`, if
+    /// any.
     pub(super) fn cordon_applying_to(&self, id: &str) -> Option<&TaskRequirements> {
         self.cordon
             .as_ref()
@@ -63,7 +67,7 @@
             .map(|cordon| &cordon.requirements)
     }
 
-    /// Charges `tasks` placed tasks of the given size to their team.
+    /// Charges `tasks` placed tasks, each of the given size, to their team's quota.
     pub(super) fn charge(&mut self, team: &str, resources: Resources, tasks: u32) {
         if let Some(free) = self.remaining_quota.get_mut(team) {
             free.sub(without_memory(resources.scaled(tasks)));
@@ -72,7 +76,7 @@
     }
 }
 
-/// The part of these resources that counts against a team's quota.
+/// Returns the resources that count against a team's quota, which does not cover memory.
 fn without_memory(resources: Resources) -> Resources {
     Resources {
         memory_gb: 0.0,
--- a/crates/sched/src/leader/queue/reservations.rs
+++ b/crates/sched/src/leader/queue/reservations.rs
@@ -1,5 +1,6 @@
-//! Reservations of gangs: once all owners have reserved their part, the binding is written, and when
-//! it is durable all tasks start. Where one part fails, the whole reservation ends.
+//! Gang reservations, a two-phase start: once all owners have reserved their part, the binding is
+//! written, and once that is durable all tasks start. If any part fails, the whole reservation is
+//! cancelled.
 
 use super::gangs::GangPlacement;
 use super::jitter_factor;
@@ -8,15 +9,15 @@
 use std::collections::BTreeSet;
 use wire::peers::ToOwner;
 
-/// A gang's back-off before it is doubled, as one of so many parts of the time for which capacity is
-/// reserved.
+/// Divisor of the reservation time that gives a gang's base backoff, before doubling.
 const BACKOFF_BASE_DIVISOR: f64 = 20.0;
 
-/// A gang's back-off doubles with each failure in a row, this many times at most.
+/// Upper limit on how often a gang's backoff doubles with consecutive failures.
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
 
 impl Leader {
-    /// An owner has reserved its part of a gang's capacity, or refused to.
+    /// Handles an owner's reply that it has reserved its part of a gang's capacity, or has refused
+    /// to.
     pub(crate) fn on_reserve_result(
         &mut self,
         from: &str,
@@ -34,7 +35,7 @@
         }
     }
 
-    /// The gang that an attempt belongs to, if that is still its present one.
+    /// Returns the gang whose current attempt this is; `None` if there is none.
     fn gang_of_attempt(&self, attempt: u64) -> Option<String> {
         let (id, _) = self.cluster.jobs.iter().find(|(_, job)| match &job.phase {
             GangPhase::Reserving {
@@ -44,14 +45,14 @@
                 attempt: current, ..
             }
             | GangPhase::Running { attempt: current } => *current == attempt,
-            // Another owner has refused its part before.
+            // Another owner refused its part earlier.
             GangPhase::Ending => job.active.values().any(|task| task.attempt == attempt),
             GangPhase::Idle => false,
         })?;
         Some(id.clone())
     }
 
-    /// Requests that the binding be written, once every owner has reserved its part.
+    /// Handles one owner's confirmation; the last one requests the write of the binding.
     fn on_reservation_confirmed(&mut self, id: &str, attempt: u64, from: &str) {
         let Some(job) = self.cluster.jobs.get_mut(id) else {
             return;
@@ -82,8 +83,8 @@
         });
     }
 
-    /// Ends a reservation that an owner has refused, or, where the gang has started meanwhile, takes
-    /// back the tasks that were assigned to that owner.
+    /// Cancels the reservation of a gang after an owner's refusal; if the gang has started in the
+    /// meantime, requeues the tasks that were assigned to that owner.
     fn on_reservation_refused(&mut self, id: &str, from: &str, now: Secs) {
         let Some(job) = self.cluster.jobs.get(id) else {
             return;
@@ -94,7 +95,8 @@
                 self.cancel_reservation(id, now, true);
             }
             GangPhase::Running { .. } | GangPhase::Ending => {
-                // The capacity was given up before the binding came: the gang has to begin anew.
+                // The owner dropped its reservation before the binding arrived, so the gang has to
+                // start over.
                 let lost_tasks: Vec<u32> = job
                     .active
                     .iter()
@@ -111,7 +113,8 @@
         }
     }
 
-    /// The binding is durable, or could not be written.
+    /// Handles the outcome of a binding's write: starts the gang if the binding is durable and its
+    /// reservation still stands, and cancels the reservation otherwise.
     pub fn bind_result(&mut self, id: &str, attempt: u64, written: bool, now: Secs) {
         let Some(job) = self.cluster.jobs.get(id) else {
             return;
@@ -127,7 +130,7 @@
         if *bound_attempt != attempt {
             return;
         }
-        // A machine that was returned meanwhile took its reserved capacity with it.
+        // A machine that has been returned to the cloud in the meantime has lost its reservation.
         let all_present = places
             .iter()
             .all(|(machine, _, _)| self.cluster.machines.contains_key(machine));
@@ -163,8 +166,9 @@
         }
     }
 
-    /// Releases the capacity of a waiting gang everywhere; with a failure it backs off longer
-    /// each time, and keeps its place in the order.
+    /// Returns a gang to the idle phase and releases what it has reserved. After a failure the gang
+    /// backs off, exponentially longer with each failure in a row, and keeps its place in the
+    /// queue.
     pub(crate) fn cancel_reservation(&mut self, id: &str, now: Secs, failed: bool) {
         let Some(job) = self.cluster.jobs.get_mut(id) else {
             return;
@@ -181,8 +185,8 @@
         self.release_reservation(&phase);
     }
 
-    /// Releases what a gang in this phase has reserved, if anything, on its machines and with their
-    /// owners.
+    /// Releases the capacity reserved for a gang in the given phase, if any, in the leader's view
+    /// of the machines and at their owners.
     pub(crate) fn release_reservation(&mut self, phase: &GangPhase) {
         let (GangPhase::Reserving {
             attempt, places, ..
@@ -206,8 +210,8 @@
         self.request_pass();
     }
 
-    /// Ends what an attempt has reserved on a machine, and returns the machine's owner; none if the
-    /// machine is gone.
+    /// Releases the capacity that an attempt has reserved on a machine, and returns the machine's
+    /// owner; `None` if the machine is gone.
     fn release_machine_reservation(&mut self, machine: &str, attempt: u64) -> Option<String> {
         let state = self.cluster.machines.get_mut(machine)?;
         state.reserved.remove(&attempt);
