--- a/crates/sched/src/leader/preemption/planner.rs
+++ b/crates/sched/src/leader/preemption/planner.rs
@@ -79,14 +79,14 @@
         let Some(tasks) = self.snapshot.plan_gang(job, &requirements) else {
             return;
         };
-        let reclaims_until = self.reclaim_deadline(&tasks);
-        if self.now < reclaims_until && self.blocking_gang == Some(id) {
+        let preempting_until = self.reclaim_deadline(&tasks);
+        if self.now < preempting_until && self.blocking_gang == Some(id) {
             self.blocking_gang = None;
         }
         self.preemptions.push(Preemption {
             job: id.into(),
             stops: self.stops(tasks),
-            reclaims_until: Some(reclaims_until),
+            preempting_until: Some(preempting_until),
         });
     }
 
@@ -99,7 +99,7 @@
         self.preemptions.push(Preemption {
             job: entry.job.spec.id.clone(),
             stops: self.stops(tasks),
-            reclaims_until: None,
+            preempting_until: None,
         });
     }
 
--- a/crates/sched/src/leader/preemption/stops.rs
+++ b/crates/sched/src/leader/preemption/stops.rs
@@ -18,7 +18,7 @@
     /// The tasks to be stopped.
     pub(super) stops: Vec<Stop>,
     /// For a multi-task gang, the time until which the capacity is cordoned for it.
-    pub(super) reclaims_until: Option<Secs>,
+    pub(super) preempting_until: Option<Secs>,
 }
 
 /// A task that is to be stopped.
@@ -35,10 +35,10 @@
 
 impl Leader {
     /// Stops the victims of a plan. For a multi-task gang, the capacity that becomes free is
-    /// cordoned until `reclaims_until`.
+    /// cordoned until `preempting_until`.
     pub(super) fn stop_victims(&mut self, preemption: Preemption) {
         let job = self.cluster.jobs.get_mut(&preemption.job);
-        if let (Some(job), Some(until)) = (job, preemption.reclaims_until) {
+        if let (Some(job), Some(until)) = (job, preemption.preempting_until) {
             job.preempting_until = until;
         }
         for stop in preemption.stops {
--- a/crates/sched/src/leader/queue/arrays.rs
+++ b/crates/sched/src/leader/queue/arrays.rs
@@ -96,7 +96,7 @@
         if placed < admitted {
             let unplaced = admitted - placed;
             pass.unplaced_cpus += requirements.cpus * f64::from(unplaced);
-            self.record_unmet(id, unplaced, pass.now);
+            self.record_unplaced(id, unplaced, pass.now);
             if !zones_matter {
                 self.assign_to_backlogs(id, requirements, unplaced, pass);
             }
@@ -117,15 +117,15 @@
             .map(|fit| fit.slots)
             .fold(0, u32::saturating_add)
             .min(admitted);
-        let unmet = admitted - fitting;
-        if unmet > 0 {
-            self.record_unmet(id, unmet, pass.now);
+        let unplaced = admitted - fitting;
+        if unplaced > 0 {
+            self.record_unplaced(id, unplaced, pass.now);
         }
         let capacity_expected = self.expects_capacity_soon(pass);
         let Some(job) = self.cluster.jobs.get_mut(id) else {
             return;
         };
-        pass.unplaced_cpus += f64::from(unmet) * job.spec.cpus;
+        pass.unplaced_cpus += f64::from(unplaced) * job.spec.cpus;
         if capacity_expected || fitting > 0 {
             job.start_record = StartRecord::Requested;
         }
--- a/crates/sched/src/leader/queue/bookkeeping.rs
+++ b/crates/sched/src/leader/queue/bookkeeping.rs
@@ -14,7 +14,7 @@
     /// not counted, so that nothing is provisioned for it, until it has waited for longer than
     /// `MAX_BACKOFF_S` after its backoff: the machines may be at fault after all, and the job must
     /// not wait forever.
-    pub(super) fn record_unmet(&mut self, id: &str, tasks: u32, now: Secs) {
+    pub(super) fn record_unplaced(&mut self, id: &str, tasks: u32, now: Secs) {
         let counts =
             self.cluster.jobs.get(id).is_some_and(|job| {
                 !job.fails_everywhere() || now - job.backoff_until > MAX_BACKOFF_S
--- a/crates/sched/src/leader/queue/gangs.rs
+++ b/crates/sched/src/leader/queue/gangs.rs
@@ -22,7 +22,7 @@
     pub(super) tasks: u32,
 }
 
-// Messages, stored records and `Phase` represent placements as tuples.
+// Messages, stored records and `GangPhase` represent placements as tuples.
 impl From<GangPlacement> for (String, u32, u32) {
     fn from(placement: GangPlacement) -> (String, u32, u32) {
         (placement.machine, placement.first_task, placement.tasks)
@@ -69,7 +69,7 @@
         }
         let tasks = job.spec.tasks;
         let Some(shares) = self.fit_gang(job, requirements, pass.cordon_applying_to(id)) else {
-            self.record_unmet(id, tasks, pass.now);
+            self.record_unplaced(id, tasks, pass.now);
             return;
         };
         pass.charge(&job.spec.team, job.resources(), tasks);
