--- a/crates/sched/src/leader/preemption/victims.rs
+++ b/crates/sched/src/leader/preemption/victims.rs
@@ -74,7 +74,8 @@
     }
 
     /// Returns whether it may be stopped for a job: either it has a lower priority, or the job is
-    /// within its guarantee and this task of another team is not, and is not too costly to repeat.
+    /// within its team's guarantee and this task is another team's borrowed work that is not too
+    /// costly to repeat.
     pub(super) fn may_be_stopped_for(&self, job: &Job) -> bool {
         let reclaimable = job.within_guarantee
             && !self.within_guarantee
