--- a/crates/sched/src/leader/preemption/gang_plan.rs
+++ b/crates/sched/src/leader/preemption/gang_plan.rs
@@ -1,24 +1,24 @@
-//! Planning capacity for a whole gang. Half a gang's capacity serves nobody: without capacity for
-//! the whole nothing is stopped.
+//! Capacity planning for a whole gang. Part of a gang's capacity is of no use, so nothing is
+//! stopped unless there is capacity for all of its tasks.
 
-use super::task_plan::{Supply, TaskPlan};
+use super::task_plan::{ClusterSnapshot, TaskPlan};
 use crate::leader::Job;
 use std::collections::BTreeSet;
 use wire::peers::TaskRequirements;
 
-/// How a whole gang gets its capacity, and the supply that is left then.
-struct ZonePlan<'a> {
-    /// CPU seconds of work that are lost.
+/// A plan for a whole gang, and the snapshot after it.
+struct GangPlan<'a> {
+    /// Work lost with the victims, in CPU seconds.
     lost_cpu_s: f64,
-    /// One for each task.
+    /// The plans of the gang's tasks, one for each.
     tasks: Vec<TaskPlan<'a>>,
-    /// Of the machines only those that the gang may use.
-    left: Supply<'a>,
+    /// What is left to plan with, limited to the machines that the gang may use.
+    remaining: ClusterSnapshot<'a>,
 }
 
-impl<'a> Supply<'a> {
-    /// Finds capacity for all tasks of a gang, in the zone where that costs least if they have to be
-    /// in one, and takes it out of the supply; `None` if there is not enough.
+impl<'a> ClusterSnapshot<'a> {
+    /// Finds capacity for all tasks of a gang and takes it out of the snapshot; `None` if there is
+    /// not enough. A gang that must run in one zone gets the zone in which the least work is lost.
     pub(super) fn plan_gang(
         &mut self,
         job: &Job,
@@ -38,13 +38,12 @@
                 self.plan_in_zone(job, &requirements)
             })
             .min_by(|one, other| one.lost_cpu_s.total_cmp(&other.lost_cpu_s))?;
-        self.candidates.extend(plan.left.candidates);
-        self.usage = plan.left.usage;
+        self.candidates.extend(plan.remaining.candidates);
+        self.usage = plan.remaining.usage;
         Some(plan.tasks)
     }
 
-    /// The zones that a gang may get its capacity in, each tried on its own; `None` stands for all
-    /// zones at once.
+    /// Returns the zones to plan for, each on its own; `None` stands for all zones together.
     fn zones_to_try(&self, job: &Job, requirements: &TaskRequirements) -> BTreeSet<Option<String>> {
         if requirements.zone.is_some() || !job.spec.one_zone {
             return BTreeSet::from([requirements.zone.clone()]);
@@ -55,27 +54,28 @@
             .collect()
     }
 
-    /// What would have to be stopped in one zone for a whole gang; `None` if it can't have enough there.
-    fn plan_in_zone(&self, job: &Job, requirements: &TaskRequirements) -> Option<ZonePlan<'a>> {
-        let mut left = self.allowed_by(requirements);
+    /// Plans capacity for a whole gang within the zone of the requirements, if they name one;
+    /// `None` if there is not enough.
+    fn plan_in_zone(&self, job: &Job, requirements: &TaskRequirements) -> Option<GangPlan<'a>> {
+        let mut remaining = self.restricted_to(requirements);
         let tasks: Vec<TaskPlan> = (0..job.spec.tasks)
-            .map(|_| left.plan_task(job, requirements))
+            .map(|_| remaining.plan_task(job, requirements))
             .collect::<Option<_>>()?;
         let lost_cpu_s = tasks
             .iter()
             .flat_map(|task| &task.victims)
             .map(|victim| victim.lost_cpu_s())
             .sum();
-        Some(ZonePlan {
+        Some(GangPlan {
             lost_cpu_s,
             tasks,
-            left,
+            remaining,
         })
     }
 
-    /// A copy to plan on, with only the machines that these requirements allow.
-    fn allowed_by(&self, requirements: &TaskRequirements) -> Supply<'a> {
-        Supply {
+    /// Returns a copy to plan on, with only the machines that these requirements allow.
+    fn restricted_to(&self, requirements: &TaskRequirements) -> ClusterSnapshot<'a> {
+        ClusterSnapshot {
             candidates: self
                 .candidates
                 .iter()
--- a/crates/sched/src/leader/preemption/planner.rs
+++ b/crates/sched/src/leader/preemption/planner.rs
@@ -1,9 +1,9 @@
-//! Planning for all entries of a round, one after the other.
+//! Planning of a preemption round, entry by entry.
 
 use super::candidates::candidates;
-use super::eligibility::Entry;
+use super::eligibility::UnplacedEntry;
 use super::stops::{grace_s, Preemption, Stop};
-use super::task_plan::{Supply, TaskPlan};
+use super::task_plan::{ClusterSnapshot, TaskPlan};
 use super::team_usage::TeamUsage;
 use crate::cluster::Cluster;
 use crate::leader::queue::Cordon;
@@ -11,28 +11,29 @@
 use crate::Secs;
 use std::collections::BTreeSet;
 
-/// Heartbeat intervals within which a stop has reached its machine and the machine has shown the
-/// end.
-const HEARTBEATS_TO_STOP: f64 = 3.0;
+/// Number of heartbeat intervals within which a stop reaches its machine and the machine reports
+/// that the task has ended.
+const STOP_HEARTBEAT_INTERVALS: f64 = 3.0;
 
-/// Plans one round of preemption; the cluster stays as it is.
+/// Plans one round of preemption without changing the cluster.
 pub(super) struct Planner<'a> {
     cluster: &'a Cluster,
-    /// What is left by the plans made so far.
-    supply: Supply<'a>,
-    /// Machine types (with spot or not) that are the only ones for some class of jobs.
+    /// Capacity and usage as they will be after the plans made so far.
+    snapshot: ClusterSnapshot<'a>,
+    /// Machine types, by name and whether spot, that are the only ones to fit some job class.
     scarce: &'a BTreeSet<(String, bool)>,
-    /// The gang for which machines are cordoned, as long as nothing is stopped for it. Until it is
-    /// placed no other gang can be, whatever is stopped for that one.
+    /// The gang for which machines are cordoned, unless tasks are already being stopped for it.
+    /// Nothing is planned for other gangs while it is set: they cannot be placed before this one,
+    /// whatever is stopped for them.
     blocking_gang: Option<&'a str>,
-    /// When the round takes place.
+    /// The time of the round.
     now: Secs,
-    /// The plans made so far, in the order of the queue.
+    /// The plans made so far, in queue order.
     preemptions: Vec<Preemption>,
 }
 
 impl<'a> Planner<'a> {
-    /// A planner that has nothing planned yet.
+    /// Returns a planner with no plans yet.
     pub(super) fn new(
         cluster: &'a Cluster,
         usage: TeamUsage<'a>,
@@ -40,24 +41,24 @@
         cordon: Option<&'a Cordon>,
         now: Secs,
     ) -> Planner<'a> {
-        let frees_capacity = |job: &Job| now < job.preempting_until;
+        let is_reclaiming = |job: &Job| now < job.preempting_until;
         Planner {
             cluster,
-            supply: Supply {
+            snapshot: ClusterSnapshot {
                 candidates: candidates(cluster, now),
                 usage,
             },
             scarce,
             blocking_gang: cordon
                 .map(|cordon| cordon.job.as_str())
-                .filter(|id| !cluster.jobs.get(id).is_some_and(frees_capacity)),
+                .filter(|id| !cluster.jobs.get(id).is_some_and(is_reclaiming)),
             now,
             preemptions: Vec::new(),
         }
     }
 
-    /// What is to be stopped for these entries, in the order of the queue.
-    pub(super) fn plan(mut self, entries: &[Entry]) -> Vec<Preemption> {
+    /// Returns the preemptions for these entries, in queue order.
+    pub(super) fn plan(mut self, entries: &[UnplacedEntry]) -> Vec<Preemption> {
         for entry in entries {
             if entry.job.is_multi_task_gang() {
                 self.plan_for_gang(entry.job);
@@ -68,51 +69,52 @@
         self.preemptions
     }
 
-    /// Plans for all of a gang, on the machines on which the pass would place it.
+    /// Plans for a whole gang, on the machines on which the pass would place it.
     fn plan_for_gang(&mut self, job: &Job) {
         let id = job.spec.id.as_str();
         if self.blocking_gang.is_some_and(|blocking| blocking != id) {
             return;
         }
         let requirements = self.cluster.requirements_avoiding_scarce(job, self.scarce);
-        let Some(tasks) = self.supply.plan_gang(job, &requirements) else {
+        let Some(tasks) = self.snapshot.plan_gang(job, &requirements) else {
             return;
         };
-        let reclaims_until = self.stopped_by(&tasks);
-        if self.now < reclaims_until && self.blocking_gang == Some(id) {
+        let preempting_until = self.reclaim_deadline(&tasks);
+        if self.now < preempting_until && self.blocking_gang == Some(id) {
             self.blocking_gang = None;
         }
         self.preemptions.push(Preemption {
             job: id.into(),
             stops: self.stops(tasks),
-            reclaims_until: Some(reclaims_until),
+            preempting_until: Some(preempting_until),
         });
     }
 
-    /// Plans for the tasks of an entry one by one, until there is no capacity for the next.
-    fn plan_for_tasks(&mut self, entry: &Entry) {
+    /// Plans for the tasks of an entry one by one, until no capacity is found for the next.
+    fn plan_for_tasks(&mut self, entry: &UnplacedEntry) {
         let requirements = self.cluster.requirements(entry.job, None);
         let tasks: Vec<TaskPlan> = (0..entry.tasks)
-            .map_while(|_| self.supply.plan_task(entry.job, &requirements))
+            .map_while(|_| self.snapshot.plan_task(entry.job, &requirements))
             .collect();
         self.preemptions.push(Preemption {
             job: entry.job.spec.id.clone(),
             stops: self.stops(tasks),
-            reclaims_until: None,
+            preempting_until: None,
         });
     }
 
-    /// When the victims of these plans will be gone at the latest, the time to save included.
-    fn stopped_by(&self, tasks: &[TaskPlan]) -> Secs {
+    /// Returns the time by which the victims of these plans will be gone, including their grace
+    /// period for saving.
+    fn reclaim_deadline(&self, tasks: &[TaskPlan]) -> Secs {
         let longest_grace_s = tasks
             .iter()
             .flat_map(|task| &task.victims)
             .map(|victim| grace_s(self.cluster, victim.job))
             .fold(0.0, f64::max);
-        self.now + longest_grace_s + self.cluster.config.heartbeat_s * HEARTBEATS_TO_STOP
+        self.now + longest_grace_s + self.cluster.config.heartbeat_s * STOP_HEARTBEAT_INTERVALS
     }
 
-    /// The stops of these plans.
+    /// Returns the stops that carry out these plans.
     fn stops(&self, tasks: Vec<TaskPlan>) -> Vec<Stop> {
         tasks
             .into_iter()
--- a/crates/sched/src/leader/preemption/task_plan.rs
+++ b/crates/sched/src/leader/preemption/task_plan.rs
@@ -1,4 +1,4 @@
-//! Planning capacity for one task.
+//! Capacity planning for one task.
 
 use super::candidates::{CandidateMachine, Candidates};
 use super::team_usage::TeamUsage;
@@ -6,49 +6,54 @@
 use crate::leader::Job;
 use wire::peers::TaskRequirements;
 
-/// What is left to plan with: the capacity of machines, and what teams use.
+/// A snapshot of machine capacity and team usage that plans are applied to as they are made.
 #[derive(Clone)]
-pub(super) struct Supply<'a> {
-    /// The machines, with what earlier plans have taken or freed there.
+pub(super) struct ClusterSnapshot<'a> {
+    /// The machines, with the capacity that earlier plans have taken or freed there.
     pub(super) candidates: Candidates<'a>,
-    /// What teams use, without the victims of earlier plans.
+    /// The teams' usage, without the victims of earlier plans.
     pub(super) usage: TeamUsage<'a>,
 }
 
-/// How one task gets its capacity.
+/// The plan that provides capacity for one task.
 pub(super) struct TaskPlan<'a> {
-    /// The machine on which it will have it.
+    /// The machine that will have the capacity.
     pub(super) machine: &'a str,
-    /// What is to be stopped there; nothing if earlier stops free enough.
+    /// The tasks to be stopped there; none if enough is free or freed by earlier stops.
     pub(super) victims: Vec<Victim<'a>>,
 }
 
-/// Victims on one machine that make room for a task.
-struct Choice<'a> {
+/// Victims on one machine that together make room for a task.
+struct VictimSet<'a> {
     machine: &'a str,
-    /// CPU seconds of work that are lost with them.
+    /// Work lost with them, in CPU seconds.
     lost_cpu_s: f64,
-    /// Positions among the machine's victims, ascending.
+    /// Their positions in the machine's `victims`, ascending.
     positions: Vec<usize>,
 }
 
-impl<'a> Supply<'a> {
-    /// Finds capacity for one task where that costs least, and takes it out of the supply; `None` if
-    /// there is none.
+impl<'a> ClusterSnapshot<'a> {
+    /// Finds capacity for one task where the least work is lost, and takes it out of the snapshot;
+    /// `None` if there is none.
     pub(super) fn plan_task(
         &mut self,
         job: &Job,
         requirements: &TaskRequirements,
     ) -> Option<TaskPlan<'a>> {
-        if let Some(plan) = self.take_free(job, requirements) {
+        if let Some(plan) = self.take_free_capacity(job, requirements) {
             return Some(plan);
         }
-        let choice = self.cheapest_choice(job, requirements)?;
-        self.take_choice(job, choice)
+        let victim_set = self.cheapest_victims(job, requirements)?;
+        self.take_victims_capacity(job, victim_set)
     }
 
-    /// Takes capacity that is free, or will be by earlier stops.
-    fn take_free(&mut self, job: &Job, requirements: &TaskRequirements) -> Option<TaskPlan<'a>> {
+    /// Takes capacity that is free or will be freed by earlier stops; `None` if no machine has
+    /// enough.
+    fn take_free_capacity(
+        &mut self,
+        job: &Job,
+        requirements: &TaskRequirements,
+    ) -> Option<TaskPlan<'a>> {
         let resources = job.resources();
         let (name, machine) = self
             .candidates
@@ -61,63 +66,78 @@
         })
     }
 
-    /// The victims with which the least work is lost, on one of the machines that the task may use;
-    /// among equals the first machine by name.
-    fn cheapest_choice(&self, job: &Job, requirements: &TaskRequirements) -> Option<Choice<'a>> {
-        let mut best: Option<Choice> = None;
+    /// Returns the victims with which the least work is lost, among the machines that the task may
+    /// use; on a tie, those of the first machine by name.
+    fn cheapest_victims(
+        &self,
+        job: &Job,
+        requirements: &TaskRequirements,
+    ) -> Option<VictimSet<'a>> {
+        let mut best: Option<VictimSet> = None;
         for (name, machine) in &self.candidates {
             if machine.victims.is_empty() || !machine.allows(requirements) {
                 continue;
             }
-            let Some(choice) = choose_victims(name, machine, job) else {
+            let Some(victim_set) = choose_victims(name, machine, job) else {
                 continue;
             };
             let is_better = best
                 .as_ref()
-                .is_none_or(|best| choice.lost_cpu_s < best.lost_cpu_s);
-            let chosen = choice.positions.iter().map(|at| &machine.victims[*at]);
-            if is_better && self.usage.only_borrowed(job, chosen) {
-                best = Some(choice);
+                .is_none_or(|best| victim_set.lost_cpu_s < best.lost_cpu_s);
+            let chosen = victim_set
+                .positions
+                .iter()
+                .map(|position| &machine.victims[*position]);
+            if is_better && self.usage.takes_only_borrowed(job, chosen) {
+                best = Some(victim_set);
             }
         }
         best
     }
 
-    /// Takes the capacity that the chosen victims free.
-    fn take_choice(&mut self, job: &Job, choice: Choice<'a>) -> Option<TaskPlan<'a>> {
-        let machine = self.candidates.get_mut(choice.machine)?;
+    /// Takes the capacity that the chosen victims free, and removes them from the snapshot.
+    fn take_victims_capacity(
+        &mut self,
+        job: &Job,
+        victim_set: VictimSet<'a>,
+    ) -> Option<TaskPlan<'a>> {
+        let machine = self.candidates.get_mut(victim_set.machine)?;
         let mut victims = Vec::new();
-        // From the last, so that the positions of the others stay what they are.
-        for at in choice.positions.into_iter().rev() {
-            let victim = machine.victims.remove(at);
+        // In descending order, so that each removal leaves the remaining positions valid.
+        for position in victim_set.positions.into_iter().rev() {
+            let victim = machine.victims.remove(position);
             machine.free.add(victim.resources);
             self.usage.release(victim.team, victim.resources);
             victims.push(victim);
         }
         machine.free.sub(job.resources());
         Some(TaskPlan {
-            machine: choice.machine,
+            machine: victim_set.machine,
             victims,
         })
     }
 }
 
-/// The fewest victims on one machine that make room for a task of a job, taken in the order of what
-/// they lose; `None` if all of them together don't.
-fn choose_victims<'a>(name: &'a str, machine: &CandidateMachine, job: &Job) -> Option<Choice<'a>> {
+/// Chooses victims on one machine for a task of a job, least work lost first, until there is room
+/// for the task; `None` if all eligible victims together do not make enough.
+fn choose_victims<'a>(
+    name: &'a str,
+    machine: &CandidateMachine,
+    job: &Job,
+) -> Option<VictimSet<'a>> {
     let resources = job.resources();
     let mut free = machine.free;
     let mut lost_cpu_s = 0.0;
     let mut positions = Vec::new();
-    for (at, victim) in machine.victims.iter().enumerate() {
+    for (position, victim) in machine.victims.iter().enumerate() {
         if !victim.may_be_stopped_for(job) {
             continue;
         }
         free.add(victim.resources);
         lost_cpu_s += victim.lost_cpu_s();
-        positions.push(at);
+        positions.push(position);
         if free.can_fit(resources) {
-            return Some(Choice {
+            return Some(VictimSet {
                 machine: name,
                 lost_cpu_s,
                 positions,
--- a/crates/sched/src/leader/queue/bookkeeping.rs
+++ b/crates/sched/src/leader/queue/bookkeeping.rs
@@ -1,4 +1,4 @@
-//! What placing a task changes in the leader's view of the cluster, for arrays and gangs alike.
+//! Updates to the leader's view of the cluster when tasks are placed; shared by arrays and gangs.
 
 use crate::leader::MAX_BACKOFF_S;
 use crate::leader::{ActiveTask, Leader, TaskLocation};
@@ -6,14 +6,15 @@
 use crate::Secs;
 use wire::peers::TaskRequirements;
 
-/// Most images remembered for a machine, the newest first.
-const IMAGES_REMEMBERED: usize = 8;
+/// Number of images tracked per machine, newest first.
+const MAX_IMAGES_PER_MACHINE: usize = 8;
 
 impl Leader {
-    /// What found no capacity counts as demand. For what fails wherever it is tried nothing is
-    /// provisioned at once; but should it be the machines' fault after all, it must not wait for
-    /// ever.
-    pub(super) fn note_unmet(&mut self, id: &str, tasks: u32, now: Secs) {
+    /// Records tasks that found no capacity as unmet demand (`Cluster::unplaced`). A job that fails
+    /// on every machine is not counted, so that nothing is provisioned for it, until it has waited
+    /// for longer than `MAX_BACKOFF_S` after its backoff: the machines may be at fault after all,
+    /// and the job must not wait forever.
+    pub(super) fn record_unplaced(&mut self, id: &str, tasks: u32, now: Secs) {
         let counts =
             self.cluster.jobs.get(id).is_some_and(|job| {
                 !job.fails_everywhere() || now - job.backoff_until > MAX_BACKOFF_S
@@ -23,7 +24,8 @@
         }
     }
 
-    /// Takes capacity of a machine out of the index for `tasks` tasks, and expects their image there.
+    /// Takes a machine's capacity for `tasks` tasks out of the index, and records their image
+    /// there, since it is about to be fetched.
     pub(super) fn take_capacity(
         &mut self,
         machine: &str,
@@ -34,20 +36,20 @@
         self.cluster
             .machines
             .take_capacity(machine, resources, tasks, &requirements.image);
-        self.note_image(machine, &requirements.image);
+        self.record_image(machine, &requirements.image);
     }
 
-    /// Remembers an image as the newest on a machine.
-    fn note_image(&mut self, machine: &str, image: &str) {
+    /// Records an image as the newest on a machine.
+    fn record_image(&mut self, machine: &str, image: &str) {
         if let Some(state) = self.cluster.machines.get_mut(machine) {
             state.images.retain(|known| known != image);
             state.images.insert(0, image.to_string());
-            state.images.truncate(IMAGES_REMEMBERED);
+            state.images.truncate(MAX_IMAGES_PER_MACHINE);
         }
         self.cluster.machines.mark_dirty(machine);
     }
 
-    /// Records that a task is in an owner's hands from now on, to be started.
+    /// Records a task as active from now on, not yet running, at the given location.
     pub(super) fn assign_task(
         &mut self,
         id: &str,
--- a/crates/sched/src/leader/queue/gangs.rs
+++ b/crates/sched/src/leader/queue/gangs.rs
@@ -1,8 +1,8 @@
-//! Placement of gangs: capacity is found for the whole gang in the leader's view of the cluster, and
-//! only then are the owners asked to reserve it.
+//! Gang placement: the leader finds capacity for the whole gang in its view of the cluster before
+//! it asks the owners to reserve it.
 
 use super::pass::Pass;
-use super::{jitter, MS_PER_S};
+use super::{jitter_factor, MS_PER_S};
 use crate::capacity_index::MachineFit;
 use crate::leader::{Action, GangPhase, Job, Leader};
 use crate::placement::Resources;
@@ -11,18 +11,18 @@
 use std::rc::Rc;
 use wire::peers::{TaskRequirements, ToOwner};
 
-/// Consecutive tasks of a gang that are to run on one machine.
+/// Consecutive tasks of a gang that are placed on one machine.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct GangPlacement {
     /// The machine's name.
     pub(super) machine: String,
-    /// Index of the first of the tasks.
+    /// Index of the first task.
     pub(super) first_task: u32,
-    /// How many tasks.
+    /// Number of tasks.
     pub(super) tasks: u32,
 }
 
-// Messages, records and `Phase` have placements as tuples.
+// Messages, stored records and `GangPhase` represent placements as tuples.
 impl From<GangPlacement> for (String, u32, u32) {
     fn from(placement: GangPlacement) -> (String, u32, u32) {
         (placement.machine, placement.first_task, placement.tasks)
@@ -39,20 +39,21 @@
     }
 }
 
-/// How many tasks of a gang a machine takes.
+/// The number of a gang's tasks that a machine takes.
 struct MachineShare {
     machine: Rc<str>,
     tasks: u32,
 }
 
-/// A placement, and who owns its machine.
+/// A placement and the owner of its machine.
 struct OwnedPlacement {
     owner: String,
     placement: GangPlacement,
 }
 
 impl Leader {
-    /// Finds capacity for a whole gang and has it reserved; a gang that finds none counts as unmet.
+    /// Finds capacity for a whole gang and requests its reservation; a gang that finds none counts
+    /// as unmet demand.
     pub(super) fn place_gang(
         &mut self,
         id: &str,
@@ -67,18 +68,18 @@
             return;
         }
         let tasks = job.spec.tasks;
-        let Some(shares) = self.fit_gang(job, requirements, pass.cordon_against(id)) else {
-            self.note_unmet(id, tasks, pass.now);
+        let Some(shares) = self.fit_gang(job, requirements, pass.cordon_applying_to(id)) else {
+            self.record_unplaced(id, tasks, pass.now);
             return;
         };
         pass.charge(&job.spec.team, job.resources(), tasks);
         let attempt = self.next_attempt();
-        let placements = self.take_shares(attempt, requirements, shares);
-        self.reserve(id, attempt, requirements, placements, pass.now);
+        let placements = self.take_gang_capacity(attempt, requirements, shares);
+        self.request_reservations(id, attempt, requirements, placements, pass.now);
     }
 
-    /// Chooses machines for all tasks of a gang; if they have to be in one zone, in the first by name
-    /// that has capacity for them all. `None` if the gang does not fit as a whole.
+    /// Chooses machines for all tasks of a gang. A gang that must run in one zone gets the first
+    /// zone, by name, that has capacity for all tasks. `None` if the gang does not fit as a whole.
     fn fit_gang(
         &self,
         job: &Job,
@@ -97,11 +98,11 @@
                     .machines
                     .index()
                     .fits_outside_cordon(&requirements, cordon);
-                distribute(fits, job.spec.tasks, most_in_zone(job))
+                distribute_tasks(fits, job.spec.tasks, max_tasks_per_zone(job))
             })
     }
 
-    /// The zones in which a gang is tried, one after the other; `None` stands for all zones at once.
+    /// Returns the zones to try for a gang, in order; `None` stands for all zones together.
     fn zones_to_try(&self, job: &Job, requirements: &TaskRequirements) -> Vec<Option<String>> {
         if requirements.zone.is_some() || !job.spec.one_zone {
             return vec![requirements.zone.clone()];
@@ -110,8 +111,9 @@
         zones.iter().map(|zone| Some(zone.to_string())).collect()
     }
 
-    /// Takes a gang's capacity out of the leader's view, and numbers its tasks machine by machine.
-    fn take_shares(
+    /// Takes a gang's capacity out of the leader's view of the cluster, and numbers its tasks
+    /// machine by machine.
+    fn take_gang_capacity(
         &mut self,
         attempt: u64,
         requirements: &TaskRequirements,
@@ -148,8 +150,8 @@
         placements
     }
 
-    /// Asks the owners to reserve a gang's capacity for a while.
-    fn reserve(
+    /// Asks the owners to reserve a gang's capacity for a limited time.
+    fn request_reservations(
         &mut self,
         id: &str,
         attempt: u64,
@@ -157,13 +159,13 @@
         placements: Vec<OwnedPlacement>,
         now: Secs,
     ) {
-        // Jitter, so that gangs reserved in one burst don't lapse in step.
-        let wait_s = self.cluster.config.reservation_s * jitter(&mut self.rng);
+        // With jitter, so that gangs reserved in one burst do not expire at the same time.
+        let wait_s = self.cluster.config.reservation_s * jitter_factor(&mut self.rng);
         log::info!(
             "event=reserve job={id} attempt={attempt} machines={} wait_s={wait_s:.1}",
             placements.len()
         );
-        let by_owner = by_owner(&placements);
+        let by_owner = group_by_owner(&placements);
         if let Some(job) = self.cluster.jobs.get_mut(id) {
             job.phase = GangPhase::Reserving {
                 attempt,
@@ -188,19 +190,21 @@
     }
 }
 
-/// Whether capacity may be sought for a gang now.
+/// Returns whether the leader may look for capacity for a gang now.
 fn may_reserve(job: &Job, admitted: u32) -> bool {
-    // The count check: a gang with fewer tasks than its minimum is turned away.
+    // All of the gang's tasks must be ready or active; a gang never starts with fewer.
     let is_whole = job.ready_tasks.len() + job.active.len() as u32 >= job.min_tasks();
     let is_idle = job.phase == GangPhase::Idle && job.active.is_empty();
-    // In one zone and yet spread over several: no zone may hold all of it. Such a gang waits until
-    // it is cancelled, and does not count as unmet, so that nothing is provisioned for it.
-    let contradicts_itself = job.spec.one_zone && most_in_zone(job) < job.spec.tasks;
-    is_whole && is_idle && admitted >= job.spec.tasks && !contradicts_itself
+    // A gang that must be in one zone and also spread over zones can never be placed. It waits
+    // until it is cancelled, and does not count as unmet demand, so that nothing is provisioned for
+    // it.
+    let zone_rules_conflict = job.spec.one_zone && max_tasks_per_zone(job) < job.spec.tasks;
+    is_whole && is_idle && admitted >= job.spec.tasks && !zone_rules_conflict
 }
 
-/// The most tasks of a gang that one zone may hold: half of them, rounded up, if it is spread.
-fn most_in_zone(job: &Job) -> u32 {
+/// Returns how many tasks of a gang one zone may hold: half of them, rounded up, if the gang is to
+/// be spread over zones, otherwise all.
+fn max_tasks_per_zone(job: &Job) -> u32 {
     if job.spec.spread {
         job.spec.tasks.div_ceil(2)
     } else {
@@ -208,29 +212,33 @@
     }
 }
 
-/// Distributes a gang's tasks over machines, the best first and at most `most_in_zone` in one zone;
-/// `None` if they don't all fit.
-fn distribute(fits: Vec<MachineFit>, tasks: u32, most_in_zone: u32) -> Option<Vec<MachineShare>> {
+/// Distributes a gang's tasks over machines, best machine first, with at most `max_tasks_per_zone`
+/// in a zone; `None` if not all tasks fit.
+fn distribute_tasks(
+    fits: Vec<MachineFit>,
+    tasks: u32,
+    max_tasks_per_zone: u32,
+) -> Option<Vec<MachineShare>> {
     let mut used_by_zone: BTreeMap<Rc<str>, u32> = BTreeMap::new();
-    let mut left = tasks;
+    let mut remaining = tasks;
     let mut shares = Vec::new();
     for fit in fits {
         let used = used_by_zone.entry(fit.zone).or_default();
-        let share = fit.slots.min(left).min(most_in_zone - *used);
+        let share = fit.slots.min(remaining).min(max_tasks_per_zone - *used);
         if share > 0 {
             *used += share;
-            left -= share;
+            remaining -= share;
             shares.push(MachineShare {
                 machine: fit.name,
                 tasks: share,
             });
         }
     }
-    (left == 0).then_some(shares)
+    (remaining == 0).then_some(shares)
 }
 
-/// What each owner is to reserve.
-fn by_owner(placements: &[OwnedPlacement]) -> BTreeMap<String, Vec<GangPlacement>> {
+/// Groups the placements of a gang by the owner that is to reserve them.
+fn group_by_owner(placements: &[OwnedPlacement]) -> BTreeMap<String, Vec<GangPlacement>> {
     let mut by_owner: BTreeMap<String, Vec<GangPlacement>> = BTreeMap::new();
     for OwnedPlacement { owner, placement } in placements {
         by_owner
--- a/crates/sched/src/leader/queue/reservations.rs
+++ b/crates/sched/src/leader/queue/reservations.rs
@@ -1,22 +1,23 @@
-//! Reservations of gangs: once all owners have reserved their part, the binding is written, and when
-//! it is durable all tasks start. Where one part fails, the whole reservation ends.
+//! Gang reservations, a two-phase start: once all owners have reserved their part, the binding is
+//! written, and once that is durable all tasks start. If any part fails, the whole reservation is
+//! cancelled.
 
 use super::gangs::GangPlacement;
-use super::jitter;
+use super::jitter_factor;
 use crate::leader::{Action, GangPhase, Leader, TaskLocation};
 use crate::Secs;
 use std::collections::BTreeSet;
 use wire::peers::ToOwner;
 
-/// A gang's back-off before it is doubled, as one of so many parts of the time for which capacity is
-/// reserved.
-const BACKOFF_PARTS: f64 = 20.0;
+/// Divisor of the reservation time that gives a gang's base backoff, before doubling.
+const BACKOFF_BASE_DIVISOR: f64 = 20.0;
 
-/// A gang's back-off doubles with each failure in a row, this many times at most.
+/// Upper limit on how often a gang's backoff doubles with consecutive failures.
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
 
 impl Leader {
-    /// An owner has reserved its part of a gang's capacity, or refused to.
+    /// Handles an owner's reply that it has reserved its part of a gang's capacity, or has refused
+    /// to.
     pub(crate) fn on_reserve_result(
         &mut self,
         from: &str,
@@ -28,27 +29,31 @@
             return;
         };
         if reserved {
-            self.reservation_confirmed(&id, attempt, from);
+            self.on_reservation_confirmed(&id, attempt, from);
         } else {
-            self.reservation_refused(&id, from, now);
+            self.on_reservation_refused(&id, from, now);
         }
     }
 
-    /// The gang that an attempt belongs to, if that is still its present one.
+    /// Returns the gang whose current attempt this is; `None` if there is none.
     fn gang_of_attempt(&self, attempt: u64) -> Option<String> {
         let (id, _) = self.cluster.jobs.iter().find(|(_, job)| match &job.phase {
-            GangPhase::Reserving { attempt: of, .. }
-            | GangPhase::Binding { attempt: of, .. }
-            | GangPhase::Running { attempt: of } => *of == attempt,
-            // Another owner has refused its part before.
+            GangPhase::Reserving {
+                attempt: current, ..
+            }
+            | GangPhase::Binding {
+                attempt: current, ..
+            }
+            | GangPhase::Running { attempt: current } => *current == attempt,
+            // Another owner refused its part earlier.
             GangPhase::Ending => job.active.values().any(|task| task.attempt == attempt),
             GangPhase::Idle => false,
         })?;
         Some(id.clone())
     }
 
-    /// Requests that the binding be written, once every owner has reserved its part.
-    fn reservation_confirmed(&mut self, id: &str, attempt: u64, from: &str) {
+    /// Handles one owner's confirmation; the last one requests the write of the binding.
+    fn on_reservation_confirmed(&mut self, id: &str, attempt: u64, from: &str) {
         let Some(job) = self.cluster.jobs.get_mut(id) else {
             return;
         };
@@ -78,9 +83,9 @@
         });
     }
 
-    /// Ends a reservation that an owner has refused, or, where the gang has started meanwhile, takes
-    /// back the tasks that were assigned to that owner.
-    fn reservation_refused(&mut self, id: &str, from: &str, now: Secs) {
+    /// Cancels the reservation of a gang after an owner's refusal; if the gang has started in the
+    /// meantime, requeues the tasks that were assigned to that owner.
+    fn on_reservation_refused(&mut self, id: &str, from: &str, now: Secs) {
         let Some(job) = self.cluster.jobs.get(id) else {
             return;
         };
@@ -90,8 +95,9 @@
                 self.cancel_reservation(id, now, true);
             }
             GangPhase::Running { .. } | GangPhase::Ending => {
-                // The capacity was given up before the binding came: the gang has to begin anew.
-                let lost: Vec<u32> = job
+                // The owner dropped its reservation before the binding arrived, so the gang has to
+                // start over.
+                let lost_tasks: Vec<u32> = job
                     .active
                     .iter()
                     .filter(|(_, task)| {
@@ -99,7 +105,7 @@
                     })
                     .map(|(index, _)| *index)
                     .collect();
-                for index in lost {
+                for index in lost_tasks {
                     self.requeue_task(id, index);
                 }
             }
@@ -107,23 +113,24 @@
         }
     }
 
-    /// The binding is durable, or could not be written.
+    /// Handles the outcome of a binding's write: starts the gang if the binding is durable and its
+    /// reservation still stands, and cancels the reservation otherwise.
     pub fn bind_result(&mut self, id: &str, attempt: u64, written: bool, now: Secs) {
         let Some(job) = self.cluster.jobs.get(id) else {
             return;
         };
         let GangPhase::Binding {
-            attempt: bound,
+            attempt: bound_attempt,
             until,
             places,
         } = &job.phase
         else {
             return;
         };
-        if *bound != attempt {
+        if *bound_attempt != attempt {
             return;
         }
-        // A machine that was returned meanwhile took its reserved capacity with it.
+        // A machine that has been returned to the cloud in the meantime has lost its reservation.
         let all_present = places
             .iter()
             .all(|(machine, _, _)| self.cluster.machines.contains_key(machine));
@@ -143,7 +150,7 @@
         }
         let mut owners = BTreeSet::new();
         for placement in placements {
-            let Some(owner) = self.end_machine_reservation(&placement.machine, attempt) else {
+            let Some(owner) = self.release_machine_reservation(&placement.machine, attempt) else {
                 continue;
             };
             for index in placement.first_task..placement.first_task + placement.tasks {
@@ -159,8 +166,9 @@
         }
     }
 
-    /// Releases the capacity of a waiting gang everywhere; with a failure it backs off longer
-    /// each time, and keeps its place in the order.
+    /// Returns a gang to the idle phase and releases what it has reserved. After a failure the gang
+    /// backs off, exponentially longer with each failure in a row, and keeps its place in the
+    /// queue.
     pub(crate) fn cancel_reservation(&mut self, id: &str, now: Secs, failed: bool) {
         let Some(job) = self.cluster.jobs.get_mut(id) else {
             return;
@@ -169,16 +177,16 @@
         if failed {
             job.failures += 1;
             let doublings = job.failures.min(MAX_BACKOFF_DOUBLINGS);
-            let wait_s = self.cluster.config.reservation_s / BACKOFF_PARTS
+            let wait_s = self.cluster.config.reservation_s / BACKOFF_BASE_DIVISOR
                 * f64::from(1u32 << doublings)
-                * jitter(&mut self.rng);
+                * jitter_factor(&mut self.rng);
             job.backoff_until = now + wait_s;
         }
         self.release_reservation(&phase);
     }
 
-    /// Releases what a gang in this phase has reserved, if anything, on its machines and with their
-    /// owners.
+    /// Releases the capacity reserved for a gang in the given phase, if any, in the leader's view
+    /// of the machines and at their owners.
     pub(crate) fn release_reservation(&mut self, phase: &GangPhase) {
         let (GangPhase::Reserving {
             attempt, places, ..
@@ -191,7 +199,7 @@
         };
         let owners: BTreeSet<String> = places
             .iter()
-            .filter_map(|(machine, _, _)| self.end_machine_reservation(machine, *attempt))
+            .filter_map(|(machine, _, _)| self.release_machine_reservation(machine, *attempt))
             .collect();
         for owner in owners {
             self.actions.push(Action::Send(
@@ -202,9 +210,9 @@
         self.request_pass();
     }
 
-    /// Ends what an attempt has reserved on a machine, and returns the machine's owner; none if the
-    /// machine is gone.
-    fn end_machine_reservation(&mut self, machine: &str, attempt: u64) -> Option<String> {
+    /// Releases the capacity that an attempt has reserved on a machine, and returns the machine's
+    /// owner; `None` if the machine is gone.
+    fn release_machine_reservation(&mut self, machine: &str, attempt: u64) -> Option<String> {
         let state = self.cluster.machines.get_mut(machine)?;
         state.reserved.remove(&attempt);
         let owner = state.owner.clone();
