--- a/crates/sched/src/leader/preemption/candidates.rs
+++ b/crates/sched/src/leader/preemption/candidates.rs
@@ -1,4 +1,5 @@
-//! The machines on which preemption can free capacity, and the tasks that may be stopped on each.
+//! The machines on which capacity is free or can be freed by preemption, and the tasks that may be
+//! stopped on each.
 
 use super::victims::Victim;
 use crate::cluster::{Cluster, Machine};
--- a/crates/sched/src/leader/queue/bookkeeping.rs
+++ b/crates/sched/src/leader/queue/bookkeeping.rs
@@ -11,9 +11,9 @@
 
 impl Leader {
     /// Records tasks that found no capacity as unmet demand (`Cluster::unplaced`). A job that fails
-    /// on every machine is not counted, so that nothing is provisioned for it, until it has waited
-    /// for longer than `MAX_BACKOFF_S` after its backoff: the machines may be at fault after all,
-    /// and the job must not wait forever.
+    /// wherever it is tried is not counted, so that nothing is provisioned for it, until it has
+    /// waited for longer than `MAX_BACKOFF_S` after its backoff: the machines may be at fault after
+    /// all, and the job must not wait forever.
     pub(super) fn record_unplaced(&mut self, id: &str, tasks: u32, now: Secs) {
         let counts =
             self.cluster.jobs.get(id).is_some_and(|job| {
--- a/crates/sched/src/leader/queue/cordon.rs
+++ b/crates/sched/src/leader/queue/cordon.rs
@@ -5,7 +5,8 @@
 use std::collections::BTreeSet;
 use wire::peers::TaskRequirements;
 
-/// A waiting gang, and the machines that no other job may take until it is placed.
+/// A waiting gang, and the machines that no other job may take meanwhile. Each pass determines the
+/// cordon anew, so it can end before the gang is placed.
 pub(crate) struct Cordon {
     /// The gang's id.
     pub(crate) job: String,
--- a/crates/sched/src/leader/queue/gangs.rs
+++ b/crates/sched/src/leader/queue/gangs.rs
@@ -195,9 +195,9 @@
     // All of the gang's tasks must be ready or active; a gang never starts with fewer.
     let is_whole = job.ready_tasks.len() + job.active.len() as u32 >= job.min_tasks();
     let is_idle = job.phase == GangPhase::Idle && job.active.is_empty();
-    // A gang that must be in one zone and also spread over zones can never be placed. It waits
-    // until it is cancelled, and does not count as unmet demand, so that nothing is provisioned for
-    // it.
+    // A gang of several tasks that must be in one zone and also spread over zones can never be
+    // placed, because no zone may hold all of its tasks. It waits until it is cancelled, and does
+    // not count as unmet demand, so that nothing is provisioned for it.
     let zone_rules_conflict = job.spec.one_zone && max_tasks_per_zone(job) < job.spec.tasks;
     is_whole && is_idle && admitted >= job.spec.tasks && !zone_rules_conflict
 }
--- a/crates/sched/src/leader/queue/mod.rs
+++ b/crates/sched/src/leader/queue/mod.rs
@@ -8,8 +8,8 @@
 //! - array: check the quota, find capacity, assign tasks, send the rest to the owners' backlogs.
 //!
 //! Entries are ordered by whether they are within their team's guarantee, then by priority,
-//! creation (the revision in the state store) and job id. An entry that is in backoff or does not
-//! fit is skipped and does not block the entries behind it.
+//! creation (the revision in the state store) and job id. Entries within the guarantee come first.
+//! An entry that is in backoff or does not fit is skipped and does not block the entries behind it.
 
 mod arrays;
 mod backlog;
@@ -116,7 +116,7 @@
 
     /// Returns what an entry's tasks require of a machine. Scarce machine types are left out unless
     /// the job fits no other type; arrays may also use them, in the last tier, while no gang waits
-    /// for scarce types.
+    /// for scarce types. They are left to the jobs that fit no other type.
     fn entry_requirements(&self, job: &Job, pass: &Pass) -> TaskRequirements {
         let mut requirements = self
             .cluster
--- a/crates/sched/src/leader/queue/pass.rs
+++ b/crates/sched/src/leader/queue/pass.rs
@@ -52,7 +52,8 @@
             };
         }
         if job.fails_everywhere() {
-            // One task at a time is enough to show whether the job still fails.
+            // A job that failed on several machines runs one task at a time until one succeeds. One
+            // task is enough to show whether the job still fails.
             return within_limit.min(1).saturating_sub(job.active.len() as u32);
         }
         within_limit
