--- a/crates/ladderroute/src/controller_links/follower_side.rs
+++ b/crates/ladderroute/src/controller_links/follower_side.rs
@@ -15,46 +15,46 @@
 use wire::peers::{decode_frame, encode_frame, ToLeader, ToOwner};
 
 /// How long a connection to the leader may take to come about, in seconds.
-const CONNECT_LIMIT_S: f64 = wire::HEARTBEAT_RESPONSE_TIMEOUT_S / 4.0;
+const CONNECT_TIMEOUT_S: f64 = wire::HEARTBEAT_RESPONSE_TIMEOUT_S / 4.0;
 
 /// The leader answers pings; a connection that is silent for longer is ended, and so is one on which a
 /// write takes longer; in seconds.
-const SILENCE_LIMIT_S: f64 = wire::HEARTBEAT_RESPONSE_TIMEOUT_S / 2.0;
+const IDLE_TIMEOUT_S: f64 = wire::HEARTBEAT_RESPONSE_TIMEOUT_S / 2.0;
 
 /// Pings within the time after which the leader gives up a silent owner.
-const PINGS_PER_SILENCE: f64 = 4.0;
+const PINGS_PER_OWNER_TIMEOUT: f64 = 4.0;
 
 /// How many of the newest pings may still be answered.
-const PINGS_KEPT: u64 = 64;
+const MAX_PENDING_PINGS: u64 = 64;
 
 /// How far two clocks may drift apart, each by `MAX_CLOCK_DRIFT` from true time.
 const RELATIVE_DRIFT: f64 = 2.0 * MAX_CLOCK_DRIFT;
 
 /// Keeps a connection to whoever leads.
 pub async fn join_leader(controller: Rc<Controller>) {
-    let connect_limit = Duration::from_secs_f64(CONNECT_LIMIT_S);
+    let connect_timeout = Duration::from_secs_f64(CONNECT_TIMEOUT_S);
     let process = fastrand::u64(..);
     let mut sequence = 0;
-    let pause = Duration::from_secs_f64(controller.config.heartbeat_s.min(1.0) / 5.0);
+    let retry_pause = Duration::from_secs_f64(controller.config.heartbeat_s.min(1.0) / 5.0);
     loop {
-        if let Some((leader, address)) = other_leader(&controller) {
+        if let Some((leader, address)) = remote_leader(&controller) {
             sequence += 1;
-            let connected = with_timeout(connect_limit, TcpStream::connect(address)).await;
+            let connected = with_timeout(connect_timeout, TcpStream::connect(address)).await;
             if let Some(Ok(stream)) = connected {
                 let id = ConnectionId { process, sequence };
                 follow_leader(&controller, &leader, stream, id).await;
                 log::info!("event=left_leader member={leader}");
             }
         }
-        smol::Timer::after(pause).await;
+        smol::Timer::after(retry_pause).await;
     }
 }
 
 /// The controller that leads, as far as the view says, if it is another one, and its address.
-fn other_leader(controller: &Controller) -> Option<(String, SocketAddr)> {
+fn remote_leader(controller: &Controller) -> Option<(String, SocketAddr)> {
     let leader = leading_member(controller)?;
-    let known = &controller.settings.peers;
-    let peer = known.iter().find(|peer| peer.member == leader)?;
+    let peers = &controller.settings.peers;
+    let peer = peers.iter().find(|peer| peer.member == leader)?;
     Some((leader, peer.addr))
 }
 
@@ -73,7 +73,7 @@
     id: ConnectionId,
 ) {
     let _ = stream.set_nodelay(true);
-    let limit = Duration::from_secs_f64(SILENCE_LIMIT_S);
+    let timeout = Duration::from_secs_f64(IDLE_TIMEOUT_S);
     let outbox = controller.new_outbox();
     let hello = ToLeader::Hello {
         member: controller.settings.member.clone(),
@@ -83,25 +83,24 @@
     outbox.send_urgent(&encode_frame(&hello));
     let writer = controller
         .executor
-        .spawn(write_frames(stream.clone(), outbox.clone(), limit));
-    let mut frames = FrameReader::new(stream, limit);
+        .spawn(write_frames(stream.clone(), outbox.clone(), timeout));
+    let mut frames = FrameReader::new(stream, timeout);
     let pings = Rc::new(Pings::new(outbox.clone()));
-    let interval = controller.config.owner_timeout_s() / PINGS_PER_SILENCE;
-    let pinger = controller.executor.spawn(keep_pinging(
-        pings.clone(),
-        Duration::from_secs_f64(interval),
-    ));
+    let interval = controller.config.owner_timeout_s() / PINGS_PER_OWNER_TIMEOUT;
+    let pinger = controller
+        .executor
+        .spawn(send_pings(pings.clone(), Duration::from_secs_f64(interval)));
     let mut connection = LeaderConnection {
         leader,
         outbox,
         pings,
         has_joined: false,
     };
-    while !connection.outbox.is_closed() && leads(controller, leader) {
+    while !connection.outbox.is_closed() && is_leader(controller, leader) {
         let Some(message) = next_message(&mut frames).await else {
             break;
         };
-        connection.take_message(controller, message);
+        connection.handle_message(controller, message);
     }
     controller.lock().shared.leader_outbox = None;
     connection.outbox.close();
@@ -114,7 +113,7 @@
     decode_frame(&frames.next().await?)
 }
 
-fn leads(controller: &Controller, member: &str) -> bool {
+fn is_leader(controller: &Controller, member: &str) -> bool {
     let state = controller.lock();
     let leader = state.shared.view.replica().leader.record();
     leader.is_some_and(|record| record.member == member)
@@ -140,7 +139,7 @@
         let n = self.next.replace(self.next.get() + 1);
         let mut sent_at = self.sent_at.borrow_mut();
         sent_at.insert(n, Instant::now());
-        sent_at.retain(|k, _| k + PINGS_KEPT > n);
+        sent_at.retain(|k, _| k + MAX_PENDING_PINGS > n);
         self.outbox
             .send_urgent(&encode_frame(&ToLeader::Ping { n }));
     }
@@ -155,7 +154,7 @@
     }
 }
 
-async fn keep_pinging(pings: Rc<Pings>, interval: Duration) {
+async fn send_pings(pings: Rc<Pings>, interval: Duration) {
     loop {
         pings.send();
         smol::Timer::after(interval).await;
@@ -173,16 +172,16 @@
 
 impl LeaderConnection<'_> {
     /// Takes a message of the leader.
-    fn take_message(&mut self, controller: &Controller, message: ToOwner) {
+    fn handle_message(&mut self, controller: &Controller, message: ToOwner) {
         let now = controller.now();
         let mut guard = controller.lock();
         let state = &mut *guard;
         match message {
             ToOwner::Grant { n, token, valid_ms } => {
-                self.take_grant(controller, &mut state.owner, n, token, valid_ms)
+                self.apply_grant(controller, &mut state.owner, n, token, valid_ms)
             }
             ToOwner::ViewAge { n, age_ms } => {
-                self.take_view_age(controller, &mut state.owner, n, age_ms)
+                self.apply_view_age(controller, &mut state.owner, n, age_ms)
             }
             ToOwner::RunningCounts { running } => {
                 state.shared.running = running.into_iter().collect()
@@ -212,7 +211,7 @@
 
     /// Takes the authority that the leader grants. This is the only place where an owner gets authority
     /// from another controller.
-    fn take_grant(
+    fn apply_grant(
         &self,
         controller: &Controller,
         owner: &mut Owner,
@@ -231,7 +230,7 @@
     }
 
     /// Takes the age of the leader's view as proof of the staleness of what this owner knows.
-    fn take_view_age(&self, controller: &Controller, owner: &mut Owner, n: u64, age_ms: u64) {
+    fn apply_view_age(&self, controller: &Controller, owner: &mut Owner, n: u64, age_ms: u64) {
         let sent_at = self.pings.sent_at(n);
         self.pings.forget(n);
         // Counted back from the ping's sending: delays only make it older.
--- a/crates/ladderroute/src/controller_links/frames.rs
+++ b/crates/ladderroute/src/controller_links/frames.rs
@@ -14,7 +14,7 @@
 pub struct FrameReader {
     stream: TcpStream,
     /// The connection ends when nothing comes for so long.
-    silence_limit: Duration,
+    idle_timeout: Duration,
     buffer: Vec<u8>,
     /// How much of the buffer was handed out already.
     consumed: usize,
@@ -22,14 +22,14 @@
 }
 
 /// The peer sent something that is not a frame of this protocol.
-struct Malformed;
+struct MalformedFrame;
 
 impl FrameReader {
     /// Reads frames from a stream, of which nothing was read so far.
-    pub fn new(stream: TcpStream, silence_limit: Duration) -> FrameReader {
+    pub fn new(stream: TcpStream, idle_timeout: Duration) -> FrameReader {
         FrameReader {
             stream,
-            silence_limit,
+            idle_timeout,
             buffer: Vec::new(),
             consumed: 0,
             chunk: vec![0; READ_CHUNK_BYTES],
@@ -39,7 +39,7 @@
     /// The next frame's body (version and message); none at the end, after too long a silence, or for
     /// anything that is not a frame.
     pub async fn next(&mut self) -> Option<Vec<u8>> {
-        with_timeout(self.silence_limit, self.next_frame()).await?
+        with_timeout(self.idle_timeout, self.next_frame()).await?
     }
 
     async fn next_frame(&mut self) -> Option<Vec<u8>> {
@@ -47,20 +47,20 @@
             match self.take_buffered() {
                 Ok(Some(body)) => return Some(body),
                 Ok(None) => self.read_more().await?,
-                Err(Malformed) => return None,
+                Err(MalformedFrame) => return None,
             }
         }
     }
 
     /// The next frame's body, if all of it has arrived.
-    fn take_buffered(&mut self) -> Result<Option<Vec<u8>>, Malformed> {
+    fn take_buffered(&mut self) -> Result<Option<Vec<u8>>, MalformedFrame> {
         let rest = &self.buffer[self.consumed..];
         let Some((head, body)) = rest.split_first_chunk::<4>() else {
             return Ok(None);
         };
         let length = u32::from_be_bytes(*head) as usize;
         if length == 0 || length > FRAME_LIMIT {
-            return Err(Malformed);
+            return Err(MalformedFrame);
         }
         if body.len() < length {
             return Ok(None);
@@ -83,9 +83,9 @@
 }
 
 /// Writes what is queued until the queue is closed, the connection fails, or a write takes too long.
-pub async fn write_frames(mut stream: TcpStream, queue: Outbox, write_limit: Duration) {
+pub async fn write_frames(mut stream: TcpStream, queue: Outbox, write_timeout: Duration) {
     while let Some(bytes) = queue.next().await {
-        let written = with_timeout(write_limit, stream.write_all(&bytes)).await;
+        let written = with_timeout(write_timeout, stream.write_all(&bytes)).await;
         if !matches!(written, Some(Ok(()))) {
             break;
         }
--- a/crates/ladderroute/src/controller_links/leader_side.rs
+++ b/crates/ladderroute/src/controller_links/leader_side.rs
@@ -13,13 +13,13 @@
 
 /// An owner pings often; a connection that is silent for longer is ended, and so is one on which a
 /// write takes longer; in seconds.
-const SILENCE_LIMIT_S: f64 = wire::HEARTBEAT_RESPONSE_TIMEOUT_S;
+const IDLE_TIMEOUT_S: f64 = wire::HEARTBEAT_RESPONSE_TIMEOUT_S;
 
 /// Pause after an accept that failed, as it does when the process is out of sockets.
-const ACCEPT_RETRY: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
 /// Part of an owner's silence limit for which one ping grants authority.
-const GRANT_SILENCE_SHARE: f64 = 1.25;
+const MAX_GRANT_PER_OWNER_TIMEOUT: f64 = 1.25;
 
 /// A connection of an owner to this leader.
 struct OwnerConnection {
@@ -42,7 +42,7 @@
     let open = Rc::new(Cell::new(0usize));
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            smol::Timer::after(ACCEPT_RETRY).await;
+            smol::Timer::after(ACCEPT_RETRY_PAUSE).await;
             continue;
         };
         if open.get() >= max_connections {
@@ -63,8 +63,8 @@
 
 async fn serve_connection(controller: &Rc<Controller>, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
-    let limit = Duration::from_secs_f64(SILENCE_LIMIT_S);
-    let mut frames = FrameReader::new(stream.clone(), limit);
+    let timeout = Duration::from_secs_f64(IDLE_TIMEOUT_S);
+    let mut frames = FrameReader::new(stream.clone(), timeout);
     let Some(ToLeader::Hello {
         member,
         process,
@@ -73,8 +73,8 @@
     else {
         return;
     };
-    let known = &controller.settings.peers;
-    if !known.iter().any(|peer| peer.member == member) {
+    let peers = &controller.settings.peers;
+    if !peers.iter().any(|peer| peer.member == member) {
         return;
     }
     let connection = OwnerConnection {
@@ -88,17 +88,17 @@
     let writer = controller.executor.spawn(write_frames(
         stream.clone(),
         connection.outbox.clone(),
-        limit,
+        timeout,
     ));
     while let Some(message) = next_message(&mut frames).await {
         if connection.outbox.is_closed()
-            || take_message(controller, &connection, message) == Next::End
+            || handle_message(controller, &connection, message) == Next::End
         {
             break;
         }
     }
     drop(writer);
-    remove(controller, &connection);
+    remove_link(controller, &connection);
 }
 
 /// The owner's next message; none if the connection has to end.
@@ -136,7 +136,7 @@
 }
 
 /// Forgets a connection that ended, unless a newer one has taken its place.
-fn remove(controller: &Controller, connection: &OwnerConnection) {
+fn remove_link(controller: &Controller, connection: &OwnerConnection) {
     let mut guard = controller.lock();
     let Some(leadership) = &mut guard.shared.leadership else {
         return;
@@ -151,7 +151,11 @@
 }
 
 /// Takes a message of an owner.
-fn take_message(controller: &Controller, connection: &OwnerConnection, message: ToLeader) -> Next {
+fn handle_message(
+    controller: &Controller,
+    connection: &OwnerConnection,
+    message: ToLeader,
+) -> Next {
     let now = controller.now();
     let mut guard = controller.lock();
     let state = &mut *guard;
@@ -184,8 +188,8 @@
     now: f64,
 ) {
     // An owner's authority ends before the leader's own, and soon after the last ping.
-    let silent_at = now + controller.config.owner_timeout_s() * GRANT_SILENCE_SHARE;
-    let until = authority.responses_until().min(silent_at);
+    let grant_expires_at = now + controller.config.owner_timeout_s() * MAX_GRANT_PER_OWNER_TIMEOUT;
+    let until = authority.responses_until().min(grant_expires_at);
     let leader = &mut leadership.leader;
     let Some(valid_s) = leader.grant_authority(&connection.member, now, until) else {
         return;
--- a/crates/ladderroute/src/controller_links/mod.rs
+++ b/crates/ladderroute/src/controller_links/mod.rs
@@ -1,7 +1,7 @@
 //! Links between controllers: each shard owner keeps one stream of frames to the leader.
 //!
 //! The leader's side ([`serve`]) grants authority in answer to pings; the owner's side ([`join_leader`])
-//! takes it. Each side does so in one place only: `answer_ping` and `take_grant`.
+//! takes it. Each side does so in one place only: `answer_ping` and `apply_grant`.
 
 mod follower_side;
 mod frames;
--- a/crates/ladderroute/src/freshness/reads.rs
+++ b/crates/ladderroute/src/freshness/reads.rs
@@ -27,20 +27,20 @@
     result.recv().await.unwrap_or(false)
 }
 
-/// Makes freshness reads, at the pace allowed, until no query waits.
+/// Makes freshness reads, at the interval allowed, until no query waits.
 async fn serve_waiting(controller: Rc<Controller>) {
-    let pace = pace(&controller, READS_SHARE);
+    let interval = request_interval(&controller, READS_SHARE);
     while let Some(waiting) = controller.freshness_reads.take_waiting() {
         let is_fresh = read_once(&controller).await;
         for query in waiting {
             let _ = query.try_send(is_fresh);
         }
-        smol::Timer::after(pace).await;
+        smol::Timer::after(interval).await;
     }
 }
 
 /// Time between two requests of this controller when all together take a part of the rate.
-pub fn pace(controller: &Controller, share: f64) -> Duration {
+pub fn request_interval(controller: &Controller, share: f64) -> Duration {
     let controllers = controller.settings.peers.len() + 1;
     Duration::from_secs_f64(controllers as f64 / (controller.limits.rps * share))
 }
@@ -58,7 +58,7 @@
             is_applied
         }
         Err(StoreError::RevisionTooOld) => {
-            note_too_old(controller, read, &StoreError::RevisionTooOld);
+            mark_view_too_old(controller, read, &StoreError::RevisionTooOld);
             false
         }
         Err(e) => {
@@ -96,7 +96,7 @@
 }
 
 /// Changes can't bring the view up to date any more.
-pub fn note_too_old(controller: &Controller, read: ChangesRead, error: &StoreError) {
+pub fn mark_view_too_old(controller: &Controller, read: ChangesRead, error: &StoreError) {
     log::info!("event=view_too_old since={} error=\"{error}\"", read.since);
     controller.lock().shared.view.on_revision_too_old(read);
 }
--- a/crates/ladderroute/src/freshness/watch.rs
+++ b/crates/ladderroute/src/freshness/watch.rs
@@ -1,6 +1,6 @@
 //! The long watch of the store's changes, and the reload of all keys where a watch can no longer bring them.
 
-use super::reads::{begin_read, note_too_old, pace, read_changes};
+use super::reads::{begin_read, mark_view_too_old, read_changes, request_interval};
 use crate::cluster_view::{ChangesRead, ViewReload};
 use crate::controller::Controller;
 use std::rc::Rc;
@@ -34,21 +34,21 @@
 
 /// One long watch, and a while in which more changes gather: the next brings them together.
 async fn watch(controller: &Rc<Controller>, read: ChangesRead, retry_pause: Duration) {
-    let pace = pace(controller, WATCH_SHARE);
+    let interval = request_interval(controller, WATCH_SHARE);
     let wait = Duration::from_secs_f64(WATCH_WAIT_S);
     match read_changes(controller, read, wait).await {
         Ok(changes) => {
             controller.apply_changes(&changes, read);
             controller.record_store_health(true);
-            smol::Timer::after(pace).await;
+            smol::Timer::after(interval).await;
             // Freshness reads bring the same; the requests are better spent on submissions.
-            while controller.freshness_reads.answered_within(pace) {
-                smol::Timer::after(pace / 2).await;
+            while controller.freshness_reads.answered_within(interval) {
+                smol::Timer::after(interval / 2).await;
             }
         }
         // An answer with more than is taken would only grow: the keys themselves are read in pages.
         Err(e @ (StoreError::RevisionTooOld | StoreError::ResponseTooLarge(_))) => {
-            note_too_old(controller, read, &e)
+            mark_view_too_old(controller, read, &e)
         }
         Err(e) => {
             log::debug!("event=follow_failed since={} error=\"{e}\"", read.since);
--- a/crates/ladderroute/src/leadership/lease.rs
+++ b/crates/ladderroute/src/leadership/lease.rs
@@ -23,7 +23,7 @@
     Kept,
     /// The lease goes on, but answers need a newer view.
     NeedsRead,
-    /// There was no answer; the lease may go on.
+    /// There was no response; the lease may go on.
     Failed,
     /// The lease is certainly gone.
     Lost,
@@ -38,9 +38,9 @@
             None => return,
         };
         let sent_at = Instant::now();
-        let answer = controller.store.renew(lease_id).await;
+        let response = controller.store.renew(lease_id).await;
         let until = sent_at + authority_duration(ttl);
-        match take_answer(controller, answer, until, &mut is_paused) {
+        match apply_renewal(controller, response, until, &mut is_paused) {
             Renewal::Lost => return,
             Renewal::Failed => {
                 smol::Timer::after(ttl / RETRIES_PER_LEASE).await;
@@ -57,14 +57,14 @@
 }
 
 /// Takes the store's answer to a renewal; `until` is how far an answered one carries authority.
-fn take_answer(
+fn apply_renewal(
     controller: &Controller,
-    answer: Result<(), StoreError>,
+    response: Result<(), StoreError>,
     until: Instant,
     is_paused: &mut bool,
 ) -> Renewal {
     let mut state = controller.lock();
-    match answer {
+    match response {
         Ok(()) => {
             let authority = &mut state.owner.authority;
             authority.renew(controller.secs_since_start(until), controller.now());
--- a/crates/ladderroute/src/leadership/mod.rs
+++ b/crates/ladderroute/src/leadership/mod.rs
@@ -6,8 +6,7 @@
 
 use crate::controller::Controller;
 use crate::store_budget::{store_shares, Role};
-use crate::writer::writer;
-use crate::{freshness, provisioning};
+use crate::{freshness, provisioning, writer};
 use begin::begin_leadership;
 use lease::{keep_view_fresh, renew_until_lost};
 use std::rc::Rc;
@@ -15,10 +14,10 @@
 use store::leadership::{acquire, LeadershipLease};
 
 /// How often a controller looks, within the time of the store lease, whether there is a leader.
-const LOOKS_PER_LEASE: u32 = 40;
+const POLLS_PER_LEASE: u32 = 40;
 
 /// A campaign begins after a random wait of up to this part of the lease, so that seldom two meet.
-const CAMPAIGN_JITTER: f64 = 0.03;
+const MAX_CAMPAIGN_JITTER: f64 = 0.03;
 
 /// After a campaign that failed the next waits for this part of the lease, and for a random part beside.
 const FAILED_CAMPAIGN_PAUSE: f64 = 0.05;
@@ -34,11 +33,11 @@
     let ttl = controller.leader_lease_ttl();
     let others = controller.settings.peers.len();
     loop {
-        smol::Timer::after(ttl / LOOKS_PER_LEASE).await;
+        smol::Timer::after(ttl / POLLS_PER_LEASE).await;
         if !is_vacant(&controller) {
             continue;
         }
-        smol::Timer::after(ttl.mul_f64(CAMPAIGN_JITTER * fastrand::f64())).await;
+        smol::Timer::after(ttl.mul_f64(MAX_CAMPAIGN_JITTER * fastrand::f64())).await;
         match acquire(&controller.store, &controller.settings.member, ttl).await {
             Ok(Some(lease)) => {
                 controller
@@ -86,7 +85,7 @@
     let executor = &controller.executor;
     let tasks = [
         executor.spawn(run_clock(controller.clone())),
-        executor.spawn(writer(controller.clone())),
+        executor.spawn(writer::run(controller.clone())),
         executor.spawn(keep_view_fresh(controller.clone(), ttl)),
         executor.spawn(provisioning::process_requests(controller.clone())),
         executor.spawn(provisioning::poll_cloud(controller.clone())),
@@ -104,7 +103,7 @@
             return false;
         }
         if !freshness::read_once(controller).await {
-            smol::Timer::after(ttl / LOOKS_PER_LEASE).await;
+            smol::Timer::after(ttl / POLLS_PER_LEASE).await;
         }
     }
     true
--- a/crates/ladderroute/src/settings/check.rs
+++ b/crates/ladderroute/src/settings/check.rs
@@ -7,7 +7,7 @@
 const NEXT_LIMITS: [&str; 4] = ["rps", "write_rps", "value_kb", "txn_ops"];
 
 /// Heartbeat intervals that a worker's lease has to outlast.
-const LEASE_HEARTBEATS: f64 = 2.0;
+const MIN_LEASE_HEARTBEATS: f64 = 2.0;
 
 /// Refuses the first value that is not allowed.
 pub(super) fn check(settings: &Settings) -> Result<(), SettingsError> {
@@ -126,7 +126,7 @@
 
 /// One lost heartbeat must not end a worker's lease.
 fn check_lease(workers: &Workers) -> Result<(), SettingsError> {
-    if workers.lease_s <= workers.heartbeat_s * LEASE_HEARTBEATS {
+    if workers.lease_s <= workers.heartbeat_s * MIN_LEASE_HEARTBEATS {
         return Err(SettingsError::field(
             "settings.workers.lease_s",
             "must be more than twice settings.workers.report_s",
@@ -137,7 +137,7 @@
 
 fn check_team(team: &TeamSettings) -> Result<(), SettingsError> {
     let name = &team.name;
-    let is_limit = |most: f64| most >= 0.0 && most.is_finite();
+    let is_limit = |value: f64| value >= 0.0 && value.is_finite();
     if !(is_limit(team.cpus_max) && is_limit(team.gpus_max)) {
         let field = format!("settings.teams.cpus_max of {name}");
         return Err(SettingsError::field(field, "limits must not be negative"));
--- a/crates/ladderroute/src/settings/operator.rs
+++ b/crates/ladderroute/src/settings/operator.rs
@@ -5,9 +5,9 @@
 use prost_reflect::{DescriptorPool, DynamicMessage, MessageDescriptor};
 
 /// The compiled `operator.proto`.
-const DESCRIPTION: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/operator.bin"));
+const DESCRIPTOR_SET: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/operator.bin"));
 /// The message of `operator.proto` that describes the file.
-const MESSAGE: &str = "ladderroute.Operator";
+const MESSAGE_NAME: &str = "ladderroute.Operator";
 
 /// Values that operators may tune.
 #[derive(Clone, Debug, PartialEq)]
@@ -38,9 +38,9 @@
     /// Its name in the file.
     name: &'static str,
     /// The least value.
-    low: f64,
+    min: f64,
     /// The greatest value.
-    high: f64,
+    max: f64,
     /// What it sets.
     target: fn(&mut Tuning) -> &mut f64,
 }
@@ -49,26 +49,26 @@
 const FIELDS: [Field; 4] = [
     Field {
         name: "hold_s",
-        low: 0.5,
-        high: 600.0,
+        min: 0.5,
+        max: 600.0,
         target: |tuning| &mut tuning.reservation_s,
     },
     Field {
         name: "leader_lease_share",
-        low: 0.05,
-        high: 0.8,
+        min: 0.05,
+        max: 0.8,
         target: |tuning| &mut tuning.leader_lease_share,
     },
     Field {
         name: "keep_boots",
-        low: 0.0,
-        high: 1000.0,
+        min: 0.0,
+        max: 1000.0,
         target: |tuning| &mut tuning.idle_retention_boots,
     },
     Field {
         name: "patience",
-        low: 0.0,
-        high: 1.0,
+        min: 0.0,
+        max: 1.0,
         target: |tuning| &mut tuning.max_wait_share,
     },
 ];
@@ -103,9 +103,9 @@
             .get_field_by_name(self.name)
             .and_then(|value| value.as_f64())
             .unwrap_or(f64::NAN);
-        let Field { low, high, .. } = *self;
-        if !(low..=high).contains(&value) {
-            let cause = format!("must lie between {low} and {high}");
+        let Field { min, max, .. } = *self;
+        if !(min..=max).contains(&value) {
+            let cause = format!("must lie between {min} and {max}");
             return Err(SettingsError::field(self.name, cause));
         }
         *(self.target)(tuning) = value;
@@ -119,7 +119,7 @@
 }
 
 fn descriptor() -> Result<MessageDescriptor, String> {
-    let pool = DescriptorPool::decode(DESCRIPTION).map_err(|cause| cause.to_string())?;
-    pool.get_message_by_name(MESSAGE)
+    let pool = DescriptorPool::decode(DESCRIPTOR_SET).map_err(|cause| cause.to_string())?;
+    pool.get_message_by_name(MESSAGE_NAME)
         .ok_or_else(|| "no description of the settings".into())
 }
--- a/crates/ladderroute/src/settings/platform.rs
+++ b/crates/ladderroute/src/settings/platform.rs
@@ -95,9 +95,9 @@
         self.limit(self.gpus_max)
     }
 
-    fn limit(&self, stated: f64) -> f64 {
+    fn limit(&self, configured: f64) -> f64 {
         if self.cpus_max > 0.0 {
-            stated
+            configured
         } else {
             f64::INFINITY
         }
@@ -154,15 +154,15 @@
     /// The lower of the present limits and those to come, so that everything fits both from the first
     /// write on.
     pub fn limits(&self) -> StateLimits {
-        let least = |name: &str, present: f64| {
+        let lower = |name: &str, present: f64| {
             let next = self.next.get(name).and_then(number);
             next.map_or(present, |next| next.min(present))
         };
         StateLimits {
-            rps: least("rps", self.rps),
-            write_rps: least("write_rps", self.write_rps),
-            value_kb: least("value_kb", self.value_kb),
-            txn_ops: least("txn_ops", self.txn_ops as f64).max(1.0) as usize,
+            rps: lower("rps", self.rps),
+            write_rps: lower("write_rps", self.write_rps),
+            value_kb: lower("value_kb", self.value_kb),
+            txn_ops: lower("txn_ops", self.txn_ops as f64).max(1.0) as usize,
         }
     }
 }
--- a/crates/ladderroute/src/settings/scheduler_config.rs
+++ b/crates/ladderroute/src/settings/scheduler_config.rs
@@ -12,9 +12,9 @@
 /// Heartbeat intervals within which a guarantee is met, if no objective says so.
 const DEFAULT_GUARANTEE_HEARTBEATS: f64 = 10.0;
 /// Shortest leadership lease, in seconds.
-const LEAST_LEADER_LEASE_S: f64 = 0.5;
+const MIN_LEADER_LEASE_S: f64 = 0.5;
 /// Longest leadership lease, as a part of the time after which a worker drops an answer.
-const MOST_LEADER_LEASE_SHARE: f64 = 0.5;
+const MAX_LEADER_LEASE_SHARE: f64 = 0.5;
 
 impl Settings {
     /// What the decisions need to know.
@@ -54,8 +54,8 @@
 }
 
 fn leader_lease_s(worker_lease_s: f64, tuning: &Tuning) -> f64 {
-    let most_s = wire::HEARTBEAT_RESPONSE_TIMEOUT_S * MOST_LEADER_LEASE_SHARE;
-    (worker_lease_s * tuning.leader_lease_share).clamp(LEAST_LEADER_LEASE_S, most_s)
+    let max_s = wire::HEARTBEAT_RESPONSE_TIMEOUT_S * MAX_LEADER_LEASE_SHARE;
+    (worker_lease_s * tuning.leader_lease_share).clamp(MIN_LEADER_LEASE_S, max_s)
 }
 
 fn guarantee_s(params: &Params) -> f64 {
@@ -77,7 +77,7 @@
         };
         by_class
             .entry(class.clone())
-            .and_modify(|least| *least = least.min(within_s))
+            .and_modify(|shortest| *shortest = shortest.min(within_s))
             .or_insert(within_s);
     }
     by_class
--- a/crates/ladderroute/src/startup/mod.rs
+++ b/crates/ladderroute/src/startup/mod.rs
@@ -25,12 +25,12 @@
 const CLOUD_CONNECTIONS: usize = 2;
 
 /// Most bytes of an answer of the cloud.
-const MAX_CLOUD_ANSWER_BYTES: usize = 4 << 20;
+const MAX_CLOUD_RESPONSE_BYTES: usize = 4 << 20;
 
 /// Part of the workers' lease for which an answer of the store is waited for, and its bounds in seconds.
-const STORE_LIMIT_SHARE: f64 = 0.1;
-const MIN_STORE_LIMIT_S: f64 = 0.5;
-const MAX_STORE_LIMIT_S: f64 = 1.5;
+const STORE_TIMEOUT_SHARE: f64 = 0.1;
+const MIN_STORE_TIMEOUT_S: f64 = 0.5;
+const MAX_STORE_TIMEOUT_S: f64 = 1.5;
 
 /// A controller that has not begun to run.
 pub fn build_controller(
@@ -48,7 +48,7 @@
     };
     Rc::new(Controller {
         store: store_client(&settings, &config),
-        cloud: http::client::Client::new(cloud, CLOUD_CONNECTIONS, MAX_CLOUD_ANSWER_BYTES),
+        cloud: http::client::Client::new(cloud, CLOUD_CONNECTIONS, MAX_CLOUD_RESPONSE_BYTES),
         executor,
         started_at: Instant::now(),
         state: Mutex::new(state),
@@ -71,9 +71,10 @@
         writes_per_s: limits.write_rps,
     };
     let shares = store_shares(Role::Follower, settings.peers.len());
-    let limit_s = config.lease_s * STORE_LIMIT_SHARE;
-    let limit = Duration::from_secs_f64(limit_s.clamp(MIN_STORE_LIMIT_S, MAX_STORE_LIMIT_S));
-    Store::new(settings.services.state, rates, shares, limit)
+    let timeout_s = config.lease_s * STORE_TIMEOUT_SHARE;
+    let timeout =
+        Duration::from_secs_f64(timeout_s.clamp(MIN_STORE_TIMEOUT_S, MAX_STORE_TIMEOUT_S));
+    Store::new(settings.services.state, rates, shares, timeout)
 }
 
 /// Says what the settings make impossible, though the service starts with them.
--- a/crates/ladderroute/src/writer/batch.rs
+++ b/crates/ladderroute/src/writer/batch.rs
@@ -15,7 +15,7 @@
 use wire::users::Job;
 
 /// Least bytes of a value for each place of a binding.
-const PLACE_BYTES: f64 = 64.0;
+const BYTES_PER_PLACE: f64 = 64.0;
 /// Bytes of a KiB.
 const KIB: f64 = 1024.0;
 
@@ -59,17 +59,17 @@
 }
 
 /// What became of a decision that was to join a batch.
-enum Joined {
+enum AddResult {
     /// It is part of the batch.
-    Yes,
+    Added,
     /// It has to wait for a later one, and so has all that is less urgent.
-    Later,
+    Deferred,
     /// There is nothing to write for it now.
-    Nothing,
+    NothingToWrite,
 }
 
 /// A batch while it is put together.
-struct Builder<'a> {
+struct BatchBuilder<'a> {
     /// The leader's pages of small records.
     records: &'a mut RecordPages,
     /// What the store holds.
@@ -84,27 +84,27 @@
 
 /// Takes the next batch out of the decisions that wait.
 pub fn next_batch(
-    waiting: &mut VecDeque<Action>,
+    pending: &mut VecDeque<Action>,
     records: &mut RecordPages,
     replica: &Replica,
     leader: &mut Leader,
     limits: TxnLimits,
 ) -> Batch {
-    let mut actions: Vec<Action> = waiting.drain(..).collect();
+    let mut actions: Vec<Action> = pending.drain(..).collect();
     actions.sort_by_key(Urgency::of);
     let group = actions.first().map_or(Group::Records, Group::of);
-    let mut builder = Builder {
+    let mut builder = BatchBuilder {
         records,
         replica,
         leader,
         limits,
         batch: Batch::default(),
     };
-    waiting.extend(builder.join_all(actions, group));
-    builder.finish(group)
+    pending.extend(builder.add_all(actions, group));
+    builder.build(group)
 }
 
-impl Builder<'_> {
+impl BatchBuilder<'_> {
     /// How many more writes the transaction may hold.
     fn remaining_writes(&self) -> usize {
         let batch = &self.batch;
@@ -114,113 +114,118 @@
 
     /// Joins the decisions of a group, in their order, until one has to wait; gives back those that have
     /// to wait.
-    fn join_all(&mut self, actions: Vec<Action>, group: Group) -> Vec<Action> {
-        let mut waiting = Vec::new();
+    fn add_all(&mut self, actions: Vec<Action>, group: Group) -> Vec<Action> {
+        let mut deferred = Vec::new();
         let mut is_full = false;
         for action in actions {
             let has_token = group == Group::Token && !self.batch.actions.is_empty();
             if is_full || has_token || Group::of(&action) != group {
-                waiting.push(action);
+                deferred.push(action);
                 continue;
             }
-            match self.join(&action) {
-                Joined::Yes => self.batch.actions.push(action),
-                Joined::Nothing => {}
-                Joined::Later => {
+            match self.add(&action) {
+                AddResult::Added => self.batch.actions.push(action),
+                AddResult::NothingToWrite => {}
+                AddResult::Deferred => {
                     is_full = true;
-                    waiting.push(action);
+                    deferred.push(action);
                 }
             }
         }
-        waiting
+        deferred
     }
 
     /// Adds the writes of a decision.
-    fn join(&mut self, action: &Action) -> Joined {
+    fn add(&mut self, action: &Action) -> AddResult {
         match action {
-            Action::IssueToken => Joined::Yes,
+            Action::IssueToken => AddResult::Added,
             Action::Bind {
                 job,
                 attempt,
                 places,
-            } => self.join_binding(job, *attempt, places),
-            Action::FinishJob { job } => self.join_finish(job),
+            } => self.add_binding(job, *attempt, places),
+            Action::FinishJob { job } => self.add_finish(job),
             Action::UpdateRoster(name, None) => {
-                self.records.drop_machine(name);
-                Joined::Nothing
+                self.records.remove_machine(name);
+                AddResult::NothingToWrite
             }
-            _ if self.remaining_writes() == 0 => Joined::Later,
-            Action::UpdateRoster(name, Some(record)) => self.join_machine(name, record),
+            _ if self.remaining_writes() == 0 => AddResult::Deferred,
+            Action::UpdateRoster(name, Some(record)) => self.add_machine(name, record),
             Action::RecordProgress {
                 job,
                 first_task,
                 bits,
-            } => self.join_progress(job, *first_task, bits),
-            Action::RecordStartedArrays(record) => self.join_started_arrays(record),
-            Action::Send(..) | Action::Provision(_) | Action::Deprovision(_) => Joined::Nothing,
+            } => self.add_progress(job, *first_task, bits),
+            Action::RecordStartedArrays(record) => self.add_started_arrays(record),
+            Action::Send(..) | Action::Provision(_) | Action::Deprovision(_) => {
+                AddResult::NothingToWrite
+            }
         }
     }
 
     /// A machine's entry on the roster.
-    fn join_machine(&mut self, name: &str, record: &RosterRecord) -> Joined {
+    fn add_machine(&mut self, name: &str, record: &RosterRecord) -> AddResult {
         let page = self.records.put_machine(name, record);
-        self.join_roster(page)
+        self.add_roster_page(page)
     }
 
     /// A page of the roster, with the pages that it is split into.
-    fn join_roster(&mut self, page: u32) -> Joined {
-        let unit = self.records.roster_unit(page);
-        let (pages, joined) = self.pages_to_add(&self.batch.roster_pages, unit);
+    fn add_roster_page(&mut self, page: u32) -> AddResult {
+        let unit = self.records.roster_write_unit(page);
+        let (pages, added) = self.pages_to_add(&self.batch.roster_pages, unit);
         self.batch.roster_pages.extend(pages);
-        joined
+        added
     }
 
     /// What is done of a chunk of a job's tasks.
-    fn join_progress(&mut self, job: &str, first_task: u32, bits: &str) -> Joined {
+    fn add_progress(&mut self, job: &str, first_task: u32, bits: &str) -> AddResult {
         let page = self.records.put_progress(job, first_task, bits);
-        let unit = self.records.progress_unit(page);
-        let (pages, joined) = self.pages_to_add(&self.batch.progress_pages, unit);
+        let unit = self.records.progress_write_unit(page);
+        let (pages, added) = self.pages_to_add(&self.batch.progress_pages, unit);
         self.batch.progress_pages.extend(pages);
-        joined
+        added
     }
 
     /// Which pages of a unit join the batch: all or none. Only of a unit that fits no transaction, new
     /// pages go first, as copies of entries that the first page still holds.
-    fn pages_to_add(&self, present: &[u32], unit: Vec<u32>) -> (Vec<u32>, Joined) {
+    fn pages_to_add(&self, already_added: &[u32], unit: Vec<u32>) -> (Vec<u32>, AddResult) {
         let missing: Vec<u32> = unit
             .iter()
-            .filter(|page| !present.contains(page))
+            .filter(|page| !already_added.contains(page))
             .copied()
             .collect();
         if missing.len() <= self.remaining_writes() {
-            return (missing, Joined::Yes);
+            return (missing, AddResult::Added);
         }
         if unit.len() <= self.limits.max_writes {
-            return (Vec::new(), Joined::Later);
+            return (Vec::new(), AddResult::Deferred);
         }
         let copies = missing.into_iter().filter(|page| *page != unit[0]);
         (
             copies.take(self.remaining_writes()).collect(),
-            Joined::Later,
+            AddResult::Deferred,
         )
     }
 
     /// The arrays that have started.
-    fn join_started_arrays(&mut self, record: &StartedArraysRecord) -> Joined {
+    fn add_started_arrays(&mut self, record: &StartedArraysRecord) -> AddResult {
         self.put(keys::STARTED_ARRAYS.into(), to_value(record));
-        Joined::Yes
+        AddResult::Added
     }
 
     /// A gang's binding. Long ones take several records, each below the value limit, and one that no
     /// transaction holds is written in parts, by several transactions.
-    fn join_binding(&mut self, job: &str, attempt: u64, places: &[(String, u32, u32)]) -> Joined {
-        let each = ((self.limits.value_kb * KIB / PLACE_BYTES) as usize).max(1);
-        let written = self.records.bound_places(attempt) / each;
-        let records = places.chunks(each).enumerate().skip(written);
-        let left = records.len();
-        let fits = left <= self.remaining_writes();
-        if !fits && (left <= self.limits.max_writes || !self.batch.writes.is_empty()) {
-            return Joined::Later;
+    fn add_binding(&mut self, job: &str, attempt: u64, places: &[(String, u32, u32)]) -> AddResult {
+        let places_per_record = ((self.limits.value_kb * KIB / BYTES_PER_PLACE) as usize).max(1);
+        let written_records = self.records.bound_places(attempt) / places_per_record;
+        let records = places
+            .chunks(places_per_record)
+            .enumerate()
+            .skip(written_records);
+        let remaining_records = records.len();
+        let fits = remaining_records <= self.remaining_writes();
+        if !fits && (remaining_records <= self.limits.max_writes || !self.batch.writes.is_empty()) {
+            return AddResult::Deferred;
         }
         for (chunk, places) in records.take(self.remaining_writes()) {
             let record = BindingRecord {
@@ -230,36 +235,36 @@
             self.put(keys::binding(job, chunk as u32), to_value(&record));
         }
         if fits {
-            return Joined::Yes;
+            return AddResult::Added;
         }
-        let places = (written + self.batch.writes.len()) * each;
+        let places = (written_records + self.batch.writes.len()) * places_per_record;
         self.batch.partial_binding = Some(PartialBinding { attempt, places });
-        Joined::Later
+        AddResult::Deferred
     }
 
     /// The end of a job: what a later leader would need to run it is not needed any more.
-    fn join_finish(&mut self, job: &str) -> Joined {
+    fn add_finish(&mut self, job: &str) -> AddResult {
         let replica = self.replica;
         let entry = replica.jobs.get(job);
         let Some((entry, spec)) = entry.and_then(|entry| Some((entry, entry.job.as_ref()?))) else {
             self.leader.finish_result(job, false);
-            return Joined::Nothing;
+            return AddResult::NothingToWrite;
         };
-        let chunks = self.binding_chunks(job);
+        let chunks = self.stored_binding_chunks(job);
         if 1 + chunks.len() > self.remaining_writes() && !self.batch.writes.is_empty() {
-            return Joined::Later;
+            return AddResult::Deferred;
         }
-        self.put_terminal(job, entry, spec);
+        self.put_terminal_record(job, entry, spec);
         let drops = chunks.into_iter().map(|chunk| Write::Delete {
             key: keys::binding(job, chunk),
         });
-        let most = self.limits.max_writes.saturating_sub(1);
-        self.batch.writes.extend(drops.take(most));
-        Joined::Yes
+        let max_drops = self.limits.max_writes.saturating_sub(1);
+        self.batch.writes.extend(drops.take(max_drops));
+        AddResult::Added
     }
 
     /// The records that the store holds of a job's binding.
-    fn binding_chunks(&self, job: &str) -> Vec<u32> {
+    fn stored_binding_chunks(&self, job: &str) -> Vec<u32> {
         let binding = self.replica.bindings.get(job);
         binding
             .map(|records| records.keys().copied().collect())
@@ -267,7 +272,7 @@
     }
 
     /// Puts a job's terminal record, on the condition that its record has not changed.
-    fn put_terminal(&mut self, job: &str, entry: &JobEntry, spec: &Job) {
+    fn put_terminal_record(&mut self, job: &str, entry: &JobEntry, spec: &Job) {
         let key = keys::job(job);
         self.batch.conditions.push(Condition {
             key: key.clone(),
@@ -282,24 +287,29 @@
     }
 
     /// Adds the pages' writes, old pages as far as there is capacity, and the conditions.
-    fn finish(mut self, group: Group) -> Batch {
+    fn build(mut self, group: Group) -> Batch {
         if group == Group::Records {
-            self.join_dirty_roster();
+            self.add_dirty_roster_pages();
         }
         self.add_page_writes();
         let writes = self.batch.writes.iter();
-        let conditions: Vec<Condition> = writes.filter_map(|write| self.condition(write)).collect();
+        let conditions: Vec<Condition> = writes
+            .filter_map(|write| self.version_condition(write))
+            .collect();
         self.batch.conditions.extend(conditions);
         self.batch
     }
 
     /// Fills what remains of the transaction with pages of the roster that the store lacks.
-    fn join_dirty_roster(&mut self) {
+    fn add_dirty_roster_pages(&mut self) {
         while self.remaining_writes() > 0 {
-            let Some(page) = self.records.next_roster_page(&self.batch.roster_pages) else {
+            let Some(page) = self
+                .records
+                .next_dirty_roster_page(&self.batch.roster_pages)
+            else {
                 return;
             };
-            if matches!(self.join_roster(page), Joined::Later) {
+            if matches!(self.add_roster_page(page), AddResult::Deferred) {
                 return;
             }
         }
@@ -315,7 +325,7 @@
 
     /// A write that comes late, or once more, must not undo a newer one of this same leader. (The
     /// records of jobs have their own conditions; what is dropped with a job is written no more.)
-    fn condition(&self, write: &Write) -> Option<Condition> {
+    fn version_condition(&self, write: &Write) -> Option<Condition> {
         let key = match write {
             Write::Put { key, .. } if KeyKind::of(key) != KeyKind::Job => key,
             Write::Delete { key } if KeyKind::of(key) != KeyKind::Binding => key,
--- a/crates/ladderroute/src/writer/limits.rs
+++ b/crates/ladderroute/src/writer/limits.rs
@@ -1,7 +1,7 @@
 //! What a transaction may hold.
 
 /// Values are made no smaller than this many KiB, whatever the store refuses.
-const LEAST_VALUE_KB: f64 = 0.5;
+const MIN_VALUE_KB: f64 = 0.5;
 /// Bytes of two KiB: as many KiB are half of so many bytes.
 const TWO_KIB: f64 = 2048.0;
 
@@ -27,7 +27,7 @@
         }
         let half_kb = largest_bytes as f64 / TWO_KIB;
         TxnLimits {
-            value_kb: half_kb.clamp(LEAST_VALUE_KB, self.value_kb.max(LEAST_VALUE_KB)),
+            value_kb: half_kb.clamp(MIN_VALUE_KB, self.value_kb.max(MIN_VALUE_KB)),
             ..self
         }
     }
--- a/crates/ladderroute/src/writer/mod.rs
+++ b/crates/ladderroute/src/writer/mod.rs
@@ -26,73 +26,78 @@
 use urgency::Urgency;
 
 /// Users expect the end of a job within this time, in seconds (a figure of the protocol).
-const DONE_TOLD_S: f64 = 3.0;
+const DONE_REPORT_LIMIT_S: f64 = 3.0;
 /// Part of that time for which ends of jobs and progress are collected for one transaction: each
 /// takes one of the store's requests, however much it holds.
-const COLLECT_SHARE: f64 = 1.0 / 12.0;
+const COLLECTION_SHARE: f64 = 1.0 / 12.0;
 /// Longest heartbeat interval by which the pause after a failure is measured, in seconds.
-const PAUSE_INTERVAL_MAX_S: f64 = 1.0;
+const MAX_PAUSE_INTERVAL_S: f64 = 1.0;
 /// Parts of that interval of which the pause takes one.
-const PAUSE_PARTS: f64 = 10.0;
+const PAUSES_PER_INTERVAL: f64 = 10.0;
 
 /// Writes decisions, one transaction after the other.
-pub async fn writer(node: Rc<Controller>) {
-    let mut last = None::<Instant>;
+pub async fn run(controller: Rc<Controller>) {
+    let mut last_write_at = None::<Instant>;
     loop {
-        collect(&node, last).await;
-        let Some((batch, lease)) = next_batch(&node) else {
-            let _ = node.writer_wake.1.recv().await;
+        collect_decisions(&controller, last_write_at).await;
+        let Some((batch, lease)) = next_batch(&controller) else {
+            let _ = controller.writer_wake.1.recv().await;
             continue;
         };
-        last = Some(Instant::now());
-        if let Next::AfterPause = write(&node, batch, &lease).await {
-            smol::Timer::after(pause(&node)).await;
+        last_write_at = Some(Instant::now());
+        if let NextWrite::AfterPause = write(&controller, batch, &lease).await {
+            smol::Timer::after(failure_pause(&controller)).await;
         }
     }
 }
 
 /// When the next transaction may follow.
-enum Next {
+enum NextWrite {
     /// At once.
-    AtOnce,
+    Immediate,
     /// After a pause, since the last one was refused or overtaken.
     AfterPause,
 }
 
-fn pause(node: &Controller) -> Duration {
-    Duration::from_secs_f64(node.config.heartbeat_s.min(PAUSE_INTERVAL_MAX_S) / PAUSE_PARTS)
+fn failure_pause(controller: &Controller) -> Duration {
+    Duration::from_secs_f64(
+        controller.config.heartbeat_s.min(MAX_PAUSE_INTERVAL_S) / PAUSES_PER_INTERVAL,
+    )
 }
 
 /// Waits while decisions may be collected for one transaction.
-async fn collect(node: &Controller, last: Option<Instant>) {
-    while let Some(remaining) = collect_time(node, last) {
-        let _ = with_timeout(remaining, node.writer_wake.1.recv()).await;
+async fn collect_decisions(controller: &Controller, last_write_at: Option<Instant>) {
+    while let Some(remaining) = remaining_collection_time(controller, last_write_at) {
+        let _ = with_timeout(remaining, controller.writer_wake.1.recv()).await;
     }
 }
 
 /// For how long decisions may still be collected.
-fn collect_time(node: &Controller, last: Option<Instant>) -> Option<Duration> {
-    let most = Duration::from_secs_f64(DONE_TOLD_S * COLLECT_SHARE);
-    let since = last.map_or(most, |at| at.elapsed());
-    let may_wait = since < most && !starts_wait(node);
-    may_wait.then(|| most - since)
+fn remaining_collection_time(
+    controller: &Controller,
+    last_write_at: Option<Instant>,
+) -> Option<Duration> {
+    let max_wait = Duration::from_secs_f64(DONE_REPORT_LIMIT_S * COLLECTION_SHARE);
+    let elapsed = last_write_at.map_or(max_wait, |at| at.elapsed());
+    let may_collect = elapsed < max_wait && !has_urgent_write(controller);
+    may_collect.then(|| max_wait - elapsed)
 }
 
 /// Whether a decision waits that has to be durable before something starts.
-fn starts_wait(node: &Controller) -> bool {
-    let state = node.lock();
+fn has_urgent_write(controller: &Controller) -> bool {
+    let state = controller.lock();
     let Some(leadership) = &state.shared.leadership else {
         return true;
     };
     leadership
         .pending_writes
         .iter()
-        .any(|action| Urgency::of(action).holds_up_starts())
+        .any(|action| Urgency::of(action).blocks_starts())
 }
 
 /// What is to be written next, and under which leadership lease.
-fn next_batch(node: &Controller) -> Option<(Batch, LeadershipLease)> {
-    let mut guard = node.lock();
+fn next_batch(controller: &Controller) -> Option<(Batch, LeadershipLease)> {
+    let mut guard = controller.lock();
     let shared = &mut guard.shared;
     let leadership = shared.leadership.as_mut()?;
     let batch = batch::next_batch(
@@ -106,22 +111,22 @@
 }
 
 /// Writes a batch and applies its outcome.
-async fn write(node: &Rc<Controller>, batch: Batch, lease: &LeadershipLease) -> Next {
-    let result = outcome::write(node, &batch, lease).await;
+async fn write(controller: &Rc<Controller>, batch: Batch, lease: &LeadershipLease) -> NextWrite {
+    let result = outcome::write(controller, &batch, lease).await;
     let is_refused = matches!(
         result,
         Err(StoreError::BudgetExhausted(_) | StoreError::Refused(_) | StoreError::NotSent(_))
     );
     let is_overtaken = result.as_ref().is_ok_and(Outcome::is_overtaken);
-    outcome::apply(node, batch, result).await;
+    outcome::apply(controller, batch, result).await;
     if is_overtaken {
         // An earlier write of unknown outcome was carried out after all: see what it left.
         log::info!("event=write_overtaken");
-        crate::freshness::read_once(node).await;
+        crate::freshness::read_once(controller).await;
     }
     if is_refused || is_overtaken {
-        Next::AfterPause
+        NextWrite::AfterPause
     } else {
-        Next::AtOnce
+        NextWrite::Immediate
     }
 }
--- a/crates/ladderroute/src/writer/outcome.rs
+++ b/crates/ladderroute/src/writer/outcome.rs
@@ -13,7 +13,7 @@
 use wire::store::{value_bytes, LeaderRecord, Txn, Write};
 
 /// The status by which the store calls a transaction malformed.
-const MALFORMED: u16 = 400;
+const MALFORMED_STATUS: u16 = 400;
 
 /// What the store decided.
 pub enum Outcome {
@@ -29,26 +29,27 @@
         version: u64,
     },
     /// This controller does not lead any more.
-    Lost,
+    LeadershipLost,
 }
 
 impl Outcome {
     /// Whether an earlier write of this leader was carried out late, so that the store does not
     /// hold what this leader takes it to hold.
     pub fn is_overtaken(&self) -> bool {
-        let other = |key: &String| !matches!(KeyKind::of(key), KeyKind::Job | KeyKind::Leader);
-        matches!(self, Outcome::Conflict(failed) if failed.iter().any(other))
+        let is_overtaken =
+            |key: &String| !matches!(KeyKind::of(key), KeyKind::Job | KeyKind::Leader);
+        matches!(self, Outcome::Conflict(failed) if failed.iter().any(is_overtaken))
     }
 }
 
 /// Writes a batch on the condition that this is still the leader.
 pub async fn write(
-    node: &Rc<Controller>,
+    controller: &Rc<Controller>,
     batch: &Batch,
     lease: &LeadershipLease,
 ) -> Result<Outcome, StoreError> {
     if batch.issues_token() {
-        return take_token(node, lease).await;
+        return issue_token(controller, lease).await;
     }
     log::debug!(
         "event=write decisions={} writes={} roster_pages={} progress_pages={}",
@@ -58,51 +59,60 @@
         batch.progress_pages.len()
     );
     let txn = transaction(batch, lease);
-    match node.store.txn(&txn, RequestPriority::Decision).await? {
+    match controller
+        .store
+        .txn(&txn, RequestPriority::Decision)
+        .await?
+    {
         TxnOutcome::Applied(revision) => Ok(Outcome::Written(revision)),
         TxnOutcome::Conflict(failed)
             if failed.iter().any(|key| KeyKind::of(key) == KeyKind::Leader) =>
         {
-            Ok(Outcome::Lost)
+            Ok(Outcome::LeadershipLost)
         }
         TxnOutcome::Conflict(failed) => Ok(Outcome::Conflict(failed)),
     }
 }
 
 /// Takes a new fencing token.
-async fn take_token(node: &Rc<Controller>, lease: &LeadershipLease) -> Result<Outcome, StoreError> {
-    let token = advance_token(&node.store, &node.settings.member, lease).await?;
+async fn issue_token(
+    controller: &Rc<Controller>,
+    lease: &LeadershipLease,
+) -> Result<Outcome, StoreError> {
+    let token = advance_token(&controller.store, &controller.settings.member, lease).await?;
     Ok(match token {
         Some(NextToken { token, version }) => Outcome::Token { token, version },
-        None => Outcome::Lost,
+        None => Outcome::LeadershipLost,
     })
 }
 
 /// A batch as a transaction, on the condition that this is still the leader.
 fn transaction(batch: &Batch, lease: &LeadershipLease) -> Txn {
-    let leads = std::iter::once(leader_unchanged(lease.version));
+    let still_leader = std::iter::once(leader_unchanged(lease.version));
     Txn {
-        conditions: leads.chain(batch.conditions.iter().cloned()).collect(),
+        conditions: still_leader
+            .chain(batch.conditions.iter().cloned())
+            .collect(),
         writes: batch.writes.clone(),
     }
 }
 
 /// Tells the leader what became of its decisions.
-pub async fn apply(node: &Rc<Controller>, batch: Batch, result: Result<Outcome, StoreError>) {
+pub async fn apply(controller: &Rc<Controller>, batch: Batch, result: Result<Outcome, StoreError>) {
     if let Err(error) = &result {
         log::debug!("event=write_failed error=\"{error}\"");
     }
-    if matches!(result, Ok(Outcome::Lost)) {
-        give_up_leadership(node).await;
+    if matches!(result, Ok(Outcome::LeadershipLost)) {
+        release_leadership(controller).await;
         return;
     }
-    let mut guard = node.lock();
-    apply_decided(node, &mut guard, batch, &result);
+    let mut guard = controller.lock();
+    apply_as_leader(controller, &mut guard, batch, &result);
 }
 
 /// The same, where this controller still leads as far as it knows.
-fn apply_decided(
-    node: &Rc<Controller>,
+fn apply_as_leader(
+    controller: &Rc<Controller>,
     state: &mut State,
     batch: Batch,
     result: &Result<Outcome, StoreError>,
@@ -111,27 +121,27 @@
     let Some(leadership) = &mut shared.leadership else {
         return;
     };
-    record(node, &mut shared.view, leadership, &batch, result);
+    record_result(controller, &mut shared.view, leadership, &batch, result);
     let finished: Vec<String> = batch.actions.iter().filter_map(finished_job).collect();
     for action in batch.actions {
-        apply_one(node, leadership, action, result);
+        apply_action(controller, leadership, action, result);
     }
-    if leadership.records.dirty() {
-        let _ = node.writer_wake.0.try_send(());
+    if leadership.records.has_dirty_pages() {
+        let _ = controller.writer_wake.0.try_send(());
     }
     if let Ok(Outcome::Written(revision)) = result {
         // What waited for these jobs may start now, without waiting for the watch.
         for id in finished {
             let changes = shared.view.mark_job_done(&id, *revision);
-            node.notify_leader_of_changes(shared, changes);
+            controller.notify_leader_of_changes(shared, changes);
         }
     }
-    node.exchange_messages(state);
+    controller.exchange_messages(state);
 }
 
 /// Notes what the store holds now, and what it takes.
-fn record(
-    node: &Controller,
+fn record_result(
+    controller: &Controller,
     view: &mut ClusterView,
     leadership: &mut Leadership,
     batch: &Batch,
@@ -142,10 +152,10 @@
         Ok(Outcome::Token { token, version }) => {
             leadership.lease.token = token;
             leadership.lease.version = version;
-            let member = node.settings.member.clone();
+            let member = controller.settings.member.clone();
             view.set_leader(LeaderRecord { member, token }, version);
         }
-        Err(StoreError::Refused(MALFORMED)) => lower_limits(leadership, batch),
+        Err(StoreError::Refused(MALFORMED_STATUS)) => lower_limits(leadership, batch),
         _ => {}
     }
 }
@@ -190,22 +200,22 @@
 }
 
 /// Ends the lease, so that the renewal finds it gone and the next leader can come.
-async fn give_up_leadership(node: &Rc<Controller>) {
+async fn release_leadership(controller: &Rc<Controller>) {
     log::info!("event=leadership_lost");
-    let lease = node
+    let lease = controller
         .lock()
         .shared
         .leadership
         .as_ref()
-        .map(|l| l.lease.lease_id);
+        .map(|leadership| leadership.lease.lease_id);
     if let Some(lease) = lease {
-        let _ = node.store.revoke(lease).await;
+        let _ = controller.store.revoke(lease).await;
     }
 }
 
 /// Tells the leader what became of one decision.
-fn apply_one(
-    node: &Controller,
+fn apply_action(
+    controller: &Controller,
     leadership: &mut Leadership,
     action: Action,
     result: &Result<Outcome, StoreError>,
@@ -217,15 +227,15 @@
                 Ok(Outcome::Token { token, .. }) => Some(*token),
                 _ => None,
             };
-            leadership.leader.token_result(token, node.now());
+            leadership.leader.token_result(token, controller.now());
         }
         Action::Bind { job, attempt, .. } => {
             leadership.records.set_bound_places(attempt, None);
             leadership
                 .leader
-                .bind_result(&job, attempt, written, node.now());
+                .bind_result(&job, attempt, written, controller.now());
         }
-        Action::FinishJob { job } => apply_finish(node, leadership, job, result),
+        Action::FinishJob { job } => apply_finish(controller, leadership, job, result),
         Action::RecordStartedArrays(record) => {
             leadership.leader.start_record_result(&record, written)
         }
@@ -252,7 +262,7 @@
 /// Of several ends of jobs, only those whose own condition failed have changed meanwhile: the
 /// others are written again.
 fn apply_finish(
-    node: &Controller,
+    controller: &Controller,
     leadership: &mut Leadership,
     job: String,
     result: &Result<Outcome, StoreError>,
@@ -266,12 +276,12 @@
             leadership.leader.finish_result(&job, false);
         }
         // Not at once again: the leader comes back to it, and what else waits is written meanwhile.
-        Err(StoreError::Refused(MALFORMED)) => leadership.leader.finish_result(&job, false),
+        Err(StoreError::Refused(MALFORMED_STATUS)) => leadership.leader.finish_result(&job, false),
         _ => {
             leadership
                 .pending_writes
                 .push_back(Action::FinishJob { job });
-            let _ = node.writer_wake.0.try_send(());
+            let _ = controller.writer_wake.0.try_send(());
         }
     }
 }
--- a/crates/ladderroute/src/writer/pages.rs
+++ b/crates/ladderroute/src/writer/pages.rs
@@ -13,12 +13,12 @@
 use wire::users::MAX_TASKS;
 
 /// Part of a value that the entries of a page may fill, by their own sizes.
-const PAGE_FILL: f64 = 0.9;
+const PAGE_FILL_FRACTION: f64 = 0.9;
 /// What an entry of a page takes beside its texts, at most.
-const ENTRY_BYTES: usize = 48;
+const ENTRY_OVERHEAD_BYTES: usize = 48;
 
 /// Bits of a bitmap for each of its hexadecimal digits.
-const BITS_PER_DIGIT: usize = 4;
+const BITS_PER_HEX_DIGIT: usize = 4;
 /// Bytes of a KiB.
 const KIB: f64 = 1024.0;
 
@@ -46,41 +46,41 @@
     progress: Pages<Chunk, String>,
     /// How many places of bindings that take more than one transaction are in the store already, by
     /// attempt.
-    bound: BTreeMap<u64, usize>,
+    bound_places: BTreeMap<u64, usize>,
 }
 
 /// Most bytes of a page's entries.
-fn page_limit(value_kb: f64) -> usize {
-    (value_kb * KIB * PAGE_FILL) as usize
+fn max_page_bytes(value_kb: f64) -> usize {
+    (value_kb * KIB * PAGE_FILL_FRACTION) as usize
 }
 
-fn roster_size(name: &str, record: &RosterRecord) -> usize {
-    name.len() + record.kind.len() + record.zone.len() + ENTRY_BYTES
+fn roster_entry_bytes(name: &str, record: &RosterRecord) -> usize {
+    name.len() + record.kind.len() + record.zone.len() + ENTRY_OVERHEAD_BYTES
 }
 
 /// Whether a job is not known to be over.
-fn is_open(replica: &Replica, id: &str) -> bool {
+fn may_be_open(replica: &Replica, id: &str) -> bool {
     let entry = replica.jobs.get(id);
     entry.is_none_or(|entry| entry.state == Recorded::Open)
 }
 
 /// Whether a bitmap is laid out in chunks of this many bits.
-fn is_laid_out(first_task: u32, bits: &str, chunk_bits: u32) -> bool {
-    first_task.is_multiple_of(chunk_bits) && bits.len() * BITS_PER_DIGIT <= chunk_bits as usize
+fn matches_layout(first_task: u32, bits: &str, chunk_bits: u32) -> bool {
+    first_task.is_multiple_of(chunk_bits) && bits.len() * BITS_PER_HEX_DIGIT <= chunk_bits as usize
 }
 
-fn progress_size(job: &str, bits: &str) -> usize {
-    job.len() + bits.len() + ENTRY_BYTES
+fn progress_entry_bytes(job: &str, bits: &str) -> usize {
+    job.len() + bits.len() + ENTRY_OVERHEAD_BYTES
 }
 
 impl RecordPages {
     /// The pages as the store holds them, less the progress of jobs that are over.
     pub fn load(replica: &Replica, value_kb: f64) -> RecordPages {
-        let limit = page_limit(value_kb);
+        let limit = max_page_bytes(value_kb);
         let mut records = RecordPages {
             roster: Pages::new(limit),
             progress: Pages::new(limit),
-            bound: BTreeMap::new(),
+            bound_places: BTreeMap::new(),
         };
         records.load_roster(replica);
         records.load_progress(replica, chunk_bits(value_kb));
@@ -91,7 +91,7 @@
         for (n, page) in replica.roster.pages() {
             for (record, names) in &page.groups {
                 for name in names {
-                    let size = roster_size(name, record);
+                    let size = roster_entry_bytes(name, record);
                     self.roster.load(*n, name.clone(), size, record.clone());
                 }
             }
@@ -101,19 +101,19 @@
     /// Takes the progress of open jobs. What another controller laid out with other limits is taken out of
     /// its page and put anew, in chunks of this one's size.
     fn load_progress(&mut self, replica: &Replica, chunk_bits: u32) {
-        let mut foreign: BTreeMap<String, RangeSet> = BTreeMap::new();
+        let mut to_repack: BTreeMap<String, RangeSet> = BTreeMap::new();
         for (n, page) in replica.progress.pages() {
             for section in replica.progress.sections(page) {
                 let (job, first_task, bits) = (section.job, section.first_task, section.bits);
                 let chunk = Chunk::new(job, first_task);
-                let size = progress_size(job, bits);
+                let size = progress_entry_bytes(job, bits);
                 self.progress
                     .load(*n, chunk.clone(), size, bits.to_string());
-                if !is_open(replica, job) {
+                if !may_be_open(replica, job) {
                     self.progress.remove(&chunk, Removal::Deferred);
-                } else if !is_laid_out(first_task, bits, chunk_bits) {
+                } else if !matches_layout(first_task, bits, chunk_bits) {
                     self.progress.remove(&chunk, Removal::Deferred);
-                    let done = foreign.entry(job.to_string()).or_default();
+                    let done = to_repack.entry(job.to_string()).or_default();
                     done.insert_bitmap(
                         first_task,
                         &store::replica::decode_hex_bitmap(bits),
@@ -122,13 +122,13 @@
                 }
             }
         }
-        for (job, done) in foreign {
-            self.put_foreign(&job, &done, chunk_bits);
+        for (job, done) in to_repack {
+            self.repack_progress(&job, &done, chunk_bits);
         }
     }
 
     /// Puts progress that another controller laid out in chunks of this one's size.
-    fn put_foreign(&mut self, job: &str, done: &RangeSet, chunk_bits: u32) {
+    fn repack_progress(&mut self, job: &str, done: &RangeSet, chunk_bits: u32) {
         let chunks: BTreeSet<u32> = done.iter().map(|task| task / chunk_bits).collect();
         for chunk in chunks {
             let first_task = chunk * chunk_bits;
@@ -157,59 +157,62 @@
 
     /// Puts a machine on the roster; says on which page.
     pub fn put_machine(&mut self, name: &str, record: &RosterRecord) -> u32 {
-        self.roster
-            .put(name.into(), roster_size(name, record), record.clone())
+        self.roster.put(
+            name.into(),
+            roster_entry_bytes(name, record),
+            record.clone(),
+        )
     }
 
     /// Takes a machine off the roster. The page stays marked until it is written.
-    pub fn drop_machine(&mut self, name: &str) {
+    pub fn remove_machine(&mut self, name: &str) {
         self.roster.remove(&name.to_string(), Removal::Urgent);
     }
 
     /// Puts what is done of a chunk of a job's tasks; says on which page.
     pub fn put_progress(&mut self, job: &str, first_task: u32, bits: &str) -> u32 {
-        let size = progress_size(job, bits);
+        let size = progress_entry_bytes(job, bits);
         let chunk = Chunk::new(job, first_task);
         self.progress.put(chunk, size, bits.into())
     }
 
     /// All pages of the roster that have to be written with this one, in their order.
-    pub fn roster_unit(&mut self, page: u32) -> Vec<u32> {
-        let mut unit = self.roster.write_unit(page);
-        unit.retain(|page| self.roster.is_dirty(*page));
-        unit
+    pub fn roster_write_unit(&mut self, page: u32) -> Vec<u32> {
+        let mut pages = self.roster.write_unit(page);
+        pages.retain(|page| self.roster.is_dirty(*page));
+        pages
     }
 
     /// All pages of progress that have to be written with this one, in their order.
-    pub fn progress_unit(&mut self, page: u32) -> Vec<u32> {
-        let mut unit = self.progress.write_unit(page);
-        unit.retain(|page| self.progress.is_dirty(*page));
-        unit
+    pub fn progress_write_unit(&mut self, page: u32) -> Vec<u32> {
+        let mut pages = self.progress.write_unit(page);
+        pages.retain(|page| self.progress.is_dirty(*page));
+        pages
     }
 
     /// How many places of an attempt's binding are in the store.
     pub fn bound_places(&self, attempt: u64) -> usize {
-        self.bound.get(&attempt).copied().unwrap_or(0)
+        self.bound_places.get(&attempt).copied().unwrap_or(0)
     }
 
     /// So many places of an attempt's binding are in the store; none once it is over.
     pub fn set_bound_places(&mut self, attempt: u64, places: Option<usize>) {
         match places {
-            Some(places) => self.bound.insert(attempt, places),
-            None => self.bound.remove(&attempt),
+            Some(places) => self.bound_places.insert(attempt, places),
+            None => self.bound_places.remove(&attempt),
         };
     }
 
     /// The store refuses values of the size that it was said to take: pages become smaller.
     pub fn lower_value_limit(&mut self, value_kb: f64) {
-        let limit = page_limit(value_kb);
+        let limit = max_page_bytes(value_kb);
         self.roster.set_limit(limit);
         self.progress.set_limit(limit);
     }
 
     /// A page of the roster that the store does not hold as it is here, beside these.
-    pub fn next_roster_page(&self, beside: &[u32]) -> Option<u32> {
-        self.roster.next_dirty_except(beside)
+    pub fn next_dirty_roster_page(&self, excluded: &[u32]) -> Option<u32> {
+        self.roster.next_dirty_except(excluded)
     }
 
     /// These pages are in the store as they were last put into a transaction.
@@ -257,7 +260,7 @@
     }
 
     /// Whether the store lacks something of these pages.
-    pub fn dirty(&self) -> bool {
+    pub fn has_dirty_pages(&self) -> bool {
         self.roster.next_dirty().is_some() || self.progress.next_dirty().is_some()
     }
 }
--- a/crates/ladderroute/src/writer/urgency.rs
+++ b/crates/ladderroute/src/writer/urgency.rs
@@ -30,7 +30,7 @@
     }
 
     /// Whether something can start only once the decision is durable.
-    pub fn holds_up_starts(self) -> bool {
+    pub fn blocks_starts(self) -> bool {
         self < Urgency::Finish
     }
 }
