--- a/crates/ladderroute/src/writer/batch.rs
+++ b/crates/ladderroute/src/writer/batch.rs
@@ -1,4 +1,5 @@
-//! What goes into the leader's next transaction: as much as one holds, the most urgent first.
+//! Selection of the decisions for the leader's next transaction: the most urgent first, as many as
+//! fit.
 
 use super::limits::TxnLimits;
 use super::pages::RecordPages;
@@ -14,75 +15,76 @@
 };
 use wire::users::Job;
 
-/// Least bytes of a value for each place of a binding.
+/// Bytes reserved in a value for each place of a binding.
 const BYTES_PER_PLACE: f64 = 64.0;
-/// Bytes of a KiB.
+/// Bytes in a KiB.
 const KIB: f64 = 1024.0;
 
-/// Decisions that are written together.
+/// Decisions that are written in one transaction.
 #[derive(Default)]
 pub struct Batch {
-    /// The decisions themselves.
+    /// Decisions that are durable once the transaction is applied.
     pub actions: Vec<Action>,
-    /// Conditions beside that on the leadership.
+    /// Conditions of the transaction, in addition to the one on leadership.
     pub conditions: Vec<Condition>,
-    /// What is written.
+    /// Writes of the transaction.
     pub writes: Vec<Write>,
-    /// Pages of the roster among the writes.
+    /// Roster pages that are among the writes.
     pub roster_pages: Vec<u32>,
-    /// Pages of progress among the writes.
+    /// Progress pages that are among the writes.
     pub progress_pages: Vec<u32>,
-    /// The part of a long binding that is among the writes.
+    /// Part of a binding that does not fit in one transaction, if the writes contain one.
     pub partial_binding: Option<PartialBinding>,
 }
 
-/// A binding of which this transaction and the ones before it hold a part. The gang starts once all of
-/// it is written; until then the records name machines on which nothing was started.
+/// Part of a binding that takes several transactions. The gang starts when all parts are written;
+/// until then, nothing has been started on the machines in the records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PartialBinding {
-    /// The attempt that is bound.
+    /// Attempt of the gang that is bound.
     pub attempt: u64,
-    /// How many of its places are written with this transaction.
+    /// Number of its places in the store after this transaction.
     pub places: usize,
 }
 
 impl Batch {
-    /// Whether there is nothing to write.
+    /// Returns whether there is nothing to write.
     pub fn is_empty(&self) -> bool {
         self.actions.is_empty() && self.writes.is_empty()
     }
 
-    /// Whether it is the new token, which is not written like the rest.
+    /// Returns whether the batch issues a new fencing token, which is not written like other
+    /// decisions.
     pub fn issues_token(&self) -> bool {
         matches!(self.actions.first(), Some(Action::IssueToken))
     }
 }
 
-/// What became of a decision that was to join a batch.
+/// Result of adding a decision to a batch.
 enum AddResult {
-    /// It is part of the batch.
+    /// The decision is part of the batch.
     Added,
-    /// It has to wait for a later one, and so has all that is less urgent.
+    /// The decision has to wait for a later batch, and so have all less urgent ones.
     Deferred,
-    /// There is nothing to write for it now.
+    /// The decision needs no write of its own now.
     NothingToWrite,
 }
 
-/// A batch while it is put together.
+/// Assembles a batch.
 struct BatchBuilder<'a> {
-    /// The leader's pages of small records.
+    /// Pages of small records of this leader.
     records: &'a mut RecordPages,
-    /// What the store holds.
+    /// Replica of the contents of the store.
     replica: &'a Replica,
-    /// The leader, which is told at once of ends of jobs that need no write.
+    /// Leader, which is notified immediately when the end of a job needs no write.
     leader: &'a mut Leader,
-    /// What the transaction may hold.
+    /// Limits of the transaction.
     limits: TxnLimits,
-    /// What has joined so far.
+    /// Batch as assembled so far.
     batch: Batch,
 }
 
-/// Takes the next batch out of the decisions that wait.
+/// Removes the decisions of the next batch from the pending ones and returns the batch.
 pub fn next_batch(
     pending: &mut VecDeque<Action>,
     records: &mut RecordPages,
@@ -105,15 +107,15 @@
 }
 
 impl BatchBuilder<'_> {
-    /// How many more writes the transaction may hold.
+    /// Returns how many more writes fit in the transaction.
     fn remaining_writes(&self) -> usize {
         let batch = &self.batch;
         let used = batch.writes.len() + batch.roster_pages.len() + batch.progress_pages.len();
         self.limits.max_writes.saturating_sub(used)
     }
 
-    /// Joins the decisions of a group, in their order, until one has to wait; gives back those that have
-    /// to wait.
+    /// Adds the decisions of a group in order, until one has to wait, and returns those that have to
+    /// wait.
     fn add_all(&mut self, actions: Vec<Action>, group: Group) -> Vec<Action> {
         let mut deferred = Vec::new();
         let mut is_full = false;
@@ -135,7 +137,7 @@
         deferred
     }
 
-    /// Adds the writes of a decision.
+    /// Adds the writes of one decision.
     fn add(&mut self, action: &Action) -> AddResult {
         match action {
             Action::IssueToken => AddResult::Added,
@@ -163,13 +165,13 @@
         }
     }
 
-    /// A machine's entry on the roster.
+    /// Adds the roster entry of a machine.
     fn add_machine(&mut self, name: &str, record: &RosterRecord) -> AddResult {
         let page = self.records.put_machine(name, record);
         self.add_roster_page(page)
     }
 
-    /// A page of the roster, with the pages that it is split into.
+    /// Adds a roster page, with the pages into which it is split.
     fn add_roster_page(&mut self, page: u32) -> AddResult {
         let unit = self.records.roster_write_unit(page);
         let (pages, added) = self.pages_to_add(&self.batch.roster_pages, unit);
@@ -177,7 +179,7 @@
         added
     }
 
-    /// What is done of a chunk of a job's tasks.
+    /// Adds the progress of one chunk of a job's tasks.
     fn add_progress(&mut self, job: &str, first_task: u32, bits: &str) -> AddResult {
         let page = self.records.put_progress(job, first_task, bits);
         let unit = self.records.progress_write_unit(page);
@@ -186,8 +188,9 @@
         added
     }
 
-    /// Which pages of a unit join the batch: all or none. Only of a unit that fits no transaction, new
-    /// pages go first, as copies of entries that the first page still holds.
+    /// Returns the pages of a write unit that have to be added to the batch: all that are missing, or
+    /// none if they do not fit. Only if the unit is too large for any transaction are its new pages
+    /// written first, as many as fit: they are copies of entries that the first page still holds.
     fn pages_to_add(&self, already_added: &[u32], unit: Vec<u32>) -> (Vec<u32>, AddResult) {
         let missing: Vec<u32> = unit
             .iter()
@@ -207,14 +210,14 @@
         )
     }
 
-    /// The arrays that have started.
+    /// Adds the record of the arrays that have started.
     fn add_started_arrays(&mut self, record: &StartedArraysRecord) -> AddResult {
         self.put(keys::STARTED_ARRAYS.into(), to_value(record));
         AddResult::Added
     }
 
-    /// A gang's binding. Long ones take several records, each below the value limit, and one that no
-    /// transaction holds is written in parts, by several transactions.
+    /// Adds the binding of a gang. A long binding takes several records, each below the value limit.
+    /// One that is too large for any transaction is written in parts, by several transactions.
     fn add_binding(&mut self, job: &str, attempt: u64, places: &[(String, u32, u32)]) -> AddResult {
         let places_per_record = ((self.limits.value_kb * KIB / BYTES_PER_PLACE) as usize).max(1);
         let written_records = self.records.bound_places(attempt) / places_per_record;
@@ -242,7 +245,8 @@
         AddResult::Deferred
     }
 
-    /// The end of a job: what a later leader would need to run it is not needed any more.
+    /// Adds the end of a job, and deletes its binding, which only a later leader that had to run the
+    /// job would need.
     fn add_finish(&mut self, job: &str) -> AddResult {
         let replica = self.replica;
         let entry = replica.jobs.get(job);
@@ -263,7 +267,7 @@
         AddResult::Added
     }
 
-    /// The records that the store holds of a job's binding.
+    /// Returns the numbers of a job's binding records in the store.
     fn stored_binding_chunks(&self, job: &str) -> Vec<u32> {
         let binding = self.replica.bindings.get(job);
         binding
@@ -271,7 +275,7 @@
             .unwrap_or_default()
     }
 
-    /// Puts a job's terminal record, on the condition that its record has not changed.
+    /// Adds the terminal record of a job, on the condition that its stored record is unchanged.
     fn put_terminal_record(&mut self, job: &str, entry: &JobEntry, spec: &Job) {
         let key = keys::job(job);
         self.batch.conditions.push(Condition {
@@ -286,7 +290,8 @@
         self.batch.writes.push(put(key, value));
     }
 
-    /// Adds the pages' writes, old pages as far as there is capacity, and the conditions.
+    /// Adds other dirty roster pages while there is capacity, the writes of all pages, and the
+    /// version conditions, and returns the batch.
     fn build(mut self, group: Group) -> Batch {
         if group == Group::Records {
             self.add_dirty_roster_pages();
@@ -300,7 +305,7 @@
         self.batch
     }
 
-    /// Fills what remains of the transaction with pages of the roster that the store lacks.
+    /// Fills the rest of the transaction with dirty roster pages.
     fn add_dirty_roster_pages(&mut self) {
         while self.remaining_writes() > 0 {
             let Some(page) = self
@@ -323,8 +328,9 @@
         self.batch.writes.extend(roster.chain(progress));
     }
 
-    /// A write that comes late, or once more, must not undo a newer one of this same leader. (The
-    /// records of jobs have their own conditions; what is dropped with a job is written no more.)
+    /// Returns the condition that the written key is unchanged, so that a delayed or repeated write
+    /// cannot undo a newer write of the same leader. Job records have their own conditions, and
+    /// binding records deleted with their job are never written again.
     fn version_condition(&self, write: &Write) -> Option<Condition> {
         let key = match write {
             Write::Put { key, .. } if KeyKind::of(key) != KeyKind::Job => key,
--- a/crates/ladderroute/src/writer/limits.rs
+++ b/crates/ladderroute/src/writer/limits.rs
@@ -1,23 +1,24 @@
-//! What a transaction may hold.
+//! Limits of a transaction, and how they are lowered after a refusal.
 
-/// Values are made no smaller than this many KiB, whatever the store refuses.
+/// Lower bound of the value limit in KiB, regardless of what the store refuses.
 const MIN_VALUE_KB: f64 = 0.5;
-/// Bytes of two KiB: as many KiB are half of so many bytes.
+/// Bytes in two KiB. A size in bytes divided by this is half of that size, in KiB.
 const TWO_KIB: f64 = 2048.0;
 
-/// The limits of one transaction.
+/// Limits of one transaction.
 #[derive(Clone, Copy, Debug)]
 pub struct TxnLimits {
-    /// Most writes.
+    /// Maximum number of writes.
     pub max_writes: usize,
-    /// Most KiB of a value.
+    /// Maximum size of a value in KiB.
     pub value_kb: f64,
 }
 
 impl TxnLimits {
-    /// The limits to keep to once the store has called a transaction malformed that held so many writes,
-    /// the largest value of so many bytes: first fewer writes, so that what is too large stands alone and
-    /// the rest is written, then smaller values.
+    /// Returns the limits to use after the store has refused a transaction as malformed, given its
+    /// number of writes and the size of its largest value. The number of writes is halved first, so
+    /// that a value that is too large ends up alone and the rest is written. Once it is alone, the
+    /// value limit becomes half of its size.
     pub fn lowered(self, writes: usize, largest_bytes: usize) -> TxnLimits {
         if writes > 1 {
             return TxnLimits {
--- a/crates/ladderroute/src/writer/mod.rs
+++ b/crates/ladderroute/src/writer/mod.rs
@@ -1,12 +1,13 @@
-//! The writer of the leader's decisions: packs them into few transactions, the most urgent
-//! first, each on the condition that this is still the leader.
+//! Writer of the leader's decisions: packs them into few transactions, the most urgent first, each
+//! on the condition that this controller is still the leader.
 //!
-//! - [`batch`]: what goes into the next transaction, each kind of decision by its own `join_*`.
+//! - [`batch`]: selects what goes into the next transaction, with one `add_*` method for each kind
+//!   of decision.
 //! - [`urgency`]: how soon a decision has to be durable.
-//! - `limits`: what a transaction may hold.
-//! - `pages`: records that share keys, the roster and the progress of jobs.
-//! - `writes`: the single writes of a transaction.
-//! - `outcome`: what the store decided, and what the leader makes of it.
+//! - [`limits`]: limits of a transaction.
+//! - [`pages`]: small records that share keys: the roster and the progress of jobs.
+//! - `writes`: single writes of a transaction.
+//! - `outcome`: executes a transaction and reports its outcome to the leader.
 
 pub mod batch;
 pub mod limits;
@@ -25,17 +26,18 @@
 use store::leadership::LeadershipLease;
 use urgency::Urgency;
 
-/// Users expect the end of a job within this time, in seconds (a figure of the protocol).
+/// Time within which users expect to learn that a job has ended, in seconds; set by the protocol.
 const DONE_REPORT_LIMIT_S: f64 = 3.0;
-/// Part of that time for which ends of jobs and progress are collected for one transaction: each
-/// takes one of the store's requests, however much it holds.
+/// Fraction of that time for which ends of jobs and progress are collected for one transaction,
+/// since each transaction costs one store request regardless of its size.
 const COLLECTION_SHARE: f64 = 1.0 / 12.0;
-/// Longest heartbeat interval by which the pause after a failure is measured, in seconds.
+/// Upper bound of the heartbeat interval from which the pause after a failure is derived, in
+/// seconds.
 const MAX_PAUSE_INTERVAL_S: f64 = 1.0;
-/// Parts of that interval of which the pause takes one.
+/// Number of pauses that make up that interval.
 const PAUSES_PER_INTERVAL: f64 = 10.0;
 
-/// Writes decisions, one transaction after the other.
+/// Writes decisions, one transaction after another, without end.
 pub async fn run(controller: Rc<Controller>) {
     let mut last_write_at = None::<Instant>;
     loop {
@@ -51,11 +53,11 @@
     }
 }
 
-/// When the next transaction may follow.
+/// When the next transaction may be sent.
 enum NextWrite {
-    /// At once.
+    /// Without a pause.
     Immediate,
-    /// After a pause, since the last one was refused or overtaken.
+    /// After a pause, because the last one was refused or overtaken.
     AfterPause,
 }
 
@@ -65,14 +67,14 @@
     )
 }
 
-/// Waits while decisions may be collected for one transaction.
+/// Waits as long as more decisions may be collected for the next transaction.
 async fn collect_decisions(controller: &Controller, last_write_at: Option<Instant>) {
     while let Some(remaining) = remaining_collection_time(controller, last_write_at) {
         let _ = with_timeout(remaining, controller.writer_wake.1.recv()).await;
     }
 }
 
-/// For how long decisions may still be collected.
+/// Returns how much longer decisions may be collected, or `None` if the next transaction is due.
 fn remaining_collection_time(
     controller: &Controller,
     last_write_at: Option<Instant>,
@@ -83,7 +85,8 @@
     may_collect.then(|| max_wait - elapsed)
 }
 
-/// Whether a decision waits that has to be durable before something starts.
+/// Returns whether a pending decision has to be durable before something can start, or this
+/// controller does not lead.
 fn has_urgent_write(controller: &Controller) -> bool {
     let state = controller.lock();
     let Some(leadership) = &state.shared.leadership else {
@@ -95,7 +98,8 @@
         .any(|action| Urgency::of(action).blocks_starts())
 }
 
-/// What is to be written next, and under which leadership lease.
+/// Returns the next batch, if there is anything to write, and the leadership lease under which it
+/// is written.
 fn next_batch(controller: &Controller) -> Option<(Batch, LeadershipLease)> {
     let mut guard = controller.lock();
     let shared = &mut guard.shared;
@@ -110,7 +114,7 @@
     (!batch.is_empty()).then(|| (batch, leadership.lease.clone()))
 }
 
-/// Writes a batch and applies its outcome.
+/// Writes a batch, applies its outcome, and returns when the next one may be sent.
 async fn write(controller: &Rc<Controller>, batch: Batch, lease: &LeadershipLease) -> NextWrite {
     let result = outcome::write(controller, &batch, lease).await;
     let is_refused = matches!(
@@ -120,7 +124,7 @@
     let is_overtaken = result.as_ref().is_ok_and(Outcome::is_overtaken);
     outcome::apply(controller, batch, result).await;
     if is_overtaken {
-        // An earlier write of unknown outcome was carried out after all: see what it left.
+        // An earlier write with an unknown outcome was applied after all: read its effects.
         log::info!("event=write_overtaken");
         crate::freshness::read_once(controller).await;
     }
--- a/crates/ladderroute/src/writer/outcome.rs
+++ b/crates/ladderroute/src/writer/outcome.rs
@@ -1,4 +1,4 @@
-//! The outcome of a transaction, and what the leader makes of it.
+//! Executes transactions and reports their outcomes to the leader.
 
 use super::batch::Batch;
 use crate::cluster_view::ClusterView;
@@ -12,29 +12,29 @@
 use store::leadership::{advance_token, leader_unchanged, LeadershipLease, NextToken};
 use wire::store::{value_bytes, LeaderRecord, Txn, Write};
 
-/// The status by which the store calls a transaction malformed.
+/// HTTP status with which the store refuses a malformed transaction.
 const MALFORMED_STATUS: u16 = 400;
 
-/// What the store decided.
+/// Outcome of a transaction as decided by the store.
 pub enum Outcome {
-    /// Written, at this revision.
+    /// The transaction was applied at this revision.
     Written(u64),
-    /// The conditions on these keys did not hold.
+    /// The transaction was not applied, because the conditions on these keys did not hold.
     Conflict(Vec<String>),
-    /// A new fencing token was taken.
+    /// A new fencing token was issued.
     Token {
-        /// The token.
+        /// New fencing token.
         token: u64,
-        /// The version of the leader's key that holds it.
+        /// Version of the leader's key that contains the token.
         version: u64,
     },
-    /// This controller does not lead any more.
+    /// This controller is no longer the leader.
     LeadershipLost,
 }
 
 impl Outcome {
-    /// Whether an earlier write of this leader was carried out late, so that the store does not
-    /// hold what this leader takes it to hold.
+    /// Returns whether an earlier write of this leader was applied late, so that the store differs
+    /// from what this leader assumes.
     pub fn is_overtaken(&self) -> bool {
         let is_overtaken =
             |key: &String| !matches!(KeyKind::of(key), KeyKind::Job | KeyKind::Leader);
@@ -42,7 +42,7 @@
     }
 }
 
-/// Writes a batch on the condition that this is still the leader.
+/// Writes a batch on the condition that this controller is still the leader.
 pub async fn write(
     controller: &Rc<Controller>,
     batch: &Batch,
@@ -74,7 +74,7 @@
     }
 }
 
-/// Takes a new fencing token.
+/// Issues a new fencing token.
 async fn issue_token(
     controller: &Rc<Controller>,
     lease: &LeadershipLease,
@@ -86,7 +86,7 @@
     })
 }
 
-/// A batch as a transaction, on the condition that this is still the leader.
+/// Returns the transaction of a batch, on the condition that this controller is still the leader.
 fn transaction(batch: &Batch, lease: &LeadershipLease) -> Txn {
     let still_leader = std::iter::once(leader_unchanged(lease.version));
     Txn {
@@ -97,7 +97,7 @@
     }
 }
 
-/// Tells the leader what became of its decisions.
+/// Reports the outcome of a batch to the leader. Gives up a leadership that is lost.
 pub async fn apply(controller: &Rc<Controller>, batch: Batch, result: Result<Outcome, StoreError>) {
     if let Err(error) = &result {
         log::debug!("event=write_failed error=\"{error}\"");
@@ -110,7 +110,7 @@
     apply_as_leader(controller, &mut guard, batch, &result);
 }
 
-/// The same, where this controller still leads as far as it knows.
+/// Applies an outcome unless this controller has stopped leading.
 fn apply_as_leader(
     controller: &Rc<Controller>,
     state: &mut State,
@@ -130,7 +130,7 @@
         let _ = controller.writer_wake.0.try_send(());
     }
     if let Ok(Outcome::Written(revision)) = result {
-        // What waited for these jobs may start now, without waiting for the watch.
+        // Jobs that depend on these may start now, before the watch reports the change.
         for id in finished {
             let changes = shared.view.mark_job_done(&id, *revision);
             controller.notify_leader_of_changes(shared, changes);
@@ -139,7 +139,7 @@
     controller.exchange_messages(state);
 }
 
-/// Notes what the store holds now, and what it takes.
+/// Records what the store contains now, and which limits it enforces.
 fn record_result(
     controller: &Controller,
     view: &mut ClusterView,
@@ -181,8 +181,9 @@
     }
 }
 
-/// The store calls a transaction malformed: its limits are lower than this controller was told. The
-/// next ones hold less, so that what is too large stands alone and the rest is written.
+/// Lowers the limits after the store has refused a transaction as malformed, which means that its
+/// limits are lower than configured here. Later transactions are smaller, so that a value that is
+/// too large ends up alone and the rest is written.
 fn lower_limits(leadership: &mut Leadership, batch: &Batch) {
     let sizes = batch.writes.iter().map(|write| match write {
         Write::Put { key, value, .. } => (value_bytes(value), key),
@@ -199,7 +200,7 @@
         .lower_value_limit(leadership.limits.value_kb);
 }
 
-/// Ends the lease, so that the renewal finds it gone and the next leader can come.
+/// Revokes the store lease, so that the next renewal fails and another leader can be elected.
 async fn release_leadership(controller: &Rc<Controller>) {
     log::info!("event=leadership_lost");
     let lease = controller
@@ -213,7 +214,7 @@
     }
 }
 
-/// Tells the leader what became of one decision.
+/// Reports the outcome of one decision to the leader.
 fn apply_action(
     controller: &Controller,
     leadership: &mut Leadership,
@@ -259,8 +260,8 @@
     }
 }
 
-/// Of several ends of jobs, only those whose own condition failed have changed meanwhile: the
-/// others are written again.
+/// Reports the outcome of the end of a job. If a batch of several fails, only the records whose own
+/// condition failed have changed in the meantime; the other ends are written again.
 fn apply_finish(
     controller: &Controller,
     leadership: &mut Leadership,
@@ -275,7 +276,8 @@
         Ok(Outcome::Conflict(failed)) if failed.contains(&keys::job(&job)) => {
             leadership.leader.finish_result(&job, false);
         }
-        // Not at once again: the leader comes back to it, and what else waits is written meanwhile.
+        // Not retried immediately: the leader decides it again later, and other pending decisions
+        // are written first.
         Err(StoreError::Refused(MALFORMED_STATUS)) => leadership.leader.finish_result(&job, false),
         _ => {
             leadership
--- a/crates/ladderroute/src/writer/pages.rs
+++ b/crates/ladderroute/src/writer/pages.rs
@@ -1,6 +1,6 @@
-//! The leader's durable records that share keys: the roster of machines and the progress of jobs,
-//! many entries a page. A page is written whole; what is taken out of it leaves the store when
-//! the page is written next.
+//! Durable records of the leader that share keys: the roster of machines and the progress of jobs,
+//! with many entries on a page. A page is always written as a whole, so an entry that was removed
+//! from it stays in the store until the page is next written.
 
 use super::writes::put;
 use sched::leader::chunk_bits;
@@ -12,22 +12,22 @@
 use wire::store::{to_value, ProgressPage, Recorded, RosterPage, RosterRecord, Write};
 use wire::users::MAX_TASKS;
 
-/// Part of a value that the entries of a page may fill, by their own sizes.
+/// Fraction of the value limit that the estimated sizes of a page's entries may add up to.
 const PAGE_FILL_FRACTION: f64 = 0.9;
-/// What an entry of a page takes beside its texts, at most.
+/// Maximum bytes of a page entry in addition to its strings.
 const ENTRY_OVERHEAD_BYTES: usize = 48;
 
-/// Bits of a bitmap for each of its hexadecimal digits.
+/// Bits in a hexadecimal digit of a bitmap.
 const BITS_PER_HEX_DIGIT: usize = 4;
-/// Bytes of a KiB.
+/// Bytes in a KiB.
 const KIB: f64 = 1024.0;
 
-/// A chunk of a job's tasks.
+/// Key of the progress of one chunk of a job's tasks.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Chunk {
-    /// The job.
+    /// Id of the job.
     job: String,
-    /// The first task of the chunk.
+    /// First task of the chunk.
     first_task: u32,
 }
 
@@ -38,18 +38,18 @@
     }
 }
 
-/// Pages of small records, as this leader has them.
+/// Pages of small records, as this leader knows them.
 pub struct RecordPages {
-    /// Machines, by name.
+    /// Machines by name.
     roster: Pages<String, RosterRecord>,
-    /// Which tasks are done, as bitmaps in hexadecimal digits.
+    /// Completed tasks, as hexadecimal bitmaps.
     progress: Pages<Chunk, String>,
-    /// How many places of bindings that take more than one transaction are in the store already, by
-    /// attempt.
+    /// Number of places already in the store, by attempt, of bindings that take more than one
+    /// transaction.
     bound_places: BTreeMap<u64, usize>,
 }
 
-/// Most bytes of a page's entries.
+/// Returns the maximum total size of a page's entries in bytes.
 fn max_page_bytes(value_kb: f64) -> usize {
     (value_kb * KIB * PAGE_FILL_FRACTION) as usize
 }
@@ -58,13 +58,13 @@
     name.len() + record.kind.len() + record.zone.len() + ENTRY_OVERHEAD_BYTES
 }
 
-/// Whether a job is not known to be over.
+/// Returns whether a job is open or unknown.
 fn may_be_open(replica: &Replica, id: &str) -> bool {
     let entry = replica.jobs.get(id);
     entry.is_none_or(|entry| entry.state == Recorded::Open)
 }
 
-/// Whether a bitmap is laid out in chunks of this many bits.
+/// Returns whether a bitmap starts at a multiple of `chunk_bits` and is no longer than that.
 fn matches_layout(first_task: u32, bits: &str, chunk_bits: u32) -> bool {
     first_task.is_multiple_of(chunk_bits) && bits.len() * BITS_PER_HEX_DIGIT <= chunk_bits as usize
 }
@@ -74,7 +74,7 @@
 }
 
 impl RecordPages {
-    /// The pages as the store holds them, less the progress of jobs that are over.
+    /// Returns the pages as stored, without the progress of jobs that have ended.
     pub fn load(replica: &Replica, value_kb: f64) -> RecordPages {
         let limit = max_page_bytes(value_kb);
         let mut records = RecordPages {
@@ -98,8 +98,8 @@
         }
     }
 
-    /// Takes the progress of open jobs. What another controller laid out with other limits is taken out of
-    /// its page and put anew, in chunks of this one's size.
+    /// Loads the progress of open jobs. Progress that another controller stored under other limits is
+    /// removed from its page and added again in chunks of this controller's size.
     fn load_progress(&mut self, replica: &Replica, chunk_bits: u32) {
         let mut to_repack: BTreeMap<String, RangeSet> = BTreeMap::new();
         for (n, page) in replica.progress.pages() {
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Puts progress that another controller laid out in chunks of this one's size.
+    /// Adds progress that was stored with another chunk size, in chunks of this controller's size.
     fn repack_progress(&mut self, job: &str, done: &RangeSet, chunk_bits: u32) {
         let chunks: BTreeSet<u32> = done.iter().map(|task| task / chunk_bits).collect();
         for chunk in chunks {
@@ -145,7 +145,7 @@
         }
     }
 
-    /// A job is over: its progress leaves its page when that is written next.
+    /// Removes the progress of a job that has ended; its pages change when they are next written.
     pub fn on_job_terminal(&mut self, id: &str) {
         let chunks = self.progress.keys_from(&Chunk::new(id, 0));
         let chunks = chunks.take_while(|chunk| chunk.job == id);
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Puts a machine on the roster; says on which page.
+    /// Adds a machine to the roster and returns its page.
     pub fn put_machine(&mut self, name: &str, record: &RosterRecord) -> u32 {
         self.roster.put(
             name.into(),
@@ -164,38 +164,38 @@
         )
     }
 
-    /// Takes a machine off the roster. The page stays marked until it is written.
+    /// Removes a machine from the roster. Its page stays dirty until it is written.
     pub fn remove_machine(&mut self, name: &str) {
         self.roster.remove(&name.to_string(), Removal::Urgent);
     }
 
-    /// Puts what is done of a chunk of a job's tasks; says on which page.
+    /// Sets the progress of one chunk of a job's tasks and returns its page.
     pub fn put_progress(&mut self, job: &str, first_task: u32, bits: &str) -> u32 {
         let size = progress_entry_bytes(job, bits);
         let chunk = Chunk::new(job, first_task);
         self.progress.put(chunk, size, bits.into())
     }
 
-    /// All pages of the roster that have to be written with this one, in their order.
+    /// Returns the dirty roster pages that have to be written with this one, in order.
     pub fn roster_write_unit(&mut self, page: u32) -> Vec<u32> {
         let mut pages = self.roster.write_unit(page);
         pages.retain(|page| self.roster.is_dirty(*page));
         pages
     }
 
-    /// All pages of progress that have to be written with this one, in their order.
+    /// Returns the dirty progress pages that have to be written with this one, in order.
     pub fn progress_write_unit(&mut self, page: u32) -> Vec<u32> {
         let mut pages = self.progress.write_unit(page);
         pages.retain(|page| self.progress.is_dirty(*page));
         pages
     }
 
-    /// How many places of an attempt's binding are in the store.
+    /// Returns how many places of a partially written binding are in the store.
     pub fn bound_places(&self, attempt: u64) -> usize {
         self.bound_places.get(&attempt).copied().unwrap_or(0)
     }
 
-    /// So many places of an attempt's binding are in the store; none once it is over.
+    /// Sets how many places of an attempt's binding are in the store; `None` forgets the attempt.
     pub fn set_bound_places(&mut self, attempt: u64, places: Option<usize>) {
         match places {
             Some(places) => self.bound_places.insert(attempt, places),
@@ -203,19 +203,19 @@
         };
     }
 
-    /// The store refuses values of the size that it was said to take: pages become smaller.
+    /// Lowers the page size after the store has refused values below its stated limit.
     pub fn lower_value_limit(&mut self, value_kb: f64) {
         let limit = max_page_bytes(value_kb);
         self.roster.set_limit(limit);
         self.progress.set_limit(limit);
     }
 
-    /// A page of the roster that the store does not hold as it is here, beside these.
+    /// Returns the first dirty roster page that is not among `excluded`.
     pub fn next_dirty_roster_page(&self, excluded: &[u32]) -> Option<u32> {
         self.roster.next_dirty_except(excluded)
     }
 
-    /// These pages are in the store as they were last put into a transaction.
+    /// Marks pages as stored in the state in which they were last added to a transaction.
     pub fn mark_written(&mut self, roster: &[u32], progress: &[u32]) {
         roster
             .iter()
@@ -225,7 +225,7 @@
             .for_each(|page| self.progress.mark_written(*page));
     }
 
-    /// A transaction's write of a page of the roster.
+    /// Returns the write that stores a roster page, or deletes one that no longer exists.
     pub fn roster_write(&self, n: u32) -> Write {
         let Some(entries) = self.roster.page(n) else {
             return Write::Delete {
@@ -244,14 +244,14 @@
         put(keys::roster(n), to_value(&page))
     }
 
-    /// A transaction's write of a page of progress.
+    /// Returns the write that stores a progress page, or deletes one that no longer exists.
     pub fn progress_write(&self, n: u32) -> Write {
         let Some(entries) = self.progress.page(n) else {
             return Write::Delete {
                 key: keys::progress(n),
             };
         };
-        // What begins at task 0 is read alike whatever a reader takes the size of a chunk to be.
+        // A chunk that starts at task 0 means the same to a reader with any chunk size.
         let (chunks, sections) = entries
             .map(|(chunk, bits)| (chunk.job.clone(), chunk.first_task, bits.clone()))
             .partition(|(_, first_task, _)| *first_task == 0);
@@ -259,7 +259,7 @@
         put(keys::progress(n), to_value(&page))
     }
 
-    /// Whether the store lacks something of these pages.
+    /// Returns whether any page has to be written.
     pub fn has_dirty_pages(&self) -> bool {
         self.roster.next_dirty().is_some() || self.progress.next_dirty().is_some()
     }
--- a/crates/ladderroute/src/writer/urgency.rs
+++ b/crates/ladderroute/src/writer/urgency.rs
@@ -1,24 +1,24 @@
-//! How soon a decision has to be durable, and with which others it may be written.
+//! Urgency of decisions, and which of them may share a transaction.
 
 use sched::leader::Action;
 
-/// How soon a decision has to be durable.
+/// How soon a decision has to be durable, the most urgent first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Urgency {
-    /// A fencing token: nobody has authority until it is durable.
+    /// A fencing token: no controller has authority until it is durable.
     Token,
     /// A binding: a gang holds resources until it is durable.
     Binding,
-    /// A machine or the started arrays: tasks wait for it.
+    /// A machine or the record of started arrays: tasks wait until it is durable.
     Admission,
-    /// The end of a job: a user waits to hear it.
+    /// The end of a job: a user waits to learn of it.
     Finish,
     /// Progress: workers' heartbeats repeat it until it is durable.
     Progress,
 }
 
 impl Urgency {
-    /// The urgency of a decision.
+    /// Returns the urgency of a decision.
     pub fn of(action: &Action) -> Urgency {
         match action {
             Action::IssueToken => Urgency::Token,
@@ -29,26 +29,26 @@
         }
     }
 
-    /// Whether something can start only once the decision is durable.
+    /// Returns whether something can start only after the decision is durable.
     pub fn blocks_starts(self) -> bool {
         self < Urgency::Finish
     }
 }
 
-/// Decisions that may share a transaction. A new token goes alone, and ends of jobs among
-/// themselves, since those have conditions that may fail.
+/// Groups of decisions that may share a transaction. A new token is written alone, and ends of jobs
+/// only with each other, since their conditions may fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Group {
-    /// A new token.
+    /// A new fencing token.
     Token,
     /// Ends of jobs.
     Finish,
-    /// All the rest.
+    /// All other decisions.
     Records,
 }
 
 impl Group {
-    /// The group of a decision.
+    /// Returns the group of a decision.
     pub(super) fn of(action: &Action) -> Group {
         match action {
             Action::IssueToken => Group::Token,
--- a/crates/ladderroute/src/writer/writes.rs
+++ b/crates/ladderroute/src/writer/writes.rs
@@ -1,8 +1,8 @@
-//! The single writes of a transaction.
+//! Single writes of a transaction.
 
 use wire::store::{Value, Write};
 
-/// Puts a value that outlives this controller.
+/// Returns the write of a value without a lease, which outlives this controller.
 pub(super) fn put(key: String, value: Value) -> Write {
     Write::Put {
         key,
