--- a/crates/ladderroute/src/controller_links/follower_side.rs
+++ b/crates/ladderroute/src/controller_links/follower_side.rs
@@ -1,4 +1,5 @@
-//! The owner's side of the links: keeps a connection to whoever leads, and takes the authority granted there.
+//! The owner's side of the links: keeps a connection to the current leader and applies the authority
+//! that it grants.
 
 use super::frames::{write_frames, FrameReader};
 use crate::controller::{ConnectionId, Controller, ReplicaJobs, State};
@@ -14,23 +15,23 @@
 use store::leadership::MAX_CLOCK_DRIFT;
 use wire::peers::{decode_frame, encode_frame, ToLeader, ToOwner};
 
-/// How long a connection to the leader may take to come about, in seconds.
+/// Timeout for connecting to the leader, in seconds.
 const CONNECT_TIMEOUT_S: f64 = wire::HEARTBEAT_RESPONSE_TIMEOUT_S / 4.0;
 
-/// The leader answers pings; a connection that is silent for longer is ended, and so is one on which a
-/// write takes longer; in seconds.
+/// Time without a message, or for a single write, after which the connection is ended, in seconds. The
+/// leader answers pings, so a working connection is never silent for long.
 const IDLE_TIMEOUT_S: f64 = wire::HEARTBEAT_RESPONSE_TIMEOUT_S / 2.0;
 
-/// Pings within the time after which the leader gives up a silent owner.
+/// Pings in the time after which the leader gives up on a silent owner.
 const PINGS_PER_OWNER_TIMEOUT: f64 = 4.0;
 
-/// How many of the newest pings may still be answered.
+/// Number of the newest pings whose answers are still accepted.
 const MAX_PENDING_PINGS: u64 = 64;
 
-/// How far two clocks may drift apart, each by `MAX_CLOCK_DRIFT` from true time.
+/// Maximum relative drift between two clocks, each of which may drift by `MAX_CLOCK_DRIFT`.
 const RELATIVE_DRIFT: f64 = 2.0 * MAX_CLOCK_DRIFT;
 
-/// Keeps a connection to whoever leads.
+/// Keeps a connection to the current leader, if that is another controller.
 pub async fn join_leader(controller: Rc<Controller>) {
     let connect_timeout = Duration::from_secs_f64(CONNECT_TIMEOUT_S);
     let process = fastrand::u64(..);
@@ -50,7 +51,7 @@
     }
 }
 
-/// The controller that leads, as far as the view says, if it is another one, and its address.
+/// Returns the leader according to the view and its address, if it is another controller.
 fn remote_leader(controller: &Controller) -> Option<(String, SocketAddr)> {
     let leader = leading_member(controller)?;
     let peers = &controller.settings.peers;
@@ -58,14 +59,14 @@
     Some((leader, peer.addr))
 }
 
-/// Who leads, as far as the view says.
+/// Returns the name of the leader according to the view.
 fn leading_member(controller: &Controller) -> Option<String> {
     let state = controller.lock();
     let leader = state.shared.view.replica().leader.record();
     leader.map(|record| record.member.clone())
 }
 
-/// Takes the leader's messages until it does not lead any more or the connection ends.
+/// Handles the leader's messages until it no longer leads or the connection ends.
 async fn follow_leader(
     controller: &Rc<Controller>,
     leader: &str,
@@ -108,7 +109,7 @@
     drop(writer);
 }
 
-/// The leader's next message; none if the connection has to end.
+/// Returns the leader's next message, or `None` if the connection has to end.
 async fn next_message(frames: &mut FrameReader) -> Option<ToOwner> {
     decode_frame(&frames.next().await?)
 }
@@ -119,7 +120,7 @@
     leader.is_some_and(|record| record.member == member)
 }
 
-/// The pings of one connection: what the leader grants counts from the sending of a ping.
+/// Pings of one connection. The duration of a grant counts from when its ping was sent.
 struct Pings {
     outbox: Outbox,
     next: Cell<u64>,
@@ -144,7 +145,7 @@
             .send_urgent(&encode_frame(&ToLeader::Ping { n }));
     }
 
-    /// When a ping was sent; none for one that was not, or so long ago that it is forgotten.
+    /// Returns when a ping was sent, or `None` if it was never sent or is no longer remembered.
     fn sent_at(&self, n: u64) -> Option<Instant> {
         self.sent_at.borrow().get(&n).copied()
     }
@@ -161,17 +162,17 @@
     }
 }
 
-/// A connection of this owner to the leader.
+/// Connection of this owner to the leader.
 struct LeaderConnection<'a> {
     leader: &'a str,
     outbox: Outbox,
     pings: Rc<Pings>,
-    /// Whether the leader has begun an epoch on this connection; nothing is granted before.
+    /// Whether the leader has begun an epoch on this connection. Grants are ignored before.
     has_joined: bool,
 }
 
 impl LeaderConnection<'_> {
-    /// Takes a message of the leader.
+    /// Handles a message from the leader.
     fn handle_message(&mut self, controller: &Controller, message: ToOwner) {
         let now = controller.now();
         let mut guard = controller.lock();
@@ -198,19 +199,19 @@
         }
     }
 
-    /// The leader begins an epoch: with the first one on this connection, this owner is under it.
+    /// Handles the start of an epoch. The first one on this connection joins this owner to the leader.
     fn join(&mut self, state: &mut State) {
         if std::mem::replace(&mut self.has_joined, true) {
             return;
         }
         log::info!("event=joined_leader member={}", self.leader);
-        // Authority from an earlier leader is not authority under this one.
+        // Authority granted by an earlier leader is not valid under this one.
         state.owner.authority.set_until(f64::MIN);
         state.shared.leader_outbox = Some(self.outbox.clone());
     }
 
-    /// Takes the authority that the leader grants. This is the only place where an owner gets authority
-    /// from another controller.
+    /// Applies the authority granted by the leader. This is the only place where an owner receives
+    /// authority from another controller.
     fn apply_grant(
         &self,
         controller: &Controller,
@@ -220,7 +221,7 @@
         valid_ms: u64,
     ) {
         let is_current = self.has_joined && token == owner.token();
-        // Counted from the ping's sending, so that delays only shorten it.
+        // Counted from when the ping was sent, so that delays only shorten the authority.
         if let Some(sent_at) = self.pings.sent_at(n).filter(|_| is_current) {
             let valid_s = valid_ms as f64 / 1000.0 * (1.0 - RELATIVE_DRIFT);
             owner
@@ -229,11 +230,12 @@
         }
     }
 
-    /// Takes the age of the leader's view as proof of the staleness of what this owner knows.
+    /// Applies the age of the leader's view as an upper bound of the staleness of this owner's
+    /// knowledge.
     fn apply_view_age(&self, controller: &Controller, owner: &mut Owner, n: u64, age_ms: u64) {
         let sent_at = self.pings.sent_at(n);
         self.pings.forget(n);
-        // Counted back from the ping's sending: delays only make it older.
+        // Counted back from when the ping was sent, so that delays only make the view older.
         if let Some(sent_at) = sent_at.filter(|_| self.has_joined) {
             let age_s = age_ms as f64 / 1000.0 * (1.0 + RELATIVE_DRIFT);
             owner
--- a/crates/ladderroute/src/controller_links/frames.rs
+++ b/crates/ladderroute/src/controller_links/frames.rs
@@ -1,4 +1,4 @@
-//! Frames on a stream between controllers: the length in four bytes, then as many bytes.
+//! Frames on a connection between controllers: a length of four bytes, then as many bytes of body.
 
 use crate::outbox::Outbox;
 use http::with_timeout;
@@ -7,25 +7,25 @@
 use std::time::Duration;
 use wire::peers::FRAME_LIMIT;
 
-/// What one read takes at most.
+/// Maximum number of bytes per read.
 const READ_CHUNK_BYTES: usize = 16 << 10;
 
-/// The reading side of a connection: one read brings many small frames.
+/// Reading side of a connection. Reads are buffered, so that one read returns many small frames.
 pub struct FrameReader {
     stream: TcpStream,
-    /// The connection ends when nothing comes for so long.
+    /// Maximum time to wait for a frame before the connection is ended.
     idle_timeout: Duration,
     buffer: Vec<u8>,
-    /// How much of the buffer was handed out already.
+    /// Number of bytes of the buffer that were already returned.
     consumed: usize,
     chunk: Vec<u8>,
 }
 
-/// The peer sent something that is not a frame of this protocol.
+/// The peer sent data that is not a frame of this protocol.
 struct MalformedFrame;
 
 impl FrameReader {
-    /// Reads frames from a stream, of which nothing was read so far.
+    /// Creates a reader for a stream from which nothing has been read yet.
     pub fn new(stream: TcpStream, idle_timeout: Duration) -> FrameReader {
         FrameReader {
             stream,
@@ -36,8 +36,8 @@
         }
     }
 
-    /// The next frame's body (version and message); none at the end, after too long a silence, or for
-    /// anything that is not a frame.
+    /// Returns the body of the next frame (version and message), or `None` at the end of the stream,
+    /// after the idle timeout, or for data that is not a frame.
     pub async fn next(&mut self) -> Option<Vec<u8>> {
         with_timeout(self.idle_timeout, self.next_frame()).await?
     }
@@ -52,7 +52,7 @@
         }
     }
 
-    /// The next frame's body, if all of it has arrived.
+    /// Returns the body of the next frame if it has arrived completely.
     fn take_buffered(&mut self) -> Result<Option<Vec<u8>>, MalformedFrame> {
         let rest = &self.buffer[self.consumed..];
         let Some((head, body)) = rest.split_first_chunk::<4>() else {
@@ -70,11 +70,11 @@
         Ok(Some(body))
     }
 
-    /// Waits for more bytes; none at the end of the stream or if it fails.
+    /// Waits for more bytes. Returns `None` at the end of the stream or if the read fails.
     async fn read_more(&mut self) -> Option<()> {
         self.buffer.drain(..self.consumed);
         self.consumed = 0;
-        // The buffer grows with what arrives, so that a false length costs nothing.
+        // The buffer grows only with received data, so that a false length allocates no memory.
         let read = self.stream.read(&mut self.chunk).await;
         let count = read.ok().filter(|count| *count > 0)?;
         self.buffer.extend_from_slice(&self.chunk[..count]);
@@ -82,7 +82,7 @@
     }
 }
 
-/// Writes what is queued until the queue is closed, the connection fails, or a write takes too long.
+/// Writes queued frames until the queue is closed, the connection fails, or a write times out.
 pub async fn write_frames(mut stream: TcpStream, queue: Outbox, write_timeout: Duration) {
     while let Some(bytes) = queue.next().await {
         let written = with_timeout(write_timeout, stream.write_all(&bytes)).await;
--- a/crates/ladderroute/src/controller_links/leader_side.rs
+++ b/crates/ladderroute/src/controller_links/leader_side.rs
@@ -1,4 +1,5 @@
-//! The leader's side of the links: takes the owners' connections and answers their pings with authority.
+//! The leader's side of the links: accepts the owners' connections and grants authority in response to
+//! their pings.
 
 use super::frames::{write_frames, FrameReader};
 use crate::controller::limits::max_peer_connections;
@@ -11,32 +12,32 @@
 use std::time::Duration;
 use wire::peers::{decode_frame, encode_frame, ToLeader, ToOwner};
 
-/// An owner pings often; a connection that is silent for longer is ended, and so is one on which a
-/// write takes longer; in seconds.
+/// Time without a message, or for a single write, after which a connection is ended, in seconds. Owners
+/// ping often, so a working connection is never silent for long.
 const IDLE_TIMEOUT_S: f64 = wire::HEARTBEAT_RESPONSE_TIMEOUT_S;
 
-/// Pause after an accept that failed, as it does when the process is out of sockets.
+/// Pause after a failed accept, for example when the process is out of sockets.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// Part of an owner's silence limit for which one ping grants authority.
+/// Maximum duration of the authority granted for one ping, as a multiple of the owner timeout.
 const MAX_GRANT_PER_OWNER_TIMEOUT: f64 = 1.25;
 
-/// A connection of an owner to this leader.
+/// Connection of an owner to this leader.
 struct OwnerConnection {
     member: String,
     id: ConnectionId,
     outbox: Outbox,
 }
 
-/// Whether a connection goes on after a message.
+/// Whether a connection continues after a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Next {
     Continue,
-    /// This controller does not lead any more.
+    /// This controller is no longer the leader.
     End,
 }
 
-/// Serves the other controllers' connections.
+/// Serves connections from the other controllers.
 pub async fn serve(controller: Rc<Controller>, listener: TcpListener) {
     let max_connections = max_peer_connections(controller.settings.peers.len());
     let open = Rc::new(Cell::new(0usize));
@@ -101,13 +102,13 @@
     remove_link(controller, &connection);
 }
 
-/// The owner's next message; none if the connection has to end.
+/// Returns the owner's next message, or `None` if the connection has to end.
 async fn next_message(frames: &mut FrameReader) -> Option<ToLeader> {
     decode_frame(&frames.next().await?)
 }
 
-/// Makes a connection the owner's link; false if this controller does not lead, or if the owner has a
-/// newer connection already.
+/// Registers a connection as the owner's link. Returns `false` if this controller does not lead, or if
+/// the owner already has a connection that this one does not replace.
 fn admit(controller: &Controller, connection: &OwnerConnection) -> bool {
     let mut guard = controller.lock();
     let Some(leadership) = &mut guard.shared.leadership else {
@@ -135,7 +136,7 @@
     true
 }
 
-/// Forgets a connection that ended, unless a newer one has taken its place.
+/// Removes the link of a connection that has ended, unless a newer one has replaced it.
 fn remove_link(controller: &Controller, connection: &OwnerConnection) {
     let mut guard = controller.lock();
     let Some(leadership) = &mut guard.shared.leadership else {
@@ -150,7 +151,7 @@
     }
 }
 
-/// Takes a message of an owner.
+/// Handles a message from an owner.
 fn handle_message(
     controller: &Controller,
     connection: &OwnerConnection,
@@ -177,8 +178,8 @@
     Next::Continue
 }
 
-/// Grants authority to an owner that is heard, and tells it the age of the leader's view. This is the only
-/// place where authority is granted.
+/// Grants authority to the owner that sent a ping, and reports the age of the leader's view to it. This
+/// is the only place where authority is granted.
 fn answer_ping(
     controller: &Controller,
     leadership: &mut Leadership,
@@ -187,7 +188,7 @@
     n: u64,
     now: f64,
 ) {
-    // An owner's authority ends before the leader's own, and soon after the last ping.
+    // An owner's authority ends before the leader's own, and soon after its last ping.
     let grant_expires_at = now + controller.config.owner_timeout_s() * MAX_GRANT_PER_OWNER_TIMEOUT;
     let until = authority.responses_until().min(grant_expires_at);
     let leader = &mut leadership.leader;
@@ -204,6 +205,6 @@
         n,
         age_ms: ((now - authority.read_at()) * 1000.0).ceil() as u64,
     };
-    // Queued behind all that the leader has made of what it knows.
+    // Queued behind all messages that result from what the leader's view contains.
     connection.outbox.send(encode_frame(&view_age));
 }
--- a/crates/ladderroute/src/controller_links/mod.rs
+++ b/crates/ladderroute/src/controller_links/mod.rs
@@ -1,7 +1,7 @@
-//! Links between controllers: each shard owner keeps one stream of frames to the leader.
+//! Links between controllers: each shard owner keeps one connection to the leader, a stream of frames.
 //!
-//! The leader's side ([`serve`]) grants authority in answer to pings; the owner's side ([`join_leader`])
-//! takes it. Each side does so in one place only: `answer_ping` and `apply_grant`.
+//! The leader's side ([`serve`]) grants authority in response to pings, only in `answer_ping`. The
+//! owner's side ([`join_leader`]) applies it, only in `apply_grant`.
 
 mod follower_side;
 mod frames;
--- a/crates/ladderroute/src/freshness/mod.rs
+++ b/crates/ladderroute/src/freshness/mod.rs
@@ -1,5 +1,6 @@
-//! Keeping the cluster view current: one long watch, freshness reads before answers that must not be stale,
-//! and a reload of all keys where the store does not keep the changes any more.
+//! Keeps the cluster view current: a long-polling watch, freshness reads before responses that must
+//! not be stale, and a reload of all keys when the store no longer keeps the changes since the view's
+//! revision.
 
 mod reads;
 mod watch;
--- a/crates/ladderroute/src/freshness/reads.rs
+++ b/crates/ladderroute/src/freshness/reads.rs
@@ -1,4 +1,5 @@
-//! Freshness reads: short reads of the store's changes, shared by all queries that wait for one.
+//! Freshness reads: reads of the store's changes that return immediately, each shared by all queries
+//! that wait for one.
 
 use crate::cluster_view::ChangesRead;
 use crate::controller::Controller;
@@ -9,11 +10,11 @@
 use store::keys;
 use wire::store::Changes;
 
-/// Freshness reads of all controllers take at most this part of the request rate.
+/// Maximum fraction of the store's request rate for the freshness reads of all controllers together.
 const READS_SHARE: f64 = 0.35;
 
-/// Brings the view up to the store's present state; false if that can't be done now. One freshness read
-/// serves every query that was waiting when it was sent.
+/// Brings the view up to the current state of the store, and returns whether that succeeded. One
+/// freshness read serves all queries that were waiting when it was sent.
 pub async fn refresh_view(controller: &Rc<Controller>) -> bool {
     let (result, starts_serving) = controller.freshness_reads.enqueue();
     if starts_serving {
@@ -27,7 +28,7 @@
     result.recv().await.unwrap_or(false)
 }
 
-/// Makes freshness reads, at the interval allowed, until no query waits.
+/// Makes freshness reads, limited to their share of the request rate, until no query waits.
 async fn serve_waiting(controller: Rc<Controller>) {
     let interval = request_interval(&controller, READS_SHARE);
     while let Some(waiting) = controller.freshness_reads.take_waiting() {
@@ -39,13 +40,14 @@
     }
 }
 
-/// Time between two requests of this controller when all together take a part of the rate.
+/// Returns the interval between requests of this controller at which all controllers together use
+/// `share` of the store's request rate.
 pub fn request_interval(controller: &Controller, share: f64) -> Duration {
     let controllers = controller.settings.peers.len() + 1;
     Duration::from_secs_f64(controllers as f64 / (controller.limits.rps * share))
 }
 
-/// One freshness read; false if the view is not up to date after it.
+/// Makes one freshness read, and returns whether the view is up to date afterwards.
 pub async fn read_once(controller: &Rc<Controller>) -> bool {
     let Some(read) = begin_read(controller) else {
         return false;
@@ -63,7 +65,7 @@
         }
         Err(e) => {
             log::debug!("event=read_failed since={} error=\"{e}\"", read.since);
-            // A read that this controller's own budget held back says nothing of the store.
+            // A read rejected by this controller's own rate budget says nothing about the store.
             if !matches!(e, StoreError::BudgetExhausted(_)) {
                 controller.record_store_health(false);
             }
@@ -72,13 +74,15 @@
     }
 }
 
-/// The read that brings the view up to date, as sent now; none if all keys have to be read.
+/// Returns the read that brings the view up to date, with the current time as its sending time, or
+/// `None` if all keys have to be reloaded.
 pub fn begin_read(controller: &Controller) -> Option<ChangesRead> {
     let state = controller.lock();
     state.shared.view.begin_read(controller.now())
 }
 
-/// Asks the store for the changes since the view's revision; waits up to `wait` for the first one.
+/// Requests the changes since the revision of `read` from the store, which waits up to `wait` for
+/// the first one.
 pub async fn read_changes(
     controller: &Controller,
     read: ChangesRead,
@@ -95,7 +99,7 @@
         .await
 }
 
-/// Changes can't bring the view up to date any more.
+/// Records that changes can no longer bring the view up to date.
 pub fn mark_view_too_old(controller: &Controller, read: ChangesRead, error: &StoreError) {
     log::info!("event=view_too_old since={} error=\"{error}\"", read.since);
     controller.lock().shared.view.on_revision_too_old(read);
--- a/crates/ladderroute/src/freshness/watch.rs
+++ b/crates/ladderroute/src/freshness/watch.rs
@@ -1,4 +1,5 @@
-//! The long watch of the store's changes, and the reload of all keys where a watch can no longer bring them.
+//! The long-polling watch of the store's changes, and the reload of all keys when a watch can no longer
+//! provide them.
 
 use super::reads::{begin_read, mark_view_too_old, read_changes, request_interval};
 use crate::cluster_view::{ChangesRead, ViewReload};
@@ -10,14 +11,14 @@
 use store::keys;
 use store::reload::LoadState;
 
-/// The long watches take at most this part of the request rate: each returns with the first change, and
-/// under load there is always one.
+/// Maximum fraction of the store's request rate for the watches of all controllers together. A watch
+/// returns with the first change, and under load there always is one.
 const WATCH_SHARE: f64 = 0.2;
 
-/// How long a watch waits for a change, in seconds.
+/// Time for which a watch waits for a change, in seconds.
 const WATCH_WAIT_S: f64 = wire::HEARTBEAT_RESPONSE_TIMEOUT_S;
 
-/// Loads the view and keeps it current for as long as the process lives.
+/// Loads the view and keeps it current as long as the process runs.
 pub async fn watch_store(controller: Rc<Controller>) {
     let retry_pause = Duration::from_secs_f64(controller.config.heartbeat_s.min(1.0) / 5.0);
     let mut reload = None;
@@ -32,7 +33,7 @@
     }
 }
 
-/// One long watch, and a while in which more changes gather: the next brings them together.
+/// Makes one watch request, then pauses so that the next one returns several changes at once.
 async fn watch(controller: &Rc<Controller>, read: ChangesRead, retry_pause: Duration) {
     let interval = request_interval(controller, WATCH_SHARE);
     let wait = Duration::from_secs_f64(WATCH_WAIT_S);
@@ -41,12 +42,13 @@
             controller.apply_changes(&changes, read);
             controller.record_store_health(true);
             smol::Timer::after(interval).await;
-            // Freshness reads bring the same; the requests are better spent on submissions.
+            // Frequent freshness reads return the same changes; the requests are better spent on
+            // submissions.
             while controller.freshness_reads.answered_within(interval) {
                 smol::Timer::after(interval / 2).await;
             }
         }
-        // An answer with more than is taken would only grow: the keys themselves are read in pages.
+        // A response that is too large would only grow; the keys are read in pages instead.
         Err(e @ (StoreError::RevisionTooOld | StoreError::ResponseTooLarge(_))) => {
             mark_view_too_old(controller, read, &e)
         }
@@ -58,7 +60,7 @@
     }
 }
 
-/// Reads all keys, from where an earlier try got to, and takes them into the view.
+/// Reads all keys, resuming an unfinished reload if there is one, and applies them to the view.
 async fn continue_reload(
     controller: &Rc<Controller>,
     in_progress: &mut Option<ViewReload>,
@@ -95,7 +97,8 @@
     state.shared.view.begin_reload(controller.now())
 }
 
-/// Once is enough for people; the reload is tried again and again.
+/// Logs a failed reload: the first failure at level info, repeated ones at level debug, since the
+/// reload is retried until it succeeds.
 fn log_load_failure(controller: &Controller, reload: Option<&ViewReload>, error: &StoreError) {
     let is_first = controller.lock().shared.store_failing_since.is_none();
     let level = if is_first {
--- a/crates/ladderroute/src/leadership/begin.rs
+++ b/crates/ladderroute/src/leadership/begin.rs
@@ -1,4 +1,4 @@
-//! The beginning of a leadership: the leader and the owner are built anew from the cluster view.
+//! Start of a leadership: builds a new leader and a new owner from the cluster view.
 
 use crate::cluster_view::ClusterView;
 use crate::controller::view_updates::open_job;
@@ -14,17 +14,18 @@
 use store::replica::{JobEntry, Replica};
 use wire::users::{Job, Priority, Shape};
 
-/// Begins to lead under a lease, on a view that holds all that came before it.
+/// Starts to lead under a lease. The view has to contain everything recorded before the lease.
 pub fn begin_leadership(controller: &Controller, lease: &LeadershipLease) {
     let mut guard = controller.lock();
     let state = &mut *guard;
     let mut leader = build_leader(controller, &state.shared, lease.token);
     if controller.now() < controller.config.lease_s {
-        // Who leads so soon after its start is one of several that started together: else one that
-        // ran on would lead.
+        // A controller that leads this soon after its start was started together with the others;
+        // otherwise one that was already running would lead.
         leader.expect_other_controllers();
     }
-    // What was assigned in earlier epochs must not be answered on this leadership's authority.
+    // Heartbeats of machines that were assigned in earlier epochs must not be answered under the
+    // authority of this leadership.
     state.owner = Owner::new(&controller.settings.member, controller.config.clone());
     state
         .owner
@@ -49,7 +50,7 @@
     });
 }
 
-/// A leader that knows what the view holds.
+/// Returns a leader with the contents of the view.
 fn build_leader(controller: &Controller, shared: &Shared, token: u64) -> Leader {
     let view = &shared.view;
     let replica = view.replica();
@@ -76,7 +77,7 @@
     leader
 }
 
-/// The open jobs that wait for no other.
+/// Returns the open jobs that do not wait for dependencies.
 fn open_jobs(view: &ClusterView) -> Vec<OpenJob> {
     let replica = view.replica();
     let open = |entry: &JobEntry| {
@@ -90,7 +91,7 @@
     replica.jobs.values().filter_map(open).collect()
 }
 
-/// Where earlier leaders may have started tasks of a job.
+/// Returns where earlier leaders may have started tasks of a job.
 fn prior_runs(replica: &Replica, spec: &Job, version: u64) -> PriorRuns {
     match (spec.shape, replica.bound_machines(&spec.id)) {
         (Shape::Gang, Some(machines)) => PriorRuns::Bound(machines),
@@ -100,7 +101,7 @@
     }
 }
 
-/// The priorities of jobs, with what they have from those that wait for them.
+/// Returns the priorities of jobs, including those inherited from jobs that depend on them.
 fn effective_priorities(view: &ClusterView, jobs: &[OpenJob]) -> Vec<(String, Priority)> {
     let of = |job: &OpenJob| {
         let spec = &job.spec;
@@ -110,7 +111,7 @@
     jobs.iter().map(of).collect()
 }
 
-/// Ids, teams and resources of the jobs whose tasks may still run though they are cancelled.
+/// Returns the ids, teams and resources of cancelled jobs whose tasks may still be running.
 fn recently_cancelled(
     controller: &Controller,
     replica: &Replica,
--- a/crates/ladderroute/src/leadership/lease.rs
+++ b/crates/ladderroute/src/leadership/lease.rs
@@ -1,4 +1,4 @@
-//! What keeps a leadership alive: renewals of the store lease, and a view fresh enough for authority.
+//! Maintenance of a leadership: renewals of the store lease, and a view fresh enough for authority.
 
 use crate::controller::Controller;
 use crate::freshness;
@@ -7,29 +7,30 @@
 use store::client::StoreError;
 use store::leadership::authority_duration;
 
-/// Renewals in the time of the store lease, while they are answered.
+/// Renewals per duration of the store lease, as long as they succeed.
 const RENEWALS_PER_LEASE: u32 = 5;
 
-/// Renewals in the time of the store lease, once one was not answered.
+/// Renewals per duration of the store lease after one has failed.
 const RETRIES_PER_LEASE: u32 = 20;
 
-/// Freshness reads of the leader in its store lease, when nothing else makes them.
+/// Freshness reads of the leader per duration of its store lease, if nothing else keeps the view
+/// fresh.
 const READS_PER_LEASE: u32 = 5;
 
-/// What became of a renewal.
+/// Result of a renewal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Renewal {
-    /// Authority goes on.
+    /// Authority continues.
     Kept,
-    /// The lease goes on, but answers need a newer view.
+    /// The lease was renewed, but authority requires a newer view.
     NeedsRead,
-    /// There was no response; the lease may go on.
+    /// The renewal failed; the lease may still exist.
     Failed,
-    /// The lease is certainly gone.
+    /// The lease no longer exists.
     Lost,
 }
 
-/// Renews the lease; returns when it is certainly lost.
+/// Renews the lease, and returns when it is certainly lost.
 pub async fn renew_until_lost(controller: &Rc<Controller>, ttl: Duration) {
     let mut is_paused = false;
     loop {
@@ -46,7 +47,7 @@
                 smol::Timer::after(ttl / RETRIES_PER_LEASE).await;
                 continue;
             }
-            // It ran out and is back: with a read sent from now on.
+            // Authority that had expired is valid again only with a read sent after the renewal.
             Renewal::NeedsRead => {
                 freshness::read_once(controller).await;
             }
@@ -56,7 +57,8 @@
     }
 }
 
-/// Takes the store's answer to a renewal; `until` is how far an answered one carries authority.
+/// Applies the store's response to a renewal. `until` is when the authority of a successful one
+/// expires.
 fn apply_renewal(
     controller: &Controller,
     response: Result<(), StoreError>,
@@ -86,8 +88,8 @@
     }
 }
 
-/// Keeps the view fresh: authority reaches no further than its age allows. On a busy day users' questions
-/// and the watch do it.
+/// Keeps the view fresh, since its age limits the authority. Under load, freshness reads for users'
+/// queries and the watch already do so.
 pub async fn keep_view_fresh(controller: Rc<Controller>, ttl: Duration) {
     let interval = ttl / READS_PER_LEASE;
     loop {
--- a/crates/ladderroute/src/leadership/mod.rs
+++ b/crates/ladderroute/src/leadership/mod.rs
@@ -1,5 +1,5 @@
-//! Leadership: campaigns for the store lease, builds the leader from the cluster view, and leads until the
-//! lease is lost.
+//! Leadership: campaigns for the store lease, builds the leader from the cluster view, and leads until
+//! the lease is lost.
 
 mod begin;
 mod lease;
@@ -13,22 +13,23 @@
 use std::time::{Duration, Instant};
 use store::leadership::{acquire, LeadershipLease};
 
-/// How often a controller looks, within the time of the store lease, whether there is a leader.
+/// Checks for a vacant leadership per duration of the store lease.
 const POLLS_PER_LEASE: u32 = 40;
 
-/// A campaign begins after a random wait of up to this part of the lease, so that seldom two meet.
+/// Maximum random delay before a campaign, as a fraction of the lease, so that two campaigns seldom
+/// collide.
 const MAX_CAMPAIGN_JITTER: f64 = 0.03;
 
-/// After a campaign that failed the next waits for this part of the lease, and for a random part beside.
+/// Delay after a failed campaign, and the maximum random delay in addition, as fractions of the lease.
 const FAILED_CAMPAIGN_PAUSE: f64 = 0.05;
 const FAILED_CAMPAIGN_JITTER: f64 = 0.1;
 
-/// Steps of the leader's clock in a heartbeat interval, and the bounds of a step in seconds.
+/// Ticks of the leader per heartbeat interval, and the bounds of the tick interval in seconds.
 const CLOCK_STEPS_PER_HEARTBEAT: f64 = 10.0;
 const MIN_CLOCK_STEP_S: f64 = 0.05;
 const MAX_CLOCK_STEP_S: f64 = 0.1;
 
-/// Tries to become the leader whenever there is none.
+/// Tries to become the leader whenever there is none, and leads after a success.
 pub async fn campaign(controller: Rc<Controller>) {
     let ttl = controller.leader_lease_ttl();
     let others = controller.settings.peers.len();
@@ -49,7 +50,7 @@
                     .set_shares(store_shares(Role::Follower, others));
             }
             Ok(None) => {
-                // Another one leads: the view learns who.
+                // The campaign was lost: the read updates the view with the new leader, if any.
                 freshness::read_once(&controller).await;
             }
             Err(e) => {
@@ -61,7 +62,7 @@
     }
 }
 
-/// Whether the view is known to be whole and holds no leader.
+/// Returns whether the view is complete and contains no leader.
 fn is_vacant(controller: &Controller) -> bool {
     let state = controller.lock();
     let view = &state.shared.view;
@@ -95,8 +96,9 @@
     end_leadership(controller);
 }
 
-/// Waits until the view holds all that was accepted and recorded before this leadership, and is fresh:
-/// nothing is started on the strength of an old one. False if the lease runs out before.
+/// Waits until the view is fresh and contains everything that was accepted and recorded before this
+/// leadership, so that nothing is started based on an outdated view. Returns `false` if the lease
+/// expires first.
 async fn catch_up(controller: &Rc<Controller>, lease: &LeadershipLease, ttl: Duration) -> bool {
     while is_behind(controller, lease, ttl) {
         if Instant::now() > lease.valid_until {
@@ -127,7 +129,7 @@
     state.shared.view.forget_leader(&controller.settings.member);
 }
 
-/// Lets time pass for the leader.
+/// Advances the leader's clock at regular intervals.
 async fn run_clock(controller: Rc<Controller>) {
     let step_s = controller.config.heartbeat_s / CLOCK_STEPS_PER_HEARTBEAT;
     let step = Duration::from_secs_f64(step_s.clamp(MIN_CLOCK_STEP_S, MAX_CLOCK_STEP_S));
@@ -141,7 +143,7 @@
             return;
         };
         if !state.owner.has_authority(now) {
-            // Nothing is decided without authority; it may come back with a renewal and a read.
+            // No decisions are made without authority, which a renewal and a read may restore.
             continue;
         }
         let leader = &mut leadership.leader;
