--- a/crates/ladderroute/build.rs
+++ b/crates/ladderroute/build.rs
@@ -1,4 +1,4 @@
-//! Compiles the description of the operators' settings, so that starting costs no parsing of it.
+//! Compiles `operator.proto` at build time, so that the program does not have to parse it at start-up.
 
 use prost_reflect::prost::Message;
 
--- a/crates/ladderroute/src/logging.rs
+++ b/crates/ladderroute/src/logging.rs
@@ -1,10 +1,10 @@
-//! Logs: single lines of `key=value` on standard error, at the level of `LOG_LEVEL`.
+//! Logging: lines of `key=value` pairs on standard error, at the level in `LOG_LEVEL`.
 
 use log::LevelFilter;
 use std::io::Write;
 use std::time::Instant;
 
-/// Starts logging. Each line says how many seconds the process is up.
+/// Starts logging. Each line contains the seconds since this call as `up`.
 pub fn start() {
     let started_at = Instant::now();
     env_logger::Builder::new()
@@ -17,7 +17,7 @@
         .init();
 }
 
-/// The level of that name; errors alone for none, or for one that is not known.
+/// Returns the level with a name, or only errors for a missing or unknown name.
 fn level(name: Option<&str>) -> LevelFilter {
     match name {
         Some("debug") => LevelFilter::Debug,
--- a/crates/ladderroute/src/main.rs
+++ b/crates/ladderroute/src/main.rs
@@ -5,7 +5,7 @@
 use ladderroute::{logging, startup};
 use std::process::ExitCode;
 
-/// Exit status for settings that can't be used.
+/// Exit code for invalid settings.
 const INVALID_SETTINGS: u8 = 2;
 
 /// Schedules arrays and gangs on provisioned machines; one process of a group of controllers.
@@ -24,7 +24,7 @@
 }
 
 impl Args {
-    /// Reads both files of settings.
+    /// Reads and checks both settings files.
     fn load(&self) -> Result<(Settings, Tuning), SettingsError> {
         let settings = Settings::load(&self.config)?;
         let tuning = match &self.operator {
--- a/crates/ladderroute/src/settings/check.rs
+++ b/crates/ladderroute/src/settings/check.rs
@@ -1,15 +1,15 @@
-//! Which values of the platform's settings file are refused. The first wrong value is reported.
+//! Validation of the platform's settings file. Only the first invalid value is reported.
 
 use super::error::SettingsError;
 use super::platform::{number, Params, Settings, State, TeamSettings, Workers};
 
-/// The limits that `settings.state.next` may hold.
+/// Known limits in `settings.state.next`.
 const NEXT_LIMITS: [&str; 4] = ["rps", "write_rps", "value_kb", "txn_ops"];
 
-/// Heartbeat intervals that a worker's lease has to outlast.
+/// Number of heartbeat intervals that a worker's lease has to exceed.
 const MIN_LEASE_HEARTBEATS: f64 = 2.0;
 
-/// Refuses the first value that is not allowed.
+/// Checks all values, and returns an error for the first invalid one.
 pub(super) fn check(settings: &Settings) -> Result<(), SettingsError> {
     check_members(settings)?;
     let params = &settings.params;
@@ -34,15 +34,15 @@
     Ok(())
 }
 
-/// A number that has to be finite and above 0.
+/// A setting that has to be finite and above 0.
 struct Positive {
-    /// Its path in the file.
+    /// Path of the setting in the file.
     field: &'static str,
-    /// Where it is held.
+    /// Returns the value of the setting.
     value: fn(&Params) -> f64,
 }
 
-/// Numbers that have to be finite and above 0.
+/// Settings that have to be finite and above 0.
 const POSITIVE: [Positive; 13] = [
     Positive {
         field: "settings.workers.report_s",
@@ -124,7 +124,7 @@
     Ok(())
 }
 
-/// One lost heartbeat must not end a worker's lease.
+/// Checks that a single lost heartbeat does not end a worker's lease.
 fn check_lease(workers: &Workers) -> Result<(), SettingsError> {
     if workers.lease_s <= workers.heartbeat_s * MIN_LEASE_HEARTBEATS {
         return Err(SettingsError::field(
--- a/crates/ladderroute/src/settings/error.rs
+++ b/crates/ladderroute/src/settings/error.rs
@@ -1,36 +1,36 @@
-//! Why settings are refused.
+//! Errors in settings files.
 
-/// Why a settings file is refused.
+/// Reason for which a settings file is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// The file can't be read.
+    /// The file cannot be read.
     #[error("{file}: {cause}")]
     Read {
-        /// The file's path.
+        /// Path of the file.
         file: String,
-        /// What the system says.
+        /// Error of the operating system.
         cause: std::io::Error,
     },
-    /// The file's text can't be parsed.
+    /// The text of the file cannot be parsed.
     #[error("{file}: {cause}")]
     Parse {
-        /// The file's path.
+        /// Path of the file.
         file: String,
-        /// What the parser says, in one line.
+        /// Error of the parser, in one line.
         cause: String,
     },
-    /// A value is not allowed.
+    /// A value is invalid.
     #[error("{field}: {cause}")]
     Field {
-        /// The field's path in the file.
+        /// Path of the field in the file.
         field: String,
-        /// What the value must be.
+        /// Requirement that the value does not meet.
         cause: String,
     },
 }
 
 impl SettingsError {
-    /// The error for a value that is not allowed.
+    /// Returns the error for an invalid value.
     pub(super) fn field(field: impl Into<String>, cause: impl Into<String>) -> SettingsError {
         SettingsError::Field {
             field: field.into(),
--- a/crates/ladderroute/src/settings/mod.rs
+++ b/crates/ladderroute/src/settings/mod.rs
@@ -1,9 +1,9 @@
-//! What the service is told at its start: the platform's settings file and the operators' own file.
+//! Settings that are read at start-up: the platform's settings file and the operators' own file.
 //!
-//! - `platform`: the platform's settings file, as structs.
-//! - `check`: which values of that file are refused.
+//! - `platform`: structure of the platform's settings file.
+//! - `check`: validation of that file.
 //! - [`operator`]: the operators' own file.
-//! - `scheduler_config`: what the decisions need to know, out of both files.
+//! - `scheduler_config`: the scheduler's configuration, derived from both files.
 
 mod check;
 mod error;
@@ -25,7 +25,7 @@
         Settings::parse(&source::read(file)?, file)
     }
 
-    /// Parses and checks the text of a settings file; `file` names it in messages.
+    /// Parses and checks the text of a settings file. `file` is its path in error messages.
     pub fn parse(text: &str, file: &str) -> Result<Settings, SettingsError> {
         let settings: Settings = toml::from_str(text).map_err(|cause| SettingsError::Parse {
             file: file.into(),
--- a/crates/ladderroute/src/settings/operator.rs
+++ b/crates/ladderroute/src/settings/operator.rs
@@ -1,24 +1,25 @@
-//! Operators' own settings: protobuf text format, optional, all with defaults, all checked.
+//! Operators' own settings, in protobuf text format. All fields are optional with defaults, and all
+//! values are checked.
 
 use super::error::SettingsError;
 use super::source;
 use prost_reflect::{DescriptorPool, DynamicMessage, MessageDescriptor};
 
-/// The compiled `operator.proto`.
+/// Compiled `operator.proto`, a serialized file descriptor set.
 const DESCRIPTOR_SET: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/operator.bin"));
-/// The message of `operator.proto` that describes the file.
+/// Full name of the message in `operator.proto` that describes the file.
 const MESSAGE_NAME: &str = "ladderroute.Operator";
 
-/// Values that operators may tune.
+/// Settings that operators may tune.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tuning {
-    /// How long reserved capacity waits for the rest of its gang, in seconds.
+    /// Time for which reserved capacity waits for the rest of its gang, in seconds (`hold_s`).
     pub reservation_s: f64,
-    /// The leader's store lease as a part of the workers' lease.
+    /// Duration of the leader's store lease, as a fraction of the workers' lease.
     pub leader_lease_share: f64,
-    /// How long an idle machine is kept, in boot times.
+    /// Time for which an idle machine is kept, as a multiple of its boot time (`keep_boots`).
     pub idle_retention_boots: f64,
-    /// Part of a gang's wait objective that it may wait for a machine in use.
+    /// Fraction of its wait objective for which a gang may wait for machines in use (`patience`).
     pub max_wait_share: f64,
 }
 
@@ -33,19 +34,19 @@
     }
 }
 
-/// A field of the operators' file and the values it may have.
+/// A field of the operators' file, with the range of its values.
 struct Field {
-    /// Its name in the file.
+    /// Name in the file.
     name: &'static str,
-    /// The least value.
+    /// Minimum value.
     min: f64,
-    /// The greatest value.
+    /// Maximum value.
     max: f64,
-    /// What it sets.
+    /// Returns the setting that the field sets.
     target: fn(&mut Tuning) -> &mut f64,
 }
 
-/// The fields of the operators' file.
+/// All fields of the operators' file.
 const FIELDS: [Field; 4] = [
     Field {
         name: "hold_s",
@@ -79,7 +80,7 @@
         Tuning::parse(&source::read(file)?, file)
     }
 
-    /// Parses and checks the text of an operators' file; `file` names it in messages.
+    /// Parses and checks the text of an operators' file. `file` is its path in error messages.
     pub fn parse(text: &str, file: &str) -> Result<Tuning, SettingsError> {
         let message = parse_message(text).map_err(|cause| SettingsError::Parse {
             file: file.into(),
@@ -94,7 +95,7 @@
 }
 
 impl Field {
-    /// Takes the field's value, if the file has one.
+    /// Sets the field's value if the file contains one.
     fn read(&self, message: &DynamicMessage, tuning: &mut Tuning) -> Result<(), SettingsError> {
         if !message.has_field_by_name(self.name) {
             return Ok(());
@@ -121,5 +122,5 @@
 fn descriptor() -> Result<MessageDescriptor, String> {
     let pool = DescriptorPool::decode(DESCRIPTOR_SET).map_err(|cause| cause.to_string())?;
     pool.get_message_by_name(MESSAGE_NAME)
-        .ok_or_else(|| "no description of the settings".into())
+        .ok_or_else(|| "the compiled descriptors lack the message ladderroute.Operator".into())
 }
--- a/crates/ladderroute/src/settings/platform.rs
+++ b/crates/ladderroute/src/settings/platform.rs
@@ -1,29 +1,29 @@
-//! The platform's settings file (TOML). Unknown fields are skipped, so that a newer platform may add
-//! some; a missing or malformed field is refused by name.
+//! Structure of the platform's settings file (TOML). Unknown fields are ignored, so that a newer
+//! platform may add some. A missing or malformed field is rejected by name.
 
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Bytes of a KiB.
+/// Bytes in a KiB.
 const KIB: f64 = 1024.0;
 
-/// The settings file as a whole.
+/// The whole settings file.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Settings {
-    /// The name of this controller.
+    /// Name of this controller.
     pub member: String,
-    /// Where users, workers and health checks reach this controller.
+    /// Address for requests of users, workers and health checks.
     pub api_addr: SocketAddr,
-    /// Where the other controllers reach this one.
+    /// Address for connections from the other controllers (`back` in the file).
     #[serde(rename = "back")]
     pub link_addr: SocketAddr,
-    /// The other controllers.
+    /// The other controllers (`known` in the file).
     #[serde(rename = "known", default)]
     pub peers: Vec<Peer>,
-    /// The services that this controller uses.
+    /// Addresses of the services that this controller uses.
     pub services: Services,
-    /// What all controllers are told alike.
+    /// Parameters that are the same for all controllers (`settings` in the file).
     #[serde(rename = "settings")]
     pub params: Params,
 }
@@ -31,9 +31,9 @@
 /// Another controller.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Peer {
-    /// Its name.
+    /// Name of the controller.
     pub member: String,
-    /// Where the controllers reach it.
+    /// Address for connections from other controllers (`endpoint` in the file).
     #[serde(rename = "endpoint")]
     pub addr: SocketAddr,
 }
@@ -41,22 +41,22 @@
 /// Addresses of the services that a controller uses.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Services {
-    /// The cloud, which provisions machines.
+    /// The cloud API, which provisions machines.
     pub cloud: SocketAddr,
     /// The state service.
     pub state: SocketAddr,
 }
 
-/// What all controllers are told alike.
+/// Parameters that are the same for all controllers.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Params {
-    /// Teams that may submit jobs.
+    /// Teams, which may submit jobs.
     #[serde(default)]
     pub teams: Vec<TeamSettings>,
-    /// Objectives for the start of jobs.
+    /// Objectives for when jobs start.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// The protocol with the workers.
+    /// Times of the protocol with the workers.
     pub workers: Workers,
     /// Limits of the state service.
     pub state: State,
@@ -66,31 +66,31 @@
     pub quota: Quota,
 }
 
-/// A team's guarantees and limits.
+/// Guarantees and limits of a team.
 #[derive(Clone, Debug, Deserialize)]
 pub struct TeamSettings {
-    /// The team's name.
+    /// Name of the team.
     pub name: String,
-    /// Guaranteed CPUs; 0 means none.
+    /// Guaranteed CPUs. 0 means no guarantee.
     pub cpus: f64,
-    /// Guaranteed GPUs; 0 means none.
+    /// Guaranteed GPUs. 0 means no guarantee.
     #[serde(default)]
     pub gpus: f64,
-    /// Most CPUs. 0 means that the team has no limit, of GPUs neither.
+    /// Maximum number of CPUs. 0 means that the team has no limits, neither of CPUs nor of GPUs.
     #[serde(default)]
     pub cpus_max: f64,
-    /// Most GPUs, if the team has limits.
+    /// Maximum number of GPUs, if the team has limits.
     #[serde(default)]
     pub gpus_max: f64,
 }
 
 impl TeamSettings {
-    /// Most CPUs; infinite without limits.
+    /// Returns the maximum number of CPUs, infinite for a team without limits.
     pub(super) fn cpu_limit(&self) -> f64 {
         self.limit(self.cpus_max)
     }
 
-    /// Most GPUs; infinite without limits.
+    /// Returns the maximum number of GPUs, infinite for a team without limits.
     pub(super) fn gpu_limit(&self) -> f64 {
         self.limit(self.gpus_max)
     }
@@ -104,15 +104,15 @@
     }
 }
 
-/// An objective for the start of jobs. Kinds that are not known are skipped.
+/// An objective for when jobs start. Unknown kinds are ignored.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Objective {
-    /// What it is about: `guarantee` or `wait`.
+    /// Kind of the objective: `guarantee` or `wait`.
     pub kind: String,
-    /// The class of jobs that a `wait` objective is for.
+    /// Class of jobs to which a `wait` objective applies.
     #[serde(default)]
     pub class: Option<String>,
-    /// Within how many seconds it is to be met.
+    /// Time within which the objective has to be met, in seconds.
     #[serde(default)]
     pub within_s: Option<f64>,
 }
@@ -120,39 +120,39 @@
 /// Times of the protocol with the workers, in seconds.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Workers {
-    /// Between two heartbeats of a worker.
+    /// Interval between heartbeats of a worker (`report_s` in the file).
     #[serde(rename = "report_s")]
     pub heartbeat_s: f64,
-    /// After which a worker that was not answered stops its tasks.
+    /// Time after which a worker without a response stops its tasks.
     pub lease_s: f64,
-    /// For which a gang's task waits for the others.
+    /// Time for which a gang's task waits for the other tasks.
     pub gang_wait_s: f64,
-    /// After which a gang's task gives up a silent one.
+    /// Time after which a gang's task gives up on a silent peer.
     pub gang_peer_s: f64,
-    /// Within which the tasks of a cancelled job have to stop.
+    /// Time within which the tasks of a cancelled job have to stop.
     pub cancel_s: f64,
 }
 
-/// Limits that the state service states.
+/// Limits stated by the state service.
 #[derive(Clone, Debug, Deserialize)]
 pub struct State {
-    /// Requests a second, of all controllers.
+    /// Requests per second, of all controllers together.
     pub rps: f64,
-    /// Puts and deletes a second, of all controllers.
+    /// Puts and deletes per second, of all controllers together.
     pub write_rps: f64,
-    /// Most KiB of a value.
+    /// Maximum size of a value in KiB.
     pub value_kb: f64,
-    /// Most puts and deletes of a transaction.
+    /// Maximum number of puts and deletes in a transaction.
     pub txn_ops: usize,
-    /// Limits that the service will have from some later moment on, which it does not announce. Each
-    /// may be missing.
+    /// Limits that the state service will apply from some later, unannounced time on. Any of them may
+    /// be missing.
     #[serde(default)]
     pub next: BTreeMap<String, toml::Value>,
 }
 
 impl State {
-    /// The lower of the present limits and those to come, so that everything fits both from the first
-    /// write on.
+    /// Returns the lower of each current limit and its future value, so that everything fits both
+    /// from the first write on.
     pub fn limits(&self) -> StateLimits {
         let lower = |name: &str, present: f64| {
             let next = self.next.get(name).and_then(number);
@@ -167,27 +167,27 @@
     }
 }
 
-/// A number of the settings, written as a decimal or an integer.
+/// Returns a number that may be written as a float or an integer.
 pub(super) fn number(value: &toml::Value) -> Option<f64> {
     let integer = || value.as_integer().map(|number| number as f64);
     value.as_float().or_else(integer)
 }
 
-/// The limits of the state service that this process keeps to.
+/// Limits of the state service that this process observes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StateLimits {
-    /// Requests a second, of all controllers.
+    /// Requests per second, of all controllers together.
     pub rps: f64,
-    /// Puts and deletes a second, of all controllers.
+    /// Puts and deletes per second, of all controllers together.
     pub write_rps: f64,
-    /// Most KiB of a value.
+    /// Maximum size of a value in KiB.
     pub value_kb: f64,
-    /// Most puts and deletes of a transaction.
+    /// Maximum number of puts and deletes in a transaction.
     pub txn_ops: usize,
 }
 
 impl StateLimits {
-    /// Most bytes of a value.
+    /// Returns the maximum size of a value in bytes.
     pub fn value_bytes(&self) -> usize {
         (self.value_kb * KIB) as usize
     }
@@ -196,17 +196,17 @@
 /// Limits of the cloud.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Cloud {
-    /// Requests a second.
+    /// Requests per second.
     pub rps: f64,
-    /// Seconds by which its list of machines may lag behind.
+    /// Maximum delay of the list of machines, in seconds.
     pub list_lag_s: f64,
 }
 
 /// Limits of this process.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Quota {
-    /// Most MiB of memory.
+    /// Maximum memory in MiB.
     pub memory_mb: f64,
-    /// Most open sockets.
+    /// Maximum number of open sockets.
     pub max_sockets: usize,
 }
--- a/crates/ladderroute/src/settings/scheduler_config.rs
+++ b/crates/ladderroute/src/settings/scheduler_config.rs
@@ -1,23 +1,24 @@
-//! What the decisions need to know, out of the platform's settings and the operators' own.
+//! The scheduler's configuration, derived from the platform's settings and the operators' own.
 
 use super::operator::Tuning;
 use super::platform::{Objective, Params, Settings, TeamSettings};
 use sched::config::{SchedulerConfig, Team};
 use std::collections::BTreeMap;
 
-/// The objective for jobs within their team's guarantee.
+/// Kind of the objective for jobs within their team's guarantee.
 const GUARANTEE: &str = "guarantee";
-/// The objective for the start of a class of jobs.
+/// Kind of an objective for the start of a class of jobs.
 const WAIT: &str = "wait";
-/// Heartbeat intervals within which a guarantee is met, if no objective says so.
+/// Default time within which a guarantee has to be met, in heartbeat intervals.
 const DEFAULT_GUARANTEE_HEARTBEATS: f64 = 10.0;
-/// Shortest leadership lease, in seconds.
+/// Minimum duration of the leader's store lease, in seconds.
 const MIN_LEADER_LEASE_S: f64 = 0.5;
-/// Longest leadership lease, as a part of the time after which a worker drops an answer.
+/// Maximum duration of the leader's store lease, as a fraction of the time after which a worker
+/// drops a response.
 const MAX_LEADER_LEASE_SHARE: f64 = 0.5;
 
 impl Settings {
-    /// What the decisions need to know.
+    /// Returns the configuration of the scheduler.
     pub fn scheduler_config(&self, tuning: &Tuning) -> SchedulerConfig {
         let params = &self.params;
         let workers = &params.workers;
@@ -67,8 +68,8 @@
         .unwrap_or(params.workers.heartbeat_s * DEFAULT_GUARANTEE_HEARTBEATS)
 }
 
-/// Within how many seconds jobs are to start, by class. Of several objectives for a class the
-/// shortest counts.
+/// Returns the time within which jobs have to start, in seconds, by class. If a class has several
+/// objectives, the shortest time applies.
 fn wait_s(objectives: &[Objective]) -> BTreeMap<String, f64> {
     let mut by_class: BTreeMap<String, f64> = BTreeMap::new();
     for objective in objectives.iter().filter(|objective| objective.kind == WAIT) {
--- a/crates/ladderroute/src/startup/mod.rs
+++ b/crates/ladderroute/src/startup/mod.rs
@@ -1,5 +1,6 @@
-//! Wiring: builds a controller from its settings, starts its services, and runs them until its listeners
-//! fail. A process ends by being killed: all that has to outlive it is in the store.
+//! Start-up: builds a controller from its settings, starts its services, and runs them until its
+//! listeners fail. There is no shutdown procedure: a process is simply killed, and everything that has
+//! to survive it is in the store.
 
 mod owner_clock;
 
@@ -21,18 +22,18 @@
 use store::budget::Rates;
 use store::client::Store;
 
-/// Most connections to the cloud that are kept for the next request.
+/// Maximum number of idle connections to the cloud that are kept for reuse.
 const CLOUD_CONNECTIONS: usize = 2;
 
-/// Most bytes of an answer of the cloud.
+/// Maximum size of a response of the cloud, in bytes.
 const MAX_CLOUD_RESPONSE_BYTES: usize = 4 << 20;
 
-/// Part of the workers' lease for which an answer of the store is waited for, and its bounds in seconds.
+/// Timeout of store requests as a fraction of the workers' lease, and its bounds in seconds.
 const STORE_TIMEOUT_SHARE: f64 = 0.1;
 const MIN_STORE_TIMEOUT_S: f64 = 0.5;
 const MAX_STORE_TIMEOUT_S: f64 = 1.5;
 
-/// A controller that has not begun to run.
+/// Returns a controller whose services are not started yet.
 pub fn build_controller(
     settings: Settings,
     tuning: &Tuning,
@@ -63,7 +64,7 @@
     })
 }
 
-/// The client of the state service, with a follower's shares of its rates.
+/// Returns a client of the state service with a follower's shares of its rate limits.
 fn store_client(settings: &Settings, config: &SchedulerConfig) -> Store {
     let limits = settings.params.state.limits();
     let rates = Rates {
@@ -77,7 +78,7 @@
     Store::new(settings.services.state, rates, shares, timeout)
 }
 
-/// Says what the settings make impossible, though the service starts with them.
+/// Logs a guarantee that the settings make impossible, although the service accepts them.
 pub fn warn_if_tight(config: &SchedulerConfig) {
     if !config.cancels_in_time() {
         let (lease_s, cancel_s) = (config.lease_s, config.cancel_s);
--- a/crates/ladderroute/src/startup/owner_clock.rs
+++ b/crates/ladderroute/src/startup/owner_clock.rs
@@ -1,16 +1,16 @@
-//! The owner's clock, and the log of this controller's authority and health.
+//! Clock of the shard owner, and logging of this controller's authority and health.
 
 use crate::controller::{Controller, State};
 use sched::Secs;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Steps of the owner's clock in a heartbeat interval, and the bounds of a step in seconds.
+/// Ticks of the owner per heartbeat interval, and the bounds of the tick interval in seconds.
 const STEPS_PER_HEARTBEAT: f64 = 20.0;
 const MIN_STEP_S: f64 = 0.05;
 const MAX_STEP_S: f64 = 0.1;
 
-/// Lets time pass for the owner's state.
+/// Advances the owner's clock at regular intervals.
 pub async fn run(controller: Rc<Controller>) {
     let step_s = controller.config.heartbeat_s / STEPS_PER_HEARTBEAT;
     let step = Duration::from_secs_f64(step_s.clamp(MIN_STEP_S, MAX_STEP_S));
@@ -25,7 +25,7 @@
     }
 }
 
-/// Logs changes of authority, and the running summary of the counters when it has changed.
+/// Logs changes of authority, and the summary of the counters at intervals if it has changed.
 #[derive(Default)]
 struct StatusLog {
     has_authority: bool,
