--- a/crates/ladderroute/src/leadership/mod.rs
+++ b/crates/ladderroute/src/leadership/mod.rs
@@ -22,12 +22,12 @@
 
 /// Delay after a failed campaign, and the maximum random delay in addition, as fractions of the lease.
 const FAILED_CAMPAIGN_PAUSE: f64 = 0.05;
-const FAILED_CAMPAIGN_JITTER: f64 = 0.1;
+const MAX_FAILED_CAMPAIGN_JITTER: f64 = 0.1;
 
 /// Ticks of the leader per heartbeat interval, and the bounds of the tick interval in seconds.
-const CLOCK_STEPS_PER_HEARTBEAT: f64 = 10.0;
-const MIN_CLOCK_STEP_S: f64 = 0.05;
-const MAX_CLOCK_STEP_S: f64 = 0.1;
+const TICKS_PER_HEARTBEAT: f64 = 10.0;
+const MIN_TICK_INTERVAL_S: f64 = 0.05;
+const MAX_TICK_INTERVAL_S: f64 = 0.1;
 
 /// Tries to become the leader whenever there is none, and leads after a success.
 pub async fn campaign(controller: Rc<Controller>) {
@@ -55,7 +55,7 @@
             }
             Err(e) => {
                 log::info!("event=campaign_failed error=\"{e}\"");
-                let pause = FAILED_CAMPAIGN_PAUSE + FAILED_CAMPAIGN_JITTER * fastrand::f64();
+                let pause = FAILED_CAMPAIGN_PAUSE + MAX_FAILED_CAMPAIGN_JITTER * fastrand::f64();
                 smol::Timer::after(ttl.mul_f64(pause)).await;
             }
         }
@@ -131,11 +131,12 @@
 
 /// Advances the leader's clock at regular intervals.
 async fn run_clock(controller: Rc<Controller>) {
-    let step_s = controller.config.heartbeat_s / CLOCK_STEPS_PER_HEARTBEAT;
-    let step = Duration::from_secs_f64(step_s.clamp(MIN_CLOCK_STEP_S, MAX_CLOCK_STEP_S));
-    let mut logged = sched::leader::Summary::default();
+    let interval_s = controller.config.heartbeat_s / TICKS_PER_HEARTBEAT;
+    let interval =
+        Duration::from_secs_f64(interval_s.clamp(MIN_TICK_INTERVAL_S, MAX_TICK_INTERVAL_S));
+    let mut logged_summary = sched::leader::Summary::default();
     loop {
-        smol::Timer::after(step).await;
+        smol::Timer::after(interval).await;
         let now = controller.now();
         let mut guard = controller.lock();
         let state = &mut *guard;
@@ -150,9 +151,9 @@
         leader.tick(now, controller.settings.peers.len());
         if log::log_enabled!(log::Level::Debug) {
             let summary = leader.summary();
-            if summary != logged {
+            if summary != logged_summary {
                 log::debug!("event=cluster_summary {summary}");
-                logged = summary;
+                logged_summary = summary;
             }
         }
         controller.exchange_messages(state);
--- a/crates/ladderroute/src/startup/owner_clock.rs
+++ b/crates/ladderroute/src/startup/owner_clock.rs
@@ -6,17 +6,18 @@
 use std::time::Duration;
 
 /// Ticks of the owner per heartbeat interval, and the bounds of the tick interval in seconds.
-const STEPS_PER_HEARTBEAT: f64 = 20.0;
-const MIN_STEP_S: f64 = 0.05;
-const MAX_STEP_S: f64 = 0.1;
+const TICKS_PER_HEARTBEAT: f64 = 20.0;
+const MIN_TICK_INTERVAL_S: f64 = 0.05;
+const MAX_TICK_INTERVAL_S: f64 = 0.1;
 
 /// Advances the owner's clock at regular intervals.
 pub async fn run(controller: Rc<Controller>) {
-    let step_s = controller.config.heartbeat_s / STEPS_PER_HEARTBEAT;
-    let step = Duration::from_secs_f64(step_s.clamp(MIN_STEP_S, MAX_STEP_S));
+    let interval_s = controller.config.heartbeat_s / TICKS_PER_HEARTBEAT;
+    let interval =
+        Duration::from_secs_f64(interval_s.clamp(MIN_TICK_INTERVAL_S, MAX_TICK_INTERVAL_S));
     let mut log = StatusLog::default();
     loop {
-        smol::Timer::after(step).await;
+        smol::Timer::after(interval).await;
         let now = controller.now();
         let mut state = controller.lock();
         state.owner.tick(now);
