--- a/crates/ladderroute/src/writer/outcome.rs
+++ b/crates/ladderroute/src/writer/outcome.rs
@@ -36,9 +36,9 @@
     /// Returns whether an earlier write of this leader was applied late, so that the store differs
     /// from what this leader assumes.
     pub fn is_overtaken(&self) -> bool {
-        let is_overtaken =
+        let is_own_record =
             |key: &String| !matches!(KeyKind::of(key), KeyKind::Job | KeyKind::Leader);
-        matches!(self, Outcome::Conflict(failed) if failed.iter().any(is_overtaken))
+        matches!(self, Outcome::Conflict(failed) if failed.iter().any(is_own_record))
     }
 }
 
