--- a/crates/ladderroute/build.rs
+++ b/crates/ladderroute/build.rs
@@ -1,4 +1,5 @@
-//! Compiles `operator.proto` at build time, so that the program does not have to parse it at start-up.
+//! Compiles `operator.proto` at build time, so that the program does not have to parse it at
+//! start-up.
 
 use prost_reflect::prost::Message;
 
--- a/crates/ladderroute/src/controller_links/follower_side.rs
+++ b/crates/ladderroute/src/controller_links/follower_side.rs
@@ -1,5 +1,5 @@
-//! The owner's side of the links: keeps a connection to the current leader and applies the authority
-//! that it grants.
+//! The owner's side of the links: keeps a connection to the current leader and applies the
+//! authority that it grants.
 
 use super::frames::{write_frames, FrameReader};
 use crate::controller::{ConnectionId, Controller, ReplicaJobs, State};
@@ -18,8 +18,8 @@
 /// Timeout for connecting to the leader, in seconds.
 const CONNECT_TIMEOUT_S: f64 = wire::HEARTBEAT_RESPONSE_TIMEOUT_S / 4.0;
 
-/// Time without a message, or for a single write, after which the connection is ended, in seconds. The
-/// leader answers pings, so a working connection is never silent for long.
+/// Time without a message, or for a single write, after which the connection is ended, in seconds.
+/// The leader answers pings, so a working connection is never silent for long.
 const IDLE_TIMEOUT_S: f64 = wire::HEARTBEAT_RESPONSE_TIMEOUT_S / 2.0;
 
 /// Pings in the time after which the leader gives up on a silent owner.
@@ -199,7 +199,8 @@
         }
     }
 
-    /// Handles the start of an epoch. The first one on this connection joins this owner to the leader.
+    /// Handles the start of an epoch. The first one on this connection joins this owner to the
+    /// leader.
     fn join(&mut self, state: &mut State) {
         if std::mem::replace(&mut self.has_joined, true) {
             return;
--- a/crates/ladderroute/src/controller_links/frames.rs
+++ b/crates/ladderroute/src/controller_links/frames.rs
@@ -36,8 +36,8 @@
         }
     }
 
-    /// Returns the body of the next frame (version and message), or `None` at the end of the stream,
-    /// after the idle timeout, or for data that is not a frame.
+    /// Returns the body of the next frame (version and message), or `None` at the end of the
+    /// stream, after the idle timeout, or for data that is not a frame.
     pub async fn next(&mut self) -> Option<Vec<u8>> {
         with_timeout(self.idle_timeout, self.next_frame()).await?
     }
--- a/crates/ladderroute/src/controller_links/leader_side.rs
+++ b/crates/ladderroute/src/controller_links/leader_side.rs
@@ -1,5 +1,5 @@
-//! The leader's side of the links: accepts the owners' connections and grants authority in response to
-//! their pings.
+//! The leader's side of the links: accepts the owners' connections and grants authority in response
+//! to their pings.
 
 use super::frames::{write_frames, FrameReader};
 use crate::controller::limits::max_peer_connections;
@@ -12,8 +12,8 @@
 use std::time::Duration;
 use wire::peers::{decode_frame, encode_frame, ToLeader, ToOwner};
 
-/// Time without a message, or for a single write, after which a connection is ended, in seconds. Owners
-/// ping often, so a working connection is never silent for long.
+/// Time without a message, or for a single write, after which a connection is ended, in seconds.
+/// Owners ping often, so a working connection is never silent for long.
 const IDLE_TIMEOUT_S: f64 = wire::HEARTBEAT_RESPONSE_TIMEOUT_S;
 
 /// Pause after a failed accept, for example when the process is out of sockets.
@@ -107,8 +107,8 @@
     decode_frame(&frames.next().await?)
 }
 
-/// Registers a connection as the owner's link. Returns `false` if this controller does not lead, or if
-/// the owner already has a connection that this one does not replace.
+/// Registers a connection as the owner's link. Returns `false` if this controller does not lead, or
+/// if the owner already has a connection that this one does not replace.
 fn admit(controller: &Controller, connection: &OwnerConnection) -> bool {
     let mut guard = controller.lock();
     let Some(leadership) = &mut guard.shared.leadership else {
@@ -178,8 +178,8 @@
     Next::Continue
 }
 
-/// Grants authority to the owner that sent a ping, and reports the age of the leader's view to it. This
-/// is the only place where authority is granted.
+/// Grants authority to the owner that sent a ping, and reports the age of the leader's view to it.
+/// This is the only place where authority is granted.
 fn answer_ping(
     controller: &Controller,
     leadership: &mut Leadership,
--- a/crates/ladderroute/src/freshness/reads.rs
+++ b/crates/ladderroute/src/freshness/reads.rs
@@ -1,5 +1,5 @@
-//! Freshness reads: reads of the store's changes that return immediately, each shared by all queries
-//! that wait for one.
+//! Freshness reads: reads of the store's changes that return immediately, each shared by all
+//! queries that wait for one.
 
 use crate::cluster_view::ChangesRead;
 use crate::controller::Controller;
@@ -10,7 +10,8 @@
 use store::keys;
 use wire::store::Changes;
 
-/// Maximum fraction of the store's request rate for the freshness reads of all controllers together.
+/// Maximum fraction of the store's request rate for the freshness reads of all controllers
+/// together.
 const READS_SHARE: f64 = 0.35;
 
 /// Brings the view up to the current state of the store, and returns whether that succeeded. One
--- a/crates/ladderroute/src/freshness/watch.rs
+++ b/crates/ladderroute/src/freshness/watch.rs
@@ -1,5 +1,5 @@
-//! The long-polling watch of the store's changes, and the reload of all keys when a watch can no longer
-//! provide them.
+//! The long-polling watch of the store's changes, and the reload of all keys when a watch can no
+//! longer provide them.
 
 use super::reads::{begin_read, mark_view_too_old, read_changes, request_interval};
 use crate::cluster_view::{ChangesRead, ViewReload};
@@ -11,8 +11,8 @@
 use store::keys;
 use store::reload::LoadState;
 
-/// Maximum fraction of the store's request rate for the watches of all controllers together. A watch
-/// returns with the first change, and under load there always is one.
+/// Maximum fraction of the store's request rate for the watches of all controllers together. A
+/// watch returns with the first change, and under load there always is one.
 const WATCH_SHARE: f64 = 0.2;
 
 /// Time for which a watch waits for a change, in seconds.
--- a/crates/ladderroute/src/leadership/mod.rs
+++ b/crates/ladderroute/src/leadership/mod.rs
@@ -1,5 +1,5 @@
-//! Leadership: campaigns for the store lease, builds the leader from the cluster view, and leads until
-//! the lease is lost.
+//! Leadership: campaigns for the store lease, builds the leader from the cluster view, and leads
+//! until the lease is lost.
 
 mod begin;
 mod lease;
@@ -20,7 +20,8 @@
 /// collide.
 const MAX_CAMPAIGN_JITTER: f64 = 0.03;
 
-/// Delay after a failed campaign, and the maximum random delay in addition, as fractions of the lease.
+/// Delay after a failed campaign, and the maximum random delay in addition, as fractions of the
+/// lease.
 const FAILED_CAMPAIGN_PAUSE: f64 = 0.05;
 const MAX_FAILED_CAMPAIGN_JITTER: f64 = 0.1;
 
--- a/crates/ladderroute/src/settings/platform.rs
+++ b/crates/ladderroute/src/settings/platform.rs
@@ -144,8 +144,8 @@
     pub value_kb: f64,
     /// Maximum number of puts and deletes in a transaction.
     pub txn_ops: usize,
-    /// Limits that the state service will apply from some later, unannounced time on. Any of them may
-    /// be missing.
+    /// Limits that the state service will apply from some later, unannounced time on. Any of them
+    /// may be missing.
     #[serde(default)]
     pub next: BTreeMap<String, toml::Value>,
 }
--- a/crates/ladderroute/src/startup/mod.rs
+++ b/crates/ladderroute/src/startup/mod.rs
@@ -1,6 +1,6 @@
 //! Start-up: builds a controller from its settings, starts its services, and runs them until its
-//! listeners fail. There is no shutdown procedure: a process is simply killed, and everything that has
-//! to survive it is in the store.
+//! listeners fail. There is no shutdown procedure: a process ends by being killed, and everything
+//! that has to outlive it is in the store.
 
 mod owner_clock;
 
@@ -78,7 +78,8 @@
     Store::new(settings.services.state, rates, shares, timeout)
 }
 
-/// Logs a guarantee that the settings make impossible, although the service accepts them.
+/// Logs an error if the settings make it impossible to keep `cancel_s` at all times. The service
+/// still accepts them.
 pub fn warn_if_tight(config: &SchedulerConfig) {
     if !config.cancels_in_time() {
         let (lease_s, cancel_s) = (config.lease_s, config.cancel_s);
--- a/crates/ladderroute/src/writer/batch.rs
+++ b/crates/ladderroute/src/writer/batch.rs
@@ -114,8 +114,8 @@
         self.limits.max_writes.saturating_sub(used)
     }
 
-    /// Adds the decisions of a group in order, until one has to wait, and returns those that have to
-    /// wait.
+    /// Adds the decisions of a group in order, until one has to wait, and returns those that have
+    /// to wait.
     fn add_all(&mut self, actions: Vec<Action>, group: Group) -> Vec<Action> {
         let mut deferred = Vec::new();
         let mut is_full = false;
@@ -188,9 +188,10 @@
         added
     }
 
-    /// Returns the pages of a write unit that have to be added to the batch: all that are missing, or
-    /// none if they do not fit. Only if the unit is too large for any transaction are its new pages
-    /// written first, as many as fit: they are copies of entries that the first page still holds.
+    /// Returns the pages of a write unit that have to be added to the batch: all that are missing,
+    /// or none if they do not fit. Only if the unit is too large for any transaction are its new
+    /// pages written first, as many as fit: they are copies of entries that the first page still
+    /// holds.
     fn pages_to_add(&self, already_added: &[u32], unit: Vec<u32>) -> (Vec<u32>, AddResult) {
         let missing: Vec<u32> = unit
             .iter()
@@ -216,8 +217,9 @@
         AddResult::Added
     }
 
-    /// Adds the binding of a gang. A long binding takes several records, each below the value limit.
-    /// One that is too large for any transaction is written in parts, by several transactions.
+    /// Adds the binding of a gang. A long binding takes several records, each below the value
+    /// limit. One that is too large for any transaction is written in parts, by several
+    /// transactions.
     fn add_binding(&mut self, job: &str, attempt: u64, places: &[(String, u32, u32)]) -> AddResult {
         let places_per_record = ((self.limits.value_kb * KIB / BYTES_PER_PLACE) as usize).max(1);
         let written_records = self.records.bound_places(attempt) / places_per_record;
@@ -245,8 +247,8 @@
         AddResult::Deferred
     }
 
-    /// Adds the end of a job, and deletes its binding, which only a later leader that had to run the
-    /// job would need.
+    /// Adds the end of a job, and deletes its binding, which only a later leader that had to run
+    /// the job would need.
     fn add_finish(&mut self, job: &str) -> AddResult {
         let replica = self.replica;
         let entry = replica.jobs.get(job);
--- a/crates/ladderroute/src/writer/outcome.rs
+++ b/crates/ladderroute/src/writer/outcome.rs
@@ -97,7 +97,7 @@
     }
 }
 
-/// Reports the outcome of a batch to the leader. Gives up a leadership that is lost.
+/// Reports the outcome of a batch to the leader, or releases a leadership that is lost.
 pub async fn apply(controller: &Rc<Controller>, batch: Batch, result: Result<Outcome, StoreError>) {
     if let Err(error) = &result {
         log::debug!("event=write_failed error=\"{error}\"");
--- a/crates/ladderroute/src/writer/pages.rs
+++ b/crates/ladderroute/src/writer/pages.rs
@@ -98,8 +98,8 @@
         }
     }
 
-    /// Loads the progress of open jobs. Progress that another controller stored under other limits is
-    /// removed from its page and added again in chunks of this controller's size.
+    /// Loads the progress of open jobs. Progress that another controller stored under other limits
+    /// is removed from its page and added again in chunks of this controller's size.
     fn load_progress(&mut self, replica: &Replica, chunk_bits: u32) {
         let mut to_repack: BTreeMap<String, RangeSet> = BTreeMap::new();
         for (n, page) in replica.progress.pages() {
@@ -145,7 +145,8 @@
         }
     }
 
-    /// Removes the progress of a job that has ended; its pages change when they are next written.
+    /// Removes the progress of a job that has ended. The stored pages change only when they are
+    /// next written for another reason.
     pub fn on_job_terminal(&mut self, id: &str) {
         let chunks = self.progress.keys_from(&Chunk::new(id, 0));
         let chunks = chunks.take_while(|chunk| chunk.job == id);
