--- a/crates/ladderroute/src/writer/batch.rs
+++ b/crates/ladderroute/src/writer/batch.rs
@@ -261,11 +261,11 @@
             return AddResult::Deferred;
         }
         self.put_terminal_record(job, entry, spec);
-        let drops = chunks.into_iter().map(|chunk| Write::Delete {
+        let deletes = chunks.into_iter().map(|chunk| Write::Delete {
             key: keys::binding(job, chunk),
         });
-        let max_drops = self.limits.max_writes.saturating_sub(1);
-        self.batch.writes.extend(drops.take(max_drops));
+        let max_deletes = self.limits.max_writes.saturating_sub(1);
+        self.batch.writes.extend(deletes.take(max_deletes));
         AddResult::Added
     }
 
