--- a/crates/ladderroute/src/controller_links/follower_side.rs
+++ b/crates/ladderroute/src/controller_links/follower_side.rs
@@ -1,4 +1,5 @@
-//! The owner's side of the links: keeps a connection to whoever leads, and takes the authority granted there.
+//! The owner's side of the links: keeps a connection to the current leader and applies the
+//! authority that it grants.
 
 use super::frames::{write_frames, FrameReader};
 use crate::controller::{ConnectionId, Controller, ReplicaJobs, State};
@@ -14,58 +15,58 @@
 use store::leadership::MAX_CLOCK_DRIFT;
 use wire::peers::{decode_frame, encode_frame, ToLeader, ToOwner};
 
-/// How long a connection to the leader may take to come about, in seconds.
-const CONNECT_LIMIT_S: f64 = wire::HEARTBEAT_RESPONSE_TIMEOUT_S / 4.0;
+/// Timeout for connecting to the leader, in seconds.
+const CONNECT_TIMEOUT_S: f64 = wire::HEARTBEAT_RESPONSE_TIMEOUT_S / 4.0;
 
-/// The leader answers pings; a connection that is silent for longer is ended, and so is one on which a
-/// write takes longer; in seconds.
-const SILENCE_LIMIT_S: f64 = wire::HEARTBEAT_RESPONSE_TIMEOUT_S / 2.0;
+/// Time without a message, or for a single write, after which the connection is ended, in seconds.
+/// The leader answers pings, so a working connection is never silent for long.
+const IDLE_TIMEOUT_S: f64 = wire::HEARTBEAT_RESPONSE_TIMEOUT_S / 2.0;
 
-/// Pings within the time after which the leader gives up a silent owner.
-const PINGS_PER_SILENCE: f64 = 4.0;
+/// Pings in the time after which the leader gives up on a silent owner.
+const PINGS_PER_OWNER_TIMEOUT: f64 = 4.0;
 
-/// How many of the newest pings may still be answered.
-const PINGS_KEPT: u64 = 64;
+/// Number of the newest pings whose answers are still accepted.
+const MAX_PENDING_PINGS: u64 = 64;
 
-/// How far two clocks may drift apart, each by `MAX_CLOCK_DRIFT` from true time.
+/// Maximum relative drift between two clocks, each of which may drift by `MAX_CLOCK_DRIFT`.
 const RELATIVE_DRIFT: f64 = 2.0 * MAX_CLOCK_DRIFT;
 
-/// Keeps a connection to whoever leads.
+/// Keeps a connection to the current leader, if that is another controller.
 pub async fn join_leader(controller: Rc<Controller>) {
-    let connect_limit = Duration::from_secs_f64(CONNECT_LIMIT_S);
+    let connect_timeout = Duration::from_secs_f64(CONNECT_TIMEOUT_S);
     let process = fastrand::u64(..);
     let mut sequence = 0;
-    let pause = Duration::from_secs_f64(controller.config.heartbeat_s.min(1.0) / 5.0);
+    let retry_pause = Duration::from_secs_f64(controller.config.heartbeat_s.min(1.0) / 5.0);
     loop {
-        if let Some((leader, address)) = other_leader(&controller) {
+        if let Some((leader, address)) = remote_leader(&controller) {
             sequence += 1;
-            let connected = with_timeout(connect_limit, TcpStream::connect(address)).await;
+            let connected = with_timeout(connect_timeout, TcpStream::connect(address)).await;
             if let Some(Ok(stream)) = connected {
                 let id = ConnectionId { process, sequence };
                 follow_leader(&controller, &leader, stream, id).await;
                 log::info!("event=left_leader member={leader}");
             }
         }
-        smol::Timer::after(pause).await;
+        smol::Timer::after(retry_pause).await;
     }
 }
 
-/// The controller that leads, as far as the view says, if it is another one, and its address.
-fn other_leader(controller: &Controller) -> Option<(String, SocketAddr)> {
+/// Returns the leader according to the view and its address, if it is another controller.
+fn remote_leader(controller: &Controller) -> Option<(String, SocketAddr)> {
     let leader = leading_member(controller)?;
-    let known = &controller.settings.peers;
-    let peer = known.iter().find(|peer| peer.member == leader)?;
+    let peers = &controller.settings.peers;
+    let peer = peers.iter().find(|peer| peer.member == leader)?;
     Some((leader, peer.addr))
 }
 
-/// Who leads, as far as the view says.
+/// Returns the name of the leader according to the view.
 fn leading_member(controller: &Controller) -> Option<String> {
     let state = controller.lock();
     let leader = state.shared.view.replica().leader.record();
     leader.map(|record| record.member.clone())
 }
 
-/// Takes the leader's messages until it does not lead any more or the connection ends.
+/// Handles the leader's messages until it no longer leads or the connection ends.
 async fn follow_leader(
     controller: &Rc<Controller>,
     leader: &str,
@@ -73,7 +74,7 @@
     id: ConnectionId,
 ) {
     let _ = stream.set_nodelay(true);
-    let limit = Duration::from_secs_f64(SILENCE_LIMIT_S);
+    let timeout = Duration::from_secs_f64(IDLE_TIMEOUT_S);
     let outbox = controller.new_outbox();
     let hello = ToLeader::Hello {
         member: controller.settings.member.clone(),
@@ -83,25 +84,24 @@
     outbox.send_urgent(&encode_frame(&hello));
     let writer = controller
         .executor
-        .spawn(write_frames(stream.clone(), outbox.clone(), limit));
-    let mut frames = FrameReader::new(stream, limit);
+        .spawn(write_frames(stream.clone(), outbox.clone(), timeout));
+    let mut frames = FrameReader::new(stream, timeout);
     let pings = Rc::new(Pings::new(outbox.clone()));
-    let interval = controller.config.owner_timeout_s() / PINGS_PER_SILENCE;
-    let pinger = controller.executor.spawn(keep_pinging(
-        pings.clone(),
-        Duration::from_secs_f64(interval),
-    ));
+    let interval = controller.config.owner_timeout_s() / PINGS_PER_OWNER_TIMEOUT;
+    let pinger = controller
+        .executor
+        .spawn(send_pings(pings.clone(), Duration::from_secs_f64(interval)));
     let mut connection = LeaderConnection {
         leader,
         outbox,
         pings,
         has_joined: false,
     };
-    while !connection.outbox.is_closed() && leads(controller, leader) {
+    while !connection.outbox.is_closed() && is_leader(controller, leader) {
         let Some(message) = next_message(&mut frames).await else {
             break;
         };
-        connection.take_message(controller, message);
+        connection.handle_message(controller, message);
     }
     controller.lock().shared.leader_outbox = None;
     connection.outbox.close();
@@ -109,18 +109,18 @@
     drop(writer);
 }
 
-/// The leader's next message; none if the connection has to end.
+/// Returns the leader's next message, or `None` if the connection has to end.
 async fn next_message(frames: &mut FrameReader) -> Option<ToOwner> {
     decode_frame(&frames.next().await?)
 }
 
-fn leads(controller: &Controller, member: &str) -> bool {
+fn is_leader(controller: &Controller, member: &str) -> bool {
     let state = controller.lock();
     let leader = state.shared.view.replica().leader.record();
     leader.is_some_and(|record| record.member == member)
 }
 
-/// The pings of one connection: what the leader grants counts from the sending of a ping.
+/// Pings of one connection. The duration of a grant counts from when its ping was sent.
 struct Pings {
     outbox: Outbox,
     next: Cell<u64>,
@@ -140,12 +140,12 @@
         let n = self.next.replace(self.next.get() + 1);
         let mut sent_at = self.sent_at.borrow_mut();
         sent_at.insert(n, Instant::now());
-        sent_at.retain(|k, _| k + PINGS_KEPT > n);
+        sent_at.retain(|k, _| k + MAX_PENDING_PINGS > n);
         self.outbox
             .send_urgent(&encode_frame(&ToLeader::Ping { n }));
     }
 
-    /// When a ping was sent; none for one that was not, or so long ago that it is forgotten.
+    /// Returns when a ping was sent, or `None` if it was never sent or is no longer remembered.
     fn sent_at(&self, n: u64) -> Option<Instant> {
         self.sent_at.borrow().get(&n).copied()
     }
@@ -155,34 +155,34 @@
     }
 }
 
-async fn keep_pinging(pings: Rc<Pings>, interval: Duration) {
+async fn send_pings(pings: Rc<Pings>, interval: Duration) {
     loop {
         pings.send();
         smol::Timer::after(interval).await;
     }
 }
 
-/// A connection of this owner to the leader.
+/// Connection of this owner to the leader.
 struct LeaderConnection<'a> {
     leader: &'a str,
     outbox: Outbox,
     pings: Rc<Pings>,
-    /// Whether the leader has begun an epoch on this connection; nothing is granted before.
+    /// Whether the leader has begun an epoch on this connection. Grants are ignored before.
     has_joined: bool,
 }
 
 impl LeaderConnection<'_> {
-    /// Takes a message of the leader.
-    fn take_message(&mut self, controller: &Controller, message: ToOwner) {
+    /// Handles a message from the leader.
+    fn handle_message(&mut self, controller: &Controller, message: ToOwner) {
         let now = controller.now();
         let mut guard = controller.lock();
         let state = &mut *guard;
         match message {
             ToOwner::Grant { n, token, valid_ms } => {
-                self.take_grant(controller, &mut state.owner, n, token, valid_ms)
+                self.apply_grant(controller, &mut state.owner, n, token, valid_ms)
             }
             ToOwner::ViewAge { n, age_ms } => {
-                self.take_view_age(controller, &mut state.owner, n, age_ms)
+                self.apply_view_age(controller, &mut state.owner, n, age_ms)
             }
             ToOwner::RunningCounts { running } => {
                 state.shared.running = running.into_iter().collect()
@@ -199,20 +199,21 @@
         }
     }
 
-    /// The leader begins an epoch: with the first one on this connection, this owner is under it.
+    /// Handles the start of an epoch. The first one on this connection joins this owner to the
+    /// leader.
     fn join(&mut self, state: &mut State) {
         if std::mem::replace(&mut self.has_joined, true) {
             return;
         }
         log::info!("event=joined_leader member={}", self.leader);
-        // Authority from an earlier leader is not authority under this one.
+        // Authority granted by an earlier leader is not valid under this one.
         state.owner.authority.set_until(f64::MIN);
         state.shared.leader_outbox = Some(self.outbox.clone());
     }
 
-    /// Takes the authority that the leader grants. This is the only place where an owner gets authority
-    /// from another controller.
-    fn take_grant(
+    /// Applies the authority granted by the leader. This is the only place where an owner receives
+    /// authority from another controller.
+    fn apply_grant(
         &self,
         controller: &Controller,
         owner: &mut Owner,
@@ -221,7 +222,7 @@
         valid_ms: u64,
     ) {
         let is_current = self.has_joined && token == owner.token();
-        // Counted from the ping's sending, so that delays only shorten it.
+        // Counted from when the ping was sent, so that delays only shorten the authority.
         if let Some(sent_at) = self.pings.sent_at(n).filter(|_| is_current) {
             let valid_s = valid_ms as f64 / 1000.0 * (1.0 - RELATIVE_DRIFT);
             owner
@@ -230,11 +231,12 @@
         }
     }
 
-    /// Takes the age of the leader's view as proof of the staleness of what this owner knows.
-    fn take_view_age(&self, controller: &Controller, owner: &mut Owner, n: u64, age_ms: u64) {
+    /// Applies the age of the leader's view as an upper bound of the staleness of this owner's
+    /// knowledge.
+    fn apply_view_age(&self, controller: &Controller, owner: &mut Owner, n: u64, age_ms: u64) {
         let sent_at = self.pings.sent_at(n);
         self.pings.forget(n);
-        // Counted back from the ping's sending: delays only make it older.
+        // Counted back from when the ping was sent, so that delays only make the view older.
         if let Some(sent_at) = sent_at.filter(|_| self.has_joined) {
             let age_s = age_ms as f64 / 1000.0 * (1.0 + RELATIVE_DRIFT);
             owner
--- a/crates/ladderroute/src/settings/operator.rs
+++ b/crates/ladderroute/src/settings/operator.rs
@@ -1,24 +1,25 @@
-//! Operators' own settings: protobuf text format, optional, all with defaults, all checked.
+//! Operators' own settings, in protobuf text format. All fields are optional with defaults, and all
+//! values are checked.
 
 use super::error::SettingsError;
 use super::source;
 use prost_reflect::{DescriptorPool, DynamicMessage, MessageDescriptor};
 
-/// The compiled `operator.proto`.
-const DESCRIPTION: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/operator.bin"));
-/// The message of `operator.proto` that describes the file.
-const MESSAGE: &str = "ladderroute.Operator";
+/// Compiled `operator.proto`, a serialized file descriptor set.
+const DESCRIPTOR_SET: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/operator.bin"));
+/// Full name of the message in `operator.proto` that describes the file.
+const MESSAGE_NAME: &str = "ladderroute.Operator";
 
-/// Values that operators may tune.
+/// Settings that operators may tune.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tuning {
-    /// How long reserved capacity waits for the rest of its gang, in seconds.
+    /// Time for which reserved capacity waits for the rest of its gang, in seconds (`hold_s`).
     pub reservation_s: f64,
-    /// The leader's store lease as a part of the workers' lease.
+    /// Duration of the leader's store lease, as a fraction of the workers' lease.
     pub leader_lease_share: f64,
-    /// How long an idle machine is kept, in boot times.
+    /// Time for which an idle machine is kept, as a multiple of its boot time (`keep_boots`).
     pub idle_retention_boots: f64,
-    /// Part of a gang's wait objective that it may wait for a machine in use.
+    /// Fraction of its wait objective for which a gang may wait for machines in use (`patience`).
     pub max_wait_share: f64,
 }
 
@@ -33,42 +34,42 @@
     }
 }
 
-/// A field of the operators' file and the values it may have.
+/// A field of the operators' file, with the range of its values.
 struct Field {
-    /// Its name in the file.
+    /// Name in the file.
     name: &'static str,
-    /// The least value.
-    low: f64,
-    /// The greatest value.
-    high: f64,
-    /// What it sets.
+    /// Minimum value.
+    min: f64,
+    /// Maximum value.
+    max: f64,
+    /// Returns the setting that the field sets.
     target: fn(&mut Tuning) -> &mut f64,
 }
 
-/// The fields of the operators' file.
+/// All fields of the operators' file.
 const FIELDS: [Field; 4] = [
     Field {
         name: "hold_s",
-        low: 0.5,
-        high: 600.0,
+        min: 0.5,
+        max: 600.0,
         target: |tuning| &mut tuning.reservation_s,
     },
     Field {
         name: "leader_lease_share",
-        low: 0.05,
-        high: 0.8,
+        min: 0.05,
+        max: 0.8,
         target: |tuning| &mut tuning.leader_lease_share,
     },
     Field {
         name: "keep_boots",
-        low: 0.0,
-        high: 1000.0,
+        min: 0.0,
+        max: 1000.0,
         target: |tuning| &mut tuning.idle_retention_boots,
     },
     Field {
         name: "patience",
-        low: 0.0,
-        high: 1.0,
+        min: 0.0,
+        max: 1.0,
         target: |tuning| &mut tuning.max_wait_share,
     },
 ];
@@ -79,7 +80,7 @@
         Tuning::parse(&source::read(file)?, file)
     }
 
-    /// Parses and checks the text of an operators' file; `file` names it in messages.
+    /// Parses and checks the text of an operators' file. `file` is its path in error messages.
     pub fn parse(text: &str, file: &str) -> Result<Tuning, SettingsError> {
         let message = parse_message(text).map_err(|cause| SettingsError::Parse {
             file: file.into(),
@@ -94,7 +95,7 @@
 }
 
 impl Field {
-    /// Takes the field's value, if the file has one.
+    /// Sets the field's value if the file contains one.
     fn read(&self, message: &DynamicMessage, tuning: &mut Tuning) -> Result<(), SettingsError> {
         if !message.has_field_by_name(self.name) {
             return Ok(());
@@ -103,9 +104,9 @@
             .get_field_by_name(self.name)
             .and_then(|value| value.as_f64())
             .unwrap_or(f64::NAN);
-        let Field { low, high, .. } = *self;
-        if !(low..=high).contains(&value) {
-            let cause = format!("must lie between {low} and {high}");
+        let Field { min, max, .. } = *self;
+        if !(min..=max).contains(&value) {
+            let cause = format!("must lie between {min} and {max}");
             return Err(SettingsError::field(self.name, cause));
         }
         *(self.target)(tuning) = value;
@@ -119,7 +120,7 @@
 }
 
 fn descriptor() -> Result<MessageDescriptor, String> {
-    let pool = DescriptorPool::decode(DESCRIPTION).map_err(|cause| cause.to_string())?;
-    pool.get_message_by_name(MESSAGE)
-        .ok_or_else(|| "no description of the settings".into())
+    let pool = DescriptorPool::decode(DESCRIPTOR_SET).map_err(|cause| cause.to_string())?;
+    pool.get_message_by_name(MESSAGE_NAME)
+        .ok_or_else(|| "the compiled descriptors lack the message ladderroute.Operator".into())
 }
--- a/crates/ladderroute/src/settings/scheduler_config.rs
+++ b/crates/ladderroute/src/settings/scheduler_config.rs
@@ -1,23 +1,24 @@
-//! What the decisions need to know, out of the platform's settings and the operators' own.
+//! The scheduler's configuration, derived from the platform's settings and the operators' own.
 
 use super::operator::Tuning;
 use super::platform::{Objective, Params, Settings, TeamSettings};
 use sched::config::{SchedulerConfig, Team};
 use std::collections::BTreeMap;
 
-/// The objective for jobs within their team's guarantee.
+/// Kind of the objective for jobs within their team's guarantee.
 const GUARANTEE: &str = "guarantee";
-/// The objective for the start of a class of jobs.
+/// Kind of an objective for the start of a class of jobs.
 const WAIT: &str = "wait";
-/// Heartbeat intervals within which a guarantee is met, if no objective says so.
+/// Default time within which a guarantee has to be met, in heartbeat intervals.
 const DEFAULT_GUARANTEE_HEARTBEATS: f64 = 10.0;
-/// Shortest leadership lease, in seconds.
-const LEAST_LEADER_LEASE_S: f64 = 0.5;
-/// Longest leadership lease, as a part of the time after which a worker drops an answer.
-const MOST_LEADER_LEASE_SHARE: f64 = 0.5;
+/// Minimum duration of the leader's store lease, in seconds.
+const MIN_LEADER_LEASE_S: f64 = 0.5;
+/// Maximum duration of the leader's store lease, as a fraction of the time after which a worker
+/// drops a response.
+const MAX_LEADER_LEASE_SHARE: f64 = 0.5;
 
 impl Settings {
-    /// What the decisions need to know.
+    /// Returns the configuration of the scheduler.
     pub fn scheduler_config(&self, tuning: &Tuning) -> SchedulerConfig {
         let params = &self.params;
         let workers = &params.workers;
@@ -54,8 +55,8 @@
 }
 
 fn leader_lease_s(worker_lease_s: f64, tuning: &Tuning) -> f64 {
-    let most_s = wire::HEARTBEAT_RESPONSE_TIMEOUT_S * MOST_LEADER_LEASE_SHARE;
-    (worker_lease_s * tuning.leader_lease_share).clamp(LEAST_LEADER_LEASE_S, most_s)
+    let max_s = wire::HEARTBEAT_RESPONSE_TIMEOUT_S * MAX_LEADER_LEASE_SHARE;
+    (worker_lease_s * tuning.leader_lease_share).clamp(MIN_LEADER_LEASE_S, max_s)
 }
 
 fn guarantee_s(params: &Params) -> f64 {
@@ -67,8 +68,8 @@
         .unwrap_or(params.workers.heartbeat_s * DEFAULT_GUARANTEE_HEARTBEATS)
 }
 
-/// Within how many seconds jobs are to start, by class. Of several objectives for a class the
-/// shortest counts.
+/// Returns the time within which jobs have to start, in seconds, by class. If a class has several
+/// objectives, the shortest time applies.
 fn wait_s(objectives: &[Objective]) -> BTreeMap<String, f64> {
     let mut by_class: BTreeMap<String, f64> = BTreeMap::new();
     for objective in objectives.iter().filter(|objective| objective.kind == WAIT) {
@@ -77,7 +78,7 @@
         };
         by_class
             .entry(class.clone())
-            .and_modify(|least| *least = least.min(within_s))
+            .and_modify(|shortest| *shortest = shortest.min(within_s))
             .or_insert(within_s);
     }
     by_class
--- a/crates/ladderroute/src/writer/batch.rs
+++ b/crates/ladderroute/src/writer/batch.rs
@@ -1,4 +1,5 @@
-//! What goes into the leader's next transaction: as much as one holds, the most urgent first.
+//! Selection of the decisions for the leader's next transaction: the most urgent first, as many as
+//! fit.
 
 use super::limits::TxnLimits;
 use super::pages::RecordPages;
@@ -14,213 +15,222 @@
 };
 use wire::users::Job;
 
-/// Least bytes of a value for each place of a binding.
-const PLACE_BYTES: f64 = 64.0;
-/// Bytes of a KiB.
+/// Bytes reserved in a value for each place of a binding.
+const BYTES_PER_PLACE: f64 = 64.0;
+/// Bytes in a KiB.
 const KIB: f64 = 1024.0;
 
-/// Decisions that are written together.
+/// Decisions that are written in one transaction.
 #[derive(Default)]
 pub struct Batch {
-    /// The decisions themselves.
+    /// Decisions that are durable once the transaction is applied.
     pub actions: Vec<Action>,
-    /// Conditions beside that on the leadership.
+    /// Conditions of the transaction, in addition to the one on leadership.
     pub conditions: Vec<Condition>,
-    /// What is written.
+    /// Writes of the transaction.
     pub writes: Vec<Write>,
-    /// Pages of the roster among the writes.
+    /// Roster pages that are among the writes.
     pub roster_pages: Vec<u32>,
-    /// Pages of progress among the writes.
+    /// Progress pages that are among the writes.
     pub progress_pages: Vec<u32>,
-    /// The part of a long binding that is among the writes.
+    /// Part of a binding that does not fit in one transaction, if the writes contain one.
     pub partial_binding: Option<PartialBinding>,
 }
 
-/// A binding of which this transaction and the ones before it hold a part. The gang starts once all of
-/// it is written; until then the records name machines on which nothing was started.
+/// Part of a binding that takes several transactions. The gang starts when all parts are written;
+/// until then, nothing has been started on the machines in the records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PartialBinding {
-    /// The attempt that is bound.
+    /// Attempt of the gang that is bound.
     pub attempt: u64,
-    /// How many of its places are written with this transaction.
+    /// Number of its places in the store after this transaction.
     pub places: usize,
 }
 
 impl Batch {
-    /// Whether there is nothing to write.
+    /// Returns whether there is nothing to write.
     pub fn is_empty(&self) -> bool {
         self.actions.is_empty() && self.writes.is_empty()
     }
 
-    /// Whether it is the new token, which is not written like the rest.
+    /// Returns whether the batch issues a new fencing token, which is not written like other
+    /// decisions.
     pub fn issues_token(&self) -> bool {
         matches!(self.actions.first(), Some(Action::IssueToken))
     }
 }
 
-/// What became of a decision that was to join a batch.
-enum Joined {
-    /// It is part of the batch.
-    Yes,
-    /// It has to wait for a later one, and so has all that is less urgent.
-    Later,
-    /// There is nothing to write for it now.
-    Nothing,
+/// Result of adding a decision to a batch.
+enum AddResult {
+    /// The decision is part of the batch.
+    Added,
+    /// The decision has to wait for a later batch, and so have all less urgent ones.
+    Deferred,
+    /// The decision needs no write of its own now.
+    NothingToWrite,
 }
 
-/// A batch while it is put together.
-struct Builder<'a> {
-    /// The leader's pages of small records.
+/// Assembles a batch.
+struct BatchBuilder<'a> {
+    /// Pages of small records of this leader.
     records: &'a mut RecordPages,
-    /// What the store holds.
+    /// Replica of the contents of the store.
     replica: &'a Replica,
-    /// The leader, which is told at once of ends of jobs that need no write.
+    /// Leader, which is notified immediately when the end of a job needs no write.
     leader: &'a mut Leader,
-    /// What the transaction may hold.
+    /// Limits of the transaction.
     limits: TxnLimits,
-    /// What has joined so far.
+    /// Batch as assembled so far.
     batch: Batch,
 }
 
-/// Takes the next batch out of the decisions that wait.
+/// Removes the decisions of the next batch from the pending ones and returns the batch.
 pub fn next_batch(
-    waiting: &mut VecDeque<Action>,
+    pending: &mut VecDeque<Action>,
     records: &mut RecordPages,
     replica: &Replica,
     leader: &mut Leader,
     limits: TxnLimits,
 ) -> Batch {
-    let mut actions: Vec<Action> = waiting.drain(..).collect();
+    let mut actions: Vec<Action> = pending.drain(..).collect();
     actions.sort_by_key(Urgency::of);
     let group = actions.first().map_or(Group::Records, Group::of);
-    let mut builder = Builder {
+    let mut builder = BatchBuilder {
         records,
         replica,
         leader,
         limits,
         batch: Batch::default(),
     };
-    waiting.extend(builder.join_all(actions, group));
-    builder.finish(group)
+    pending.extend(builder.add_all(actions, group));
+    builder.build(group)
 }
 
-impl Builder<'_> {
-    /// How many more writes the transaction may hold.
+impl BatchBuilder<'_> {
+    /// Returns how many more writes fit in the transaction.
     fn remaining_writes(&self) -> usize {
         let batch = &self.batch;
         let used = batch.writes.len() + batch.roster_pages.len() + batch.progress_pages.len();
         self.limits.max_writes.saturating_sub(used)
     }
 
-    /// Joins the decisions of a group, in their order, until one has to wait; gives back those that have
+    /// Adds the decisions of a group in order, until one has to wait, and returns those that have
     /// to wait.
-    fn join_all(&mut self, actions: Vec<Action>, group: Group) -> Vec<Action> {
-        let mut waiting = Vec::new();
+    fn add_all(&mut self, actions: Vec<Action>, group: Group) -> Vec<Action> {
+        let mut deferred = Vec::new();
         let mut is_full = false;
         for action in actions {
             let has_token = group == Group::Token && !self.batch.actions.is_empty();
             if is_full || has_token || Group::of(&action) != group {
-                waiting.push(action);
+                deferred.push(action);
                 continue;
             }
-            match self.join(&action) {
-                Joined::Yes => self.batch.actions.push(action),
-                Joined::Nothing => {}
-                Joined::Later => {
+            match self.add(&action) {
+                AddResult::Added => self.batch.actions.push(action),
+                AddResult::NothingToWrite => {}
+                AddResult::Deferred => {
                     is_full = true;
-                    waiting.push(action);
+                    deferred.push(action);
                 }
             }
         }
-        waiting
+        deferred
     }
 
-    /// Adds the writes of a decision.
-    fn join(&mut self, action: &Action) -> Joined {
+    /// Adds the writes of one decision.
+    fn add(&mut self, action: &Action) -> AddResult {
         match action {
-            Action::IssueToken => Joined::Yes,
+            Action::IssueToken => AddResult::Added,
             Action::Bind {
                 job,
                 attempt,
                 places,
-            } => self.join_binding(job, *attempt, places),
-            Action::FinishJob { job } => self.join_finish(job),
+            } => self.add_binding(job, *attempt, places),
+            Action::FinishJob { job } => self.add_finish(job),
             Action::UpdateRoster(name, None) => {
-                self.records.drop_machine(name);
-                Joined::Nothing
+                self.records.remove_machine(name);
+                AddResult::NothingToWrite
             }
-            _ if self.remaining_writes() == 0 => Joined::Later,
-            Action::UpdateRoster(name, Some(record)) => self.join_machine(name, record),
+            _ if self.remaining_writes() == 0 => AddResult::Deferred,
+            Action::UpdateRoster(name, Some(record)) => self.add_machine(name, record),
             Action::RecordProgress {
                 job,
                 first_task,
                 bits,
-            } => self.join_progress(job, *first_task, bits),
-            Action::RecordStartedArrays(record) => self.join_started_arrays(record),
-            Action::Send(..) | Action::Provision(_) | Action::Deprovision(_) => Joined::Nothing,
+            } => self.add_progress(job, *first_task, bits),
+            Action::RecordStartedArrays(record) => self.add_started_arrays(record),
+            Action::Send(..) | Action::Provision(_) | Action::Deprovision(_) => {
+                AddResult::NothingToWrite
+            }
         }
     }
 
-    /// A machine's entry on the roster.
-    fn join_machine(&mut self, name: &str, record: &RosterRecord) -> Joined {
+    /// Adds the roster entry of a machine.
+    fn add_machine(&mut self, name: &str, record: &RosterRecord) -> AddResult {
         let page = self.records.put_machine(name, record);
-        self.join_roster(page)
+        self.add_roster_page(page)
     }
 
-    /// A page of the roster, with the pages that it is split into.
-    fn join_roster(&mut self, page: u32) -> Joined {
-        let unit = self.records.roster_unit(page);
-        let (pages, joined) = self.pages_to_add(&self.batch.roster_pages, unit);
+    /// Adds a roster page, with the pages into which it is split.
+    fn add_roster_page(&mut self, page: u32) -> AddResult {
+        let unit = self.records.roster_write_unit(page);
+        let (pages, added) = self.pages_to_add(&self.batch.roster_pages, unit);
         self.batch.roster_pages.extend(pages);
-        joined
+        added
     }
 
-    /// What is done of a chunk of a job's tasks.
-    fn join_progress(&mut self, job: &str, first_task: u32, bits: &str) -> Joined {
+    /// Adds the progress of one chunk of a job's tasks.
+    fn add_progress(&mut self, job: &str, first_task: u32, bits: &str) -> AddResult {
         let page = self.records.put_progress(job, first_task, bits);
-        let unit = self.records.progress_unit(page);
-        let (pages, joined) = self.pages_to_add(&self.batch.progress_pages, unit);
+        let unit = self.records.progress_write_unit(page);
+        let (pages, added) = self.pages_to_add(&self.batch.progress_pages, unit);
         self.batch.progress_pages.extend(pages);
-        joined
+        added
     }
 
-    /// Which pages of a unit join the batch: all or none. Only of a unit that fits no transaction, new
-    /// pages go first, as copies of entries that the first page still holds.
-    fn pages_to_add(&self, present: &[u32], unit: Vec<u32>) -> (Vec<u32>, Joined) {
+    /// Returns the pages of a write unit that have to be added to the batch: all that are missing,
+    /// or none if they do not fit. Only if the unit is too large for any transaction are its new
+    /// pages written first, as many as fit: they are copies of entries that the first page still
+    /// holds.
+    fn pages_to_add(&self, already_added: &[u32], unit: Vec<u32>) -> (Vec<u32>, AddResult) {
         let missing: Vec<u32> = unit
             .iter()
-            .filter(|page| !present.contains(page))
+            .filter(|page| !already_added.contains(page))
             .copied()
             .collect();
         if missing.len() <= self.remaining_writes() {
-            return (missing, Joined::Yes);
+            return (missing, AddResult::Added);
         }
         if unit.len() <= self.limits.max_writes {
-            return (Vec::new(), Joined::Later);
+            return (Vec::new(), AddResult::Deferred);
         }
         let copies = missing.into_iter().filter(|page| *page != unit[0]);
         (
             copies.take(self.remaining_writes()).collect(),
-            Joined::Later,
+            AddResult::Deferred,
         )
     }
 
-    /// The arrays that have started.
-    fn join_started_arrays(&mut self, record: &StartedArraysRecord) -> Joined {
+    /// Adds the record of the arrays that have started.
+    fn add_started_arrays(&mut self, record: &StartedArraysRecord) -> AddResult {
         self.put(keys::STARTED_ARRAYS.into(), to_value(record));
-        Joined::Yes
+        AddResult::Added
     }
 
-    /// A gang's binding. Long ones take several records, each below the value limit, and one that no
-    /// transaction holds is written in parts, by several transactions.
-    fn join_binding(&mut self, job: &str, attempt: u64, places: &[(String, u32, u32)]) -> Joined {
-        let each = ((self.limits.value_kb * KIB / PLACE_BYTES) as usize).max(1);
-        let written = self.records.bound_places(attempt) / each;
-        let records = places.chunks(each).enumerate().skip(written);
-        let left = records.len();
-        let fits = left <= self.remaining_writes();
-        if !fits && (left <= self.limits.max_writes || !self.batch.writes.is_empty()) {
-            return Joined::Later;
+    /// Adds the binding of a gang. A long binding takes several records, each below the value
+    /// limit. One that is too large for any transaction is written in parts, by several
+    /// transactions.
+    fn add_binding(&mut self, job: &str, attempt: u64, places: &[(String, u32, u32)]) -> AddResult {
+        let places_per_record = ((self.limits.value_kb * KIB / BYTES_PER_PLACE) as usize).max(1);
+        let written_records = self.records.bound_places(attempt) / places_per_record;
+        let records = places
+            .chunks(places_per_record)
+            .enumerate()
+            .skip(written_records);
+        let remaining_records = records.len();
+        let fits = remaining_records <= self.remaining_writes();
+        if !fits && (remaining_records <= self.limits.max_writes || !self.batch.writes.is_empty()) {
+            return AddResult::Deferred;
         }
         for (chunk, places) in records.take(self.remaining_writes()) {
             let record = BindingRecord {
@@ -230,44 +240,45 @@
             self.put(keys::binding(job, chunk as u32), to_value(&record));
         }
         if fits {
-            return Joined::Yes;
+            return AddResult::Added;
         }
-        let places = (written + self.batch.writes.len()) * each;
+        let places = (written_records + self.batch.writes.len()) * places_per_record;
         self.batch.partial_binding = Some(PartialBinding { attempt, places });
-        Joined::Later
+        AddResult::Deferred
     }
 
-    /// The end of a job: what a later leader would need to run it is not needed any more.
-    fn join_finish(&mut self, job: &str) -> Joined {
+    /// Adds the end of a job, and deletes its binding, which only a later leader that had to run
+    /// the job would need.
+    fn add_finish(&mut self, job: &str) -> AddResult {
         let replica = self.replica;
         let entry = replica.jobs.get(job);
         let Some((entry, spec)) = entry.and_then(|entry| Some((entry, entry.job.as_ref()?))) else {
             self.leader.finish_result(job, false);
-            return Joined::Nothing;
+            return AddResult::NothingToWrite;
         };
-        let chunks = self.binding_chunks(job);
+        let chunks = self.stored_binding_chunks(job);
         if 1 + chunks.len() > self.remaining_writes() && !self.batch.writes.is_empty() {
-            return Joined::Later;
+            return AddResult::Deferred;
         }
-        self.put_terminal(job, entry, spec);
-        let drops = chunks.into_iter().map(|chunk| Write::Delete {
+        self.put_terminal_record(job, entry, spec);
+        let deletes = chunks.into_iter().map(|chunk| Write::Delete {
             key: keys::binding(job, chunk),
         });
-        let most = self.limits.max_writes.saturating_sub(1);
-        self.batch.writes.extend(drops.take(most));
-        Joined::Yes
+        let max_deletes = self.limits.max_writes.saturating_sub(1);
+        self.batch.writes.extend(deletes.take(max_deletes));
+        AddResult::Added
     }
 
-    /// The records that the store holds of a job's binding.
-    fn binding_chunks(&self, job: &str) -> Vec<u32> {
+    /// Returns the numbers of a job's binding records in the store.
+    fn stored_binding_chunks(&self, job: &str) -> Vec<u32> {
         let binding = self.replica.bindings.get(job);
         binding
             .map(|records| records.keys().copied().collect())
             .unwrap_or_default()
     }
 
-    /// Puts a job's terminal record, on the condition that its record has not changed.
-    fn put_terminal(&mut self, job: &str, entry: &JobEntry, spec: &Job) {
+    /// Adds the terminal record of a job, on the condition that its stored record is unchanged.
+    fn put_terminal_record(&mut self, job: &str, entry: &JobEntry, spec: &Job) {
         let key = keys::job(job);
         self.batch.conditions.push(Condition {
             key: key.clone(),
@@ -281,25 +292,31 @@
         self.batch.writes.push(put(key, value));
     }
 
-    /// Adds the pages' writes, old pages as far as there is capacity, and the conditions.
-    fn finish(mut self, group: Group) -> Batch {
+    /// Adds other dirty roster pages while there is capacity, the writes of all pages, and the
+    /// version conditions, and returns the batch.
+    fn build(mut self, group: Group) -> Batch {
         if group == Group::Records {
-            self.join_dirty_roster();
+            self.add_dirty_roster_pages();
         }
         self.add_page_writes();
         let writes = self.batch.writes.iter();
-        let conditions: Vec<Condition> = writes.filter_map(|write| self.condition(write)).collect();
+        let conditions: Vec<Condition> = writes
+            .filter_map(|write| self.version_condition(write))
+            .collect();
         self.batch.conditions.extend(conditions);
         self.batch
     }
 
-    /// Fills what remains of the transaction with pages of the roster that the store lacks.
-    fn join_dirty_roster(&mut self) {
+    /// Fills the rest of the transaction with dirty roster pages.
+    fn add_dirty_roster_pages(&mut self) {
         while self.remaining_writes() > 0 {
-            let Some(page) = self.records.next_roster_page(&self.batch.roster_pages) else {
+            let Some(page) = self
+                .records
+                .next_dirty_roster_page(&self.batch.roster_pages)
+            else {
                 return;
             };
-            if matches!(self.join_roster(page), Joined::Later) {
+            if matches!(self.add_roster_page(page), AddResult::Deferred) {
                 return;
             }
         }
@@ -313,9 +330,10 @@
         self.batch.writes.extend(roster.chain(progress));
     }
 
-    /// A write that comes late, or once more, must not undo a newer one of this same leader. (The
-    /// records of jobs have their own conditions; what is dropped with a job is written no more.)
-    fn condition(&self, write: &Write) -> Option<Condition> {
+    /// Returns the condition that the written key is unchanged, so that a delayed or repeated write
+    /// cannot undo a newer write of the same leader. Job records have their own conditions, and
+    /// binding records deleted with their job are never written again.
+    fn version_condition(&self, write: &Write) -> Option<Condition> {
         let key = match write {
             Write::Put { key, .. } if KeyKind::of(key) != KeyKind::Job => key,
             Write::Delete { key } if KeyKind::of(key) != KeyKind::Binding => key,
