--- a/crates/ladderroute/src/controller_links/follower_side.rs
+++ b/crates/ladderroute/src/controller_links/follower_side.rs
@@ -29,6 +29,7 @@
 const MAX_PENDING_PINGS: u64 = 64;
 
 /// Maximum relative drift between two clocks, each of which may drift by `MAX_CLOCK_DRIFT`.
+/// Each drifts from true time, possibly in opposite directions, so the two drifts add up.
 const RELATIVE_DRIFT: f64 = 2.0 * MAX_CLOCK_DRIFT;
 
 /// Keeps a connection to the current leader, if that is another controller.
--- a/crates/ladderroute/src/controller_links/leader_side.rs
+++ b/crates/ladderroute/src/controller_links/leader_side.rs
@@ -108,7 +108,8 @@
 }
 
 /// Registers a connection as the owner's link. Returns `false` if this controller does not lead, or
-/// if the owner already has a connection that this one does not replace.
+/// if the owner already has a connection that this one does not replace. A connection never replaces
+/// a newer one of the same process.
 fn admit(controller: &Controller, connection: &OwnerConnection) -> bool {
     let mut guard = controller.lock();
     let Some(leadership) = &mut guard.shared.leadership else {
--- a/crates/ladderroute/src/freshness/watch.rs
+++ b/crates/ladderroute/src/freshness/watch.rs
@@ -98,7 +98,8 @@
 }
 
 /// Logs a failed reload: the first failure at level info, repeated ones at level debug, since the
-/// reload is retried until it succeeds.
+/// reload is retried until it succeeds. A failure counts as repeated if the store was already
+/// recorded as failing, also because of another request.
 fn log_load_failure(controller: &Controller, reload: Option<&ViewReload>, error: &StoreError) {
     let is_first = controller.lock().shared.store_failing_since.is_none();
     let level = if is_first {
--- a/crates/ladderroute/src/writer/outcome.rs
+++ b/crates/ladderroute/src/writer/outcome.rs
@@ -110,7 +110,8 @@
     apply_as_leader(controller, &mut guard, batch, &result);
 }
 
-/// Applies an outcome unless this controller has stopped leading.
+/// Applies an outcome unless this controller has stopped leading. It may have lost the leadership
+/// without knowing yet, and then still applies the outcome.
 fn apply_as_leader(
     controller: &Rc<Controller>,
     state: &mut State,
--- a/crates/ladderroute/src/writer/pages.rs
+++ b/crates/ladderroute/src/writer/pages.rs
@@ -197,6 +197,7 @@
     }
 
     /// Sets how many places of an attempt's binding are in the store; `None` forgets the attempt.
+    /// That is for when the binding is over, whether it was written completely or failed.
     pub fn set_bound_places(&mut self, attempt: u64, places: Option<usize>) {
         match places {
             Some(places) => self.bound_places.insert(attempt, places),
