--- a/crates/ladderroute/src/api/mod.rs
+++ b/crates/ladderroute/src/api/mod.rs
@@ -16,7 +16,7 @@
 use crate::controller::Controller;
 use http::connections::ConnectionPriority;
 use http::server::{Request, Response};
-use responses::refuse;
+use responses::error_response;
 use std::rc::Rc;
 use wire::users::is_valid_job_id;
 
@@ -32,12 +32,12 @@
 const CANCEL_SUFFIX: &str = "/cancel";
 
 /// Serves the port until its listener fails.
-pub async fn serve(node: Rc<Controller>, listener: smol::net::TcpListener) {
-    let limits = limits::port_limits(&node.settings, node.config.heartbeat_s);
-    let executor = node.executor.clone();
+pub async fn serve(controller: Rc<Controller>, listener: smol::net::TcpListener) {
+    let limits = limits::port_limits(&controller.settings, controller.config.heartbeat_s);
+    let executor = controller.executor.clone();
     let handler = Rc::new(move |request: Request| {
-        let node = node.clone();
-        async move { handle(&node, request).await }
+        let controller = controller.clone();
+        async move { handle(&controller, request).await }
     });
     http::server::serve(executor, listener, limits, handler).await;
 }
@@ -61,21 +61,21 @@
 }
 
 impl Route<'_> {
-    fn of(path: &str) -> Route<'_> {
+    fn parse(path: &str) -> Route<'_> {
         match path {
             HEARTBEAT_PATH => Route::Heartbeat,
             READY_PATH => Route::Ready,
             JOBS_PATH => Route::Submit,
             _ => path
                 .strip_prefix(JOB_PREFIX)
-                .map_or(Route::NoSuchPath, Route::of_job),
+                .map_or(Route::NoSuchPath, Route::parse_job),
         }
     }
 
-    fn of_job(rest: &str) -> Route<'_> {
-        match rest.strip_suffix(CANCEL_SUFFIX) {
+    fn parse_job(name_and_suffix: &str) -> Route<'_> {
+        match name_and_suffix.strip_suffix(CANCEL_SUFFIX) {
             Some(id) if is_valid_job_id(id) => Route::Cancel(id),
-            None if is_valid_job_id(rest) => Route::Query(rest),
+            None if is_valid_job_id(name_and_suffix) => Route::Query(name_and_suffix),
             _ => Route::NoSuchJob,
         }
     }
@@ -90,7 +90,7 @@
     }
 
     /// Who is served first when the port is full.
-    fn rank(&self) -> Option<ConnectionPriority> {
+    fn priority(&self) -> Option<ConnectionPriority> {
         match self {
             Route::Heartbeat => Some(ConnectionPriority::Worker),
             Route::Ready => Some(ConnectionPriority::Probe),
@@ -99,27 +99,27 @@
     }
 }
 
-async fn handle(node: &Rc<Controller>, request: Request) -> Response {
+async fn handle(controller: &Rc<Controller>, request: Request) -> Response {
     let path = request.path.split('?').next().unwrap_or("");
-    let route = Route::of(path);
+    let route = Route::parse(path);
     let response = match route.method() {
-        Some(method) if request.method != method => refuse(405, format!("use {method}")),
-        _ => respond(node, &route, &request.body).await,
+        Some(method) if request.method != method => error_response(405, format!("use {method}")),
+        _ => dispatch(controller, &route, &request.body).await,
     };
-    match route.rank() {
-        Some(rank) => response.with_priority(rank),
+    match route.priority() {
+        Some(priority) => response.with_priority(priority),
         None => response,
     }
 }
 
-async fn respond(node: &Rc<Controller>, route: &Route<'_>, body: &[u8]) -> Response {
+async fn dispatch(controller: &Rc<Controller>, route: &Route<'_>, body: &[u8]) -> Response {
     match route {
-        Route::Heartbeat => workers::heartbeat(node, body),
-        Route::Ready => readiness::ready(node),
-        Route::Submit => users::submit(node, body).await,
-        Route::Query(id) => users::query(node, id).await,
-        Route::Cancel(id) => users::cancel(node, id).await,
-        Route::NoSuchJob => refuse(404, "no such job"),
-        Route::NoSuchPath => refuse(404, "no such path"),
+        Route::Heartbeat => workers::heartbeat(controller, body),
+        Route::Ready => readiness::ready(controller),
+        Route::Submit => users::submit(controller, body).await,
+        Route::Query(id) => users::query(controller, id).await,
+        Route::Cancel(id) => users::cancel(controller, id).await,
+        Route::NoSuchJob => error_response(404, "no such job"),
+        Route::NoSuchPath => error_response(404, "no such path"),
     }
 }
--- a/crates/ladderroute/src/api/readiness.rs
+++ b/crates/ladderroute/src/api/readiness.rs
@@ -6,7 +6,7 @@
 
 /// For how long the store has to fail until the balancer may be told, as a part of the time after which
 /// a worker drops an answer.
-const FAILING_SHARE: f64 = 0.25;
+const FAILING_AFTER_SHARE: f64 = 0.25;
 
 /// How the store answers, as seen from here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -48,35 +48,35 @@
 
 /// Ready: the jobs and the machine types are known, and this controller is not worse off than
 /// the others.
-pub(super) fn ready(node: &Controller) -> Response {
-    if is_ready(node) {
+pub(super) fn ready(controller: &Controller) -> Response {
+    if is_ready(controller) {
         Response::new(200, Vec::new())
     } else {
-        retry_later(node, "not ready")
+        retry_later(controller, "not ready")
     }
 }
 
-fn is_ready(node: &Controller) -> bool {
-    let now = node.now();
-    let state = node.lock();
+fn is_ready(controller: &Controller) -> bool {
+    let now = controller.now();
+    let state = controller.lock();
     let shared = &state.shared;
     let is_loaded = shared.view.is_complete() && shared.catalog.is_some();
-    is_loaded && !others_serve_better(store_health(&state), role(node, &state, now))
+    is_loaded && !others_serve_better(store_health(&state), role(controller, &state, now))
 }
 
 fn store_health(state: &State) -> StoreHealth {
-    let most_s = wire::HEARTBEAT_RESPONSE_TIMEOUT_S * FAILING_SHARE;
+    let failing_after_s = wire::HEARTBEAT_RESPONSE_TIMEOUT_S * FAILING_AFTER_SHARE;
     match state.shared.store_failing_since {
-        Some(since) if since.elapsed().as_secs_f64() > most_s => StoreHealth::Failing,
+        Some(since) if since.elapsed().as_secs_f64() > failing_after_s => StoreHealth::Failing,
         _ => StoreHealth::Healthy,
     }
 }
 
-fn role(node: &Controller, state: &State, now: f64) -> Role {
+fn role(controller: &Controller, state: &State, now: f64) -> Role {
     match &state.shared.leadership {
         Some(leadership) => Role::Leader {
             owners: leadership.links.len(),
-            others: node.settings.peers.len(),
+            others: controller.settings.peers.len(),
         },
         None if state.owner.has_authority(now) => Role::OwnerWithAuthority,
         None => Role::OwnerWithoutAuthority,
--- a/crates/ladderroute/src/api/users/feasibility.rs
+++ b/crates/ladderroute/src/api/users/feasibility.rs
@@ -6,9 +6,9 @@
 use wire::users::{Job, Shape};
 
 /// Most bytes that a job's record takes beside the job.
-const RECORD_BYTES: usize = 64;
+const RECORD_OVERHEAD_BYTES: usize = 64;
 /// Rounding allowed when a job's resources are held against its team's limits.
-const ROUNDING: f64 = 1e-6;
+const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 /// Why a job can never run, in the words that its user is told.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
@@ -39,7 +39,7 @@
 
 /// Checks that a job can run on some machine, within its team's limits, and be recorded in a value of
 /// at most `value_bytes`.
-pub(super) fn check(
+pub(super) fn check_feasibility(
     job: &Job,
     config: &SchedulerConfig,
     machine_types: &[MachineType],
@@ -56,8 +56,14 @@
 
 /// Whether a machine type is allowed for a job and holds one of its tasks.
 fn fits_machine(job: &Job, kind: &MachineType) -> bool {
-    let is_allowed = job.types.as_ref().is_none_or(|l| l.contains(&kind.name));
-    let is_in_zone = job.zone.as_ref().is_none_or(|z| kind.zones.contains(z));
+    let is_allowed = job
+        .types
+        .as_ref()
+        .is_none_or(|types| types.contains(&kind.name));
+    let is_in_zone = job
+        .zone
+        .as_ref()
+        .is_none_or(|zone| kind.zones.contains(zone));
     let has_resources =
         kind.cpus >= job.cpus && kind.gpus >= job.gpus && kind.memory_gb >= job.memory_gb;
     is_allowed && is_in_zone && has_resources
@@ -69,7 +75,7 @@
         Shape::Gang => f64::from(job.tasks),
         Shape::Array | Shape::Service => 1.0,
     };
-    let is_above = |needed: f64, limit: f64| needed > limit + ROUNDING;
+    let is_above = |needed: f64, limit: f64| needed > limit + ROUNDING_TOLERANCE;
     if is_above(tasks * job.cpus, team.cpus_max) || is_above(tasks * job.gpus, team.gpus_max) {
         return Err(Infeasible::AboveTeamLimit);
     }
@@ -77,7 +83,7 @@
 }
 
 fn check_record_size(job: &Job, limit: usize) -> Result<(), Infeasible> {
-    let bytes = cbor::encode(job).len() + RECORD_BYTES;
+    let bytes = cbor::encode(job).len() + RECORD_OVERHEAD_BYTES;
     if bytes <= limit {
         return Ok(());
     }
--- a/crates/ladderroute/src/api/users/job_state.rs
+++ b/crates/ladderroute/src/api/users/job_state.rs
@@ -23,44 +23,54 @@
 use wire::users::{Accepted, JobState, Progress};
 
 /// What the view holds of a job, whatever its age.
-pub(super) fn entry(node: &Controller, id: &str) -> Option<JobEntry> {
-    node.lock().shared.view.replica().jobs.get(id).cloned()
+pub(super) fn cached_entry(controller: &Controller, id: &str) -> Option<JobEntry> {
+    controller
+        .lock()
+        .shared
+        .view
+        .replica()
+        .jobs
+        .get(id)
+        .cloned()
 }
 
 /// What may be told of a job now; none if it was never accepted. An error is the response to give instead.
-pub(super) async fn look_up(node: &Rc<Controller>, id: &str) -> Result<Option<JobEntry>, Response> {
-    if let Some(terminal) = entry(node, id).filter(is_terminal) {
+pub(super) async fn look_up(
+    controller: &Rc<Controller>,
+    id: &str,
+) -> Result<Option<JobEntry>, Response> {
+    if let Some(terminal) = cached_entry(controller, id).filter(is_terminal) {
         return Ok(Some(terminal));
     }
-    if !refresh_view(node).await {
-        Counters::count(&node.counters.answers_refused);
-        return Err(retry_later(node, "the state service does not answer"));
+    if !refresh_view(controller).await {
+        Counters::increment(&controller.counters.answers_refused);
+        return Err(retry_later(controller, "the state service does not answer"));
     }
-    Ok(entry(node, id))
+    Ok(cached_entry(controller, id))
 }
 
 /// Answers with the state of a job whose record was read directly for this request.
-pub(super) async fn answer_read(node: &Rc<Controller>, id: &str) -> Response {
-    if let Some(own) = entry(node, id).filter(has_no_ancestors) {
-        return accepted(node, 200, id, &own);
+pub(super) async fn existing_job_response(controller: &Rc<Controller>, id: &str) -> Response {
+    if let Some(own) = cached_entry(controller, id).filter(record_suffices) {
+        return accepted_response(controller, 200, id, &own);
     }
-    answer_looked_up(node, 200, id).await
+    refreshed_job_response(controller, 200, id).await
 }
 
 /// Answers with the state of a job whose record was written for this request.
-pub(super) async fn answer_created(node: &Rc<Controller>, id: &str) -> Response {
-    let is_fresh = node.view_age() <= node.config.max_start_staleness_s();
-    let created = entry(node, id).filter(|entry| is_fresh || has_no_ancestors(entry));
+pub(super) async fn created_job_response(controller: &Rc<Controller>, id: &str) -> Response {
+    let is_fresh = controller.view_age() <= controller.config.max_start_staleness_s();
+    let created = cached_entry(controller, id).filter(|entry| is_fresh || record_suffices(entry));
     if let Some(created) = created {
-        return accepted(node, 201, id, &created);
+        return accepted_response(controller, 201, id, &created);
     }
-    answer_looked_up(node, 201, id).await
+    refreshed_job_response(controller, 201, id).await
 }
 
-async fn answer_looked_up(node: &Rc<Controller>, status: u16, id: &str) -> Response {
-    match look_up(node, id).await {
-        Ok(Some(entry)) => accepted(node, status, id, &entry),
-        Ok(None) => retry_later(node, "not ready yet"),
+async fn refreshed_job_response(controller: &Rc<Controller>, status: u16, id: &str) -> Response {
+    match look_up(controller, id).await {
+        Ok(Some(entry)) => accepted_response(controller, status, id, &entry),
+        Ok(None) => retry_later(controller, "not ready yet"),
         Err(response) => response,
     }
 }
@@ -70,25 +80,30 @@
 }
 
 /// Whether the job's own record says all: it is terminal, or the job needs no other.
-fn has_no_ancestors(entry: &JobEntry) -> bool {
+fn record_suffices(entry: &JobEntry) -> bool {
     let spec = entry.job.as_ref();
     spec.is_none_or(|spec| spec.dependencies.is_empty())
 }
 
 /// The response to a submission or a cancellation, from an entry of the view.
-pub(super) fn accepted(node: &Controller, status: u16, id: &str, entry: &JobEntry) -> Response {
-    let state = state_of(node, id, entry);
-    log_answer(node, status, id, state);
+pub(super) fn accepted_response(
+    controller: &Controller,
+    status: u16,
+    id: &str,
+    entry: &JobEntry,
+) -> Response {
+    let state = state_of(controller, id, entry);
+    log_answer(controller, status, id, state);
     let id = id.into();
     Response::new(status, cbor::encode(&Accepted { id, state }))
 }
 
 /// The response to a query, from an entry of the view.
-pub(super) fn progress(node: &Controller, id: &str, entry: &JobEntry) -> Response {
-    let state = state_of(node, id, entry);
-    log_answer(node, 200, id, state);
+pub(super) fn progress_response(controller: &Controller, id: &str, entry: &JobEntry) -> Response {
+    let state = state_of(controller, id, entry);
+    log_answer(controller, 200, id, state);
     let running = match state {
-        JobState::Running => running_tasks(node, id),
+        JobState::Running => running_tasks(controller, id),
         _ => 0,
     };
     let progress = Progress {
@@ -101,27 +116,33 @@
 }
 
 /// An entry of the view in the users' words.
-fn state_of(node: &Controller, id: &str, entry: &JobEntry) -> JobState {
+fn state_of(controller: &Controller, id: &str, entry: &JobEntry) -> JobState {
     match entry.state {
         Recorded::Done => JobState::Done,
         Recorded::Cancelled => JobState::Cancelled,
-        Recorded::Open if running_tasks(node, id) > 0 => JobState::Running,
+        Recorded::Open if running_tasks(controller, id) > 0 => JobState::Running,
         Recorded::Open => JobState::Queued,
     }
 }
 
 /// A job's running tasks, as the leader last told.
-fn running_tasks(node: &Controller, id: &str) -> u32 {
-    node.lock().shared.running.get(id).copied().unwrap_or(0)
+fn running_tasks(controller: &Controller, id: &str) -> u32 {
+    controller
+        .lock()
+        .shared
+        .running
+        .get(id)
+        .copied()
+        .unwrap_or(0)
 }
 
 /// Logs what a user is told, and what it rests on.
-fn log_answer(node: &Controller, status: u16, id: &str, state: JobState) {
+fn log_answer(controller: &Controller, status: u16, id: &str, state: JobState) {
     if !log::log_enabled!(log::Level::Debug) {
         return;
     }
-    let age_s = node.view_age();
-    let revision = node.lock().shared.view.replica().revision;
+    let age_s = controller.view_age();
+    let revision = controller.lock().shared.view.replica().revision;
     log::debug!(
         "event=answer job={id} status={status} state={state:?} revision={revision} view_age_s={age_s:.2}"
     );
--- a/crates/ladderroute/src/api/users/submission.rs
+++ b/crates/ladderroute/src/api/users/submission.rs
@@ -1,8 +1,10 @@
 //! Submissions of jobs.
 
-use super::feasibility::{check, Infeasible};
-use super::job_state::{accepted, answer_created, answer_read, entry, look_up};
-use crate::api::responses::{refuse, retry_later, too_many};
+use super::feasibility::{check_feasibility, Infeasible};
+use super::job_state::{
+    accepted_response, cached_entry, created_job_response, existing_job_response, look_up,
+};
+use crate::api::responses::{error_response, retry_later, too_many_requests};
 use crate::controller::Controller;
 use crate::freshness::refresh_view;
 use http::server::Response;
@@ -16,24 +18,24 @@
 use wire::users::Job;
 
 /// When to come back after the store itself refused a submission, in seconds.
-const STORE_REFUSAL_S: f64 = 1.0;
+const STORE_REFUSAL_RETRY_S: f64 = 1.0;
 
 /// Accepts a job, or says why not.
-pub async fn submit(node: &Rc<Controller>, body: &[u8]) -> Response {
-    if !is_loaded(node) {
-        return retry_later(node, "not ready yet");
+pub async fn submit(controller: &Rc<Controller>, body: &[u8]) -> Response {
+    if !is_loaded(controller) {
+        return retry_later(controller, "not ready yet");
     }
-    if let Some(response) = answer_repeat(node, body).await {
+    if let Some(response) = repeat_response(controller, body).await {
         return response;
     }
-    match check_submission(node, body).await {
-        Ok(job) => record(node, job).await,
+    match check_submission(controller, body).await {
+        Ok(job) => write_record(controller, job).await,
         Err(response) => response,
     }
 }
 
-fn is_loaded(node: &Controller) -> bool {
-    node.lock().shared.view.is_complete()
+fn is_loaded(controller: &Controller) -> bool {
+    controller.lock().shared.view.is_complete()
 }
 
 /// The name in a submission.
@@ -45,49 +47,63 @@
 
 /// Answers a submission of a job that is in the view already with that job's state, whatever else the
 /// submission says.
-async fn answer_repeat(node: &Rc<Controller>, body: &[u8]) -> Option<Response> {
+async fn repeat_response(controller: &Rc<Controller>, body: &[u8]) -> Option<Response> {
     let SubmittedId { id } = cbor::decode(body).ok()?;
-    entry(node, &id)?;
-    Some(match look_up(node, &id).await {
-        Ok(Some(entry)) => accepted(node, 200, &id, &entry),
-        Ok(None) => retry_later(node, "not ready yet"),
+    cached_entry(controller, &id)?;
+    Some(match look_up(controller, &id).await {
+        Ok(Some(entry)) => accepted_response(controller, 200, &id, &entry),
+        Ok(None) => retry_later(controller, "not ready yet"),
         Err(response) => response,
     })
 }
 
 /// The job that a submission asks for, if it can run; an error is the response to give instead.
-async fn check_submission(node: &Rc<Controller>, body: &[u8]) -> Result<Job, Response> {
+async fn check_submission(controller: &Rc<Controller>, body: &[u8]) -> Result<Job, Response> {
     let job: Job = cbor::decode(body).map_err(|error| {
         log::debug!("event=submission_malformed error=\"{error}\"");
-        refuse(400, error.to_string())
+        error_response(400, error.to_string())
     })?;
-    job.check().map_err(|error| refuse(400, error))?;
-    match check_feasible(node, &job) {
-        None => return Err(retry_later(node, "the machine types are not known yet")),
-        Some(Err(why)) => return Err(answer_infeasible(node, &job, why).await),
+    job.check().map_err(|error| error_response(400, error))?;
+    match check_against_catalog(controller, &job) {
+        None => {
+            return Err(retry_later(
+                controller,
+                "the machine types are not known yet",
+            ))
+        }
+        Some(Err(reason)) => return Err(infeasible_response(controller, &job, reason).await),
         Some(Ok(())) => {}
     }
-    check_dependencies(node, &job).await?;
+    check_dependencies(controller, &job).await?;
     Ok(job)
 }
 
 /// Whether a job can ever run; none while the machine types are not known.
-fn check_feasible(node: &Controller, job: &Job) -> Option<Result<(), Infeasible>> {
-    let state = node.lock();
+fn check_against_catalog(controller: &Controller, job: &Job) -> Option<Result<(), Infeasible>> {
+    let state = controller.lock();
     let machine_types = state.shared.catalog.as_ref()?;
-    let value_bytes = node.limits.value_bytes();
-    Some(check(job, &node.config, machine_types, value_bytes))
+    let value_bytes = controller.limits.value_bytes();
+    Some(check_feasibility(
+        job,
+        &controller.config,
+        machine_types,
+        value_bytes,
+    ))
 }
 
 /// A job that can never run may be known to the store all the same, through another controller: then
 /// this is a repeat.
-async fn answer_infeasible(node: &Rc<Controller>, job: &Job, why: Infeasible) -> Response {
+async fn infeasible_response(
+    controller: &Rc<Controller>,
+    job: &Job,
+    reason: Infeasible,
+) -> Response {
     let Job { id, team, .. } = job;
-    match look_up(node, id).await {
-        Ok(Some(entry)) => accepted(node, 200, id, &entry),
+    match look_up(controller, id).await {
+        Ok(Some(entry)) => accepted_response(controller, 200, id, &entry),
         Ok(None) => {
-            log::info!("event=never_runs job={id} team={team} error=\"{why}\"");
-            refuse(422, why.to_string())
+            log::info!("event=never_runs job={id} team={team} error=\"{reason}\"");
+            error_response(422, reason.to_string())
         }
         Err(response) => response,
     }
@@ -95,65 +111,65 @@
 
 /// Checks that all jobs that a submission names were accepted, as far as the store shows now: by any
 /// controller, perhaps a moment ago.
-async fn check_dependencies(node: &Rc<Controller>, job: &Job) -> Result<(), Response> {
-    if unknown_dependency(node, job).is_none() {
+async fn check_dependencies(controller: &Rc<Controller>, job: &Job) -> Result<(), Response> {
+    if unknown_dependency(controller, job).is_none() {
         return Ok(());
     }
-    if !is_loaded(node) || !refresh_view(node).await {
-        return Err(retry_later(node, "the state service does not answer"));
+    if !is_loaded(controller) || !refresh_view(controller).await {
+        return Err(retry_later(controller, "the state service does not answer"));
     }
-    let Some(id) = unknown_dependency(node, job) else {
+    let Some(id) = unknown_dependency(controller, job) else {
         return Ok(());
     };
     // Accepted meanwhile through another controller: then this is a repeat.
-    Err(match entry(node, &job.id) {
-        Some(entry) => accepted(node, 200, &job.id, &entry),
-        None => refuse(422, Infeasible::UnknownDependency(id).to_string()),
+    Err(match cached_entry(controller, &job.id) {
+        Some(entry) => accepted_response(controller, 200, &job.id, &entry),
+        None => error_response(422, Infeasible::UnknownDependency(id).to_string()),
     })
 }
 
 /// The first job that a submission names and the view does not hold.
-fn unknown_dependency(node: &Controller, job: &Job) -> Option<String> {
-    let state = node.lock();
+fn unknown_dependency(controller: &Controller, job: &Job) -> Option<String> {
+    let state = controller.lock();
     let jobs = &state.shared.view.replica().jobs;
     let is_unknown = |id: &&String| !jobs.contains_key(id);
     job.dependencies.iter().find(is_unknown).cloned()
 }
 
 /// Writes a job's record, and answers by what the store decided.
-async fn record(node: &Rc<Controller>, job: Job) -> Response {
+async fn write_record(controller: &Rc<Controller>, job: Job) -> Response {
     let id = job.id.clone();
     let record = JobRecord {
         state: Recorded::Open,
         created_ms: unix_ms(),
         job,
     };
-    match node
+    match controller
         .store
-        .txn(&creation(&record), RequestPriority::Submission)
+        .txn(&creation_txn(&record), RequestPriority::Submission)
         .await
     {
-        Ok(TxnOutcome::Applied(version)) => confirm(node, &id, record, version).await,
+        Ok(TxnOutcome::Applied(version)) => apply_creation(controller, &id, record, version).await,
         Ok(TxnOutcome::Conflict(_)) | Err(StoreError::OutcomeUnknown(_)) => {
-            read_back(node, &id).await
+            read_back_record(controller, &id).await
         }
         Err(StoreError::Refused(TOO_MANY_REQUESTS)) => {
             log::debug!("event=submission_refused job={id} by=store");
-            too_many(STORE_REFUSAL_S)
+            too_many_requests(STORE_REFUSAL_RETRY_S)
         }
-        Err(StoreError::BudgetExhausted(again_s)) => {
-            log::debug!("event=submission_refused job={id} again_s={again_s:.2}");
-            too_many(again_s)
+        Err(StoreError::BudgetExhausted(retry_delay_s)) => {
+            log::debug!("event=submission_refused job={id} again_s={retry_delay_s:.2}");
+            too_many_requests(retry_delay_s)
         }
         Err(_) => {
-            node.record_store_health(false);
-            retry_later(node, "the state service does not answer")
+            controller.record_store_health(false);
+            retry_later(controller, "the state service does not answer")
         }
     }
 }
 
 /// The transaction that creates a job, on the condition that there is none of its name.
-fn creation(record: &JobRecord) -> Txn {
+fn creation_txn(record: &JobRecord) -> Txn {
     let key = keys::job(&record.job.id);
     let value = to_value(record);
     Txn {
@@ -175,31 +191,36 @@
 }
 
 /// A job's record was written for this request.
-async fn confirm(node: &Rc<Controller>, id: &str, record: JobRecord, version: u64) -> Response {
-    node.record_store_health(true);
+async fn apply_creation(
+    controller: &Rc<Controller>,
+    id: &str,
+    record: JobRecord,
+    version: u64,
+) -> Response {
+    controller.record_store_health(true);
     log::info!(
         "event=accepted job={id} class={} tasks={} team={} revision={version}",
         record.job.class,
         record.job.tasks,
         record.job.team
     );
-    node.apply_job_record(&mut node.lock(), id, record, version);
+    controller.apply_job_record(&mut controller.lock(), id, record, version);
     // A job that names a cancelled one is accepted all the same, and cancelled with it.
-    answer_created(node, id).await
+    created_job_response(controller, id).await
 }
 
 /// Whether the job was accepted is never guessed: it is if the store has its record.
-async fn read_back(node: &Rc<Controller>, id: &str) -> Response {
-    let Ok(Some(item)) = node
+async fn read_back_record(controller: &Rc<Controller>, id: &str) -> Response {
+    let Ok(Some(item)) = controller
         .store
         .get(&keys::job(id), RequestPriority::Decision)
         .await
     else {
-        return retry_later(node, "the outcome is not known yet");
+        return retry_later(controller, "the outcome is not known yet");
     };
     let Some(record) = from_value::<JobRecord>(&item.value) else {
-        return retry_later(node, "the record can't be read");
+        return retry_later(controller, "the record can't be read");
     };
-    node.apply_job_record(&mut node.lock(), id, record, item.version);
-    answer_read(node, id).await
+    controller.apply_job_record(&mut controller.lock(), id, record, item.version);
+    existing_job_response(controller, id).await
 }
--- a/crates/ladderroute/src/api/workers.rs
+++ b/crates/ladderroute/src/api/workers.rs
@@ -1,8 +1,8 @@
 //! Workers' heartbeats, and what a response to one rests on.
 
-use super::responses::refuse;
+use super::responses::error_response;
 use crate::controller::{Controller, ReplicaJobs, State};
-use crate::counters::{Checked, Counters};
+use crate::counters::{AuthorityCheck, Counters};
 use http::server::{OnWritten, Response};
 use sched::owner::HeartbeatResponse;
 use std::fmt;
@@ -10,61 +10,61 @@
 use wire::workers::{Heartbeat, Orders, Redirect};
 
 /// Serves a worker's heartbeat.
-pub(super) fn heartbeat(node: &Controller, body: &[u8]) -> Response {
+pub(super) fn heartbeat(controller: &Controller, body: &[u8]) -> Response {
     let heartbeat: Heartbeat = match cbor::decode(body) {
         Ok(heartbeat) => heartbeat,
         Err(error) => {
             log::error!("event=heartbeat_malformed error=\"{error}\"");
-            return refuse(400, error.to_string());
+            return error_response(400, error.to_string());
         }
     };
-    let checked = node.counters.checked();
-    let now = node.now();
-    let mut guard = node.lock();
+    let check = controller.counters.start_check();
+    let now = controller.now();
+    let mut guard = controller.lock();
     let state = &mut *guard;
     let jobs = ReplicaJobs(state.shared.view.replica());
     let answer = state.owner.on_heartbeat(&heartbeat, now, &jobs);
-    let basis = Basis::of(state, now);
-    log_heartbeat(&heartbeat, &answer, &basis);
-    node.exchange_messages(state);
+    let snapshot = AuthoritySnapshot::new(state, now);
+    log_heartbeat(&heartbeat, &answer, &snapshot);
+    controller.exchange_messages(state);
     match answer {
         HeartbeatResponse::Orders(orders) => {
-            if !may_answer_orders(node, state) {
-                return no_authority(node);
+            if !still_has_authority(controller, state) {
+                return no_authority_response(controller);
             }
-            log_orders(&heartbeat, &orders, &basis);
-            node.counters.margin(basis.margin_s);
-            answer_orders(&orders, checked)
+            log_orders(&heartbeat, &orders, &snapshot);
+            controller.counters.record_margin(snapshot.margin_s);
+            orders_response(&orders, check)
         }
-        HeartbeatResponse::Redirect(member) => redirect(member),
-        HeartbeatResponse::Unavailable => no_authority(node),
+        HeartbeatResponse::Redirect(member) => redirect_response(member),
+        HeartbeatResponse::Unavailable => no_authority_response(controller),
     }
 }
 
 /// The check of authority right before the response to a heartbeat is written: authority may have
 /// ended since the owner decided, and orders without it could start a task twice.
-fn may_answer_orders(node: &Controller, state: &State) -> bool {
-    state.owner.has_authority(node.now())
+fn still_has_authority(controller: &Controller, state: &State) -> bool {
+    state.owner.has_authority(controller.now())
 }
 
-fn answer_orders(orders: &Orders, checked: Checked) -> Response {
+fn orders_response(orders: &Orders, check: AuthorityCheck) -> Response {
     let mut response = Response::new(200, cbor::encode(orders));
-    response.on_written = Some(OnWritten::new(move || checked.written()));
+    response.on_written = Some(OnWritten::new(move || check.record_response_written()));
     response
 }
 
-fn redirect(member: String) -> Response {
+fn redirect_response(member: String) -> Response {
     let member = Some(member);
     Response::new(421, cbor::encode(&Redirect { member }))
 }
 
-fn no_authority(node: &Controller) -> Response {
-    Counters::count(&node.counters.heartbeats_refused);
-    refuse(503, "no authority at present")
+fn no_authority_response(controller: &Controller) -> Response {
+    Counters::increment(&controller.counters.heartbeats_refused);
+    error_response(503, "no authority at present")
 }
 
 /// What a response to a worker rests on, for the logs.
-struct Basis {
+struct AuthoritySnapshot {
     /// The fencing token of the owner's authority.
     token: u64,
     /// The store's revision that the view holds.
@@ -77,10 +77,10 @@
     margin_s: f64,
 }
 
-impl Basis {
-    fn of(state: &State, now: f64) -> Basis {
+impl AuthoritySnapshot {
+    fn new(state: &State, now: f64) -> AuthoritySnapshot {
         let authority = &state.owner.authority;
-        Basis {
+        AuthoritySnapshot {
             token: state.owner.token(),
             revision: state.shared.view.replica().revision,
             staleness_s: now - authority.read_at(),
@@ -90,7 +90,7 @@
     }
 }
 
-impl fmt::Display for Basis {
+impl fmt::Display for AuthoritySnapshot {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             out,
@@ -100,9 +100,9 @@
     }
 }
 
-fn log_heartbeat(heartbeat: &Heartbeat, answer: &HeartbeatResponse, basis: &Basis) {
+fn log_heartbeat(heartbeat: &Heartbeat, answer: &HeartbeatResponse, snapshot: &AuthoritySnapshot) {
     log::debug!(
-        "event=heartbeat machine={} incarnation={} seq={} seen_token={} tasks={} {basis} answer={answer:?}",
+        "event=heartbeat machine={} incarnation={} seq={} seen_token={} tasks={} {snapshot} answer={answer:?}",
         heartbeat.machine,
         heartbeat.incarnation,
         heartbeat.seq,
@@ -111,12 +111,12 @@
     );
 }
 
-fn log_orders(heartbeat: &Heartbeat, orders: &Orders, basis: &Basis) {
+fn log_orders(heartbeat: &Heartbeat, orders: &Orders, snapshot: &AuthoritySnapshot) {
     if orders.orders.is_empty() {
         return;
     }
     log::debug!(
-        "event=orders machine={} incarnation={} seq={} {basis} orders={:?}",
+        "event=orders machine={} incarnation={} seq={} {snapshot} orders={:?}",
         heartbeat.machine,
         heartbeat.incarnation,
         heartbeat.seq,
--- a/crates/ladderroute/src/cluster_view.rs
+++ b/crates/ladderroute/src/cluster_view.rs
@@ -58,7 +58,7 @@
     }
 
     /// When its first page was requested.
-    pub fn sent(&self) -> Secs {
+    pub fn first_page_sent_at(&self) -> Secs {
         self.first_page_sent_at
     }
 
@@ -137,7 +137,7 @@
             ChangedKey::Job(id) => Some(id),
             ChangedKey::Leader | ChangedKey::Other => None,
         });
-        Some(jobs.flat_map(|id| self.update(&id)).collect())
+        Some(jobs.flat_map(|id| self.update_derived_state(&id)).collect())
     }
 
     /// Notes that the store could not return the changes that a read requested: all keys have to be read.
@@ -164,14 +164,14 @@
 
     /// Replaces the replica by a complete reload, merged with newer records. Any job may have changed.
     pub fn finish_reload(&mut self, reload: ViewReload) {
-        let in_use = std::mem::take(&mut self.replica);
-        self.replica = reload.pages.finish(in_use);
+        let previous = std::mem::take(&mut self.replica);
+        self.replica = reload.pages.finish(previous);
         self.read_at = reload.first_page_sent_at;
         self.complete = true;
         self.dependencies = DependencyGraph::default();
         let ids: Vec<String> = self.replica.jobs.keys().cloned().collect();
         for id in ids {
-            self.update(&id);
+            self.update_derived_state(&id);
         }
     }
 
@@ -183,13 +183,13 @@
         version: u64,
     ) -> Vec<JobChange> {
         self.replica.put_job(id, record, version);
-        self.update(id)
+        self.update_derived_state(id)
     }
 
     /// Applies this controller's own write of a job's end.
     pub fn mark_job_done(&mut self, id: &str, version: u64) -> Vec<JobChange> {
         self.replica.mark_job_done(id, version);
-        self.update(id)
+        self.update_derived_state(id)
     }
 
     /// Notes that this controller's writes were applied at a revision.
@@ -209,7 +209,7 @@
 
     /// Brings the derived state of a job up to date with the replica. Descendants that are cancelled with it
     /// are closed in the replica too.
-    fn update(&mut self, id: &str) -> Vec<JobChange> {
+    fn update_derived_state(&mut self, id: &str) -> Vec<JobChange> {
         let Some(entry) = self.replica.jobs.get(id) else {
             return Vec::new();
         };
@@ -217,14 +217,14 @@
             (Some(job), Recorded::Open) => {
                 let replica = &self.replica;
                 self.dependencies
-                    .on_accepted(job, |other| record_of(replica, other))
+                    .on_accepted(job, |other| dependency_state(replica, other))
             }
             (_, Recorded::Done) => self.dependencies.on_done(id),
             _ => self.dependencies.on_cancelled(id),
         };
-        let own = JobChange::Updated(id.to_string());
+        let updated = JobChange::Updated(id.to_string());
         let derived = effects.into_iter().map(|effect| self.apply_effect(effect));
-        std::iter::once(own).chain(derived).collect()
+        std::iter::once(updated).chain(derived).collect()
     }
 
     fn apply_effect(&mut self, effect: Effect) -> JobChange {
@@ -241,7 +241,7 @@
 }
 
 /// A job's state as the dependencies need it.
-fn record_of(replica: &Replica, id: &str) -> Option<DependencyState> {
+fn dependency_state(replica: &Replica, id: &str) -> Option<DependencyState> {
     let entry = replica.jobs.get(id)?;
     Some(match (&entry.job, entry.state) {
         (Some(job), Recorded::Open) => DependencyState::Open(job.priority),
--- a/crates/ladderroute/src/controller/freshness_reads.rs
+++ b/crates/ladderroute/src/controller/freshness_reads.rs
@@ -17,8 +17,8 @@
     /// Queues a request: where it is told whether the view is fresh, and whether it has to start the
     /// task that serves the queue.
     pub fn enqueue(&self) -> (Receiver<bool>, bool) {
-        let (done, result) = smol::channel::bounded(1);
-        self.waiting.borrow_mut().push(done);
+        let (sender, result) = smol::channel::bounded(1);
+        self.waiting.borrow_mut().push(sender);
         (result, !self.is_serving.replace(true))
     }
 
--- a/crates/ladderroute/src/controller/message_exchange.rs
+++ b/crates/ladderroute/src/controller/message_exchange.rs
@@ -10,12 +10,12 @@
     pub fn exchange_messages(&self, state: &mut State) {
         let now = self.now();
         loop {
-            let owner_spoke = self.route_owner_messages(state, now);
+            let owner_sent = self.route_owner_messages(state, now);
             if state.shared.leadership.is_none() {
                 return;
             }
-            let leader_spoke = self.route_leader_actions(state, now);
-            if !owner_spoke && !leader_spoke {
+            let leader_acted = self.route_leader_actions(state, now);
+            if !owner_sent && !leader_acted {
                 return;
             }
         }
--- a/crates/ladderroute/src/controller/view_updates.rs
+++ b/crates/ladderroute/src/controller/view_updates.rs
@@ -17,12 +17,12 @@
     pub fn apply_changes(&self, changes: &Changes, read: ChangesRead) -> bool {
         let mut guard = self.lock();
         let state = &mut *guard;
-        let Some(news) = state.shared.view.apply(read, changes) else {
-            Counters::count(&self.counters.reads_dropped);
+        let Some(job_changes) = state.shared.view.apply(read, changes) else {
+            Counters::increment(&self.counters.reads_dropped);
             log::info!("event=read_dropped since={}", read.since);
             return false;
         };
-        self.notify_leader_of_changes(&mut state.shared, news);
+        self.notify_leader_of_changes(&mut state.shared, job_changes);
         self.act_on_view(state);
         true
     }
@@ -31,9 +31,9 @@
     pub fn finish_reload(&self, reload: ViewReload) {
         let mut guard = self.lock();
         let state = &mut *guard;
-        let (pages, took_s) = (reload.pages(), self.now() - reload.sent());
+        let (pages, took_s) = (reload.pages(), self.now() - reload.first_page_sent_at());
         state.shared.view.finish_reload(reload);
-        Counters::count(&self.counters.reloads);
+        Counters::increment(&self.counters.reloads);
         let replica = state.shared.view.replica();
         let (jobs, revision) = (replica.jobs.len(), replica.revision);
         log::info!("event=loaded jobs={jobs} revision={revision} pages={pages} took_s={took_s:.2}");
--- a/crates/ladderroute/src/counters.rs
+++ b/crates/ladderroute/src/counters.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 /// The longest time between a check and the writing of the answer that rests on it.
-type LongestEffect = Rc<Cell<Duration>>;
+type LongestResponseDelay = Rc<Cell<Duration>>;
 
 /// The running summary of one process.
 #[derive(Debug, Default)]
@@ -22,43 +22,43 @@
     pub answers_refused: Cell<u64>,
     /// The least time that authority had left when a heartbeat was answered, in seconds.
     least_margin_s: Cell<Option<f64>>,
-    longest_effect: LongestEffect,
+    longest_response_delay: LongestResponseDelay,
 }
 
 /// The instant at which what an answer rests on was checked, to be held against the one at which the answer
 /// is written to its connection.
 #[derive(Clone, Debug)]
-pub struct Checked {
-    at: Instant,
-    longest_effect: LongestEffect,
+pub struct AuthorityCheck {
+    checked_at: Instant,
+    longest_response_delay: LongestResponseDelay,
 }
 
-impl Checked {
+impl AuthorityCheck {
     /// Notes that the answer was written.
-    pub fn written(&self) {
-        let effect = self.at.elapsed();
-        self.longest_effect
-            .set(self.longest_effect.get().max(effect));
+    pub fn record_response_written(&self) {
+        let delay = self.checked_at.elapsed();
+        self.longest_response_delay
+            .set(self.longest_response_delay.get().max(delay));
     }
 }
 
 impl Counters {
     /// Counts one more.
-    pub fn count(counter: &Cell<u64>) {
+    pub fn increment(counter: &Cell<u64>) {
         counter.set(counter.get() + 1);
     }
 
     /// Notes that a heartbeat was answered while authority had so much time left, in seconds.
-    pub fn margin(&self, margin_s: f64) {
-        let least = self.least_margin_s.get().unwrap_or(f64::MAX);
-        self.least_margin_s.set(Some(least.min(margin_s)));
+    pub fn record_margin(&self, margin_s: f64) {
+        let least_s = self.least_margin_s.get().unwrap_or(f64::MAX);
+        self.least_margin_s.set(Some(least_s.min(margin_s)));
     }
 
     /// Notes that what an answer rests on is checked now.
-    pub fn checked(&self) -> Checked {
-        Checked {
-            at: Instant::now(),
-            longest_effect: self.longest_effect.clone(),
+    pub fn start_check(&self) -> AuthorityCheck {
+        AuthorityCheck {
+            checked_at: Instant::now(),
+            longest_response_delay: self.longest_response_delay.clone(),
         }
     }
 }
@@ -76,7 +76,7 @@
         if let Some(margin_s) = self.least_margin_s.get() {
             write!(out, " least_margin_s={margin_s:.2}")?;
         }
-        let longest_s = self.longest_effect.get().as_secs_f64();
+        let longest_s = self.longest_response_delay.get().as_secs_f64();
         write!(out, " longest_effect_s={longest_s:.2}")
     }
 }
--- a/crates/ladderroute/src/provisioning.rs
+++ b/crates/ladderroute/src/provisioning.rs
@@ -24,14 +24,14 @@
 const MIN_LIST_INTERVALS: f64 = 4.0;
 
 /// Tries of one provision request under the same name before its outcome is left to the list.
-const PROVISION_ATTEMPTS: u32 = 4;
+const MAX_PROVISION_ATTEMPTS: u32 = 4;
 
 /// Time between two of this controller's requests, in intervals of the cloud's rate.
-const PACE_INTERVALS: f64 = 1.6;
+const REQUEST_SPACING_INTERVALS: f64 = 1.6;
 
 /// Bounds of the time for which an answer is waited for, in seconds.
-const MIN_ANSWER_LIMIT_S: f64 = 1.0;
-const MAX_ANSWER_LIMIT_S: f64 = 5.0;
+const MIN_RESPONSE_TIMEOUT_S: f64 = 1.0;
+const MAX_RESPONSE_TIMEOUT_S: f64 = 5.0;
 
 /// The words in which the cloud says that it has no machine of the kind asked for.
 const NO_CAPACITY: &str = "no capacity";
@@ -60,7 +60,7 @@
 /// Learns the machine types once; the leader keeps the prices current.
 pub async fn load_catalog(controller: Rc<Controller>) {
     while !fetch_catalog(&controller).await {
-        let pause = pace(&controller).mul_f64(2.0 + fastrand::f64());
+        let pause = request_spacing(&controller).mul_f64(2.0 + fastrand::f64());
         smol::Timer::after(pause).await;
     }
     log::info!("event=catalog");
@@ -94,7 +94,7 @@
             Action::Deprovision(names) => deprovision(&controller, names).await,
             _ => {}
         }
-        smol::Timer::after(pace(&controller)).await;
+        smol::Timer::after(request_spacing(&controller)).await;
     }
 }
 
@@ -105,7 +105,7 @@
 
 /// Reads the machine types and their prices; false if the cloud did not tell them.
 async fn fetch_catalog(controller: &Rc<Controller>) -> bool {
-    let Some(catalog) = get::<Catalog>(controller, "/catalog").await else {
+    let Some(catalog) = fetch::<Catalog>(controller, "/catalog").await else {
         return false;
     };
     let mut guard = controller.lock();
@@ -122,7 +122,7 @@
 async fn list_machines(controller: &Rc<Controller>) {
     let mut since = Some(String::new());
     while let Some(after) = since.take() {
-        let Some(list) = get::<MachineList>(controller, &list_path(&after)).await else {
+        let Some(list) = fetch::<MachineList>(controller, &list_path(&after)).await else {
             return;
         };
         with_leader(controller, |leader, now| {
@@ -130,7 +130,7 @@
         });
         if list.more {
             since = list.machines.last().map(|machine| machine.name.clone());
-            smol::Timer::after(pace(controller)).await;
+            smol::Timer::after(request_spacing(controller)).await;
         }
     }
 }
@@ -162,37 +162,39 @@
     request: &ProvisionRequest,
 ) -> ProvisionOutcome {
     let body = cbor::encode(request);
-    let limit = answer_limit(controller);
-    for _ in 0..PROVISION_ATTEMPTS {
-        let answer = controller.cloud.request("POST", "/machines", &body, limit);
-        match answer.await {
-            Ok(answer) if answer.status == 200 => return provisioned(&answer.body),
-            Ok(answer) if answer.status == 503 => return unavailable(&answer.body),
-            Ok(answer) if answer.status == 429 => {
-                smol::Timer::after(pace(controller).mul_f64(2.0)).await;
+    let timeout = response_timeout(controller);
+    for _ in 0..MAX_PROVISION_ATTEMPTS {
+        let response = controller
+            .cloud
+            .request("POST", "/machines", &body, timeout);
+        match response.await {
+            Ok(response) if response.status == 200 => return parse_provisioned(&response.body),
+            Ok(response) if response.status == 503 => return parse_unavailable(&response.body),
+            Ok(response) if response.status == 429 => {
+                smol::Timer::after(request_spacing(controller).mul_f64(2.0)).await;
             }
-            Ok(answer) => {
-                let (status, kind) = (answer.status, &request.kind);
+            Ok(response) => {
+                let (status, kind) = (response.status, &request.kind);
                 log::error!("event=provision_refused status={status} kind={kind}");
                 return ProvisionOutcome::Unknown;
             }
             // The same name again: the cloud provisions only once for it.
             Err(_) => {
-                smol::Timer::after(pace(controller)).await;
+                smol::Timer::after(request_spacing(controller)).await;
             }
         }
     }
     ProvisionOutcome::Unknown
 }
 
-fn provisioned(body: &[u8]) -> ProvisionOutcome {
+fn parse_provisioned(body: &[u8]) -> ProvisionOutcome {
     match cbor::decode::<Names>(body) {
         Ok(names) => ProvisionOutcome::Machines(names.machines),
         Err(_) => ProvisionOutcome::Unknown,
     }
 }
 
-fn unavailable(body: &[u8]) -> ProvisionOutcome {
+fn parse_unavailable(body: &[u8]) -> ProvisionOutcome {
     match cbor::decode::<Refusal>(body) {
         Ok(refusal) if refusal.error == NO_CAPACITY => ProvisionOutcome::NoCapacity,
         _ => ProvisionOutcome::Unknown,
@@ -203,10 +205,10 @@
     let names = machines.join(",");
     let request = Names { machines };
     let body = cbor::encode(&request);
-    let limit = answer_limit(controller);
+    let timeout = response_timeout(controller);
     let path = "/machines/release";
-    let answer = controller.cloud.request("POST", path, &body, limit).await;
-    let ok = answer.is_ok_and(|answer| answer.status == 200);
+    let response = controller.cloud.request("POST", path, &body, timeout).await;
+    let ok = response.is_ok_and(|response| response.status == 200);
     log::info!("event=deprovision ok={ok} machines={names}");
     with_leader(controller, |leader, _| {
         leader.deprovision_result(&request.machines, ok)
@@ -214,37 +216,39 @@
 }
 
 /// What the cloud holds at a path; none if it does not tell now.
-async fn get<T: DeserializeOwned>(controller: &Controller, path: &str) -> Option<T> {
-    let limit = answer_limit(controller);
-    let answer = controller
+async fn fetch<T: DeserializeOwned>(controller: &Controller, path: &str) -> Option<T> {
+    let timeout = response_timeout(controller);
+    let response = controller
         .cloud
-        .request("GET", path, &[], limit)
+        .request("GET", path, &[], timeout)
         .await
         .ok()?;
-    if answer.status != 200 {
+    if response.status != 200 {
         return None;
     }
-    cbor::decode(&answer.body).ok()
+    cbor::decode(&response.body).ok()
 }
 
 /// How long an answer of the cloud is waited for.
-fn answer_limit(controller: &Controller) -> Duration {
+fn response_timeout(controller: &Controller) -> Duration {
     let list_lag_s = controller.settings.params.cloud.list_lag_s;
-    Duration::from_secs_f64((list_lag_s / 2.0).clamp(MIN_ANSWER_LIMIT_S, MAX_ANSWER_LIMIT_S))
+    Duration::from_secs_f64(
+        (list_lag_s / 2.0).clamp(MIN_RESPONSE_TIMEOUT_S, MAX_RESPONSE_TIMEOUT_S),
+    )
 }
 
 /// Time between two of this controller's requests to the cloud.
-fn pace(controller: &Controller) -> Duration {
-    Duration::from_secs_f64(PACE_INTERVALS / controller.settings.params.cloud.rps)
+fn request_spacing(controller: &Controller) -> Duration {
+    Duration::from_secs_f64(REQUEST_SPACING_INTERVALS / controller.settings.params.cloud.rps)
 }
 
 /// Tells the leader something, if it is here, and lets it act.
-fn with_leader(controller: &Controller, tell: impl FnOnce(&mut Leader, Secs)) {
+fn with_leader(controller: &Controller, notify: impl FnOnce(&mut Leader, Secs)) {
     let now = controller.now();
     let mut guard = controller.lock();
     let state = &mut *guard;
     if let Some(leadership) = &mut state.shared.leadership {
-        tell(&mut leadership.leader, now);
+        notify(&mut leadership.leader, now);
         controller.exchange_messages(state);
     }
 }
--- a/crates/ladderroute/src/store_budget.rs
+++ b/crates/ladderroute/src/store_budget.rs
@@ -7,11 +7,11 @@
 use store::budget::{Reserve, Share, Shares};
 
 /// Part of the request rate that the leader takes.
-const LEADER_REQUESTS: f64 = 0.3;
+const LEADER_REQUEST_SHARE: f64 = 0.3;
 /// Part of the write rate that the leader takes.
-const LEADER_WRITES: f64 = 0.8;
+const LEADER_WRITE_SHARE: f64 = 0.8;
 /// Part of each rate that all controllers take together.
-const ALL_SHARE: f64 = 0.95;
+const TOTAL_SHARE: f64 = 0.95;
 
 /// Renewals and decisions of the leader go before the submissions that it takes itself.
 const LEADER_RESERVE: Reserve = Reserve {
@@ -47,20 +47,20 @@
 pub fn store_shares(role: Role, others: usize) -> Shares {
     match (others, role) {
         (0, _) => Shares {
-            requests: share(ALL_SHARE),
-            writes: share(ALL_SHARE),
+            requests: share(TOTAL_SHARE),
+            writes: share(TOTAL_SHARE),
         },
         (_, Role::Leader) => Shares {
-            requests: share(LEADER_REQUESTS),
+            requests: share(LEADER_REQUEST_SHARE),
             writes: Share {
                 reserve: LEADER_WRITE_RESERVE,
-                ..share(LEADER_WRITES)
+                ..share(LEADER_WRITE_SHARE)
             },
         },
         (others, Role::Follower) => Shares {
-            requests: share((ALL_SHARE - LEADER_REQUESTS) / others as f64),
+            requests: share((TOTAL_SHARE - LEADER_REQUEST_SHARE) / others as f64),
             writes: Share {
-                fraction: ALL_SHARE / others as f64,
+                fraction: TOTAL_SHARE / others as f64,
                 burst_s: FOLLOWER_BURST_S,
                 reserve: FOLLOWER_RESERVE,
             },
