--- a/crates/ladderroute/src/api/limits.rs
+++ b/crates/ladderroute/src/api/limits.rs
@@ -1,37 +1,38 @@
-//! How much the port for users, workers and health checks takes in, from what the settings allow.
+//! Limits of the port for users, workers and health checks, derived from the quota in the settings.
 
 use crate::settings::{Quota, Settings};
 use http::server::Limits;
 use std::time::Duration;
 
-/// Part of the sockets left for connections from outside that is not used: a socket that was
-/// closed is counted a little longer.
+/// Share of the sockets for connections from outside that is kept free, because a closed socket
+/// still counts against the quota for a short time.
 const SPARE_SOCKETS_SHARE: f64 = 0.02;
-/// Part of the memory that requests which arrived in part may take.
+/// Share of the memory that requests received in part may take.
 const PARTIAL_REQUESTS_SHARE: f64 = 0.125;
-/// What an open connection takes of the memory, at most, in KiB.
+/// Maximum memory of an open connection, in KiB.
 pub const CONNECTION_KIB: f64 = 8.0;
-/// Part of the memory that open connections may take.
+/// Share of the memory that open connections may take.
 const CONNECTIONS_SHARE: f64 = 0.4;
-/// Connections that are taken however little the settings allow.
+/// Connections that are accepted even if the quota allows fewer.
 const MIN_CONNECTIONS: usize = 16;
-/// Heartbeat intervals after which a silent worker's connection is given up.
+/// Heartbeat intervals after which a silent worker's connection is closed.
 const IDLE_HEARTBEATS: f64 = 3.0;
-/// A connection stays open for at least so many times as long as a worker waits for an answer.
+/// Minimum time for which an idle connection stays open, in multiples of the time for which a
+/// worker waits for a response.
 const IDLE_RESPONSE_TIMEOUTS: f64 = 4.0;
-/// KiB of a MiB, and bytes of a KiB.
+/// KiB in a MiB, and bytes in a KiB.
 const KIB: f64 = 1024.0;
 
-/// Sockets of the controller's own listeners.
+/// Sockets of the controller's listeners.
 const LISTENER_SOCKETS: usize = 2;
-/// Sockets for the cloud.
+/// Sockets for connections to the cloud.
 const CLOUD_SOCKETS: usize = 2;
-/// Sockets for requests to the store that are not counted by its rate.
+/// Sockets for connections to the store in addition to those that its request rate accounts for.
 const EXTRA_STORE_SOCKETS: usize = 4;
-/// The store's requests a second for each of which, about, one is under way.
+/// Request rate to the store, per second, for which about one request is in flight.
 const STORE_RPS_PER_SOCKET: f64 = 4.0;
 
-/// The limits of this controller's port.
+/// Returns the limits of the port under these settings.
 pub(super) fn port_limits(settings: &Settings, heartbeat_s: f64) -> Limits {
     let params = &settings.params;
     server_limits(
@@ -42,8 +43,9 @@
     )
 }
 
-/// Sockets that a controller uses itself, beside `others`: its listeners, the other controllers, the
-/// store (as many requests as may be under way within their time limit, about) and the cloud.
+/// Returns the number of sockets that a controller with this many peers uses itself: for its
+/// listeners, the other controllers, the cloud, and the store (about as many as there may be
+/// requests in flight within their timeout).
 pub fn reserved_sockets(others: usize, store_rps: f64) -> usize {
     let store = (store_rps / STORE_RPS_PER_SOCKET).ceil() as usize + EXTRA_STORE_SOCKETS;
     LISTENER_SOCKETS
@@ -52,8 +54,8 @@
         + store
 }
 
-/// The limits of the port of a controller beside `others`, at a store that takes so many requests a
-/// second.
+/// Returns the limits of the port of a controller that has `others` peers and a store that serves
+/// `store_rps` requests a second.
 pub fn server_limits(quota: &Quota, others: usize, store_rps: f64, heartbeat_s: f64) -> Limits {
     let idle_s = (heartbeat_s * IDLE_HEARTBEATS)
         .max(wire::HEARTBEAT_RESPONSE_TIMEOUT_S * IDLE_RESPONSE_TIMEOUTS);
@@ -67,7 +69,8 @@
     }
 }
 
-/// Most connections from outside, beside the sockets that the controller uses itself.
+/// Returns the maximum number of connections from outside, given the sockets that the controller
+/// uses itself.
 fn max_connections(quota: &Quota, reserved_sockets: usize) -> usize {
     let sockets = quota.max_sockets.saturating_sub(reserved_sockets);
     let by_sockets = (sockets as f64 * (1.0 - SPARE_SOCKETS_SHARE)) as usize;
--- a/crates/ladderroute/src/api/mod.rs
+++ b/crates/ladderroute/src/api/mod.rs
@@ -3,9 +3,9 @@
 //! - This module routes requests.
 //! - [`users`]: submit, query and cancel jobs.
 //! - `workers`: workers' heartbeats.
-//! - [`readiness`]: health checks of the balancer.
-//! - [`limits`]: how much the port takes in.
-//! - [`responses`]: responses that give a reason.
+//! - [`readiness`]: health checks of the load balancer.
+//! - [`limits`]: limits on connections and requests.
+//! - [`responses`]: error responses.
 
 pub mod limits;
 pub mod readiness;
@@ -20,15 +20,15 @@
 use std::rc::Rc;
 use wire::users::is_valid_job_id;
 
-/// Where workers send their heartbeats.
+/// Path to which workers send heartbeats.
 const HEARTBEAT_PATH: &str = "/agent/beat";
-/// Where the balancer asks whether this controller is ready.
+/// Path of the load balancer's health checks.
 const READY_PATH: &str = "/ready";
-/// Where users submit jobs.
+/// Path to which users submit jobs.
 const JOBS_PATH: &str = "/v2/runs";
-/// What the path of one job begins with; its name follows.
+/// Prefix of the path of a job; the job's id follows.
 const JOB_PREFIX: &str = "/v2/runs/";
-/// What follows a job's name in the path of its cancellation.
+/// Suffix after a job's id in the path of its cancellation.
 const CANCEL_SUFFIX: &str = "/cancel";
 
 /// Serves the port until its listener fails.
@@ -42,21 +42,21 @@
     http::server::serve(executor, listener, limits, handler).await;
 }
 
-/// What a request asks for.
+/// Operation that a request addresses.
 enum Route<'a> {
     /// A worker's heartbeat.
     Heartbeat,
     /// A health check.
     Ready,
-    /// The submission of a job.
+    /// Submission of a job.
     Submit,
-    /// A query of the job of this name.
+    /// Query of the job with this id.
     Query(&'a str),
-    /// The cancellation of the job of this name.
+    /// Cancellation of the job with this id.
     Cancel(&'a str),
-    /// A job whose name is not valid.
+    /// A path of a job whose id is not valid.
     NoSuchJob,
-    /// Nothing that is served.
+    /// A path that is not served.
     NoSuchPath,
 }
 
@@ -80,7 +80,7 @@
         }
     }
 
-    /// The only method that the route takes.
+    /// Returns the only HTTP method that the route accepts; `None` for routes that do not exist.
     fn method(&self) -> Option<&'static str> {
         match self {
             Route::Heartbeat | Route::Submit | Route::Cancel(_) => Some("POST"),
@@ -89,7 +89,8 @@
         }
     }
 
-    /// Who is served first when the port is full.
+    /// Returns the priority of the connection, which decides who is served first when the port is full;
+    /// `None` for users.
     fn priority(&self) -> Option<ConnectionPriority> {
         match self {
             Route::Heartbeat => Some(ConnectionPriority::Worker),
--- a/crates/ladderroute/src/api/readiness.rs
+++ b/crates/ladderroute/src/api/readiness.rs
@@ -1,42 +1,45 @@
-//! Whether the balancer should send users to this controller.
+//! Readiness: whether the load balancer should send users to this controller.
 
 use super::responses::retry_later;
 use crate::controller::{Controller, State};
 use http::server::Response;
 
-/// For how long the store has to fail until the balancer may be told, as a part of the time after which
-/// a worker drops an answer.
+/// Time for which the store has to fail before the load balancer may be told, as a fraction of the
+/// time after which a worker discards a response.
 const FAILING_AFTER_SHARE: f64 = 0.25;
 
-/// How the store answers, as seen from here.
+/// Health of the store as seen by this controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreHealth {
-    /// It answers, or has not failed for long.
+    /// The store answers, or has not been failing for long.
     Healthy,
-    /// It has failed for a while.
+    /// The store has been failing for some time.
     Failing,
 }
 
-/// What this controller is to the others.
+/// Role of this controller among the controllers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// The leader.
     Leader {
-        /// Other controllers that are connected to it as shard owners.
+        /// Number of other controllers that are connected to it as shard owners.
         owners: usize,
-        /// All other controllers.
+        /// Number of all other controllers.
         others: usize,
     },
-    /// A shard owner with authority: another controller leads, with fresh authority.
+    /// A shard owner with authority: another controller leads and has granted it authority.
     OwnerWithAuthority,
-    /// A shard owner without authority: nobody leads, as far as is known.
+    /// A shard owner without authority: as far as it knows, no controller leads.
     OwnerWithoutAuthority,
 }
 
-/// Whether the others can serve users better. If the store fails for all, leaving the balancer
-/// would only lengthen the outage for users, since it takes nodes back slowly; it does not fail
-/// for all if another one leads, nor, as far as a leader can tell, if all its owners have left it:
-/// they stay through an outage of the store and leave for a new leader, or it is cut off.
+/// Returns whether the other controllers can serve users better than this one.
+///
+/// If the store fails for all controllers, failing the health check would only prolong the outage
+/// for users, since the load balancer is slow to take controllers back. The store does not fail for
+/// all if another controller leads. As far as a leader can tell, it does not fail for all either if
+/// all its owners have disconnected: they stay connected through an outage of the store, so either
+/// they have joined a new leader or this controller is cut off.
 pub fn others_serve_better(store: StoreHealth, role: Role) -> bool {
     let others_serve = match role {
         Role::Leader { owners, others } => others > 0 && owners == 0,
@@ -46,8 +49,8 @@
     store == StoreHealth::Failing && others_serve
 }
 
-/// Ready: the jobs and the machine types are known, and this controller is not worse off than
-/// the others.
+/// Responds to a health check. The controller is ready if the jobs and the machine types are known
+/// and the other controllers can't serve users better.
 pub(super) fn ready(controller: &Controller) -> Response {
     if is_ready(controller) {
         Response::new(200, Vec::new())
--- a/crates/ladderroute/src/api/users/cancellation.rs
+++ b/crates/ladderroute/src/api/users/cancellation.rs
@@ -1,4 +1,4 @@
-//! Cancellations of jobs.
+//! Cancellation of jobs.
 
 use super::job_state::{accepted_response, cached_entry, look_up};
 use crate::api::responses::{error_response, retry_later};
@@ -13,10 +13,10 @@
 use wire::store::{from_value, to_value, Condition, JobRecord, Recorded, Txn, Write};
 use wire::users::Job;
 
-/// How often a cancellation is written while the job's record changes meanwhile.
+/// Maximum number of attempts to write a cancellation while the job's record keeps changing.
 const MAX_ATTEMPTS: usize = 3;
 
-/// Cancels a job, unless it is terminal already, and answers with its state.
+/// Cancels a job unless it is terminal already, and responds with its state.
 pub async fn cancel(controller: &Rc<Controller>, id: &str) -> Response {
     let entry = match look_up(controller, id).await {
         Ok(Some(entry)) => entry,
@@ -29,7 +29,8 @@
     }
 }
 
-/// Writes the cancellation until the job is terminal; an error is the response to give instead.
+/// Writes the cancellation, with retries, until the job is terminal. Returns the job's entry, or
+/// the error response to send.
 async fn cancel_until_terminal(
     controller: &Rc<Controller>,
     id: &str,
@@ -50,17 +51,17 @@
     Err(retry_later(controller, "the job changes at present"))
 }
 
-/// The job of an entry that is not terminal.
+/// Returns the job of an entry; `None` if it is terminal.
 fn open_job(entry: &JobEntry) -> Option<Rc<Job>> {
     let job = entry.job.clone();
     job.filter(|_| entry.state == Recorded::Open)
 }
 
-/// What became of a cancellation.
+/// Outcome of an attempt to write a cancellation.
 enum CancelOutcome {
-    /// It is in the store.
+    /// The store has recorded the cancellation.
     Written,
-    /// The job's record has changed meanwhile, or the outcome is not known.
+    /// The job's record has changed since it was read, or the outcome is unknown.
     Undecided,
 }
 
@@ -85,7 +86,8 @@
     }
 }
 
-/// The transaction that replaces a job's record, on the condition that it is still this version.
+/// Returns the transaction that replaces a job's record on condition that it still has this
+/// version.
 fn replacement_txn(key: String, version: u64, record: &JobRecord) -> Txn {
     let value = to_value(record);
     Txn {
@@ -101,18 +103,19 @@
     }
 }
 
-/// The cancellation of a job is in the store.
+/// Applies a cancellation that the store has recorded, and tells the leader.
 fn apply_cancellation(controller: &Controller, id: &str, record: JobRecord, version: u64) {
     let mut guard = controller.lock();
     let state = &mut *guard;
     controller.apply_job_record(state, id, record, version);
     if let Some(leader) = &state.shared.leader_outbox {
-        // The shorter way only: the leader's own read of the store is the proof.
+        // This message only speeds up the cancellation; what guarantees it is the leader's own read
+        // of the store.
         leader.send(encode_frame(&ToLeader::Cancelled { job: id.into() }));
     }
 }
 
-/// Reads a job's record again; an error is the response to give instead.
+/// Reads a job's record from the store again. Returns its entry, or the error response to send.
 async fn reread_entry(controller: &Rc<Controller>, id: &str) -> Result<JobEntry, Response> {
     let Ok(Some(item)) = controller
         .store
--- a/crates/ladderroute/src/api/users/feasibility.rs
+++ b/crates/ladderroute/src/api/users/feasibility.rs
@@ -1,44 +1,44 @@
-//! Why a job can never run.
+//! Feasibility check of submitted jobs.
 
 use sched::config::{SchedulerConfig, Team};
 use wire::cbor;
 use wire::cloud::MachineType;
 use wire::users::{Job, Shape};
 
-/// Most bytes that a job's record takes beside the job.
+/// Maximum bytes that a job's record takes in addition to the job itself.
 const RECORD_OVERHEAD_BYTES: usize = 64;
-/// Rounding allowed when a job's resources are held against its team's limits.
+/// Tolerance for rounding errors when a job's resources are compared with its team's limits.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// Why a job can never run, in the words that its user is told.
+/// The reason why a job can never run, with the error text for the user.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Infeasible {
-    /// Its team is not known.
+    /// The job's team is not in the settings.
     #[error("crew: no team {0}")]
     UnknownTeam(String),
-    /// No machine type that it allows holds a task.
+    /// No machine type that the job allows is large enough for a task.
     #[error("a task fits on no allowed machine type")]
     NoMachineType,
-    /// It needs more at once than its team may ever use.
+    /// The job needs more resources at once than its team may ever use.
     #[error("the job needs more than its team's limit")]
     AboveTeamLimit,
-    /// The state service can't hold its record.
+    /// The job's record is too large for a value in the state service.
     #[error("the job takes {bytes} bytes with {dependencies} jobs in awaits; the state service holds {limit} for each")]
     TooLarge {
-        /// What the record takes.
+        /// Size of the record.
         bytes: usize,
-        /// How many jobs it has to wait for.
+        /// Number of the job's dependencies.
         dependencies: usize,
-        /// Most bytes of a record.
+        /// Maximum size of a record, in bytes.
         limit: usize,
     },
-    /// It has to wait for a job that was never accepted.
+    /// The job depends on a job that was never accepted.
     #[error("awaits: no job {0} was accepted")]
     UnknownDependency(String),
 }
 
-/// Checks that a job can run on some machine, within its team's limits, and be recorded in a value of
-/// at most `value_bytes`.
+/// Checks that a job fits on some machine type, within its team's limits, and that its record fits
+/// in a value of at most `value_bytes`.
 pub(super) fn check_feasibility(
     job: &Job,
     config: &SchedulerConfig,
@@ -54,7 +54,7 @@
     check_record_size(job, value_bytes)
 }
 
-/// Whether a machine type is allowed for a job and holds one of its tasks.
+/// Returns whether a machine type is allowed for a job and large enough for one of its tasks.
 fn fits_machine(job: &Job, kind: &MachineType) -> bool {
     let is_allowed = job
         .types
@@ -69,7 +69,8 @@
     is_allowed && is_in_zone && has_resources
 }
 
-/// A gang runs all its tasks at once, the others at least one.
+/// Checks the least that a job needs at once against its team's limits: all tasks of a gang, one
+/// task of any other job.
 fn check_team_limit(job: &Job, team: &Team) -> Result<(), Infeasible> {
     let tasks = match job.shape {
         Shape::Gang => f64::from(job.tasks),
--- a/crates/ladderroute/src/api/users/job_state.rs
+++ b/crates/ladderroute/src/api/users/job_state.rs
@@ -1,15 +1,16 @@
-//! The one gate for telling a user a job's state.
+//! The only module that reports the state of a job to a user.
 //!
-//! No controller may tell an older state than another one has told. A terminal state is final and told from
-//! memory. Whether an open job is cancelled because of one that it needs is derived from other records than
-//! its own, so its own record, however new, does not say so: an open job's state is told only from a view
-//! that was read since the request arrived. Two cases need no such read:
+//! No controller may report an older state of a job than another one has reported. A terminal state
+//! is final and reported from memory. Whether an open job is cancelled because of one of its
+//! ancestors is derived from other records than its own, so its own record, however new, does not
+//! tell: the state of an open job is reported only from a view that was read after the request
+//! arrived. Two cases need no such read:
 //!
-//! - A job that needs no other, and whose record was read or written for this very request: it has no
+//! - A job without dependencies whose record was read or written for this request: it has no
 //!   ancestors.
-//! - A job that this request has just created: nobody has been told of it before. Its dependents are held
-//!   back all the same, and a view as fresh as a start requires calls no job queued whose ancestor's
-//!   cancellation was confirmed long ago.
+//! - A job that this request has just created: its state has never been reported before. Jobs that
+//!   depend on it are held back in any case, and a view as fresh as a start requires does not
+//!   report a job as queued long after the cancellation of one of its ancestors was confirmed.
 
 use crate::api::responses::retry_later;
 use crate::controller::Controller;
@@ -22,7 +23,7 @@
 use wire::store::Recorded;
 use wire::users::{Accepted, JobState, Progress};
 
-/// What the view holds of a job, whatever its age.
+/// Returns a job's entry in the view, regardless of the view's age.
 pub(super) fn cached_entry(controller: &Controller, id: &str) -> Option<JobEntry> {
     controller
         .lock()
@@ -34,7 +35,8 @@
         .cloned()
 }
 
-/// What may be told of a job now; none if it was never accepted. An error is the response to give instead.
+/// Returns a job's entry as it may be reported now; `None` if the job was never accepted. An error
+/// is the response to send instead.
 pub(super) async fn look_up(
     controller: &Rc<Controller>,
     id: &str,
@@ -49,7 +51,7 @@
     Ok(cached_entry(controller, id))
 }
 
-/// Answers with the state of a job whose record was read directly for this request.
+/// Responds with the state of a job whose record was read from the store for this request.
 pub(super) async fn existing_job_response(controller: &Rc<Controller>, id: &str) -> Response {
     if let Some(own) = cached_entry(controller, id).filter(record_suffices) {
         return accepted_response(controller, 200, id, &own);
@@ -57,7 +59,7 @@
     refreshed_job_response(controller, 200, id).await
 }
 
-/// Answers with the state of a job whose record was written for this request.
+/// Responds with the state of a job whose record was written for this request.
 pub(super) async fn created_job_response(controller: &Rc<Controller>, id: &str) -> Response {
     let is_fresh = controller.view_age() <= controller.config.max_start_staleness_s();
     let created = cached_entry(controller, id).filter(|entry| is_fresh || record_suffices(entry));
@@ -79,13 +81,14 @@
     entry.state != Recorded::Open
 }
 
-/// Whether the job's own record says all: it is terminal, or the job needs no other.
+/// Returns whether the job's own record determines its state: it is terminal, or the job has no
+/// dependencies.
 fn record_suffices(entry: &JobEntry) -> bool {
     let spec = entry.job.as_ref();
     spec.is_none_or(|spec| spec.dependencies.is_empty())
 }
 
-/// The response to a submission or a cancellation, from an entry of the view.
+/// Returns the response to a submission or a cancellation, from an entry of the view.
 pub(super) fn accepted_response(
     controller: &Controller,
     status: u16,
@@ -98,7 +101,7 @@
     Response::new(status, cbor::encode(&Accepted { id, state }))
 }
 
-/// The response to a query, from an entry of the view.
+/// Returns the response to a query, from an entry of the view.
 pub(super) fn progress_response(controller: &Controller, id: &str, entry: &JobEntry) -> Response {
     let state = state_of(controller, id, entry);
     log_answer(controller, 200, id, state);
@@ -115,7 +118,7 @@
     Response::new(200, cbor::encode(&progress))
 }
 
-/// An entry of the view in the users' words.
+/// Converts the state of an entry of the view to the one reported to users.
 fn state_of(controller: &Controller, id: &str, entry: &JobEntry) -> JobState {
     match entry.state {
         Recorded::Done => JobState::Done,
@@ -125,7 +128,7 @@
     }
 }
 
-/// A job's running tasks, as the leader last told.
+/// Returns the number of a job's running tasks, as last reported by the leader.
 fn running_tasks(controller: &Controller, id: &str) -> u32 {
     controller
         .lock()
@@ -136,7 +139,7 @@
         .unwrap_or(0)
 }
 
-/// Logs what a user is told, and what it rests on.
+/// Logs a reported state with the revision and the age of the view.
 fn log_answer(controller: &Controller, status: u16, id: &str, state: JobState) {
     if !log::log_enabled!(log::Level::Debug) {
         return;
--- a/crates/ladderroute/src/api/users/mod.rs
+++ b/crates/ladderroute/src/api/users/mod.rs
@@ -1,6 +1,7 @@
 //! Users' requests: submit, query and cancel jobs.
 //!
-//! Only `job_state` tells a user the state of a job; `feasibility` says why a job can never run.
+//! Only `job_state` reports the state of a job to a user; `feasibility` rejects jobs that can never
+//! run.
 
 mod cancellation;
 mod feasibility;
--- a/crates/ladderroute/src/api/users/query.rs
+++ b/crates/ladderroute/src/api/users/query.rs
@@ -1,4 +1,4 @@
-//! Queries of jobs.
+//! Queries of a job's progress.
 
 use super::job_state::{look_up, progress_response};
 use crate::api::responses::error_response;
@@ -6,7 +6,7 @@
 use http::server::Response;
 use std::rc::Rc;
 
-/// Answers how far a job is.
+/// Responds with the state and the progress of a job.
 pub async fn query(controller: &Rc<Controller>, id: &str) -> Response {
     match look_up(controller, id).await {
         Ok(Some(entry)) => progress_response(controller, id, &entry),
--- a/crates/ladderroute/src/api/users/submission.rs
+++ b/crates/ladderroute/src/api/users/submission.rs
@@ -1,4 +1,4 @@
-//! Submissions of jobs.
+//! Submission of jobs.
 
 use super::feasibility::{check_feasibility, Infeasible};
 use super::job_state::{
@@ -17,10 +17,10 @@
 use wire::store::{from_value, to_value, Condition, JobRecord, Recorded, Txn, Write};
 use wire::users::Job;
 
-/// When to come back after the store itself refused a submission, in seconds.
+/// Time after which to retry a submission that the store itself refused, in seconds.
 const STORE_REFUSAL_RETRY_S: f64 = 1.0;
 
-/// Accepts a job, or says why not.
+/// Accepts a job, or responds with the reason why not.
 pub async fn submit(controller: &Rc<Controller>, body: &[u8]) -> Response {
     if !is_loaded(controller) {
         return retry_later(controller, "not ready yet");
@@ -38,15 +38,15 @@
     controller.lock().shared.view.is_complete()
 }
 
-/// The name in a submission.
+/// The job id in a submission; other fields are ignored.
 #[derive(serde::Deserialize)]
 struct SubmittedId {
     #[serde(rename = "name_id")]
     id: String,
 }
 
-/// Answers a submission of a job that is in the view already with that job's state, whatever else the
-/// submission says.
+/// Responds to a repeated submission, that is, of a job that is in the view already, with that
+/// job's state, whatever else the submission contains. Returns `None` for any other submission.
 async fn repeat_response(controller: &Rc<Controller>, body: &[u8]) -> Option<Response> {
     let SubmittedId { id } = cbor::decode(body).ok()?;
     cached_entry(controller, &id)?;
@@ -57,7 +57,7 @@
     })
 }
 
-/// The job that a submission asks for, if it can run; an error is the response to give instead.
+/// Decodes and checks a submission. Returns the job if it can run, or the response to send instead.
 async fn check_submission(controller: &Rc<Controller>, body: &[u8]) -> Result<Job, Response> {
     let job: Job = cbor::decode(body).map_err(|error| {
         log::debug!("event=submission_malformed error=\"{error}\"");
@@ -78,7 +78,7 @@
     Ok(job)
 }
 
-/// Whether a job can ever run; none while the machine types are not known.
+/// Checks whether a job can ever run; `None` while the machine types are not known.
 fn check_against_catalog(controller: &Controller, job: &Job) -> Option<Result<(), Infeasible>> {
     let state = controller.lock();
     let machine_types = state.shared.catalog.as_ref()?;
@@ -91,8 +91,9 @@
     ))
 }
 
-/// A job that can never run may be known to the store all the same, through another controller: then
-/// this is a repeat.
+/// Responds to a submission of a job that can never run. If the store has the job nevertheless,
+/// because another controller accepted it, the submission is a repeat and is answered with the
+/// job's state.
 async fn infeasible_response(
     controller: &Rc<Controller>,
     job: &Job,
@@ -109,8 +110,8 @@
     }
 }
 
-/// Checks that all jobs that a submission names were accepted, as far as the store shows now: by any
-/// controller, perhaps a moment ago.
+/// Checks that all dependencies of a job have been accepted. The view is refreshed if it lacks one,
+/// since another controller may have accepted it a moment ago.
 async fn check_dependencies(controller: &Rc<Controller>, job: &Job) -> Result<(), Response> {
     if unknown_dependency(controller, job).is_none() {
         return Ok(());
@@ -121,14 +122,14 @@
     let Some(id) = unknown_dependency(controller, job) else {
         return Ok(());
     };
-    // Accepted meanwhile through another controller: then this is a repeat.
+    // If another controller has accepted the job meanwhile, this submission is a repeat.
     Err(match cached_entry(controller, &job.id) {
         Some(entry) => accepted_response(controller, 200, &job.id, &entry),
         None => error_response(422, Infeasible::UnknownDependency(id).to_string()),
     })
 }
 
-/// The first job that a submission names and the view does not hold.
+/// Returns the first dependency of a job that is not in the view.
 fn unknown_dependency(controller: &Controller, job: &Job) -> Option<String> {
     let state = controller.lock();
     let jobs = &state.shared.view.replica().jobs;
@@ -136,7 +137,7 @@
     job.dependencies.iter().find(is_unknown).cloned()
 }
 
-/// Writes a job's record, and answers by what the store decided.
+/// Writes a job's record and responds according to the outcome.
 async fn write_record(controller: &Rc<Controller>, job: Job) -> Response {
     let id = job.id.clone();
     let record = JobRecord {
@@ -168,7 +169,7 @@
     }
 }
 
-/// The transaction that creates a job, on the condition that there is none of its name.
+/// Returns the transaction that creates a job on condition that no job has its id.
 fn creation_txn(record: &JobRecord) -> Txn {
     let key = keys::job(&record.job.id);
     let value = to_value(record);
@@ -190,7 +191,7 @@
     since_epoch.map_or(0, |elapsed| elapsed.as_millis() as u64)
 }
 
-/// A job's record was written for this request.
+/// Applies a job's record that was written for this request, and responds with the job's state.
 async fn apply_creation(
     controller: &Rc<Controller>,
     id: &str,
@@ -205,11 +206,12 @@
         record.job.team
     );
     controller.apply_job_record(&mut controller.lock(), id, record, version);
-    // A job that names a cancelled one is accepted all the same, and cancelled with it.
+    // A job that depends on a cancelled one is accepted nevertheless, and cancelled along with it.
     created_job_response(controller, id).await
 }
 
-/// Whether the job was accepted is never guessed: it is if the store has its record.
+/// Reads a job's record back after a conflict or an unknown outcome. Whether the job was accepted
+/// is never guessed: it was if the store has its record.
 async fn read_back_record(controller: &Rc<Controller>, id: &str) -> Response {
     let Ok(Some(item)) = controller
         .store
--- a/crates/ladderroute/src/api/workers.rs
+++ b/crates/ladderroute/src/api/workers.rs
@@ -1,4 +1,4 @@
-//! Workers' heartbeats, and what a response to one rests on.
+//! Workers' heartbeats, and the checks of authority before a response.
 
 use super::responses::error_response;
 use crate::controller::{Controller, ReplicaJobs, State};
@@ -9,7 +9,7 @@
 use wire::cbor;
 use wire::workers::{Heartbeat, Orders, Redirect};
 
-/// Serves a worker's heartbeat.
+/// Processes a worker's heartbeat and returns the response.
 pub(super) fn heartbeat(controller: &Controller, body: &[u8]) -> Response {
     let heartbeat: Heartbeat = match cbor::decode(body) {
         Ok(heartbeat) => heartbeat,
@@ -41,8 +41,8 @@
     }
 }
 
-/// The check of authority right before the response to a heartbeat is written: authority may have
-/// ended since the owner decided, and orders without it could start a task twice.
+/// Checks authority right before the response to a heartbeat is built: authority may have expired
+/// since the owner decided, and orders sent without authority could start a task twice.
 fn still_has_authority(controller: &Controller, state: &State) -> bool {
     state.owner.has_authority(controller.now())
 }
@@ -63,17 +63,18 @@
     error_response(503, "no authority at present")
 }
 
-/// What a response to a worker rests on, for the logs.
+/// The authority and the view that a response to a worker depends on, for the logs and counters.
 struct AuthoritySnapshot {
     /// The fencing token of the owner's authority.
     token: u64,
-    /// The store's revision that the view holds.
+    /// The store revision of the view.
     revision: u64,
-    /// The age of the view, or of what the leader knew when it last said so, whichever is newer.
+    /// The age, in seconds, of the newest read of the store that the owner knows of, by this
+    /// controller or by the leader.
     staleness_s: f64,
-    /// For how long authority lasts.
+    /// Time until authority expires, in seconds.
     authority_s: f64,
-    /// For how long the age of what is known allows answers.
+    /// Time for which heartbeats may still be answered given the age of the view, in seconds.
     margin_s: f64,
 }
 
--- a/crates/ladderroute/src/cluster_view.rs
+++ b/crates/ladderroute/src/cluster_view.rs
@@ -1,14 +1,15 @@
-//! The cluster view: this controller's replica of the store, what is derived from it, and `read_at`, the
-//! instant for which it is proved complete.
+//! The cluster view: this controller's replica of the store, the state derived from it, and
+//! `read_at`, the instant as of which the replica is known to be complete.
 //!
-//! What proves freshness: the store answers a request with all that it holds, so an answer that was applied
-//! proves the view complete as of the instant at which its request was *sent*. The proof is about one replica,
-//! so replica and `read_at` change together, in `ClusterView::apply` and `ClusterView::finish_reload` only.
+//! The store responds with everything it holds when it serves a request, so once a response has
+//! been applied, the view is complete as of the instant at which the request was *sent*. This holds
+//! for one replica only, so the replica and `read_at` change together, in `ClusterView::apply` and
+//! `ClusterView::finish_reload` only.
 //!
-//! For each key the view never goes back, whether a record stems from a read of changes, a write of this
-//! controller, a direct read, or a reload of all keys. A read of changes that was sent before a reload is
-//! discarded once the reload has begun: the loaded pages are then certainly as new as any changes that were
-//! applied.
+//! The view never replaces a record by an older one of the same key, whether the records come from
+//! a read of changes, a write of this controller, a direct read, or a reload of all keys. A read of
+//! changes that was sent before a reload began is discarded, which guarantees that the loaded pages
+//! are at least as new as any changes that have been applied.
 
 use sched::dependencies::{DependencyGraph, DependencyState, Effect};
 use sched::Secs;
@@ -17,26 +18,26 @@
 use wire::store::{Changes, JobRecord, LeaderRecord, Page, Recorded, Write};
 use wire::users::Priority;
 
-/// What a change of the view means for a job.
+/// Effect of a change of the view on a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JobChange {
     /// The entry of the job with this id may have changed.
     Updated(String),
-    /// The last dependency of the job with this id is done.
+    /// The job with this id is no longer blocked: its last dependency is done.
     Unblocked(String),
-    /// The job with this id is cancelled because an ancestor is.
+    /// The job with this id is cancelled because one of its ancestors is.
     Cancelled(String),
-    /// The job with this id is scheduled with another priority than its own.
+    /// The job with this id is scheduled at this priority, which differs from its own.
     Reprioritized(String, Priority),
 }
 
 /// A read of changes in progress.
 #[derive(Clone, Copy, Debug)]
 pub struct ChangesRead {
-    /// The revision after which changes are requested.
+    /// The store revision after which changes are requested.
     pub since: u64,
     sent_at: Secs,
-    /// The reloads that had begun when it was sent.
+    /// The number of reloads that had begun when the read was sent.
     reloads_begun: u64,
 }
 
@@ -47,17 +48,17 @@
 }
 
 impl ViewReload {
-    /// The key after which the next page begins; none for the first.
+    /// Returns the key after which the next page begins; `None` for the first page.
     pub fn last_key(&self) -> Option<&str> {
         self.pages.last_key()
     }
 
-    /// The number of pages that were read.
+    /// Returns the number of pages read so far.
     pub fn pages(&self) -> u32 {
         self.pages.pages()
     }
 
-    /// When its first page was requested.
+    /// Returns when the first page was requested.
     pub fn first_page_sent_at(&self) -> Secs {
         self.first_page_sent_at
     }
@@ -68,22 +69,25 @@
     }
 }
 
-/// The replica, the dependencies between its jobs, and the proof of its freshness.
+/// The replica of the store, the dependencies between its jobs, and the instant as of which it is
+/// known to be complete.
 ///
 /// Invariant: the replica holds, for each key, the store's record as of `read_at` or a newer one.
 pub struct ClusterView {
     replica: Replica,
     dependencies: DependencyGraph,
     read_at: Secs,
-    /// Whether the store's changes since the replica's revision can bring it up to date.
+    /// Whether all keys have been loaded and the store still has the changes since the replica's
+    /// revision, so that these changes bring the replica up to date.
     complete: bool,
+    /// Number of reloads that have begun.
     reloads_begun: u64,
     chunk_bits: u32,
 }
 
 impl ClusterView {
-    /// An empty view, which a reload has to fill. `chunk_bits` is the number of tasks in a chunk of a progress
-    /// page that version 0.1 wrote.
+    /// Creates an empty view, which has to be filled by a reload. `chunk_bits` is the number of
+    /// tasks in a chunk of a progress page that version 0.1 wrote.
     pub fn new(chunk_bits: u32) -> ClusterView {
         ClusterView {
             replica: Replica::new(chunk_bits),
@@ -95,28 +99,31 @@
         }
     }
 
-    /// The replica of the store.
+    /// Returns the replica of the store.
     pub fn replica(&self) -> &Replica {
         &self.replica
     }
 
-    /// The dependencies between the jobs.
+    /// Returns the dependencies between the jobs.
     pub fn dependencies(&self) -> &DependencyGraph {
         &self.dependencies
     }
 
-    /// The instant for which the view is proved complete, in seconds on the node's clock: it holds all that
-    /// the store held then.
+    /// Returns the instant as of which the view is known to be complete, in seconds on the
+    /// controller's monotonic clock: the view contains everything that the store held at that
+    /// instant.
     pub fn read_at(&self) -> Secs {
         self.read_at
     }
 
-    /// Whether all keys were read, and changes can bring the view up to date.
+    /// Returns whether all keys have been loaded and a read of changes can bring the view up to
+    /// date.
     pub fn is_complete(&self) -> bool {
         self.complete
     }
 
-    /// Begins a read of changes that is sent at `now`; none if changes can't bring the view up to date.
+    /// Begins a read of changes that is sent at `now`. Returns `None` if changes can't bring the
+    /// view up to date.
     pub fn begin_read(&self, now: Secs) -> Option<ChangesRead> {
         self.complete.then_some(ChangesRead {
             since: self.replica.revision,
@@ -125,8 +132,8 @@
         })
     }
 
-    /// Applies the changes that a read returned; none, and nothing is applied, if a reload has begun since the
-    /// read was sent.
+    /// Applies the changes that a read returned. Returns `None`, and applies nothing, if a reload
+    /// has begun since the read was sent.
     pub fn apply(&mut self, read: ChangesRead, changes: &Changes) -> Option<Vec<JobChange>> {
         if !self.is_current(read) {
             return None;
@@ -140,19 +147,20 @@
         Some(jobs.flat_map(|id| self.update_derived_state(&id)).collect())
     }
 
-    /// Notes that the store could not return the changes that a read requested: all keys have to be read.
+    /// Records that the store can't return the changes that a read requested, so that all keys have
+    /// to be reloaded.
     pub fn on_revision_too_old(&mut self, read: ChangesRead) {
         if self.is_current(read) {
             self.complete = false;
         }
     }
 
-    /// Whether no reload has begun since the read was sent.
+    /// Returns whether no reload has begun since the read was sent.
     fn is_current(&self, read: ChangesRead) -> bool {
         read.reloads_begun == self.reloads_begun
     }
 
-    /// Begins a reload, the first page of which is requested at `now`.
+    /// Begins a reload of all keys whose first page is requested at `now`.
     pub fn begin_reload(&mut self, now: Secs) -> ViewReload {
         self.complete = false;
         self.reloads_begun += 1;
@@ -162,7 +170,8 @@
         }
     }
 
-    /// Replaces the replica by a complete reload, merged with newer records. Any job may have changed.
+    /// Replaces the replica by a complete reload, merged with newer records of the previous
+    /// replica. Any job may have changed.
     pub fn finish_reload(&mut self, reload: ViewReload) {
         let previous = std::mem::take(&mut self.replica);
         self.replica = reload.pages.finish(previous);
@@ -175,7 +184,7 @@
         }
     }
 
-    /// Applies a job's record, as the store holds it at a version.
+    /// Applies a job's record as of a version in the store.
     pub fn apply_job_record(
         &mut self,
         id: &str,
@@ -186,29 +195,30 @@
         self.update_derived_state(id)
     }
 
-    /// Applies this controller's own write of a job's end.
+    /// Applies this controller's own write that marks a job as done.
     pub fn mark_job_done(&mut self, id: &str, version: u64) -> Vec<JobChange> {
         self.replica.mark_job_done(id, version);
         self.update_derived_state(id)
     }
 
-    /// Notes that this controller's writes were applied at a revision.
+    /// Records that the store applied this controller's writes at a revision.
     pub fn record_writes(&mut self, writes: &[Write], revision: u64) {
         self.replica.versions.record_applied(writes, revision);
     }
 
-    /// Applies this controller's own write of the leader's key.
+    /// Applies this controller's own write of the leader record.
     pub fn set_leader(&mut self, leader: LeaderRecord, version: u64) {
         self.replica.set_leader(leader, version);
     }
 
-    /// Notes that a member does not lead any more, before the store reports it.
+    /// Removes the leader record if it names this member, before the store reports that its
+    /// leadership has ended.
     pub fn forget_leader(&mut self, member: &str) {
         self.replica.forget_leader(member);
     }
 
-    /// Brings the derived state of a job up to date with the replica. Descendants that are cancelled with it
-    /// are closed in the replica too.
+    /// Updates the state derived from a job's entry in the replica. Descendants that are cancelled
+    /// along with the job are marked as cancelled in the replica too.
     fn update_derived_state(&mut self, id: &str) -> Vec<JobChange> {
         let Some(entry) = self.replica.jobs.get(id) else {
             return Vec::new();
@@ -240,7 +250,7 @@
     }
 }
 
-/// A job's state as the dependencies need it.
+/// Returns a job's state in the form that the dependency graph needs.
 fn dependency_state(replica: &Replica, id: &str) -> Option<DependencyState> {
     let entry = replica.jobs.get(id)?;
     Some(match (&entry.job, entry.state) {
--- a/crates/ladderroute/src/controller/limits.rs
+++ b/crates/ladderroute/src/controller/limits.rs
@@ -1,6 +1,7 @@
-//! Limits that several services keep to.
+//! Limits that several services share.
 
-/// Most connections of other controllers: each may have several, old ones that are dead among them.
+/// Returns the maximum number of connections from other controllers. Each controller may hold
+/// several, including dead ones that have not been closed yet.
 pub fn max_peer_connections(others: usize) -> usize {
     (others + 1) * 4
 }
--- a/crates/ladderroute/src/controller/message_exchange.rs
+++ b/crates/ladderroute/src/controller/message_exchange.rs
@@ -1,4 +1,4 @@
-//! Messages between this controller's owner, its leader and the other controllers.
+//! Message routing between this controller's shard owner, its leader and the other controllers.
 
 use super::{Controller, ReplicaJobs, State};
 use sched::leader::Action;
@@ -6,7 +6,8 @@
 use wire::peers::{encode_frame, ToOwner};
 
 impl Controller {
-    /// Moves what the owner and the leader have to say to each other and outside, until neither has more.
+    /// Routes the pending messages of the owner and the pending actions of the leader until neither
+    /// has any left.
     pub fn exchange_messages(&self, state: &mut State) {
         let now = self.now();
         loop {
@@ -21,7 +22,8 @@
         }
     }
 
-    /// Hands the owner's messages to the leader, here or over the link; whether there were any.
+    /// Passes the owner's messages to the leader, in this process or over the link. Returns whether
+    /// there were any.
     fn route_owner_messages(&self, state: &mut State, now: Secs) -> bool {
         let State { owner, shared } = state;
         let mut any = false;
@@ -39,7 +41,8 @@
         any
     }
 
-    /// Hands the leader's actions to the owners, the store writer and provisioning; whether there were any.
+    /// Passes the leader's actions to the owners, the store writer and provisioning. Returns
+    /// whether there were any.
     fn route_leader_actions(&self, state: &mut State, now: Secs) -> bool {
         let State { owner, shared } = state;
         let Some(leadership) = &mut shared.leadership else {
--- a/crates/ladderroute/src/controller/mod.rs
+++ b/crates/ladderroute/src/controller/mod.rs
@@ -1,4 +1,4 @@
-//! One controller: the settings it runs with, its clients, and the state that its services share.
+//! A controller: its settings, its clients, and the state that its services share.
 
 mod freshness_reads;
 pub mod limits;
@@ -23,82 +23,85 @@
 use std::time::{Duration, Instant};
 use store::client::Store;
 
-/// Part of the memory that messages waiting for one slow connection between controllers may take;
-/// more ends it.
+/// Share of the memory quota that queued messages of one connection between controllers may take. A
+/// connection that is too slow to stay below it is closed.
 const OUTBOX_MEMORY_SHARE: f64 = 1.0 / 32.0;
 
-/// Bytes in a megabyte of the settings.
+/// Bytes in a megabyte as the settings count it.
 const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
 
-/// One controller. Its services are handed this, and find each other's results in the state behind the lock.
+/// A controller. Each service holds a reference to it, and services exchange results through the
+/// state behind the lock.
 pub struct Controller {
-    /// The platform's settings.
+    /// The settings of the controller and its platform.
     pub settings: Settings,
-    /// What the decisions need to know of the settings.
+    /// The part of the settings that scheduling decisions depend on.
     pub config: SchedulerConfig,
-    /// The limits of the state service that this process keeps to.
+    /// The limits of the state service that this process complies with.
     pub limits: StateLimits,
     /// The client of the state service.
     pub store: Store,
-    /// The client of the cloud.
+    /// The client of the cloud API.
     pub cloud: http::client::Client,
-    /// Where the services' tasks run.
+    /// The executor that runs the tasks of all services.
     pub executor: Rc<smol::LocalExecutor<'static>>,
-    /// The instant from which `now` counts.
+    /// When the process started; the origin of [`Controller::now`].
     pub started_at: Instant,
     /// The shared state; see [`Controller::lock`].
     pub state: Mutex<State>,
-    /// The queries that wait for a freshness read.
+    /// The requests that wait for a freshness read.
     pub freshness_reads: FreshnessReads,
-    /// Counters for the running summary.
+    /// Counters for the health log line.
     pub counters: Counters,
-    /// Wakes the store writer: there is something to write.
+    /// Wakes the store writer when a write is pending.
     pub writer_wake: (Sender<()>, Receiver<()>),
-    /// Wakes provisioning: there is a request to the cloud.
+    /// Wakes provisioning when a request to the cloud is pending.
     pub provisioning_wake: (Sender<()>, Receiver<()>),
-    /// The next leader's seed.
+    /// The random seed of the next leader; see [`Controller::next_seed`].
     pub seed: Cell<u64>,
 }
 
 impl Controller {
-    /// The time since the start, in seconds.
+    /// Returns the time since the process started, in seconds.
     pub fn now(&self) -> Secs {
         self.started_at.elapsed().as_secs_f64()
     }
 
-    /// An instant on the scale of `now`.
+    /// Converts an instant to seconds since the process started; 0 for an earlier instant.
     pub fn secs_since_start(&self, instant: Instant) -> Secs {
         let since_start = instant.saturating_duration_since(self.started_at);
         since_start.as_secs_f64()
     }
 
-    /// For how long the view has not been proved to hold all that the store holds, in seconds.
+    /// Returns the maximum staleness of the view in seconds: the time since the instant as of which
+    /// it is known to be complete.
     pub fn view_age(&self) -> Secs {
         self.now() - self.lock().shared.view.read_at()
     }
 
-    /// A queue for a connection to another controller.
+    /// Creates the send queue of a connection to another controller.
     pub fn new_outbox(&self) -> Outbox {
         let memory = self.settings.params.quota.memory_mb * BYTES_PER_MB;
         Outbox::new((memory * OUTBOX_MEMORY_SHARE) as usize)
     }
 
-    /// The shared state; never held across an await.
+    /// Locks the shared state. The guard must not be held across an `await`.
     pub fn lock(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A seed for the next leader's random choices; no two leaders of this process have the same.
+    /// Returns the seed for the random choices of the next leader, a different one for each leader
+    /// of this process.
     pub fn next_seed(&self) -> u64 {
         self.seed.replace(self.seed.get().wrapping_add(1))
     }
 
-    /// The time of the leader's store lease.
+    /// Returns the time to live of the leader's lease in the store.
     pub fn leader_lease_ttl(&self) -> Duration {
         Duration::from_secs_f64(self.config.leader_lease_s)
     }
 
-    /// Notes whether the store answers, for `/ready`.
+    /// Records whether the store answered a request; `/ready` depends on it.
     pub fn record_store_health(&self, ok: bool) {
         let mut state = self.lock();
         let failing_since = &mut state.shared.store_failing_since;
--- a/crates/ladderroute/src/controller/replica_jobs.rs
+++ b/crates/ladderroute/src/controller/replica_jobs.rs
@@ -1,4 +1,4 @@
-//! The jobs of the replica, as the owner asks for them.
+//! Lookup of jobs in the replica for the shard owner.
 
 use sched::owner::JobLookup;
 use sched::placement::Resources;
@@ -6,11 +6,11 @@
 use wire::store::Recorded;
 use wire::users::Job;
 
-/// What owners need to know of jobs, out of the replica.
+/// Answers a shard owner's lookups of jobs from the replica of the store.
 pub struct ReplicaJobs<'a>(pub &'a Replica);
 
 impl ReplicaJobs<'_> {
-    /// The job itself, while it is open.
+    /// Returns the specification of a job that is open; `None` for other jobs.
     fn spec(&self, job: &str) -> Option<&Job> {
         self.0.jobs.get(job)?.job.as_deref()
     }
--- a/crates/ladderroute/src/controller/shared_state.rs
+++ b/crates/ladderroute/src/controller/shared_state.rs
@@ -1,4 +1,4 @@
-//! What the services of one controller share behind its lock: data only, no tasks.
+//! The state that the services of a controller share behind its lock: data only, no tasks.
 
 use crate::cluster_view::ClusterView;
 use crate::outbox::Outbox;
@@ -11,32 +11,32 @@
 use store::leadership::LeadershipLease;
 use wire::cloud::MachineType;
 
-/// All that lives behind the one lock.
+/// All state behind the controller's lock.
 pub struct State {
-    /// The shard owner: what workers are answered from.
+    /// The shard owner, which answers workers.
     pub owner: Owner,
-    /// The rest.
+    /// The rest of the shared state.
     pub shared: Shared,
 }
 
-/// What the services share beside the owner's state.
+/// The shared state other than the shard owner.
 pub struct Shared {
-    /// What this controller knows of the store.
+    /// The view of the store.
     pub view: ClusterView,
-    /// The machine types, once the cloud has told them.
+    /// The machine types; `None` until the cloud's catalog has been read.
     pub catalog: Option<Vec<MachineType>>,
-    /// The leadership, while this controller leads.
+    /// The state of the leader; `None` while this controller does not lead.
     pub leadership: Option<Leadership>,
-    /// Running tasks by job, as the leader last told.
+    /// Number of running tasks by job, as last reported by the leader.
     pub running: HashMap<String, u32>,
-    /// Messages to the leader, while there is a connection.
+    /// The queue of messages to a leader elsewhere; `None` while not connected to one.
     pub leader_outbox: Option<Outbox>,
-    /// Since when the store has not answered; none while it does.
+    /// When the store stopped answering; `None` while it answers.
     pub store_failing_since: Option<Instant>,
 }
 
 impl Shared {
-    /// The state at the start, with a view that holds nothing so far.
+    /// Returns the initial state with a view that has not been loaded yet.
     pub fn new(view: ClusterView) -> Shared {
         Shared {
             view,
@@ -49,44 +49,44 @@
     }
 }
 
-/// A leadership of this controller.
+/// The state of this controller as the leader.
 pub struct Leadership {
-    /// The decisions.
+    /// The scheduler, which makes the decisions.
     pub leader: Leader,
-    /// The store lease under which it leads.
+    /// The leader's lease in the store.
     pub lease: LeadershipLease,
-    /// Its durable records that share keys.
+    /// The durable records that are stored in pages, several to a key.
     pub records: RecordPages,
-    /// What its transactions may hold.
+    /// The size limits of its transactions.
     pub limits: TxnLimits,
-    /// Decisions that have to be written.
+    /// Decisions that have yet to be written to the store.
     pub pending_writes: VecDeque<Action>,
-    /// Requests to the cloud.
+    /// Requests that have yet to be sent to the cloud.
     pub cloud_requests: VecDeque<Action>,
-    /// The other controllers' connections, by member.
+    /// The connections of the other controllers, by member name.
     pub links: HashMap<String, Link>,
 }
 
-/// A connection of another controller to this leader.
+/// A connection from another controller to this leader.
 pub struct Link {
-    /// What waits to be sent on it.
+    /// The queue of messages to send on it.
     pub outbox: Outbox,
-    /// Which connection of the other controller it is.
+    /// The id that the other controller gave the connection.
     pub id: ConnectionId,
 }
 
-/// One of the connections that a controller has made to leaders.
+/// Identifies one of the connections that a controller has opened to leaders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionId {
-    /// The process, by a number that it drew at its start.
+    /// The process that opened it, by the random number that it drew at its start.
     pub process: u64,
-    /// The connection, counted from the start of the process.
+    /// The number of the connection, counted from the start of the process.
     pub sequence: u64,
 }
 
 impl ConnectionId {
-    /// Whether this connection takes the place of another one: an older one of the same process, which may
-    /// arrive late, never does.
+    /// Returns whether this connection replaces the `current` one. An older connection of the same
+    /// process, which may arrive late, never does.
     pub fn replaces(self, current: ConnectionId) -> bool {
         self.process != current.process || self.sequence > current.sequence
     }
--- a/crates/ladderroute/src/controller/view_updates.rs
+++ b/crates/ladderroute/src/controller/view_updates.rs
@@ -1,5 +1,5 @@
-//! Updates of the cluster view, and what follows from them at once: the leader, if it is here, is told, and
-//! messages are exchanged under the same lock.
+//! Updates of the cluster view and their immediate consequences: the leader, if it runs in this
+//! process, is notified, and messages are exchanged while the same lock is held.
 
 use super::{Controller, Shared, State};
 use crate::cluster_view::{ChangesRead, JobChange, ViewReload};
@@ -12,8 +12,8 @@
 use wire::users::Job;
 
 impl Controller {
-    /// Takes the changes that a read has brought into the view, and what follows; false if the view was
-    /// read anew since the read was sent.
+    /// Applies the changes that a read returned and acts on them. Returns false, and applies
+    /// nothing, if a reload of the view has begun since the read was sent.
     pub fn apply_changes(&self, changes: &Changes, read: ChangesRead) -> bool {
         let mut guard = self.lock();
         let state = &mut *guard;
@@ -27,7 +27,7 @@
         true
     }
 
-    /// Takes all keys as they were read into the view, and what follows.
+    /// Replaces the view by a complete reload of all keys and acts on it.
     pub fn finish_reload(&self, reload: ViewReload) {
         let mut guard = self.lock();
         let state = &mut *guard;
@@ -41,22 +41,23 @@
         self.act_on_view(state);
     }
 
-    /// What was cancelled is stopped before any heartbeat is answered on the strength of the view: messages
-    /// are exchanged first, and only then is the view's staleness proved to the owner.
+    /// Acts on an updated view. Messages are exchanged before the owner learns that the view is
+    /// fresher: tasks of cancelled jobs must be stopped before any heartbeat is answered from the
+    /// new view.
     fn act_on_view(&self, state: &mut State) {
         self.exchange_messages(state);
         let read_at = state.shared.view.read_at();
         state.owner.authority.record_read(read_at);
     }
 
-    /// Takes a job's record, as the store holds it at a version, with all that follows.
+    /// Applies a job's record as of a version in the store and acts on it.
     pub fn apply_job_record(&self, state: &mut State, id: &str, record: JobRecord, version: u64) {
         let changes = state.shared.view.apply_job_record(id, record, version);
         self.notify_leader_of_changes(&mut state.shared, changes);
         self.exchange_messages(state);
     }
 
-    /// Tells the leader, if it is here, what is new in the view.
+    /// Notifies the leader, if it runs in this process, of changes to the view.
     pub fn notify_leader_of_changes(&self, shared: &mut Shared, changes: Vec<JobChange>) {
         for change in changes {
             match change {
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Tells the leader, if it is here, what the view says of each job.
+    /// Notifies the leader, if it runs in this process, of the state of every job.
     fn notify_leader_of_all_jobs(&self, shared: &mut Shared) {
         if shared.leadership.is_none() {
             return;
@@ -84,8 +85,9 @@
     }
 }
 
-/// Tells the leader, if it is here, what the view says of a job. It never gets to know a job that waits for
-/// others: nothing in a pass, in quotas or in demand can then count it.
+/// Notifies the leader, if it runs in this process, of the state of a job. Jobs that are blocked by
+/// dependencies are withheld from the leader, so that no scheduling pass, quota or demand counts
+/// them.
 fn notify_leader_of_job(shared: &mut Shared, id: &str) {
     let view = &shared.view;
     let (Some(leadership), Some(entry)) = (&mut shared.leadership, view.replica().jobs.get(id))
@@ -100,16 +102,17 @@
     if view.dependencies().is_blocked(id) {
         return;
     }
-    // What is new to this leader was never given out. No other could have led since, and what was
-    // blocked when this one began had been blocked before: an earlier leader started a job only on
-    // the written `done` of all that it needs, which this one's view then holds.
+    // No task of a job that is new to this leader has ever been started: no other leader can have
+    // led since this one began, and a job that was blocked then had been blocked before. An earlier
+    // leader started a job only once all its dependencies were recorded as done, and this leader's
+    // view would contain these records.
     let open = open_job(entry, spec.clone(), PriorRuns::None);
     leadership.leader.add_job(open);
     let priority = view.dependencies().priority(id, spec.priority);
     leadership.leader.set_priority(id, priority);
 }
 
-/// A job of the replica as the leader takes it.
+/// Converts a job of the replica to the form that the leader accepts.
 pub fn open_job(entry: &JobEntry, spec: Rc<Job>, prior_runs: PriorRuns) -> OpenJob {
     let mut done = RangeSet::default();
     done.insert_bitmap(0, entry.progress.bytes(), spec.tasks);
--- a/crates/ladderroute/src/counters.rs
+++ b/crates/ladderroute/src/counters.rs
@@ -1,32 +1,35 @@
-//! Counters that tell, after the fact, how close answers came to the end of authority, and how stale what
-//! they rest on was when they were written.
+//! Counters for the health log line, among them how close responses to workers came to the expiry
+//! of authority, and how much time passed between the check of authority and the writing of the
+//! response.
 
 use std::cell::Cell;
 use std::fmt;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The longest time between a check and the writing of the answer that rests on it.
+/// The longest time between a check of authority and the writing of the response that depends on
+/// it.
 type LongestResponseDelay = Rc<Cell<Duration>>;
 
-/// The running summary of one process.
+/// Counters of one process since its start.
 #[derive(Debug, Default)]
 pub struct Counters {
-    /// Reloads of the view that ended.
+    /// Completed reloads of the view.
     pub reloads: Cell<u64>,
-    /// Reads of changes that were dropped because a reload had begun since they were sent.
+    /// Reads of changes that were discarded because a reload had begun since they were sent.
     pub reads_dropped: Cell<u64>,
-    /// Workers' heartbeats that were not answered for lack of authority or of a fresh view.
+    /// Workers' heartbeats that were refused for lack of authority or of a fresh view.
     pub heartbeats_refused: Cell<u64>,
-    /// Users' requests that were told to come back because the view could not be refreshed.
+    /// Users' requests that were answered with 503 because the view could not be refreshed.
     pub answers_refused: Cell<u64>,
-    /// The least time that authority had left when a heartbeat was answered, in seconds.
+    /// Least time, in seconds, for which responses were still allowed when a heartbeat was
+    /// answered.
     least_margin_s: Cell<Option<f64>>,
     longest_response_delay: LongestResponseDelay,
 }
 
-/// The instant at which what an answer rests on was checked, to be held against the one at which the answer
-/// is written to its connection.
+/// The instant at which the authority for a response was checked, to be compared with the instant
+/// at which the response is written to its connection.
 #[derive(Clone, Debug)]
 pub struct AuthorityCheck {
     checked_at: Instant,
@@ -34,7 +37,7 @@
 }
 
 impl AuthorityCheck {
-    /// Notes that the answer was written.
+    /// Records that the response has been written to its connection.
     pub fn record_response_written(&self) {
         let delay = self.checked_at.elapsed();
         self.longest_response_delay
@@ -43,18 +46,19 @@
 }
 
 impl Counters {
-    /// Counts one more.
+    /// Increments a counter.
     pub fn increment(counter: &Cell<u64>) {
         counter.set(counter.get() + 1);
     }
 
-    /// Notes that a heartbeat was answered while authority had so much time left, in seconds.
+    /// Records for how many more seconds responses were allowed when a heartbeat was answered.
     pub fn record_margin(&self, margin_s: f64) {
         let least_s = self.least_margin_s.get().unwrap_or(f64::MAX);
         self.least_margin_s.set(Some(least_s.min(margin_s)));
     }
 
-    /// Notes that what an answer rests on is checked now.
+    /// Starts measuring the delay between a check of authority, made now, and the writing of the
+    /// response that depends on it.
     pub fn start_check(&self) -> AuthorityCheck {
         AuthorityCheck {
             checked_at: Instant::now(),
--- a/crates/ladderroute/src/outbox.rs
+++ b/crates/ladderroute/src/outbox.rs
@@ -1,24 +1,26 @@
-//! Messages that wait for a connection between controllers. What keeps authority alive goes before bulk, and
-//! what waits is bounded in bytes.
+//! The send queue of a connection between controllers. Frames that renew authority overtake bulk
+//! frames, and the bulk queue is bounded in bytes.
 
 use smol::channel::{Receiver, Sender};
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// What one write takes of bulk at most, so that an urgent message never waits behind more.
+/// Maximum size to which bulk frames are combined into one write, so that an urgent frame never
+/// waits behind a longer combined write.
 pub const MAX_WRITE_BYTES: usize = 64 << 10;
 
 #[derive(Default)]
 struct Queue {
+    /// Urgent frames, which overtake all bulk frames.
     urgent: Vec<u8>,
-    /// Frames that keep their order, joined to writes.
+    /// Frames that are sent in order, combined into writes.
     bulk: VecDeque<Vec<u8>>,
     bulk_bytes: usize,
     max_bulk_bytes: usize,
 }
 
-/// The sending side of a connection; clones share one queue.
+/// The send queue of a connection; clones share one queue.
 #[derive(Clone)]
 pub struct Outbox {
     queue: Rc<RefCell<Queue>>,
@@ -26,7 +28,8 @@
 }
 
 impl Outbox {
-    /// An empty queue, in which so many bytes may wait; more close it.
+    /// Creates an empty queue. It is closed once more than `max_bulk_bytes` of bulk frames are
+    /// queued.
     pub fn new(max_bulk_bytes: usize) -> Outbox {
         let queue = Queue {
             max_bulk_bytes,
@@ -38,23 +41,23 @@
         }
     }
 
-    /// Ends the connection: nothing more is taken out of the queue.
+    /// Closes the queue and with it the connection: nothing more is sent.
     pub fn close(&self) {
         self.wake.0.close();
     }
 
-    /// Whether the connection has to end, or has ended.
+    /// Returns whether the queue has been closed.
     pub fn is_closed(&self) -> bool {
         self.wake.0.is_closed()
     }
 
-    /// Queues frames that keep their order.
+    /// Queues bulk frames, which are sent in order. Closes the queue if it overflows.
     pub fn send(&self, bytes: Vec<u8>) {
         {
             let mut queue = self.queue.borrow_mut();
             queue.bulk_bytes += bytes.len();
             if queue.bulk_bytes > queue.max_bulk_bytes {
-                // What is lost on the way would leave the two with different pictures.
+                // Dropping frames instead would leave the two controllers with different states.
                 log::info!("event=link_overflow bytes={}", queue.bulk_bytes);
                 self.close();
                 return;
@@ -69,13 +72,14 @@
         let _ = self.wake.0.try_send(());
     }
 
-    /// Queues a frame that goes before all others: pings and grants, which depend on no order.
+    /// Queues a frame that overtakes all bulk frames: for pings and grants, which do not depend on
+    /// the order of frames.
     pub fn send_urgent(&self, bytes: &[u8]) {
         self.queue.borrow_mut().urgent.extend_from_slice(bytes);
         let _ = self.wake.0.try_send(());
     }
 
-    /// What is to be written next; waits for it. None once the queue is closed.
+    /// Waits for and returns the bytes to write next; `None` once the queue is closed.
     pub async fn next(&self) -> Option<Vec<u8>> {
         loop {
             if self.is_closed() {
@@ -88,7 +92,7 @@
         }
     }
 
-    /// What is queued and may be written at once; none if nothing is queued.
+    /// Returns the bytes to write next without waiting; `None` if nothing is queued.
     pub fn try_next(&self) -> Option<Vec<u8>> {
         let mut queue = self.queue.borrow_mut();
         let mut write = std::mem::take(&mut queue.urgent);
--- a/crates/ladderroute/src/provisioning.rs
+++ b/crates/ladderroute/src/provisioning.rs
@@ -1,5 +1,5 @@
-//! Provisioning: the cloud's catalog and list of machines, provision requests and releases, all within the
-//! cloud's request rate.
+//! Provisioning: reads the cloud's catalog and machine list, and sends provision and release
+//! requests, all within the cloud's request rate.
 
 use crate::controller::Controller;
 use sched::leader::{Action, Leader};
@@ -11,43 +11,47 @@
 use wire::cloud::{Catalog, MachineList, Names, ProvisionRequest};
 use wire::users::Refusal;
 
-/// The cloud takes this many machines at most into one page of the list (a figure of the protocol).
+/// Maximum number of machines in one page of the machine list, as defined by the protocol.
 const MAX_LISTED: u32 = 500;
 
-/// Prices are read once in this many lists.
+/// Number of reads of the machine list per read of the catalog, which keeps the prices current.
 const LISTS_PER_CATALOG: u32 = 5;
 
-/// Lists within the time by which the list may lag behind, as far as the cloud's rate allows.
+/// Reads of the machine list within the time by which the list may lag behind, if the cloud's
+/// request rate allows.
 const LISTS_PER_LAG: f64 = 2.0;
 
-/// Least time between two lists, in intervals of the cloud's rate.
+/// Minimum time between two reads of the machine list, in multiples of 1 / request rate.
 const MIN_LIST_INTERVALS: f64 = 4.0;
 
-/// Tries of one provision request under the same name before its outcome is left to the list.
+/// Attempts at one provision request, all under the same name, before its outcome is left to be
+/// seen in the machine list.
 const MAX_PROVISION_ATTEMPTS: u32 = 4;
 
-/// Time between two of this controller's requests, in intervals of the cloud's rate.
+/// Time between two requests of this controller, in multiples of 1 / request rate.
 const REQUEST_SPACING_INTERVALS: f64 = 1.6;
 
-/// Bounds of the time for which an answer is waited for, in seconds.
+/// Minimum timeout of a request to the cloud, in seconds.
 const MIN_RESPONSE_TIMEOUT_S: f64 = 1.0;
+/// Maximum timeout of a request to the cloud, in seconds.
 const MAX_RESPONSE_TIMEOUT_S: f64 = 5.0;
 
-/// The words in which the cloud says that it has no machine of the kind asked for.
+/// Error text with which the cloud reports that it has no machine of the requested type.
 const NO_CAPACITY: &str = "no capacity";
 
-/// What came of a provision request.
+/// Outcome of a provision request.
 enum ProvisionOutcome {
-    /// These machines boot.
+    /// The names of the machines, which are booting.
     Machines(Vec<String>),
-    /// The cloud has no such machines at present.
+    /// The cloud has no machines of this type at present.
     NoCapacity,
-    /// It was not carried out, or its outcome stays unknown until the machines are listed.
+    /// The request failed, or its outcome is unknown until the machines are listed.
     Unknown,
 }
 
 impl ProvisionOutcome {
-    /// As the leader takes it.
+    /// Converts the outcome to the form that the leader accepts: the names of the machines, empty
+    /// if there is no capacity, or `None` if the outcome is unknown.
     fn into_machines(self) -> Option<Vec<String>> {
         match self {
             ProvisionOutcome::Machines(names) => Some(names),
@@ -57,7 +61,8 @@
     }
 }
 
-/// Learns the machine types once; the leader keeps the prices current.
+/// Reads the catalog until it succeeds once. Keeping the prices current is left to the leader
+/// ([`poll_cloud`]).
 pub async fn load_catalog(controller: Rc<Controller>) {
     while !fetch_catalog(&controller).await {
         let pause = request_spacing(&controller).mul_f64(2.0 + fastrand::f64());
@@ -66,7 +71,7 @@
     log::info!("event=catalog");
 }
 
-/// Reads the list and the prices again and again, while leading.
+/// Reads the machine list and the prices periodically, while this controller leads.
 pub async fn poll_cloud(controller: Rc<Controller>) {
     let cloud = &controller.settings.params.cloud;
     let interval_s = (cloud.list_lag_s / LISTS_PER_LAG).max(MIN_LIST_INTERVALS / cloud.rps);
@@ -82,7 +87,7 @@
     }
 }
 
-/// Carries out provision requests and releases, one at a time.
+/// Sends provision and release requests, one at a time.
 pub async fn process_requests(controller: Rc<Controller>) {
     loop {
         let Some(action) = next_request(&controller) else {
@@ -103,7 +108,7 @@
     state.shared.leadership.as_mut()?.cloud_requests.pop_front()
 }
 
-/// Reads the machine types and their prices; false if the cloud did not tell them.
+/// Reads the machine types and their prices. Returns false if the request failed.
 async fn fetch_catalog(controller: &Rc<Controller>) -> bool {
     let Some(catalog) = fetch::<Catalog>(controller, "/catalog").await else {
         return false;
@@ -118,7 +123,8 @@
     true
 }
 
-/// Reads the whole list, page after page; what can't be read now is read by the next list.
+/// Reads the machine list page by page. If a page can't be read, the rest is left to the next read
+/// of the list.
 async fn list_machines(controller: &Rc<Controller>) {
     let mut since = Some(String::new());
     while let Some(after) = since.take() {
@@ -135,7 +141,8 @@
     }
 }
 
-/// The path of the page that begins after a machine; the first page begins after the empty name.
+/// Returns the path of the page that begins after a machine; the first page begins after the empty
+/// name.
 fn list_path(after: &str) -> String {
     if after.is_empty() {
         format!("/machines?most={MAX_LISTED}")
@@ -156,7 +163,7 @@
     });
 }
 
-/// Asks for machines until the outcome is told, or so often that it is left to the list.
+/// Sends a provision request until its outcome is known, at most `MAX_PROVISION_ATTEMPTS` times.
 async fn request_machines(
     controller: &Rc<Controller>,
     request: &ProvisionRequest,
@@ -178,7 +185,8 @@
                 log::error!("event=provision_refused status={status} kind={kind}");
                 return ProvisionOutcome::Unknown;
             }
-            // The same name again: the cloud provisions only once for it.
+            // The request is retried under the same name, which serves as its idempotency key: the
+            // cloud provisions only once for a name.
             Err(_) => {
                 smol::Timer::after(request_spacing(controller)).await;
             }
@@ -215,7 +223,7 @@
     });
 }
 
-/// What the cloud holds at a path; none if it does not tell now.
+/// Fetches and decodes the resource at a path of the cloud; `None` if the request fails.
 async fn fetch<T: DeserializeOwned>(controller: &Controller, path: &str) -> Option<T> {
     let timeout = response_timeout(controller);
     let response = controller
@@ -229,7 +237,7 @@
     cbor::decode(&response.body).ok()
 }
 
-/// How long an answer of the cloud is waited for.
+/// Returns the timeout of a request to the cloud.
 fn response_timeout(controller: &Controller) -> Duration {
     let list_lag_s = controller.settings.params.cloud.list_lag_s;
     Duration::from_secs_f64(
@@ -237,12 +245,12 @@
     )
 }
 
-/// Time between two of this controller's requests to the cloud.
+/// Returns the time between two requests of this controller to the cloud.
 fn request_spacing(controller: &Controller) -> Duration {
     Duration::from_secs_f64(REQUEST_SPACING_INTERVALS / controller.settings.params.cloud.rps)
 }
 
-/// Tells the leader something, if it is here, and lets it act.
+/// Notifies the leader, if it runs in this process, and routes the actions that result.
 fn with_leader(controller: &Controller, notify: impl FnOnce(&mut Leader, Secs)) {
     let now = controller.now();
     let mut guard = controller.lock();
--- a/crates/ladderroute/src/store_budget.rs
+++ b/crates/ladderroute/src/store_budget.rs
@@ -1,49 +1,56 @@
-//! How the controllers divide the store's request and write rates among themselves.
+//! Division of the store's request and write rates among the controllers.
 //!
-//! Of the requests the leader takes a fixed part and the others share the rest, since a renewal that the
-//! store refused would cost the leadership. Writes come in bursts, seldom at several controllers at once, and
-//! one that is refused is only made again: so the others share nearly all of them beside the leader.
+//! Of the request rate, the leader has a fixed share and the followers divide the rest, because the
+//! leadership would be lost if the store refused a renewal of the lease. Writes come in bursts,
+//! seldom at several controllers at once, and a refused write is simply retried: the followers
+//! therefore divide nearly the whole write rate among themselves in addition to the leader's share.
 
 use store::budget::{Reserve, Share, Shares};
 
-/// Part of the request rate that the leader takes.
+/// Share of the request rate that the leader uses.
 const LEADER_REQUEST_SHARE: f64 = 0.3;
-/// Part of the write rate that the leader takes.
+/// Share of the write rate that the leader uses.
 const LEADER_WRITE_SHARE: f64 = 0.8;
-/// Part of each rate that all controllers take together.
+/// Share of the request rate that all controllers use together. Also the share of the write rate
+/// that all followers use together, or a lone controller.
 const TOTAL_SHARE: f64 = 0.95;
 
-/// Renewals and decisions of the leader go before the submissions that it takes itself.
+/// Reserve of the leader, and of the followers' requests: renewals and decisions take precedence
+/// over the submissions that a controller accepts itself.
 const LEADER_RESERVE: Reserve = Reserve {
     decision: 0.15,
     submission: 0.35,
 };
-/// Of the writes less is kept back: the store refuses few of them, and one that it refused is made again.
+/// Reserve of the leader's write rate. It is smaller because the store refuses few writes, and a
+/// refused write is retried.
 const LEADER_WRITE_RESERVE: Reserve = Reserve {
     decision: 0.1,
     submission: 0.2,
 };
-/// The others write little beside submissions: only cancellations go before them.
+/// Reserve of a follower's write rate: followers write little but submissions, and only
+/// cancellations take precedence over these.
 const FOLLOWER_RESERVE: Reserve = Reserve {
     decision: 0.0,
     submission: 0.1,
 };
 
-/// Seconds' worth of requests that may be made at once.
+/// Burst size, in seconds at the permitted rate.
 const BURST_S: f64 = 1.0;
-/// Seconds' worth of writes that one of the others may make at once, since users come in bursts.
+/// Burst size of a follower's writes, in seconds at the permitted rate; larger because submissions
+/// come in bursts.
 const FOLLOWER_BURST_S: f64 = 2.0;
 
-/// What a controller is to the others.
+/// Role of a controller in the division of the store's rates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// It decides for all.
+    /// The controller that makes the scheduling decisions.
     Leader,
-    /// One of the others.
+    /// Any other controller.
     Follower,
 }
 
-/// A controller's shares of the store's request and write rates, with so many others.
+/// Returns the shares of the store's request and write rates of a controller that has this many
+/// peers.
 pub fn store_shares(role: Role, others: usize) -> Shares {
     match (others, role) {
         (0, _) => Shares {
@@ -68,7 +75,7 @@
     }
 }
 
-/// A part of a rate, with the leader's reserve.
+/// Returns a share of a rate with the leader's reserve and the normal burst size.
 fn share(fraction: f64) -> Share {
     Share {
         fraction,
