--- a/crates/ladderroute/src/api/mod.rs
+++ b/crates/ladderroute/src/api/mod.rs
@@ -72,10 +72,10 @@
         }
     }
 
-    fn parse_job(name_and_suffix: &str) -> Route<'_> {
-        match name_and_suffix.strip_suffix(CANCEL_SUFFIX) {
+    fn parse_job(id_and_suffix: &str) -> Route<'_> {
+        match id_and_suffix.strip_suffix(CANCEL_SUFFIX) {
             Some(id) if is_valid_job_id(id) => Route::Cancel(id),
-            None if is_valid_job_id(name_and_suffix) => Route::Query(name_and_suffix),
+            None if is_valid_job_id(id_and_suffix) => Route::Query(id_and_suffix),
             _ => Route::NoSuchJob,
         }
     }
@@ -89,8 +89,8 @@
         }
     }
 
-    /// Returns the priority of the connection, which decides who is served first when the port is full;
-    /// `None` for users.
+    /// Returns the priority that the response gives to its connection; when the port is full,
+    /// higher priorities are served first. `None` leaves the default.
     fn priority(&self) -> Option<ConnectionPriority> {
         match self {
             Route::Heartbeat => Some(ConnectionPriority::Worker),
--- a/crates/ladderroute/src/api/users/feasibility.rs
+++ b/crates/ladderroute/src/api/users/feasibility.rs
@@ -25,7 +25,7 @@
     /// The job's record is too large for a value in the state service.
     #[error("the job takes {bytes} bytes with {dependencies} jobs in awaits; the state service holds {limit} for each")]
     TooLarge {
-        /// Size of the record.
+        /// Size of the record, in bytes.
         bytes: usize,
         /// Number of the job's dependencies.
         dependencies: usize,
--- a/crates/ladderroute/src/controller/mod.rs
+++ b/crates/ladderroute/src/controller/mod.rs
@@ -73,8 +73,8 @@
         since_start.as_secs_f64()
     }
 
-    /// Returns the maximum staleness of the view in seconds: the time since the instant as of which
-    /// it is known to be complete.
+    /// Returns the age of the view in seconds: the time since the instant as of which it is known
+    /// to be complete.
     pub fn view_age(&self) -> Secs {
         self.now() - self.lock().shared.view.read_at()
     }
