--- a/crates/ladderroute/src/controller/message_exchange.rs
+++ b/crates/ladderroute/src/controller/message_exchange.rs
@@ -1,4 +1,4 @@
-//! Messages between this controller's owner, its leader and the other controllers.
+//! Message routing between this controller's shard owner, its leader and the other controllers.
 
 use super::{Controller, ReplicaJobs, State};
 use sched::leader::Action;
@@ -6,22 +6,24 @@
 use wire::peers::{encode_frame, ToOwner};
 
 impl Controller {
-    /// Moves what the owner and the leader have to say to each other and outside, until neither has more.
+    /// Routes the pending messages of the owner and the pending actions of the leader until neither
+    /// has any left.
     pub fn exchange_messages(&self, state: &mut State) {
         let now = self.now();
         loop {
-            let owner_spoke = self.route_owner_messages(state, now);
+            let owner_sent = self.route_owner_messages(state, now);
             if state.shared.leadership.is_none() {
                 return;
             }
-            let leader_spoke = self.route_leader_actions(state, now);
-            if !owner_spoke && !leader_spoke {
+            let leader_acted = self.route_leader_actions(state, now);
+            if !owner_sent && !leader_acted {
                 return;
             }
         }
     }
 
-    /// Hands the owner's messages to the leader, here or over the link; whether there were any.
+    /// Passes the owner's messages to the leader, in this process or over the link. Returns whether
+    /// there were any.
     fn route_owner_messages(&self, state: &mut State, now: Secs) -> bool {
         let State { owner, shared } = state;
         let mut any = false;
@@ -39,7 +41,8 @@
         any
     }
 
-    /// Hands the leader's actions to the owners, the store writer and provisioning; whether there were any.
+    /// Passes the leader's actions to the owners, the store writer and provisioning. Returns
+    /// whether there were any.
     fn route_leader_actions(&self, state: &mut State, now: Secs) -> bool {
         let State { owner, shared } = state;
         let Some(leadership) = &mut shared.leadership else {
--- a/crates/ladderroute/src/provisioning.rs
+++ b/crates/ladderroute/src/provisioning.rs
@@ -1,5 +1,5 @@
-//! Provisioning: the cloud's catalog and list of machines, provision requests and releases, all within the
-//! cloud's request rate.
+//! Provisioning: reads the cloud's catalog and machine list, and sends provision and release
+//! requests, all within the cloud's request rate.
 
 use crate::controller::Controller;
 use sched::leader::{Action, Leader};
@@ -11,43 +11,47 @@
 use wire::cloud::{Catalog, MachineList, Names, ProvisionRequest};
 use wire::users::Refusal;
 
-/// The cloud takes this many machines at most into one page of the list (a figure of the protocol).
+/// Maximum number of machines in one page of the machine list, as defined by the protocol.
 const MAX_LISTED: u32 = 500;
 
-/// Prices are read once in this many lists.
+/// Number of reads of the machine list per read of the catalog, which keeps the prices current.
 const LISTS_PER_CATALOG: u32 = 5;
 
-/// Lists within the time by which the list may lag behind, as far as the cloud's rate allows.
+/// Reads of the machine list within the time by which the list may lag behind, if the cloud's
+/// request rate allows.
 const LISTS_PER_LAG: f64 = 2.0;
 
-/// Least time between two lists, in intervals of the cloud's rate.
+/// Minimum time between two reads of the machine list, in multiples of 1 / request rate.
 const MIN_LIST_INTERVALS: f64 = 4.0;
 
-/// Tries of one provision request under the same name before its outcome is left to the list.
-const PROVISION_ATTEMPTS: u32 = 4;
+/// Attempts at one provision request, all under the same name, before its outcome is left to be
+/// seen in the machine list.
+const MAX_PROVISION_ATTEMPTS: u32 = 4;
 
-/// Time between two of this controller's requests, in intervals of the cloud's rate.
-const PACE_INTERVALS: f64 = 1.6;
+/// Time between two requests of this controller, in multiples of 1 / request rate.
+const REQUEST_SPACING_INTERVALS: f64 = 1.6;
 
-/// Bounds of the time for which an answer is waited for, in seconds.
-const MIN_ANSWER_LIMIT_S: f64 = 1.0;
-const MAX_ANSWER_LIMIT_S: f64 = 5.0;
+/// Minimum timeout of a request to the cloud, in seconds.
+const MIN_RESPONSE_TIMEOUT_S: f64 = 1.0;
+/// Maximum timeout of a request to the cloud, in seconds.
+const MAX_RESPONSE_TIMEOUT_S: f64 = 5.0;
 
-/// The words in which the cloud says that it has no machine of the kind asked for.
+/// Error text with which the cloud reports that it has no machine of the requested type.
 const NO_CAPACITY: &str = "no capacity";
 
-/// What came of a provision request.
+/// Outcome of a provision request.
 enum ProvisionOutcome {
-    /// These machines boot.
+    /// The names of the machines, which are booting.
     Machines(Vec<String>),
-    /// The cloud has no such machines at present.
+    /// The cloud has no machines of this type at present.
     NoCapacity,
-    /// It was not carried out, or its outcome stays unknown until the machines are listed.
+    /// The request failed, or its outcome is unknown until the machines are listed.
     Unknown,
 }
 
 impl ProvisionOutcome {
-    /// As the leader takes it.
+    /// Converts the outcome to the form that the leader accepts: the names of the machines, empty
+    /// if there is no capacity, or `None` if the outcome is unknown.
     fn into_machines(self) -> Option<Vec<String>> {
         match self {
             ProvisionOutcome::Machines(names) => Some(names),
@@ -57,16 +61,17 @@
     }
 }
 
-/// Learns the machine types once; the leader keeps the prices current.
+/// Reads the catalog until it succeeds once. Keeping the prices current is left to the leader
+/// ([`poll_cloud`]).
 pub async fn load_catalog(controller: Rc<Controller>) {
     while !fetch_catalog(&controller).await {
-        let pause = pace(&controller).mul_f64(2.0 + fastrand::f64());
+        let pause = request_spacing(&controller).mul_f64(2.0 + fastrand::f64());
         smol::Timer::after(pause).await;
     }
     log::info!("event=catalog");
 }
 
-/// Reads the list and the prices again and again, while leading.
+/// Reads the machine list and the prices periodically, while this controller leads.
 pub async fn poll_cloud(controller: Rc<Controller>) {
     let cloud = &controller.settings.params.cloud;
     let interval_s = (cloud.list_lag_s / LISTS_PER_LAG).max(MIN_LIST_INTERVALS / cloud.rps);
@@ -82,7 +87,7 @@
     }
 }
 
-/// Carries out provision requests and releases, one at a time.
+/// Sends provision and release requests, one at a time.
 pub async fn process_requests(controller: Rc<Controller>) {
     loop {
         let Some(action) = next_request(&controller) else {
@@ -94,7 +99,7 @@
             Action::Deprovision(names) => deprovision(&controller, names).await,
             _ => {}
         }
-        smol::Timer::after(pace(&controller)).await;
+        smol::Timer::after(request_spacing(&controller)).await;
     }
 }
 
@@ -103,9 +108,9 @@
     state.shared.leadership.as_mut()?.cloud_requests.pop_front()
 }
 
-/// Reads the machine types and their prices; false if the cloud did not tell them.
+/// Reads the machine types and their prices. Returns false if the request failed.
 async fn fetch_catalog(controller: &Rc<Controller>) -> bool {
-    let Some(catalog) = get::<Catalog>(controller, "/catalog").await else {
+    let Some(catalog) = fetch::<Catalog>(controller, "/catalog").await else {
         return false;
     };
     let mut guard = controller.lock();
@@ -118,11 +123,12 @@
     true
 }
 
-/// Reads the whole list, page after page; what can't be read now is read by the next list.
+/// Reads the machine list page by page. If a page can't be read, the rest is left to the next read
+/// of the list.
 async fn list_machines(controller: &Rc<Controller>) {
     let mut since = Some(String::new());
     while let Some(after) = since.take() {
-        let Some(list) = get::<MachineList>(controller, &list_path(&after)).await else {
+        let Some(list) = fetch::<MachineList>(controller, &list_path(&after)).await else {
             return;
         };
         with_leader(controller, |leader, now| {
@@ -130,12 +136,13 @@
         });
         if list.more {
             since = list.machines.last().map(|machine| machine.name.clone());
-            smol::Timer::after(pace(controller)).await;
+            smol::Timer::after(request_spacing(controller)).await;
         }
     }
 }
 
-/// The path of the page that begins after a machine; the first page begins after the empty name.
+/// Returns the path of the page that begins after a machine; the first page begins after the empty
+/// name.
 fn list_path(after: &str) -> String {
     if after.is_empty() {
         format!("/machines?most={MAX_LISTED}")
@@ -156,43 +163,46 @@
     });
 }
 
-/// Asks for machines until the outcome is told, or so often that it is left to the list.
+/// Sends a provision request until its outcome is known, at most `MAX_PROVISION_ATTEMPTS` times.
 async fn request_machines(
     controller: &Rc<Controller>,
     request: &ProvisionRequest,
 ) -> ProvisionOutcome {
     let body = cbor::encode(request);
-    let limit = answer_limit(controller);
-    for _ in 0..PROVISION_ATTEMPTS {
-        let answer = controller.cloud.request("POST", "/machines", &body, limit);
-        match answer.await {
-            Ok(answer) if answer.status == 200 => return provisioned(&answer.body),
-            Ok(answer) if answer.status == 503 => return unavailable(&answer.body),
-            Ok(answer) if answer.status == 429 => {
-                smol::Timer::after(pace(controller).mul_f64(2.0)).await;
+    let timeout = response_timeout(controller);
+    for _ in 0..MAX_PROVISION_ATTEMPTS {
+        let response = controller
+            .cloud
+            .request("POST", "/machines", &body, timeout);
+        match response.await {
+            Ok(response) if response.status == 200 => return parse_provisioned(&response.body),
+            Ok(response) if response.status == 503 => return parse_unavailable(&response.body),
+            Ok(response) if response.status == 429 => {
+                smol::Timer::after(request_spacing(controller).mul_f64(2.0)).await;
             }
-            Ok(answer) => {
-                let (status, kind) = (answer.status, &request.kind);
+            Ok(response) => {
+                let (status, kind) = (response.status, &request.kind);
                 log::error!("event=provision_refused status={status} kind={kind}");
                 return ProvisionOutcome::Unknown;
             }
-            // The same name again: the cloud provisions only once for it.
+            // The request is retried under the same name, which serves as its idempotency key: the
+            // cloud provisions only once for a name.
             Err(_) => {
-                smol::Timer::after(pace(controller)).await;
+                smol::Timer::after(request_spacing(controller)).await;
             }
         }
     }
     ProvisionOutcome::Unknown
 }
 
-fn provisioned(body: &[u8]) -> ProvisionOutcome {
+fn parse_provisioned(body: &[u8]) -> ProvisionOutcome {
     match cbor::decode::<Names>(body) {
         Ok(names) => ProvisionOutcome::Machines(names.machines),
         Err(_) => ProvisionOutcome::Unknown,
     }
 }
 
-fn unavailable(body: &[u8]) -> ProvisionOutcome {
+fn parse_unavailable(body: &[u8]) -> ProvisionOutcome {
     match cbor::decode::<Refusal>(body) {
         Ok(refusal) if refusal.error == NO_CAPACITY => ProvisionOutcome::NoCapacity,
         _ => ProvisionOutcome::Unknown,
@@ -203,48 +213,50 @@
     let names = machines.join(",");
     let request = Names { machines };
     let body = cbor::encode(&request);
-    let limit = answer_limit(controller);
+    let timeout = response_timeout(controller);
     let path = "/machines/release";
-    let answer = controller.cloud.request("POST", path, &body, limit).await;
-    let ok = answer.is_ok_and(|answer| answer.status == 200);
+    let response = controller.cloud.request("POST", path, &body, timeout).await;
+    let ok = response.is_ok_and(|response| response.status == 200);
     log::info!("event=deprovision ok={ok} machines={names}");
     with_leader(controller, |leader, _| {
         leader.deprovision_result(&request.machines, ok)
     });
 }
 
-/// What the cloud holds at a path; none if it does not tell now.
-async fn get<T: DeserializeOwned>(controller: &Controller, path: &str) -> Option<T> {
-    let limit = answer_limit(controller);
-    let answer = controller
+/// Fetches and decodes the resource at a path of the cloud; `None` if the request fails.
+async fn fetch<T: DeserializeOwned>(controller: &Controller, path: &str) -> Option<T> {
+    let timeout = response_timeout(controller);
+    let response = controller
         .cloud
-        .request("GET", path, &[], limit)
+        .request("GET", path, &[], timeout)
         .await
         .ok()?;
-    if answer.status != 200 {
+    if response.status != 200 {
         return None;
     }
-    cbor::decode(&answer.body).ok()
+    cbor::decode(&response.body).ok()
 }
 
-/// How long an answer of the cloud is waited for.
-fn answer_limit(controller: &Controller) -> Duration {
+/// Returns the timeout of a request to the cloud.
+fn response_timeout(controller: &Controller) -> Duration {
     let list_lag_s = controller.settings.params.cloud.list_lag_s;
-    Duration::from_secs_f64((list_lag_s / 2.0).clamp(MIN_ANSWER_LIMIT_S, MAX_ANSWER_LIMIT_S))
+    Duration::from_secs_f64(
+        (list_lag_s / 2.0).clamp(MIN_RESPONSE_TIMEOUT_S, MAX_RESPONSE_TIMEOUT_S),
+    )
 }
 
-/// Time between two of this controller's requests to the cloud.
-fn pace(controller: &Controller) -> Duration {
-    Duration::from_secs_f64(PACE_INTERVALS / controller.settings.params.cloud.rps)
+/// Returns the time between two requests of this controller to the cloud.
+fn request_spacing(controller: &Controller) -> Duration {
+    Duration::from_secs_f64(REQUEST_SPACING_INTERVALS / controller.settings.params.cloud.rps)
 }
 
-/// Tells the leader something, if it is here, and lets it act.
-fn with_leader(controller: &Controller, tell: impl FnOnce(&mut Leader, Secs)) {
+/// Notifies the leader, if it runs in this process, and routes the actions that result.
+fn with_leader(controller: &Controller, notify: impl FnOnce(&mut Leader, Secs)) {
     let now = controller.now();
     let mut guard = controller.lock();
     let state = &mut *guard;
     if let Some(leadership) = &mut state.shared.leadership {
-        tell(&mut leadership.leader, now);
+        notify(&mut leadership.leader, now);
         controller.exchange_messages(state);
     }
 }
