--- a/crates/ladderroute/src/api/readiness.rs
+++ b/crates/ladderroute/src/api/readiness.rs
@@ -27,7 +27,8 @@
         /// Number of all other controllers.
         others: usize,
     },
-    /// A shard owner with authority: another controller leads and has granted it authority.
+    /// A shard owner with authority: another controller leads and has granted it authority, which
+    /// has not expired and is based on a recent read of the store.
     OwnerWithAuthority,
     /// A shard owner without authority: as far as it knows, no controller leads.
     OwnerWithoutAuthority,
--- a/crates/ladderroute/src/api/workers.rs
+++ b/crates/ladderroute/src/api/workers.rs
@@ -74,8 +74,8 @@
     staleness_s: f64,
     /// Time until authority expires, in seconds.
     authority_s: f64,
-    /// Time for which heartbeats may still be answered, given the authority and the age of the
-    /// view, in seconds.
+    /// Time for which heartbeats may still be answered, given the authority and `staleness_s`, in
+    /// seconds.
     margin_s: f64,
 }
 
