--- a/crates/model/tests/common/mod.rs
+++ b/crates/model/tests/common/mod.rs
@@ -1,13 +1,13 @@
-//! Days that the tests of the rules and of the digest both play.
+//! Scenarios that both the invariant tests and the digest tests run.
 
 use model::world::{job, Defect, World};
 use wire::users::{Job, Shape};
 
-/// So small that a bitmap of progress holds eight tasks.
+/// A record size limit so small that a progress bitmap holds eight tasks.
 const SMALL_VALUE_KB: f64 = 0.004;
 
-/// A day on which most jobs have dependencies, with every fault, while the controllers are replaced
-/// one after the other by ones with smaller records; then quiet for `quiet_s`.
+/// Runs a world in which most jobs have dependencies, under random faults. A rolling restart gives the
+/// controllers smaller records. Then the world runs for `quiet_s` without faults.
 pub fn dependency_scenario(seed: u64, defect: Defect, quiet_s: f64) -> World {
     let mut world = World::new(seed, defect);
     world.dependent_percent = 70;
@@ -20,7 +20,7 @@
     world
 }
 
-/// A day on which controllers, the leader mostly, reload all records again and again.
+/// Runs a world in which controllers reload all records repeatedly, the leader in every round.
 pub fn reload_scenario(seed: u64, defect: Defect) -> World {
     let mut world = World::new(seed, defect);
     world.dependent_percent = 50;
@@ -37,7 +37,7 @@
         world.reload_records((leader + 1) % 3, 3.0);
         world.reload_records(leader, 0.6);
         world.advance(0.7);
-        // What the reload has left is not mended by a read at once.
+        // Keeps a read from correcting at once what the reload has left.
         world.store_outage(1.2);
         world.advance(1.5);
     }
--- a/crates/model/tests/dependency_chains.rs
+++ b/crates/model/tests/dependency_chains.rs
@@ -1,5 +1,5 @@
-//! Jobs with dependencies and a fault at the wrong moment, each combination scripted. The rules,
-//! `too_early` and `orphaned` among them, hold, and every job ends as its chain says.
+//! Scripted faults at critical moments of a dependency chain. No rule is violated (`too_early` and
+//! `orphaned` among them), and every job ends with the outcome that its dependencies imply.
 
 use model::world::{job, Defect, World};
 use wire::users::{Job, Shape};
@@ -10,7 +10,7 @@
     job(number, "red", Shape::Array, 1, 1.0).id
 }
 
-/// An array of three tasks with dependencies.
+/// An array of three tasks that depends on other jobs.
 fn array_with_dependencies(number: u32, dependencies: &[u32], estimate_s: f64) -> Job {
     Job {
         dependencies: dependencies.iter().map(|n| job_id(*n)).collect(),
@@ -19,7 +19,8 @@
     }
 }
 
-/// A chain of four jobs, each of which depends on the one before, with machines that run the first.
+/// A world with a chain of four jobs, each of which depends on the one before, and the last also on the
+/// first. All three tasks of the first job are on machines.
 fn world_with_chain(seed: u64) -> World {
     let mut world = World::new(seed, Defect::None);
     world.submit(array_with_dependencies(1, &[], 20.0));
@@ -35,7 +36,7 @@
     while !condition(world) {
         assert!(
             world.now < end,
-            "it never came to that\n{}",
+            "the condition was not met within 200 s\n{}",
             world.explain()
         );
         world.advance(0.1);
@@ -86,7 +87,7 @@
     }
 }
 
-/// One of the two is written first: what follows goes on, or is cancelled with it.
+/// Whichever record is written first decides: the dependents run, or are cancelled with the job.
 #[test]
 fn cancellation_races_with_end_of_dependency() {
     let mut seen = [0; 2];
@@ -103,7 +104,7 @@
         };
         assert!(
             cancelled || !world.cancel(&job_id(1)),
-            "it is answered with done"
+            "seed {seed}: a job that was done was cancelled"
         );
         seen[usize::from(cancelled)] += 1;
         if cancelled {
@@ -112,7 +113,10 @@
             assert_outcomes(world, seed, ["done"; 4]);
         }
     }
-    assert!(seen[1] > 0, "no cancellation came first: {seen:?}");
+    assert!(
+        seen[1] > 0,
+        "no cancellation was written before the end of the job: {seen:?}"
+    );
 }
 
 #[test]
@@ -130,8 +134,8 @@
     }
 }
 
-/// Machines with tasks of the first job hang; the tasks run elsewhere, and the job is done while the
-/// earlier attempts may still be there. What needs it starts all the same, and only then.
+/// Machines with tasks of the first job hang. The tasks run elsewhere, and the job is done while its
+/// earlier attempts may still exist. Its dependents start once it is done, and not before.
 #[test]
 fn earlier_attempt_hangs_while_job_completes() {
     for seed in 0..SEEDS {
@@ -143,8 +147,8 @@
     }
 }
 
-/// All controllers end while the chain is cancelled, one after the other or at once, and come back with
-/// records of another size.
+/// All controllers restart at once after the first job of the chain is cancelled, and later one after
+/// the other with another record size.
 #[test]
 fn chain_is_cancelled_while_controllers_restart() {
     for seed in 0..SEEDS {
@@ -153,7 +157,7 @@
         assert!(world.cancel(&job_id(1)));
         (0..3).for_each(|i| world.restart_controller(i, 1.0 + i as f64));
         world.advance(5.0);
-        // Submitted on a job that was cancelled long ago.
+        // A new job that depends on one that was cancelled earlier.
         world.submit(array_with_dependencies(5, &[4], 2.0));
         world.rolling_restart(4.0, 0.004);
         assert_eq!(world.outcome(&job_id(5)), Some("cancelled"));
@@ -161,7 +165,7 @@
     }
 }
 
-/// A zone with workers and a controller is cut off while the jobs before the last are done.
+/// A controller keeps its workers but loses the store and its peers while the chain runs.
 #[test]
 fn controller_is_partitioned_while_chain_runs() {
     for seed in 0..SEEDS {
--- a/crates/model/tests/dependency_graph.rs
+++ b/crates/model/tests/dependency_graph.rs
@@ -1,11 +1,11 @@
-//! The graph of dependencies against a plain model that is recomputed from scratch.
+//! The dependency graph compared with a reference model that is recomputed from scratch.
 
 use model::world::job;
 use sched::dependencies::{DependencyGraph, DependencyState, Effect};
 use std::collections::{BTreeMap, BTreeSet};
 use wire::users::{Job, Priority, Shape};
 
-/// The jobs of a plain model: what the store's records say, and nothing else.
+/// The reference model: the job records of the store, from which all else is derived on demand.
 #[derive(Default)]
 struct ReferenceModel {
     jobs: BTreeMap<String, (Job, DependencyState)>,
@@ -23,7 +23,7 @@
             .flat_map(|(job, _)| &job.dependencies)
     }
 
-    /// Cancelled by its own record or by that of any ancestor.
+    /// Whether the job is cancelled by its own record or by that of any ancestor.
     fn is_cancelled(&self, id: &str) -> bool {
         match self.record(id) {
             Some(DependencyState::Done) | None => false,
@@ -43,7 +43,7 @@
             .any(|dependency| self.record(dependency) != Some(DependencyState::Done))
     }
 
-    /// The most urgent of its own and its open descendants'.
+    /// The most urgent priority among the job's own and those of its open descendants.
     fn priority(&self, id: &str) -> Priority {
         let own = self.jobs[id].0.priority;
         let dependents = self.jobs.keys().filter(|other| {
@@ -63,7 +63,7 @@
     }
 }
 
-/// What a controller makes of the effects, as its leader would.
+/// A controller's view, which applies the effects of the graph as a leader would.
 #[derive(Default)]
 struct ControllerView {
     graph: DependencyGraph,
@@ -73,7 +73,7 @@
 }
 
 impl ControllerView {
-    /// The record as this controller has it: what it derived counts as cancelled.
+    /// The state of a job as this controller sees it: derived cancellations count.
     fn record(&self, reference: &ReferenceModel, id: &str) -> Option<DependencyState> {
         if self.cancelled.contains(id) {
             return Some(DependencyState::Cancelled);
@@ -85,10 +85,13 @@
         for effect in effects {
             match effect {
                 Effect::Unblocked(id) => {
-                    assert!(self.runnable.insert(id.clone()), "{id} is unblocked twice");
+                    assert!(self.runnable.insert(id.clone()), "{id} was unblocked twice");
                 }
                 Effect::Cancelled(id) => {
-                    assert!(!self.runnable.contains(&id), "{id} may run already");
+                    assert!(
+                        !self.runnable.contains(&id),
+                        "{id} is cancelled after it became runnable"
+                    );
                     self.cancelled.insert(id);
                 }
                 Effect::Reprioritized(id, priority) => {
@@ -120,13 +123,13 @@
         }
     }
 
-    /// A controller that has just read all records, in the order of their keys.
+    /// The view of a controller that has just read all records, in the order of their keys.
     fn from_all_records(reference: &ReferenceModel) -> ControllerView {
         let mut view = ControllerView::default();
         for id in reference.jobs.keys() {
             view.update(reference, id);
         }
-        // Which of the open jobs may run is asked once all records are known.
+        // A controller looks for runnable jobs only after it has read all records.
         view.runnable = reference
             .open_jobs()
             .into_iter()
@@ -138,24 +141,28 @@
     fn assert_matches(&self, reference: &ReferenceModel) {
         for id in reference.jobs.keys() {
             let derived = self.record(reference, id) == Some(DependencyState::Cancelled);
-            assert_eq!(derived, reference.is_cancelled(id), "cancelled: {id}");
+            assert_eq!(
+                derived,
+                reference.is_cancelled(id),
+                "whether {id} is cancelled"
+            );
         }
         for id in reference.open_jobs() {
             assert_eq!(
                 self.graph.is_blocked(&id),
                 reference.is_blocked(&id),
-                "blocked: {id}"
+                "whether {id} is blocked"
             );
             assert_eq!(
                 self.runnable.contains(&id),
                 !reference.is_blocked(&id),
-                "runnable: {id}"
+                "whether {id} is runnable"
             );
             let own = reference.jobs[&id].0.priority;
             assert_eq!(
                 self.graph.priority(&id, own),
                 reference.priority(&id),
-                "priority: {id}"
+                "priority of {id}"
             );
         }
     }
@@ -168,7 +175,7 @@
     Priority::BestEffort,
 ];
 
-/// A new job that needs up to four earlier ones, whatever became of them.
+/// Adds a job that depends on up to four earlier ones, whatever their state; returns its id.
 fn submit_random_job(
     rng: &mut fastrand::Rng,
     reference: &mut ReferenceModel,
@@ -176,7 +183,7 @@
 ) -> String {
     let earlier_jobs: Vec<String> = reference.jobs.keys().cloned().collect();
     let mut job = job(number, "red", Shape::Array, 1, 1.0);
-    // Ids come in no order, so that a page of records has dependents before what they need.
+    // Random ids, so that a page of records may list dependents before their dependencies.
     job.id = format!("wk-{:03}-{number}", rng.u32(0..1000));
     job.priority = PRIORITIES[rng.usize(0..PRIORITIES.len())];
     let count = if earlier_jobs.is_empty() {
@@ -194,12 +201,13 @@
     id
 }
 
-/// Ends a random open job, if there is one: done if nothing blocks it, or cancelled.
+/// Ends a random open job, if there is one, and returns its id: done or cancelled if nothing blocks it,
+/// else cancelled or left open.
 fn end_random_job(rng: &mut fastrand::Rng, reference: &mut ReferenceModel) -> Option<String> {
     let open: Vec<String> = reference.open_jobs().into_iter().collect();
     let id = open.get(rng.usize(0..open.len().max(1)))?.clone();
     let record = if reference.is_blocked(&id) || rng.u32(0..4) == 0 {
-        // Most blocked jobs are left alone: else few chains grow long.
+        // Most blocked jobs stay open, as otherwise few chains would grow long.
         if reference.is_blocked(&id) && rng.u32(0..4) > 0 {
             return None;
         }
@@ -225,7 +233,7 @@
             };
             let Some(id) = changed else { continue };
             view.update(&reference, &id);
-            // A record may be told twice.
+            // The same record may be read twice.
             view.update(&reference, &id);
             view.assert_matches(&reference);
         }
@@ -238,12 +246,12 @@
             .count();
         reprioritized += view.priorities.len();
     }
-    // Each kind of effect came about often.
+    // Each kind of effect occurred often enough.
     assert!(cancelled > 2000 && unblocked > 500 && reprioritized > 2000);
 }
 
-/// A controller may read the record of a job, answering a repeated submission, before it learns of the
-/// jobs that it names.
+/// A controller that answers a repeated submission may read the job's record before those of its
+/// dependencies.
 #[test]
 fn unknown_dependency_blocks_until_its_record_is_read() {
     let record = |known: Option<DependencyState>| move |_: &str| known;
@@ -275,8 +283,8 @@
     }
 }
 
-/// Chains may be long and one job may be named by many: an update touches its own edges only, and
-/// nothing recurses over the depth.
+/// Chains may be long, and many jobs may depend on one: an update visits only the edges it affects, and
+/// nothing recurses over the depth of a chain.
 #[test]
 fn long_chains_and_many_dependents() {
     const LENGTH: u32 = 20_000;
