--- a/crates/model/tests/leader_and_owner.rs
+++ b/crates/model/tests/leader_and_owner.rs
@@ -1,4 +1,4 @@
-//! Cases of the leader and of owners, one by one.
+//! Regression tests of single cases of the leader and of owners.
 
 use model::world::{
     job, lone_leader, machine_type, owner_of_one_machine, roster, roster_record, task_requirements,
@@ -45,16 +45,16 @@
     )
 }
 
-/// An owner of one machine whose view of the store is always fresh.
+/// An owner of one machine, `host-1`, whose view of the store is always fresh.
 fn owner_of_host_1() -> Owner {
     let mut owner = owner_of_one_machine(config());
     owner.authority.record_read(1e9);
     owner
 }
 
-/// A new owner's only response tells the worker the token; the next heartbeat, which shows it, is
-/// delayed until after the lease has expired. The worker has then forgotten what that heartbeat shows, and
-/// the leader has given it to another machine.
+/// A new owner's first response tells the worker its token. The next heartbeat, the first with that token,
+/// arrives only after the lease has expired. By then the worker has dropped the tasks in that heartbeat, and
+/// the leader has assigned them to another machine.
 #[test]
 fn heartbeat_sent_under_expired_lease_is_ignored() {
     let mut owner = owner_of_host_1();
@@ -67,7 +67,7 @@
         owner.on_heartbeat(&heartbeat(2, 58, 5), 25.0, &EmptyJobLookup),
         HeartbeatResponse::Unavailable
     );
-    // The worker itself is back, in a new incarnation, and learns the token first.
+    // The worker returns under a new incarnation and has to learn the token first.
     assert!(matches!(
         owner.on_heartbeat(&heartbeat(3, 60, 4), 26.0, &EmptyJobLookup),
         HeartbeatResponse::Orders(_)
@@ -114,8 +114,8 @@
     })
 }
 
-/// The end of another attempt completes the task, but the attempt that is on a machine still uses
-/// its capacity and its team's limit, and is stopped.
+/// A task is complete when any of its attempts is done. An attempt that still runs elsewhere stays charged
+/// to its machine's capacity and its team's limit, and is stopped.
 #[test]
 fn attempt_stays_charged_after_another_completes() {
     let spec = array("wk-1");
@@ -143,8 +143,8 @@
     assert!(leader.take_actions().iter().any(stop));
 }
 
-/// A job is cancelled while the new leader does not know yet what runs on a machine that hangs:
-/// its tasks may still be there, and count against the team's limit.
+/// A job is cancelled while a new leader does not know yet what runs on a hung machine. The job's tasks may
+/// still run there, so they count against the team's limit.
 #[test]
 fn cancelled_job_counts_until_machines_reconcile() {
     let roster = roster(["host-1", "host-2", "host-3"], &roster_record("small"));
@@ -171,11 +171,14 @@
         _ => 0,
     };
     let assigned: u32 = leader.take_actions().into_iter().map(assigned).sum();
-    assert_eq!(assigned, 2, "of 16 CPUs two tasks of 4 may still run");
+    assert_eq!(
+        assigned, 2,
+        "wk-1 may use 8 of the team's 16 CPUs, which leaves two tasks of 4 CPUs"
+    );
 }
 
-/// All controllers start together and join the new leader within two seconds: one epoch, not four
-/// that each move machines on.
+/// All controllers start together and join the new leader within about two seconds. The leader waits for them
+/// and begins one epoch, instead of four that each move machines between owners.
 #[test]
 fn starting_leader_waits_for_other_controllers() {
     let epochs = |starting: bool| {
@@ -218,8 +221,8 @@
     assert_eq!(epochs(false).len(), 4);
 }
 
-/// Six dead machines of 1,779 kept all arrays that had begun waiting for 21 s after an end of all
-/// controllers, though all others had sent heartbeats within three.
+/// Guards against a few dead machines delaying a recovery: after a restart of all controllers, 6 dead machines
+/// of 1,779 kept all started arrays waiting for 21 s, though all others had sent heartbeats within 3 s.
 #[test]
 fn few_silent_machines_are_deprovisioned_soon() {
     let deprovisioned_at = |silent: usize| {
@@ -258,8 +261,8 @@
     );
 }
 
-/// An array that waits for its turn is named as untouched, so that a later leader starts it at
-/// once, while it still has to learn what runs on some machine that does not heartbeat.
+/// The record lists the arrays that are still queued as not started. A later leader can start those at once,
+/// even while it does not know what runs on a machine that sends no heartbeat.
 #[test]
 fn queued_arrays_are_not_recorded_as_started() {
     let mut leader = Leader::new(
@@ -286,7 +289,7 @@
             Action::RecordStartedArrays(record) => Some(record),
             _ => None,
         });
-    let record = record.expect("the first in the queue begins");
+    let record = record.expect("no record for the array that starts first");
     assert_eq!(
         (record.upto, record.waiting.as_slice()),
         (12, &[11, 12][..])
@@ -295,7 +298,7 @@
         [9, 10, 11, 12, 13].map(|r| record.covers(r)),
         [true, true, false, false, false]
     );
-    // Of unknown outcome: it is asked for again.
+    // The outcome of the write is unknown, so the leader requests it again.
     leader.start_record_result(&record, false);
     leader.tick(2.0, 0);
     assert!(leader
@@ -322,9 +325,9 @@
     }
 }
 
-/// Heartbeats are rare compared with short tasks: a task of the backlog starts with the response to the
-/// very heartbeat that shows capacity for it; one that finds none in time is handed back; a terminal
-/// job gets nothing.
+/// Short tasks may end more often than heartbeats arrive. A backlog task starts in the response to the first
+/// heartbeat that shows capacity for it, and is handed back if there is none in time. No task of a terminal
+/// job starts.
 #[test]
 fn owner_backlog_fills_capacity_freed_in_heartbeat() {
     let mut owner = owner_of_host_1();
@@ -371,7 +374,7 @@
     assert_eq!(
         started_tasks(owner.on_heartbeat(&busy, 12.0, &SingleJobLookup)),
         1,
-        "one has ended, one takes its place"
+        "one backlog task takes the place of the task that ended"
     );
     owner.drain();
     owner.tick(15.5);
--- a/crates/model/tests/overlapping_faults.rs
+++ b/crates/model/tests/overlapping_faults.rs
@@ -1,12 +1,12 @@
-//! Two faults at a time, each combination scripted, over a few seeds: the rules of the
-//! protocol and of the users hold, and all that was accepted is done or cancelled in the end.
+//! Scripted combinations of two overlapping faults, each over a few seeds. No rule of the protocol or
+//! of the users is violated, and every accepted job is done or cancelled in the end.
 
 use model::world::{config, job, Defect, Fault, World};
 use sched::config::SchedulerConfig;
 use wire::users::{Job, Shape};
 
-/// A day with short and long jobs of both teams on machines that run, arrays and gangs; long ones
-/// outlast `cancel_s` and every fault.
+/// A world in which machines run short and long arrays and gangs of both teams. The long ones outlast
+/// `cancel_s` and every fault.
 fn busy_world(seed: u64, defect: Defect, config: SchedulerConfig) -> World {
     let mut world = World::with_config(seed, defect, config);
     world.late_copy_percent = 5;
@@ -25,12 +25,12 @@
     world.advance(25.0);
     assert!(
         !world.busy_machines(1).is_empty(),
-        "seed {seed}: nothing runs"
+        "seed {seed}: no machine runs a task"
     );
     world
 }
 
-/// Plays a combination of faults on several seeds, and checks the days.
+/// Runs a combination of faults on several seeds, and checks that the rules hold and all jobs end.
 fn check_scenario(seeds: u64, script: impl Fn(&mut World)) {
     check_scenario_with(seeds, config(), script);
 }
@@ -41,7 +41,7 @@
         script(&mut world);
         assert!(
             world.cancellations > 0,
-            "seed {seed}: nothing was cancelled"
+            "seed {seed}: no cancellation was confirmed"
         );
         world.run_until_done(400.0);
         assert!(
@@ -59,10 +59,10 @@
     }
 }
 
-/// Seeds on which a defect may show: some take the right moment, met on about one seed in nine.
+/// Seeds tried until a defect shows. Some defects need a certain timing, which about one seed in nine has.
 const DEFECT_SEEDS: u64 = 60;
 
-/// Whether a day with a defect breaks a rule on one of several seeds: the checks can fail.
+/// Whether a defect violates a rule on one of several seeds, which shows that the check can fail.
 fn is_violated(
     rule: &str,
     defect: Defect,
@@ -77,7 +77,7 @@
     })
 }
 
-/// Users cancel jobs until one is confirmed.
+/// Cancels running jobs until one cancellation is confirmed.
 fn cancel_until_confirmed(world: &mut World) {
     while world.cancel_running(1).is_empty() {
         world.advance(0.5);
@@ -91,10 +91,10 @@
     world.leader_index().unwrap_or(0)
 }
 
-/// The store refuses the leader, others confirm cancellations, then it is out for everybody.
+/// The store refuses the leader while other controllers confirm cancellations; then it is down for all.
 fn refuse_leader_then_all(world: &mut World, refused_s: f64, out_s: f64) {
     let leader = wait_for_leader(world);
-    // It is served again when the others are.
+    // The refusal ends during the outage: the leader is served again together with the others.
     world.refuse_controller(leader, refused_s + out_s / 2.0);
     world.advance(refused_s / 2.0);
     world.cancel_running(2);
@@ -121,7 +121,8 @@
     }
 }
 
-/// The store serves renewals between outages, but no read in time; nobody tells the leader.
+/// Between outages the store renews leases, but serves no read in time, and no controller tells the leader
+/// of the cancellations that it confirms.
 fn repeated_outages_with_slow_reads(world: &mut World) {
     world.cancel_hints = false;
     world.extra_read_s = 2.5;
@@ -135,7 +136,7 @@
 
 #[test]
 fn outages_repeat_within_seconds() {
-    // Each outage is shorter than a lease, and together they last longer than `cancel_s`.
+    // Each outage is shorter than a lease, but together they last longer than `cancel_s`.
     check_scenario(6, repeated_outages_with_slow_reads);
     check_scenario(4, |world| {
         refuse_leader_then_all(world, 1.0, 1.2 * config().cancel_s);
@@ -146,7 +147,7 @@
 
 #[test]
 fn store_outage_with_another_fault() {
-    // The controller that confirmed ends right after.
+    // The controllers that confirmed the cancellations restart right after.
     check_scenario(4, |world| {
         let leader = wait_for_leader(world);
         world.refuse_controller(leader, 10.0);
@@ -159,7 +160,7 @@
         world.store_outage(1.3 * config().cancel_s);
         world.advance(1.4 * config().cancel_s);
     });
-    // The leader is cut from its peers as well.
+    // The leader is partitioned from its peers as well.
     check_scenario(4, |world| {
         let leader = wait_for_leader(world);
         world.partition_controller(leader, 14.0);
@@ -169,7 +170,7 @@
         world.store_outage(1.3 * config().cancel_s);
         world.advance(1.4 * config().cancel_s);
     });
-    // Machines hang through its start, and go on within their leases.
+    // Machines hang while it begins, and resume within their leases.
     check_scenario(4, |world| {
         let names = world.busy_machines(6);
         world.hang_machines(&names, 6.0);
@@ -186,7 +187,7 @@
             config(),
             repeated_outages_with_slow_reads
         ),
-        "it went unnoticed"
+        "no violation detected"
     );
 }
 
@@ -198,7 +199,7 @@
         let leader = wait_for_leader(world);
         world.restart_controller(leader, 4.0);
         world.advance(6.0);
-        // Now their heartbeats arrive, but not the next leader's responses.
+        // Now the machines' heartbeats arrive, but the next leader's responses do not.
         world.drop_responses(&names, 12.0);
         let leader = wait_for_leader(world);
         world.restart_controller(leader, 0.1);
@@ -218,7 +219,7 @@
             world.advance(5.0);
             world.cancel_running(1);
         }
-        // Machines begin a new incarnation meanwhile.
+        // Some machines lose their leases meanwhile and begin new incarnations.
         let names = world.busy_machines(4);
         world.drop_heartbeats(&names, 10.0);
         world.advance(25.0);
@@ -248,7 +249,7 @@
             "seed {seed}: {:?}",
             world.violations
         );
-        // One winner: whoever wrote first, and so it stays; nobody can cancel it again.
+        // Whichever record was written first stands, and the job cannot be cancelled afterwards.
         cancelled_count += cancelled.len();
         assert!(cancelled
             .iter()
@@ -326,7 +327,7 @@
 #[test]
 fn team_at_limit_with_hung_machines_and_new_leader() {
     check_scenario(8, |world| {
-        // Far more than the limit of 24 CPUs.
+        // Far more than the team's limit of 24 CPUs.
         (0..6).for_each(|i| {
             world.submit(Job {
                 estimate_s: 30.0,
@@ -412,7 +413,7 @@
 fn tasks_of_a_job_end_far_apart_across_leaders() {
     check_scenario(8, |world| {
         for i in 0..12 {
-            // On machines that hang or not, the same tasks end at different times.
+            // Some machines hang, so that tasks of one job end at different times.
             world.submit(Job {
                 estimate_s: 6.0,
                 ..job(500 + i, "blue", Shape::Array, 2 + i % 2, 1.0)
@@ -432,7 +433,7 @@
     });
 }
 
-/// Heartbeats every 6 s, leaders every 3: no heartbeat shows the token of the day.
+/// Heartbeats come every 6 s and leaders change about every 3 s, so no heartbeat has the current token.
 #[test]
 fn leaders_change_faster_than_heartbeats() {
     let slow = SchedulerConfig {
@@ -456,12 +457,12 @@
     check_scenario_with(6, slow.clone(), script);
     assert!(
         is_violated("ran_cancelled", Defect::ForgetCancelled, slow, script),
-        "the check can't fail"
+        "no violation detected"
     );
 }
 
-/// The leader freezes while its clock runs on, once with a response that it has just decided, and jobs
-/// are cancelled through the others; then it goes on.
+/// The leader freezes while its clock runs on, right before it sends a response, and jobs are cancelled
+/// through the others; then it resumes. Then another controller freezes.
 fn freeze_controllers(world: &mut World) {
     world.cancel_hints = false;
     let lease = config().lease_s;
@@ -488,12 +489,12 @@
     ] {
         assert!(
             is_violated(rule, defect, config(), freeze_controllers),
-            "{rule}: the check can't fail"
+            "{rule}: no violation detected"
         );
     }
 }
 
-/// All stand still for longer than a lease, and longer than a cancellation may take.
+/// All controllers freeze for half a lease, for longer than a lease, and for longer than `cancel_s`.
 #[test]
 fn all_controllers_freeze_and_resume() {
     let (lease, cancel) = (config().lease_s, config().cancel_s);
@@ -568,14 +569,14 @@
 
 #[test]
 fn ignoring_expected_versions_is_detected() {
-    // An old page of the roster or an old binding makes the next leader start tasks again.
+    // An old roster page or an old binding makes the next leader start tasks a second time.
     assert!(
         is_violated("ran_twice", Defect::IgnoreVersions, config(), delay_writes),
-        "it went unnoticed"
+        "no violation detected"
     );
 }
 
-/// Work of the other team keeps machines in use that have capacity to spare.
+/// Jobs of the other team keep machines in use that have free capacity, beside which red's arrays wait.
 #[test]
 fn leaving_work_waiting_beside_capacity_is_detected() {
     let mut world = busy_world(1, Defect::HideRedArrays, config());
@@ -588,12 +589,12 @@
     world.run_until_done(150.0);
     assert!(
         world.violations.contains("waits"),
-        "it went unnoticed: {:?}",
+        "no violation detected: {:?}",
         world.violations
     );
 }
 
-/// A leader that never learns of cancellations goes on starting tasks of cancelled jobs.
+/// A leader that never learns of cancellations continues to start tasks of cancelled jobs.
 #[test]
 fn starting_cancelled_tasks_is_detected() {
     let script = |world: &mut World| {
@@ -611,6 +612,6 @@
     };
     assert!(
         is_violated("started_cancelled", Defect::IgnoreCancel, config(), script),
-        "it went unnoticed"
+        "no violation detected"
     );
 }
--- a/crates/model/tests/spot_notices.rs
+++ b/crates/model/tests/spot_notices.rs
@@ -1,4 +1,4 @@
-//! What is saved when the cloud announces that it takes a machine back.
+//! Which tasks are stopped, so that they save, when a spot machine gets a preemption notice.
 
 use model::world::{
     config, job, lone_leader, machine_status, machine_type, roster, roster_record, task_status,
@@ -13,8 +13,8 @@
 
 const ATTEMPT: u64 = 7;
 
-/// The tasks that are told to stop when the first of two machines, each with two tasks of a job that
-/// saves, gets its notice.
+/// Returns the tasks that are told to stop when the first of two machines gets a preemption notice. Each
+/// machine runs two tasks of a job with checkpoints.
 fn stopped_by_notice(shape: Shape) -> BTreeSet<u32> {
     let spec = Job {
         checkpoint_s: 30.0,
@@ -52,7 +52,10 @@
         leader.tick(now, 0);
         for action in leader.take_actions() {
             if let Action::Send(_, ToOwner::Stop { task, grace_s, .. }) = action {
-                assert!(grace_s >= 2.0, "there is time to save");
+                assert!(
+                    grace_s >= 2.0,
+                    "task {task:?} needs 2 s to save, and gets {grace_s} s"
+                );
                 stopped.insert(task.index);
             }
         }
@@ -66,14 +69,14 @@
     stopped
 }
 
-/// One machine's notice had all tasks of an array stopped, wherever they ran: 25,600 of 8,274 tasks on
-/// a day with an array that saves on 750 cheap machines.
+/// Guards against one machine's notice stopping all tasks of an array, wherever they run: with an array with
+/// checkpoints on 750 spot machines, tasks were stopped 25,600 times, of 8,274 tasks.
 #[test]
 fn notice_stops_only_array_tasks_on_its_machine() {
     assert_eq!(stopped_by_notice(Shape::Array), BTreeSet::from([0, 1]));
 }
 
-/// A gang that loses a task loses its progress since the last checkpoint: all of it saves together.
+/// A gang that loses one task loses all progress since its last checkpoint, so all its tasks save together.
 #[test]
 fn notice_stops_all_tasks_of_gang() {
     assert_eq!(stopped_by_notice(Shape::Gang), BTreeSet::from([0, 1, 2, 3]));
