--- a/crates/model/tests/preemption.rs
+++ b/crates/model/tests/preemption.rs
@@ -1,4 +1,4 @@
-//! Resources taken back for gangs of several tasks: for the whole gang or not at all.
+//! Preemption for gangs of several tasks, which takes place for the whole gang or not at all, and its order.
 
 use model::world::{
     config_without_deprovisioning, job, lone_leader, machine_status, machine_type, machine_types,
@@ -14,11 +14,11 @@
 const ARRAY_ATTEMPT: u64 = 7;
 const HOSTS: [&str; 2] = ["host-1", "host-2"];
 
-/// A leader whose two machines, with capacity for one task each, run the first two tasks of an array.
+/// A leader with two machines, each of which has capacity for one task and runs one of an array's first two.
 struct PreemptionScenario {
     leader: Leader,
     now: f64,
-    /// What each machine heartbeats.
+    /// The tasks in each machine's heartbeats.
     tasks: BTreeMap<&'static str, Vec<TaskStatus>>,
     stopped: BTreeSet<TaskRef>,
     provisioned: u32,
@@ -71,7 +71,7 @@
         scenario
     }
 
-    /// Lets time pass; says whether capacity for a gang was held meanwhile.
+    /// Advances the time; returns whether capacity was reserved for a gang meanwhile.
     fn advance(&mut self, seconds: f64) -> bool {
         let mut reserved = false;
         let end = self.now + seconds;
@@ -119,8 +119,8 @@
     }
 }
 
-/// Long tasks of low priority held all machines that a gang fits on; capacity was taken back for single
-/// tasks only, so the gang waited for their ends.
+/// Guards against preemption for single tasks only: long tasks of low priority held all machines that a gang
+/// fits on, and the gang waited until they ended.
 #[test]
 fn capacity_is_reclaimed_and_held_for_whole_gang() {
     let mut scenario =
@@ -134,26 +134,26 @@
             .collect::<Vec<_>>(),
         [0, 1]
     );
-    // One machine is free before the other: the array does not get it back.
+    // One machine is free before the other. The array does not get it back.
     scenario.stop_task("host-1", 0);
     assert!(!scenario.advance(1.0));
     scenario.stop_task("host-2", 1);
     assert!(
         scenario.advance(1.0),
-        "the gang's capacity is held as soon as all of it is free"
+        "the gang's capacity is not reserved though all of it is free"
     );
     assert_eq!(
         scenario.assigned, 0,
-        "nothing else is placed there meanwhile"
+        "tasks were placed on the capacity held for the gang"
     );
     assert!(
         scenario.provisioned <= 2,
-        "{}: only for the tasks that were stopped",
+        "{} machines provisioned, for two stopped tasks",
         scenario.provisioned
     );
 }
 
-/// Half a gang's capacity serves nobody.
+/// Capacity for a part of a gang is of no use, so nothing is stopped for it.
 #[test]
 fn nothing_is_preempted_for_unplaceable_gang() {
     let mut scenario =
@@ -162,11 +162,11 @@
     assert!(scenario.stopped.is_empty(), "{:?}", scenario.stopped);
     assert!(
         scenario.provisioned > 0,
-        "machines are provisioned for it instead"
+        "no machine was provisioned for the gang"
     );
 }
 
-/// Work of the same priority that its team runs within its guarantee is left alone.
+/// Tasks of the same priority that are within their team's guarantee are not preempted.
 #[test]
 fn gang_preempts_nothing_within_guarantee() {
     let array = Job {
@@ -178,8 +178,8 @@
     assert!(scenario.stopped.is_empty(), "{:?}", scenario.stopped);
 }
 
-/// What saves loses no more than the time that takes, however long it has run: it goes before what
-/// began later and would have to begin anew.
+/// A task that saves loses no more than the time for saving, however long it has run. It is preempted before
+/// a task that began later and would have to start over.
 #[test]
 fn checkpointed_tasks_are_preempted_first() {
     let mut scenario =
@@ -219,8 +219,8 @@
     assert_eq!(stopped, ["wk-000001"]);
 }
 
-/// Machines are cordoned for a gang that waits long and for which nothing can be stopped: a younger
-/// one could not use what is stopped for it, and would not have been provisioned for.
+/// Machines are cordoned for a gang that has waited long and for which nothing can be preempted. A younger gang
+/// could not use the capacity that is preempted for it, and would get no new machines either.
 #[test]
 fn nothing_is_preempted_behind_unplaceable_gang() {
     let mut scenario =
@@ -236,12 +236,12 @@
     assert!(scenario.stopped.is_empty(), "{:?}", scenario.stopped);
     assert!(
         scenario.provisioned > 0,
-        "machines are provisioned for it instead"
+        "no machine was provisioned for the gang"
     );
 }
 
-/// The pass keeps machine types that alone fit some class for that class. What is free of them is no capacity
-/// for another gang: it was taken for such, and nothing was provisioned.
+/// The placement pass reserves a machine type for a class that fits on no other type. Guards against counting
+/// free capacity of such a type for another gang, for which then no machine was provisioned.
 #[test]
 fn reserved_machine_type_is_no_capacity_for_gang() {
     let large_only = Job {
@@ -276,6 +276,6 @@
     }
     assert!(
         provisioned >= 2,
-        "{provisioned}: machines of the small type for the gang"
+        "{provisioned} machines provisioned, though the gang needs two"
     );
 }
--- a/crates/model/tests/reference_placement.rs
+++ b/crates/model/tests/reference_placement.rs
@@ -1,4 +1,4 @@
-//! The one pass against the plain model.
+//! The leader's placement pass compared with the reference model, and cases of guarantees and priorities.
 
 // The helpers of these tests unwrap as the tests do.
 #![allow(clippy::unwrap_used)]
@@ -14,7 +14,8 @@
 use wire::peers::{MachineStatus, ToLeader, ToOwner};
 use wire::users::{Job, Priority, Shape};
 
-/// A leader that is its only owner, with empty machines that are known and rostered.
+/// A leader that is its own only owner, with empty machines that are reconciled and in the roster, and a
+/// CPU limit for the team `red`.
 fn leader_with_limit(machines: &[(&str, &str)], limit: f64) -> Leader {
     let mut config = config();
     config.teams.get_mut("red").unwrap().cpus_max = limit;
@@ -64,7 +65,7 @@
 const CPUS_AND_MEMORY_OF_SMALL: (f64, f64) = (4.0, 16.0);
 const CPUS_AND_MEMORY_OF_LARGE: (f64, f64) = (16.0, 64.0);
 
-/// An empty machine of the plain model.
+/// An empty machine of the reference model.
 fn reference_machine(name: &str, kind: &str) -> ReferenceMachine {
     let (cpus, memory_gb) = match kind {
         "small" => CPUS_AND_MEMORY_OF_SMALL,
@@ -78,7 +79,7 @@
     }
 }
 
-/// Up to five machines of either type.
+/// One to five machines, each of a random type.
 fn random_machines(rng: &mut fastrand::Rng) -> Vec<(&'static str, &'static str)> {
     let names = ["host-1", "host-2", "host-3", "host-4", "host-5"];
     let count = rng.usize(1..=names.len());
@@ -88,11 +89,11 @@
         .collect()
 }
 
-/// Up to six jobs that each fit into a limit, in the order of their ids.
+/// Up to six random jobs, in the order of their ids. Each uses at most `limit` CPUs.
 fn random_jobs(rng: &mut fastrand::Rng, limit: f64) -> Vec<Job> {
     let count = rng.u32(1..7);
     let random_job = |number| {
-        // Single-task gangs: for larger ones the pass may choose machines in bulk.
+        // Gangs have one task only: for larger ones the pass may choose machines in bulk.
         let is_gang = rng.bool();
         let shape = if is_gang { Shape::Gang } else { Shape::Array };
         let tasks = if is_gang { 1 } else { rng.u32(1..6) };
@@ -107,7 +108,7 @@
     jobs
 }
 
-/// The jobs within the guarantee first, then the others, each in order of creation.
+/// Orders the jobs within the team's guarantee of 8 CPUs first, then the others, each in order of creation.
 fn by_guarantee(jobs: &[Job]) -> Vec<Job> {
     let (mut within, mut beyond, mut cpus) = (Vec::new(), Vec::new(), 0.0);
     for job in jobs {
@@ -138,7 +139,7 @@
         }
         leader.start_record_result(&started_arrays(jobs.len() as u64), true);
         leader.tick(5.1, 0);
-        // A class with a task that fits only the large type keeps that type for itself.
+        // A class with a task that fits only the large type reserves it, which the model does not know.
         if jobs.iter().any(|job| job.cpus > 4.0) {
             continue;
         }
@@ -155,8 +156,8 @@
     assert!(gangs > 50);
 }
 
-/// Ten teams: arrays of one that came first, and take more than all there is, leave the others
-/// what is within their guarantees; its own limit bounds them.
+/// Of ten teams, one submits arrays first that need more than the whole cluster. They are bounded by that
+/// team's limit, and the other teams get the capacity within their guarantees.
 #[test]
 fn large_arrays_leave_other_teams_their_guarantees() {
     let mut config = config();
@@ -194,7 +195,7 @@
     assert_eq!(first, 50, "the limit of the first team");
 }
 
-/// Machines that an earlier leader rostered stay in use (they once idled until returned).
+/// Guards against a new leader leaving the machines of the roster idle until they are deprovisioned.
 #[test]
 fn new_leader_uses_rostered_machines() {
     let roster = roster(["host-1"], &roster_record("small"));
@@ -204,16 +205,16 @@
     let usable = leader.take_actions().into_iter().any(
         |action| matches!(action, Action::Send(_, ToOwner::Epoch { machines, .. }) if machines.iter().any(|c| c.name == "host-1" && c.usable)),
     );
-    assert!(usable, "the owner was not told that it may use the machine");
+    assert!(usable, "the owner was not told that host-1 is usable");
 }
 
-/// Tasks of blue that a guaranteed job of red has stopped, by blue's guarantee.
+/// Returns how many tasks of `blue` are stopped for a guaranteed job of `red`, given blue's guarantee in CPUs.
 fn stopped_for_red(blue_guarantee: f64) -> usize {
     let inherited = BTreeMap::new();
     stopped_by_priority(blue_guarantee, Priority::Standard, &inherited)
 }
 
-/// The same where red's job has a priority of its own, and jobs are treated with others.
+/// Like `stopped_for_red`, with a given priority of red's job, and with inherited priorities by job.
 fn stopped_by_priority(
     blue_guarantee: f64,
     red: Priority,
@@ -279,12 +280,12 @@
     assert_eq!(
         stopped_for_red(12.0),
         0,
-        "work within its guarantee was stopped"
+        "tasks within the guarantee of their team were stopped"
     );
 }
 
-/// First stages of pipelines, best effort, inherited `high` and stopped arrays of others by the thousand:
-/// what is stopped for a job goes by its own priority, what it is spared by the inherited one.
+/// A job preempts by its own priority, but is protected by the one that it inherits. Guards against
+/// best-effort first stages of pipelines that inherited `high` and had thousands of other arrays stopped.
 #[test]
 fn inherited_priority_preempts_nothing() {
     let guarantee = 12.0;
--- a/crates/model/tests/scale_out.rs
+++ b/crates/model/tests/scale_out.rs
@@ -1,4 +1,5 @@
-//! Which machines are provisioned for a queue, when some types are kept for gangs and the cloud refuses.
+//! Which machines are provisioned for a queue when some types are reserved for gangs and the cloud refuses
+//! requests.
 
 use model::world::{
     config_without_deprovisioning, job, lone_leader, machine_status, machine_types, roster,
@@ -12,7 +13,7 @@
 use wire::peers::ToLeader;
 use wire::users::{Job, Shape};
 
-/// A leader alone, and the provision requests that it asked for.
+/// A leader that is its own only owner, and the provision requests that it has sent, by time.
 struct ScaleOutScenario {
     leader: Leader,
     now: f64,
@@ -39,7 +40,7 @@
         scenario
     }
 
-    /// A gang that fits only on `large` is accepted and ends: that type is kept for its class.
+    /// Accepts and ends a gang that fits only on `large`, so that this type is reserved for its class.
     fn complete_large_gang(&mut self) {
         let gang = Job {
             class: "large-gang".into(),
@@ -56,13 +57,13 @@
         self.leader.add_job(OpenJob::new(job, 1, PriorRuns::None));
     }
 
-    /// Time passes; the cloud has no machines at all, and the store takes what is written.
+    /// Advances the time. The cloud has no machines at all, and the store accepts all writes.
     fn advance(&mut self, seconds: f64) {
         let end = self.now + seconds;
         while self.now < end {
             self.now += 0.25;
             self.leader.tick(self.now, 0);
-            // Each machine is shown empty once; what is given to it afterwards stays there.
+            // Each machine is reported once, as empty. Tasks that it gets afterwards never end.
             let statuses: Vec<_> = std::mem::take(&mut self.unreported_machines)
                 .iter()
                 .map(|machine| machine_status(machine, "small", vec![]))
@@ -93,8 +94,8 @@
     }
 }
 
-/// Of several offers one was always out of its back-off and was asked for in full again, so that arrays
-/// waited for a minute beside 53 machines of the type kept for gangs that the cloud had left.
+/// Guards against requesting the full count again from each offer whose backoff has ended. One of several always
+/// had, so that arrays waited for a minute while the cloud had 53 machines left of the type reserved for gangs.
 #[test]
 fn refused_types_are_retried_one_machine_at_a_time() {
     let mut scenario = ScaleOutScenario::new(0);
@@ -110,21 +111,27 @@
     {
         let first = *first_request.entry(&request.zone).or_insert(*at);
         if *at > first {
-            assert_eq!(request.count, 1, "asked again in full after {at} s");
+            assert_eq!(
+                request.count, 1,
+                "the full count was requested again after {at} s"
+            );
             retries += 1;
         }
     }
-    assert!(retries > 1, "nothing was tried again");
+    assert!(retries > 1, "no refused offer was retried");
     let (first, _) = scenario
         .requests
         .iter()
         .find(|(_, request)| request.kind == "large")
-        .expect("a large machine");
-    assert!(*first < 6.0, "only after {first} s");
+        .expect("no request for a large machine");
+    assert!(
+        *first < 6.0,
+        "the first large machine was requested only after {first} s"
+    );
 }
 
-/// A small gang that fits on any machine waits. Arrays may have the type kept for large gangs all the
-/// same: in pipelines some small gang waits at nearly all times.
+/// While a small gang waits that fits on any machine, arrays may still use the type reserved for large gangs:
+/// with pipelines, some small gang waits nearly all the time.
 #[test]
 fn small_gang_does_not_block_arrays_from_reserved_type() {
     for (tasks, cpus, expected) in [(2, 1.0, true), (2, 14.0, false)] {
@@ -136,23 +143,29 @@
         });
         scenario.accept(job(2, "red", Shape::Array, 400, 1.0));
         scenario.advance(20.0);
-        // Of a gang's own two machines there is no more than a few tries.
+        // Requests for the gang itself are for two machines at most.
         let for_arrays = scenario
             .requests_for("large")
             .any(|request| request.count > 2);
-        assert_eq!(for_arrays, expected, "a gang of {cpus} CPUs a task waits");
+        assert_eq!(
+            for_arrays, expected,
+            "with a waiting gang of {cpus} CPUs per task"
+        );
     }
 }
 
-/// What running tasks free while a machine boots was counted as the queue's, though new jobs took it: the
-/// queue only grew. One array alone is still left to what becomes free.
+/// Guards against counting all capacity that running tasks free during a boot for the queue: new jobs took it,
+/// and the queue only grew. For a single array, no machine is provisioned beside the capacity that becomes free.
 #[test]
 fn machines_are_provisioned_for_growing_queue() {
     for (arrays, expected) in [(1, false), (60, true)] {
         let mut scenario = ScaleOutScenario::new(10);
         scenario.accept(job(1, "red", Shape::Array, 40, 1.0));
         scenario.advance(2.0);
-        assert!(scenario.requests.is_empty(), "all of it runs");
+        assert!(
+            scenario.requests.is_empty(),
+            "machines were requested though all tasks run"
+        );
         // Forty tasks of 3 s free some 13 CPUs a second, and 40 while a machine boots for 3 s.
         for number in 0..arrays {
             scenario.accept(job(2 + number, "red", Shape::Array, 30, 1.0));
@@ -161,6 +174,10 @@
                 .leader
                 .on_job_terminal(&job(2 + number, "red", Shape::Array, 30, 1.0).id);
         }
-        assert_eq!(!scenario.requests.is_empty(), expected, "{arrays} arrays");
+        assert_eq!(
+            !scenario.requests.is_empty(),
+            expected,
+            "with {arrays} arrays"
+        );
     }
 }
--- a/crates/model/tests/staleness.rs
+++ b/crates/model/tests/staleness.rs
@@ -1,5 +1,5 @@
-//! How stale a view of the store may be for responses to heartbeats and for starts, and which tasks are
-//! stopped.
+//! How stale a controller's view of the store may be when it responds to heartbeats and starts tasks, and
+//! which tasks of terminal jobs are stopped.
 
 use model::world::{
     config, owner_of_one_machine, roster, roster_record, task_requirements, EmptyJobLookup,
@@ -15,7 +15,7 @@
 use wire::users::Shape;
 use wire::workers::{Heartbeat, Order, ReportedTask, TaskState, Why};
 
-/// A replica that knows wk-1 as open or as terminal.
+/// A replica that holds only `wk-1`, as open or as terminal.
 struct JobReplica {
     is_terminal: bool,
 }
@@ -95,7 +95,7 @@
     }
 }
 
-/// A task of another job that waits at the owner for what becomes free.
+/// An assignment of a backlog task, which waits at the owner for capacity that becomes free.
 fn backlog_assignment(job: &str) -> ToOwner {
     ToOwner::AssignBacklog {
         job: job.into(),
@@ -106,7 +106,7 @@
     }
 }
 
-/// Whether an owner sets resources aside for a gang of one task.
+/// Asks an owner to reserve resources for a gang of one task; returns whether it does.
 fn try_reserve(owner: &mut Owner, attempt: u64, cpus: f64, now: f64) -> bool {
     let reserve = ToOwner::Reserve {
         job: "wk-2".into(),
@@ -121,11 +121,11 @@
         ToLeader::ReserveResult { reserved, .. } => Some(reserved),
         _ => None,
     });
-    result.expect("the owner answers")
+    result.expect("the owner sent no result of the reservation")
 }
 
-/// Leaders changed faster than a machine sent heartbeats: each response only told it the next token
-/// and prolonged its lease, so that a cancelled task ran on past `cancel_s`.
+/// Guards against cancelled tasks that outlive `cancel_s` when leaders change faster than a machine sends
+/// heartbeats: each response only carried the next token and renewed the lease.
 #[test]
 fn response_to_ignored_heartbeat_stops_terminal_jobs() {
     let mut owner = owner_with_fresh_replica();
@@ -141,7 +141,7 @@
         )),
         vec![stop_order()]
     );
-    // The leader said so, and this controller's own replica is blind.
+    // The leader reports the job as terminal, which this controller's replica does not show yet.
     owner.on_leader_message(
         ToOwner::TerminalJobs {
             jobs: vec!["wk-1".into()],
@@ -159,8 +159,8 @@
     );
 }
 
-/// A stop goes with every response until a heartbeat shows the task gone, though the leader never asks
-/// for it: it may have started after the job's record was terminal.
+/// Every response repeats the stop until a heartbeat shows that the task is gone, even if the leader never
+/// requests it: the task may have started after the job's record became terminal.
 #[test]
 fn stops_repeat_until_tasks_are_gone() {
     let mut owner = owner_with_fresh_replica();
@@ -174,7 +174,7 @@
             vec![stop_order()]
         );
     }
-    // A new epoch under which the records go on, and one under which they begin anew.
+    // An epoch that continues the previous token, and one that does not.
     for (token, previous_token) in [(6, 5), (7, 0)] {
         owner.on_leader_message(
             ToOwner::Epoch {
@@ -206,7 +206,8 @@
     );
 }
 
-/// A start that the owner holds when its job is cancelled is neither sent nor shown as pending.
+/// A start that the owner holds when the job is cancelled is neither sent to the worker nor reported as
+/// pending.
 #[test]
 fn tasks_of_terminal_job_do_not_start() {
     for is_notified in [false, true] {
@@ -239,7 +240,7 @@
             "is_notified={is_notified}"
         );
     }
-    // The same when the job is open: the check above can fail.
+    // With an open job the task does start, so the checks above can fail.
     let mut owner = owner_with_fresh_replica();
     owner.on_heartbeat(&heartbeat(1, 5, None), 11.0, &OPEN_JOB);
     owner.on_leader_message(assignment(), 11.0, &OPEN_JOB);
@@ -252,8 +253,9 @@
     );
 }
 
-/// Seen on a day at production size: a controller without the state service for minutes refused 1,209 of
-/// 1,256 reservations, since it did not know the jobs of the tasks that it had started itself.
+/// Guards against a failure seen in a run at production size: a controller that had no access to the state
+/// service for minutes refused 1,209 of 1,256 reservations, because it did not know the jobs of tasks that it
+/// had started itself.
 #[test]
 fn owner_with_stale_replica_knows_its_own_tasks() {
     let mut owner = owner_with_fresh_replica();
@@ -271,9 +273,9 @@
     assert!(try_reserve(&mut owner, 8, 3.0, 12.0));
     assert!(
         !try_reserve(&mut owner, 9, 1.0, 12.0),
-        "the machine has four CPUs"
+        "more than the machine's four CPUs were reserved"
     );
-    // Of what was not given through this owner it can't know what it takes.
+    // The owner can't know the resources of a task that was not assigned through it.
     let mut owner = owner_with_fresh_replica();
     owner.on_heartbeat(
         &heartbeat(1, 5, Some(TaskState::Running)),
@@ -283,7 +285,8 @@
     assert!(!try_reserve(&mut owner, 8, 1.0, 11.0));
 }
 
-/// The same for tasks of the backlog; those of terminal jobs do not start.
+/// An owner with a stale view starts backlog tasks of jobs that it does not know, but not those of terminal
+/// jobs.
 #[test]
 fn owner_with_stale_replica_starts_its_backlog() {
     let started_tasks = |is_terminal: bool, jobs: &dyn JobLookup, job: &str| {
@@ -304,8 +307,8 @@
     assert_eq!(started_tasks(false, &OPEN_JOB, "wk-1"), 1);
 }
 
-/// Starts need a view as fresh as the leadership; responses, which prolong leases, need one only so
-/// fresh that what was cancelled since is gone in time.
+/// Starts need a view as fresh as the leadership. Responses, which renew workers' leases, only need one fresh
+/// enough that tasks cancelled since are gone within `cancel_s`.
 #[test]
 fn stale_replica_ends_starts_then_responses() {
     let config = config();
@@ -317,7 +320,7 @@
         orders(owner.on_heartbeat(&heartbeat(2, 5, None), stale, &OPEN_JOB)),
         vec![]
     );
-    // It was only put off.
+    // The start was only postponed.
     owner.authority.record_read(stale);
     assert_eq!(
         orders(owner.on_heartbeat(&heartbeat(3, 5, None), stale + 0.1, &OPEN_JOB)).len(),
@@ -332,30 +335,34 @@
         owner.on_heartbeat(&heartbeat(5, 5, None), end + 0.01, &OPEN_JOB),
         HeartbeatResponse::Unavailable
     );
-    // The last lease that such a response can prolong ends within cancel_s of the read.
+    // The last lease that such a response can renew ends within `cancel_s` of the read.
     assert!(end + config.lease_s * 1.0005 <= stale + config.cancel_s);
 }
 
-/// An outage preserves the lease in the store: what its renewal gives back is worth nothing until a
-/// read that was sent after it.
+/// An outage preserves the lease in the store. Authority that is renewed after it had expired is not usable
+/// until a read that was sent after the renewal.
 #[test]
 fn expired_authority_needs_read_sent_after_renewal() {
     let mut authority = Authority::new(&config());
     authority.record_read(0.5);
     authority.renew(3.0, 1.0);
-    assert_eq!(authority.responses_until(), f64::MIN, "it had none before");
+    assert_eq!(
+        authority.responses_until(),
+        f64::MIN,
+        "usable before any read after the renewal"
+    );
     authority.record_read(1.0);
     assert_eq!(
         (authority.responses_until(), authority.starts_until()),
         (3.0, 3.0)
     );
-    // Renewed in time, it goes on.
+    // Renewed before it expires, it continues.
     authority.renew(4.0, 2.5);
     assert_eq!(
         (authority.responses_until(), authority.starts_until()),
         (4.0, 3.0)
     );
-    // It ran out at 4 and is renewed at 9, with a read that was sent before.
+    // It expired at 4 and is renewed at 9. The last read was sent before the renewal.
     authority.record_read(8.9);
     authority.renew(11.0, 9.0);
     assert_eq!(
@@ -382,8 +389,8 @@
     );
 }
 
-/// The leader hears of a cancellation from who confirmed it, later from the store, and tells the
-/// owners at once and at each new epoch.
+/// The leader learns of a cancellation from the controller that confirmed it, and later from the store. It
+/// notifies the owners once, at once, and again at each new epoch.
 #[test]
 fn owners_hear_cancellation_once_and_per_epoch() {
     let config = SchedulerConfig {
@@ -392,7 +399,7 @@
     };
     let spec = Rc::new(model::world::job(1, "red", Shape::Array, 4, 1.0));
     let open = OpenJob::new(spec, 1, PriorRuns::Anywhere);
-    // What it may have begun on that machine is not known yet.
+    // The job may have tasks on that machine, which is not reconciled yet.
     let roster = roster(["host-1"], &roster_record("small"));
     let mut leader = Leader::new("rung-0", config, 1, 1, 4.0, vec![open], &roster, 1, 0.0);
     leader.set_recently_cancelled([(
@@ -434,8 +441,8 @@
     );
 }
 
-/// A start that the owner took on by itself and gave up before any view showed it: the leader has to
-/// hear of it, or the task stays with that owner for ever.
+/// An owner drops a backlog start before any status report shows it. It has to hand the task back, as
+/// otherwise the leader would count the task as assigned to that owner forever.
 #[test]
 fn start_dropped_before_status_is_handed_back() {
     let mut owner = owner_with_fresh_replica();
