--- a/crates/model/tests/common/mod.rs
+++ b/crates/model/tests/common/mod.rs
@@ -6,8 +6,8 @@
 /// A record size limit so small that a progress bitmap holds eight tasks.
 const SMALL_VALUE_KB: f64 = 0.004;
 
-/// Runs a world in which most jobs have dependencies, under random faults. A rolling restart gives the
-/// controllers smaller records. Then the world runs for `quiet_s` without faults.
+/// Runs a world in which most jobs have dependencies, under random faults. A rolling restart gives
+/// the controllers smaller records. Then the world runs for `quiet_s` without faults.
 pub fn dependency_scenario(seed: u64, defect: Defect, quiet_s: f64) -> World {
     let mut world = World::new(seed, defect);
     world.dependent_percent = 70;
--- a/crates/model/tests/dependency_chains.rs
+++ b/crates/model/tests/dependency_chains.rs
@@ -19,8 +19,8 @@
     }
 }
 
-/// A world with a chain of four jobs, each of which depends on the one before, and the last also on the
-/// first. All three tasks of the first job are on machines.
+/// A world with a chain of four jobs, each of which depends on the one before, and the last also on
+/// the first. All three tasks of the first job are on machines.
 fn world_with_chain(seed: u64) -> World {
     let mut world = World::new(seed, Defect::None);
     world.submit(array_with_dependencies(1, &[], 20.0));
@@ -134,8 +134,8 @@
     }
 }
 
-/// Machines with tasks of the first job hang. The tasks run elsewhere, and the job is done while its
-/// earlier attempts may still exist. Its dependents start once it is done, and not before.
+/// Machines with tasks of the first job hang. The tasks run elsewhere, and the job is done while
+/// its earlier attempts may still exist. Its dependents start once it is done, and not before.
 #[test]
 fn earlier_attempt_hangs_while_job_completes() {
     for seed in 0..SEEDS {
@@ -147,8 +147,8 @@
     }
 }
 
-/// All controllers restart at once after the first job of the chain is cancelled, and later one after
-/// the other with another record size.
+/// All controllers restart at once after the first job of the chain is cancelled, and later one
+/// after the other with another record size.
 #[test]
 fn chain_is_cancelled_while_controllers_restart() {
     for seed in 0..SEEDS {
--- a/crates/model/tests/dependency_graph.rs
+++ b/crates/model/tests/dependency_graph.rs
@@ -201,8 +201,8 @@
     id
 }
 
-/// Ends a random open job, if there is one, and returns its id: done or cancelled if nothing blocks it,
-/// else cancelled or left open.
+/// Ends a random open job, if there is one, and returns its id: done or cancelled if nothing blocks
+/// it, else cancelled or left open.
 fn end_random_job(rng: &mut fastrand::Rng, reference: &mut ReferenceModel) -> Option<String> {
     let open: Vec<String> = reference.open_jobs().into_iter().collect();
     let id = open.get(rng.usize(0..open.len().max(1)))?.clone();
@@ -283,8 +283,8 @@
     }
 }
 
-/// Chains may be long, and many jobs may depend on one: an update visits only the edges it affects, and
-/// nothing recurses over the depth of a chain.
+/// Chains may be long, and many jobs may depend on one: an update visits only the edges it affects,
+/// and nothing recurses over the depth of a chain.
 #[test]
 fn long_chains_and_many_dependents() {
     const LENGTH: u32 = 20_000;
--- a/crates/model/tests/invariants.rs
+++ b/crates/model/tests/invariants.rs
@@ -1,4 +1,5 @@
-//! The rules and progress over many seeds, and defects that the checks must notice.
+//! Checks over many seeds that no rule is violated and that jobs make progress, and that deliberate
+//! defects are detected.
 
 mod common;
 
@@ -8,7 +9,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use wire::users::{Job, Shape};
 
-/// How long it is quiet after a day with dependencies.
+/// How long a scenario with dependencies runs on without faults, in seconds.
 const QUIET_S: f64 = 300.0;
 
 #[test]
@@ -106,12 +107,12 @@
     }
 }
 
-/// Responses to two machines are lost for good: they get no more tasks, and what they were to start runs
-/// elsewhere.
+/// All responses to two machines are lost for good. They get no more tasks, and the tasks that they
+/// should have started run elsewhere.
 #[test]
 fn machine_without_responses_holds_no_work() {
     for seed in 0..12 {
-        // Long enough for such a worker to come round to its owner again within its lease.
+        // Long enough for such a worker to try its owner again within its lease.
         let mut world = World::with_config(
             seed,
             Defect::None,
@@ -166,9 +167,9 @@
     }
 }
 
-/// Small gangs wait for every machine, in both zones, and each one that becomes free fits the
-/// next of them. A gang of three in one zone would never see three free at once, unless the
-/// machines of one zone are cordoned for it.
+/// Small gangs wait for machines of both zones, and each machine that becomes free fits the next of
+/// them. A gang of three tasks in one zone would never find three free machines at once if the
+/// machines of one zone were not cordoned for it.
 #[test]
 fn large_gang_is_not_starved_by_small_gangs() {
     let teams = unlimited_teams(&["red", "blue"]);
@@ -203,12 +204,12 @@
     let times = world.job_times()["wk-009999"];
     assert!(
         times.started.is_some_and(|at| at - times.accepted < 60.0),
-        "it began at {:?}",
+        "it started at {:?}",
         times.started
     );
     assert!(
         world.open_jobs().len() > 20,
-        "the machines were never short"
+        "there were always enough machines"
     );
     assert!(world.violations.is_empty(), "{:?}", world.violations);
 }
@@ -247,7 +248,7 @@
     world.run_random(150.0, 300.0);
     assert!(
         world.violations.contains(rule),
-        "{defect:?} went unnoticed: {:?}",
+        "{defect:?} was not detected: {:?}",
         world.violations
     );
     let mut healthy = World::new(4, Defect::None);
@@ -259,17 +260,17 @@
     let (violations, _, _) = run_seeds(defect, 0..30, 15);
     assert!(
         violations.contains(rule),
-        "{defect:?} went unnoticed: {violations:?}"
+        "{defect:?} was not detected: {violations:?}"
     );
 }
 
 #[test]
 fn trusting_delayed_heartbeats_is_detected() {
-    // What it leads to first depends on luck: a second start, or a limit exceeded by it.
+    // Depending on the timing, the defect shows as a second start or as a limit that it exceeds.
     let (violations, _, _) = run_seeds(Defect::TrustAnyHeartbeat, 0..60, 15);
     assert!(
         violations.contains("ran_twice") || violations.contains("quota"),
-        "went unnoticed: {violations:?}"
+        "TrustAnyHeartbeat was not detected: {violations:?}"
     );
 }
 
@@ -302,7 +303,8 @@
 fn task_outliving_completed_job_is_detected() {
     let violations_of = |defect| {
         let mut world = World::new(3, defect);
-        // More tasks than its team may run at a time: some begin when the others are done.
+        // More tasks than the team may run at a time, so that some start only after others are
+        // done.
         world.submit(Job {
             estimate_s: 60.0,
             ..job(1, "red", Shape::Array, 8, 4.0)
@@ -342,5 +344,8 @@
         let violations = reload_scenario(seed, Defect::ReloadDiscardsOwnWrites).violations;
         violations.contains("started_done")
     };
-    assert!((0..30).any(is_detected), "it went unnoticed");
+    assert!(
+        (0..30).any(is_detected),
+        "ReloadDiscardsOwnWrites was not detected"
+    );
 }
--- a/crates/model/tests/leader_and_owner.rs
+++ b/crates/model/tests/leader_and_owner.rs
@@ -52,9 +52,9 @@
     owner
 }
 
-/// A new owner's first response tells the worker its token. The next heartbeat, the first with that token,
-/// arrives only after the lease has expired. By then the worker has dropped the tasks in that heartbeat, and
-/// the leader has assigned them to another machine.
+/// A new owner's first response tells the worker its token. The next heartbeat, the first with that
+/// token, arrives only after the lease has expired. By then the worker has dropped the tasks in
+/// that heartbeat, and the leader has assigned them to another machine.
 #[test]
 fn heartbeat_sent_under_expired_lease_is_ignored() {
     let mut owner = owner_of_host_1();
@@ -114,8 +114,8 @@
     })
 }
 
-/// A task is complete when any of its attempts is done. An attempt that still runs elsewhere stays charged
-/// to its machine's capacity and its team's limit, and is stopped.
+/// A task is complete when any of its attempts is done. An attempt that still runs elsewhere stays
+/// charged to its machine's capacity and its team's limit, and is stopped.
 #[test]
 fn attempt_stays_charged_after_another_completes() {
     let spec = array("wk-1");
@@ -143,8 +143,8 @@
     assert!(leader.take_actions().iter().any(stop));
 }
 
-/// A job is cancelled while a new leader does not know yet what runs on a hung machine. The job's tasks may
-/// still run there, so they count against the team's limit.
+/// A job is cancelled while a new leader does not know yet what runs on a hung machine. The job's
+/// tasks may still run there, so they count against the team's limit.
 #[test]
 fn cancelled_job_counts_until_machines_reconcile() {
     let roster = roster(["host-1", "host-2", "host-3"], &roster_record("small"));
@@ -177,8 +177,8 @@
     );
 }
 
-/// All controllers start together and join the new leader within about two seconds. The leader waits for them
-/// and begins one epoch, instead of four that each move machines between owners.
+/// All controllers start together and join the new leader within about two seconds. The leader
+/// waits for them and begins one epoch, instead of four that each move machines between owners.
 #[test]
 fn starting_leader_waits_for_other_controllers() {
     let epochs = |starting: bool| {
@@ -221,8 +221,9 @@
     assert_eq!(epochs(false).len(), 4);
 }
 
-/// Guards against a few dead machines delaying a recovery: after a restart of all controllers, 6 dead machines
-/// of 1,779 kept all started arrays waiting for 21 s, though all others had sent heartbeats within 3 s.
+/// Guards against a few dead machines delaying a recovery: after a restart of all controllers, 6
+/// dead machines of 1,779 kept all started arrays waiting for 21 s, though all others had sent
+/// heartbeats within 3 s.
 #[test]
 fn few_silent_machines_are_deprovisioned_soon() {
     let deprovisioned_at = |silent: usize| {
@@ -261,8 +262,8 @@
     );
 }
 
-/// The record lists the arrays that are still queued as not started. A later leader can start those at once,
-/// even while it does not know what runs on a machine that sends no heartbeat.
+/// The record lists the arrays that are still queued as not started. A later leader can start those
+/// at once, even while it does not know what runs on a machine that sends no heartbeat.
 #[test]
 fn queued_arrays_are_not_recorded_as_started() {
     let mut leader = Leader::new(
@@ -325,9 +326,9 @@
     }
 }
 
-/// Short tasks may end more often than heartbeats arrive. A backlog task starts in the response to the first
-/// heartbeat that shows capacity for it, and is handed back if there is none in time. No task of a terminal
-/// job starts.
+/// Short tasks may end more often than heartbeats arrive. A backlog task starts in the response to
+/// the first heartbeat that shows capacity for it, and is handed back if there is none in time. No
+/// task of a terminal job starts.
 #[test]
 fn owner_backlog_fills_capacity_freed_in_heartbeat() {
     let mut owner = owner_of_host_1();
--- a/crates/model/tests/overlapping_faults.rs
+++ b/crates/model/tests/overlapping_faults.rs
@@ -1,12 +1,12 @@
-//! Scripted combinations of two overlapping faults, each over a few seeds. No rule of the protocol or
-//! of the users is violated, and every accepted job is done or cancelled in the end.
+//! Scripted combinations of two overlapping faults, each over a few seeds. No rule of the protocol
+//! or of the users is violated, and every accepted job is done or cancelled in the end.
 
 use model::world::{config, job, Defect, Fault, World};
 use sched::config::SchedulerConfig;
 use wire::users::{Job, Shape};
 
-/// A world in which machines run short and long arrays and gangs of both teams. The long ones outlast
-/// `cancel_s` and every fault.
+/// A world in which machines run short and long arrays and gangs of both teams. The long ones
+/// outlast `cancel_s` and every fault.
 fn busy_world(seed: u64, defect: Defect, config: SchedulerConfig) -> World {
     let mut world = World::with_config(seed, defect, config);
     world.late_copy_percent = 5;
@@ -59,7 +59,8 @@
     }
 }
 
-/// Seeds tried until a defect shows. Some defects need a certain timing, which about one seed in nine has.
+/// Seeds tried until a defect shows. Some defects need a certain timing, which about one seed in
+/// nine has.
 const DEFECT_SEEDS: u64 = 60;
 
 /// Whether a defect violates a rule on one of several seeds, which shows that the check can fail.
@@ -91,7 +92,8 @@
     world.leader_index().unwrap_or(0)
 }
 
-/// The store refuses the leader while other controllers confirm cancellations; then it is down for all.
+/// The store refuses the leader while other controllers confirm cancellations; then it is down for
+/// all.
 fn refuse_leader_then_all(world: &mut World, refused_s: f64, out_s: f64) {
     let leader = wait_for_leader(world);
     // The refusal ends during the outage: the leader is served again together with the others.
@@ -121,8 +123,8 @@
     }
 }
 
-/// Between outages the store renews leases, but serves no read in time, and no controller tells the leader
-/// of the cancellations that it confirms.
+/// Between outages the store renews leases, but serves no read in time, and no controller tells the
+/// leader of the cancellations that it confirms.
 fn repeated_outages_with_slow_reads(world: &mut World) {
     world.cancel_hints = false;
     world.extra_read_s = 2.5;
@@ -433,7 +435,8 @@
     });
 }
 
-/// Heartbeats come every 6 s and leaders change about every 3 s, so no heartbeat has the current token.
+/// Heartbeats come every 6 s and leaders change about every 3 s, so no heartbeat has the current
+/// token.
 #[test]
 fn leaders_change_faster_than_heartbeats() {
     let slow = SchedulerConfig {
@@ -461,8 +464,8 @@
     );
 }
 
-/// The leader freezes while its clock runs on, right before it sends a response, and jobs are cancelled
-/// through the others; then it resumes. Then another controller freezes.
+/// The leader freezes while its clock runs on, right before it sends a response, and jobs are
+/// cancelled through the others; then it resumes. Then another controller freezes.
 fn freeze_controllers(world: &mut World) {
     world.cancel_hints = false;
     let lease = config().lease_s;
@@ -494,7 +497,8 @@
     }
 }
 
-/// All controllers freeze for half a lease, for longer than a lease, and for longer than `cancel_s`.
+/// All controllers freeze for half a lease, for longer than a lease, and for longer than
+/// `cancel_s`.
 #[test]
 fn all_controllers_freeze_and_resume() {
     let (lease, cancel) = (config().lease_s, config().cancel_s);
@@ -576,7 +580,8 @@
     );
 }
 
-/// Jobs of the other team keep machines in use that have free capacity, beside which red's arrays wait.
+/// Jobs of the other team keep machines in use that have free capacity, beside which red's arrays
+/// wait.
 #[test]
 fn leaving_work_waiting_beside_capacity_is_detected() {
     let mut world = busy_world(1, Defect::HideRedArrays, config());
--- a/crates/model/tests/preemption.rs
+++ b/crates/model/tests/preemption.rs
@@ -1,4 +1,5 @@
-//! Preemption for gangs of several tasks, which takes place for the whole gang or not at all, and its order.
+//! Preemption for gangs of several tasks, which takes place for the whole gang or not at all, and
+//! its order.
 
 use model::world::{
     config_without_deprovisioning, job, lone_leader, machine_status, machine_type, machine_types,
@@ -14,7 +15,8 @@
 const ARRAY_ATTEMPT: u64 = 7;
 const HOSTS: [&str; 2] = ["host-1", "host-2"];
 
-/// A leader with two machines, each of which has capacity for one task and runs one of an array's first two.
+/// A leader with two machines, each of which has capacity for one task and runs one of an array's
+/// first two.
 struct PreemptionScenario {
     leader: Leader,
     now: f64,
@@ -119,8 +121,8 @@
     }
 }
 
-/// Guards against preemption for single tasks only: long tasks of low priority held all machines that a gang
-/// fits on, and the gang waited until they ended.
+/// Guards against preemption for single tasks only: long tasks of low priority held all machines
+/// that a gang fits on, and the gang waited until they ended.
 #[test]
 fn capacity_is_reclaimed_and_held_for_whole_gang() {
     let mut scenario =
@@ -178,8 +180,8 @@
     assert!(scenario.stopped.is_empty(), "{:?}", scenario.stopped);
 }
 
-/// A task that saves loses no more than the time for saving, however long it has run. It is preempted before
-/// a task that began later and would have to start over.
+/// A task that saves loses no more than the time for saving, however long it has run. It is
+/// preempted before a task that began later and would have to start over.
 #[test]
 fn checkpointed_tasks_are_preempted_first() {
     let mut scenario =
@@ -219,8 +221,9 @@
     assert_eq!(stopped, ["wk-000001"]);
 }
 
-/// Machines are cordoned for a gang that has waited long and for which nothing can be preempted. A younger gang
-/// could not use the capacity that is preempted for it, and would get no new machines either.
+/// Machines are cordoned for a gang that has waited long and for which nothing can be preempted. If
+/// tasks were stopped for a younger gang, it could not use the capacity, and no machines would be
+/// provisioned for it.
 #[test]
 fn nothing_is_preempted_behind_unplaceable_gang() {
     let mut scenario =
@@ -240,8 +243,9 @@
     );
 }
 
-/// The placement pass reserves a machine type for a class that fits on no other type. Guards against counting
-/// free capacity of such a type for another gang, for which then no machine was provisioned.
+/// The placement pass reserves a machine type for a class that fits on no other type. Guards
+/// against counting free capacity of such a type for another gang, for which then no machine was
+/// provisioned.
 #[test]
 fn reserved_machine_type_is_no_capacity_for_gang() {
     let large_only = Job {
--- a/crates/model/tests/reference_placement.rs
+++ b/crates/model/tests/reference_placement.rs
@@ -1,4 +1,5 @@
-//! The leader's placement pass compared with the reference model, and cases of guarantees and priorities.
+//! The leader's placement pass compared with the reference model, and cases of guarantees and
+//! priorities.
 
 // The helpers of these tests unwrap as the tests do.
 #![allow(clippy::unwrap_used)]
@@ -14,8 +15,8 @@
 use wire::peers::{MachineStatus, ToLeader, ToOwner};
 use wire::users::{Job, Priority, Shape};
 
-/// A leader that is its own only owner, with empty machines that are reconciled and in the roster, and a
-/// CPU limit for the team `red`.
+/// A leader that is its own only owner, with empty machines that are reconciled and in the roster,
+/// and a CPU limit for the team `red`.
 fn leader_with_limit(machines: &[(&str, &str)], limit: f64) -> Leader {
     let mut config = config();
     config.teams.get_mut("red").unwrap().cpus_max = limit;
@@ -108,7 +109,8 @@
     jobs
 }
 
-/// Orders the jobs within the team's guarantee of 8 CPUs first, then the others, each in order of creation.
+/// Orders the jobs within the team's guarantee of 8 CPUs first, then the others, each in order of
+/// creation.
 fn by_guarantee(jobs: &[Job]) -> Vec<Job> {
     let (mut within, mut beyond, mut cpus) = (Vec::new(), Vec::new(), 0.0);
     for job in jobs {
@@ -139,7 +141,8 @@
         }
         leader.start_record_result(&started_arrays(jobs.len() as u64), true);
         leader.tick(5.1, 0);
-        // A class with a task that fits only the large type reserves it, which the model does not know.
+        // A class with a task that fits only the large type reserves it, which the model does not
+        // know.
         if jobs.iter().any(|job| job.cpus > 4.0) {
             continue;
         }
@@ -156,8 +159,8 @@
     assert!(gangs > 50);
 }
 
-/// Of ten teams, one submits arrays first that need more than the whole cluster. They are bounded by that
-/// team's limit, and the other teams get the capacity within their guarantees.
+/// Of ten teams, one submits arrays first that need more than the whole cluster. They are bounded
+/// by that team's limit, and the other teams get the capacity within their guarantees.
 #[test]
 fn large_arrays_leave_other_teams_their_guarantees() {
     let mut config = config();
@@ -195,7 +198,8 @@
     assert_eq!(first, 50, "the limit of the first team");
 }
 
-/// Guards against a new leader leaving the machines of the roster idle until they are deprovisioned.
+/// Guards against a new leader leaving the machines of the roster idle until they are
+/// deprovisioned.
 #[test]
 fn new_leader_uses_rostered_machines() {
     let roster = roster(["host-1"], &roster_record("small"));
@@ -208,13 +212,15 @@
     assert!(usable, "the owner was not told that host-1 is usable");
 }
 
-/// Returns how many tasks of `blue` are stopped for a guaranteed job of `red`, given blue's guarantee in CPUs.
+/// Returns how many tasks of `blue` are stopped for a guaranteed job of `red`, given blue's
+/// guarantee in CPUs.
 fn stopped_for_red(blue_guarantee: f64) -> usize {
     let inherited = BTreeMap::new();
     stopped_by_priority(blue_guarantee, Priority::Standard, &inherited)
 }
 
-/// Like `stopped_for_red`, with a given priority of red's job, and with inherited priorities by job.
+/// Like `stopped_for_red`, with a given priority of red's job, and with inherited priorities by
+/// job.
 fn stopped_by_priority(
     blue_guarantee: f64,
     red: Priority,
@@ -285,7 +291,8 @@
 }
 
 /// A job preempts by its own priority, but is protected by the one that it inherits. Guards against
-/// best-effort first stages of pipelines that inherited `high` and had thousands of other arrays stopped.
+/// best-effort first stages of pipelines that inherited `high` and had thousands of other arrays
+/// stopped.
 #[test]
 fn inherited_priority_preempts_nothing() {
     let guarantee = 12.0;
--- a/crates/model/tests/scale_out.rs
+++ b/crates/model/tests/scale_out.rs
@@ -1,5 +1,5 @@
-//! Which machines are provisioned for a queue when some types are reserved for gangs and the cloud refuses
-//! requests.
+//! Which machines are provisioned for a queue when some types are reserved for gangs and the cloud
+//! refuses requests.
 
 use model::world::{
     config_without_deprovisioning, job, lone_leader, machine_status, machine_types, roster,
@@ -40,7 +40,8 @@
         scenario
     }
 
-    /// Accepts and ends a gang that fits only on `large`, so that this type is reserved for its class.
+    /// Accepts and ends a gang that fits only on `large`, so that this type is reserved for its
+    /// class.
     fn complete_large_gang(&mut self) {
         let gang = Job {
             class: "large-gang".into(),
@@ -94,8 +95,9 @@
     }
 }
 
-/// Guards against requesting the full count again from each offer whose backoff has ended. One of several always
-/// had, so that arrays waited for a minute while the cloud had 53 machines left of the type reserved for gangs.
+/// Guards against requesting the full count again when the backoff of an offer ends. Of several
+/// offers, there was always one to request again, so that arrays waited for a minute while the cloud
+/// had 53 machines left of the type reserved for gangs.
 #[test]
 fn refused_types_are_retried_one_machine_at_a_time() {
     let mut scenario = ScaleOutScenario::new(0);
@@ -130,8 +132,8 @@
     );
 }
 
-/// While a small gang waits that fits on any machine, arrays may still use the type reserved for large gangs:
-/// with pipelines, some small gang waits nearly all the time.
+/// While a small gang waits that fits on any machine, arrays may still use the type reserved for
+/// large gangs: with pipelines, some small gang waits nearly all the time.
 #[test]
 fn small_gang_does_not_block_arrays_from_reserved_type() {
     for (tasks, cpus, expected) in [(2, 1.0, true), (2, 14.0, false)] {
@@ -154,8 +156,9 @@
     }
 }
 
-/// Guards against counting all capacity that running tasks free during a boot for the queue: new jobs took it,
-/// and the queue only grew. For a single array, no machine is provisioned beside the capacity that becomes free.
+/// Guards against counting all capacity that running tasks free during a boot for the queue: new
+/// jobs took it, and the queue only grew. For a single array, no machine is provisioned beside the
+/// capacity that becomes free.
 #[test]
 fn machines_are_provisioned_for_growing_queue() {
     for (arrays, expected) in [(1, false), (60, true)] {
--- a/crates/model/tests/spot_notices.rs
+++ b/crates/model/tests/spot_notices.rs
@@ -13,8 +13,8 @@
 
 const ATTEMPT: u64 = 7;
 
-/// Returns the tasks that are told to stop when the first of two machines gets a preemption notice. Each
-/// machine runs two tasks of a job with checkpoints.
+/// Returns the tasks that are told to stop when the first of two machines gets a preemption notice.
+/// Each machine runs two tasks of a job with checkpoints.
 fn stopped_by_notice(shape: Shape) -> BTreeSet<u32> {
     let spec = Job {
         checkpoint_s: 30.0,
@@ -69,14 +69,15 @@
     stopped
 }
 
-/// Guards against one machine's notice stopping all tasks of an array, wherever they run: with an array with
-/// checkpoints on 750 spot machines, tasks were stopped 25,600 times, of 8,274 tasks.
+/// Guards against one machine's notice stopping all tasks of an array, wherever they run: with an
+/// array with checkpoints on 750 spot machines, tasks were stopped 25,600 times, of 8,274 tasks.
 #[test]
 fn notice_stops_only_array_tasks_on_its_machine() {
     assert_eq!(stopped_by_notice(Shape::Array), BTreeSet::from([0, 1]));
 }
 
-/// A gang that loses one task loses all progress since its last checkpoint, so all its tasks save together.
+/// A gang that loses one task loses all progress since its last checkpoint, so all its tasks save
+/// together.
 #[test]
 fn notice_stops_all_tasks_of_gang() {
     assert_eq!(stopped_by_notice(Shape::Gang), BTreeSet::from([0, 1, 2, 3]));
--- a/crates/model/tests/staleness.rs
+++ b/crates/model/tests/staleness.rs
@@ -1,5 +1,5 @@
-//! How stale a controller's view of the store may be when it responds to heartbeats and starts tasks, and
-//! which tasks of terminal jobs are stopped.
+//! How stale a controller's view of the store may be when it responds to heartbeats and starts
+//! tasks, and which tasks of terminal jobs are stopped.
 
 use model::world::{
     config, owner_of_one_machine, roster, roster_record, task_requirements, EmptyJobLookup,
@@ -124,8 +124,8 @@
     result.expect("the owner sent no result of the reservation")
 }
 
-/// Guards against cancelled tasks that outlive `cancel_s` when leaders change faster than a machine sends
-/// heartbeats: each response only carried the next token and renewed the lease.
+/// Guards against cancelled tasks that outlive `cancel_s` when leaders change faster than a machine
+/// sends heartbeats: each response only carried the next token and renewed the lease.
 #[test]
 fn response_to_ignored_heartbeat_stops_terminal_jobs() {
     let mut owner = owner_with_fresh_replica();
@@ -159,8 +159,8 @@
     );
 }
 
-/// Every response repeats the stop until a heartbeat shows that the task is gone, even if the leader never
-/// requests it: the task may have started after the job's record became terminal.
+/// Every response repeats the stop until a heartbeat shows that the task is gone, even if the
+/// leader never requests it: the task may have started after the job's record became terminal.
 #[test]
 fn stops_repeat_until_tasks_are_gone() {
     let mut owner = owner_with_fresh_replica();
@@ -206,8 +206,8 @@
     );
 }
 
-/// A start that the owner holds when the job is cancelled is neither sent to the worker nor reported as
-/// pending.
+/// A start that the owner holds when the job is cancelled is neither sent to the worker nor
+/// reported as pending.
 #[test]
 fn tasks_of_terminal_job_do_not_start() {
     for is_notified in [false, true] {
@@ -253,9 +253,9 @@
     );
 }
 
-/// Guards against a failure seen in a run at production size: a controller that had no access to the state
-/// service for minutes refused 1,209 of 1,256 reservations, because it did not know the jobs of tasks that it
-/// had started itself.
+/// Guards against a failure seen in a run at production size: a controller that had no access to
+/// the state service for minutes refused 1,209 of 1,256 reservations, because it did not know the
+/// jobs of tasks that it had started itself.
 #[test]
 fn owner_with_stale_replica_knows_its_own_tasks() {
     let mut owner = owner_with_fresh_replica();
@@ -285,8 +285,8 @@
     assert!(!try_reserve(&mut owner, 8, 1.0, 11.0));
 }
 
-/// An owner with a stale view starts backlog tasks of jobs that it does not know, but not those of terminal
-/// jobs.
+/// An owner with a stale view starts backlog tasks of jobs that it does not know, but not those of
+/// terminal jobs.
 #[test]
 fn owner_with_stale_replica_starts_its_backlog() {
     let started_tasks = |is_terminal: bool, jobs: &dyn JobLookup, job: &str| {
@@ -307,8 +307,8 @@
     assert_eq!(started_tasks(false, &OPEN_JOB, "wk-1"), 1);
 }
 
-/// Starts need a view as fresh as the leadership. Responses, which renew workers' leases, only need one fresh
-/// enough that tasks cancelled since are gone within `cancel_s`.
+/// Starts need a view as fresh as the leadership. Responses, which renew workers' leases, only need
+/// one fresh enough that tasks cancelled since are gone within `cancel_s`.
 #[test]
 fn stale_replica_ends_starts_then_responses() {
     let config = config();
@@ -339,8 +339,8 @@
     assert!(end + config.lease_s * 1.0005 <= stale + config.cancel_s);
 }
 
-/// An outage preserves the lease in the store. Authority that is renewed after it had expired is not usable
-/// until a read that was sent after the renewal.
+/// An outage preserves the lease in the store. Authority that is renewed after it had expired is
+/// not usable until a read that was sent after the renewal.
 #[test]
 fn expired_authority_needs_read_sent_after_renewal() {
     let mut authority = Authority::new(&config());
@@ -389,8 +389,8 @@
     );
 }
 
-/// The leader learns of a cancellation from the controller that confirmed it, and later from the store. It
-/// notifies the owners once, at once, and again at each new epoch.
+/// The leader learns of a cancellation from the controller that confirmed it, and later from the
+/// store. It notifies the owners once, at once, and again at each new epoch.
 #[test]
 fn owners_hear_cancellation_once_and_per_epoch() {
     let config = SchedulerConfig {
@@ -441,8 +441,8 @@
     );
 }
 
-/// An owner drops a backlog start before any status report shows it. It has to hand the task back, as
-/// otherwise the leader would count the task as assigned to that owner forever.
+/// An owner drops a backlog start before any status report shows it. It has to hand the task back,
+/// as otherwise the leader would count the task as assigned to that owner forever.
 #[test]
 fn start_dropped_before_status_is_handed_back() {
     let mut owner = owner_with_fresh_replica();
--- a/crates/model/tests/trace.rs
+++ b/crates/model/tests/trace.rs
@@ -1,6 +1,8 @@
-//! The digest of what simulated worlds do, compared with a recorded one: a refactoring changes none of it.
+//! Compares the digest of what simulated worlds do with a recorded one, which no refactoring
+//! changes.
 //!
-//! `trace.digest` beside this file has a line for each group of days: its name, its seeds, and the digest.
+//! `trace.digest` beside this file has a line for each scenario: its name, its seeds, and the
+//! digest over all of them.
 
 mod common;
 
@@ -11,14 +13,14 @@
 
 const RECORDED: &str = include_str!("trace.digest");
 
-/// A day with every fault at random, then quiet.
+/// Runs a world under random faults of every kind, then without faults.
 fn random_faults_scenario(seed: u64) -> World {
     let mut world = World::new(seed, Defect::None);
     world.run_random(150.0, 60.0);
     world
 }
 
-/// The same with many messages and writes that come late or twice.
+/// Like `random_faults_scenario`, with many messages and writes that are late or duplicated.
 fn late_messages_scenario(seed: u64) -> World {
     let mut world = World::new(seed, Defect::None);
     world.delayed_percent = 15;
@@ -28,7 +30,8 @@
     world
 }
 
-/// Everything works, and more jobs come than the machines hold, with a cancellation now and then.
+/// Runs a world without injected faults in which more jobs arrive than the machines can hold, with
+/// occasional cancellations.
 fn overload_scenario(seed: u64) -> World {
     let mut world = World::new(seed, Defect::None);
     for round in 1..60 {
@@ -52,8 +55,9 @@
     world
 }
 
-/// Many machine types, few of each: notices, checkpoints, GPUs, work that is stopped for other teams' or
-/// for more urgent work, and quiet spells in which machines are returned. Every other day has faults, too.
+/// Runs a world with many machine types and few machines of each. It has preemption notices,
+/// checkpoints, GPUs, tasks that are stopped for other teams' or for more urgent jobs, and quiet
+/// periods in which machines are deprovisioned. Odd seeds also have random faults.
 fn heterogeneous_scenario(seed: u64) -> World {
     let mut world = World::heterogeneous(seed);
     world.run_heterogeneous(15.0, 50, false);
@@ -72,17 +76,17 @@
         CloudEvent::ProvisionRefused,
         CloudEvent::Deprovision,
     ] {
-        assert!(count(event) > 0, "no {event:?} on day {seed}");
+        assert!(count(event) > 0, "seed {seed}: no {event:?}");
     }
     assert_eq!(
         world.violations,
         Default::default(),
-        "rules broken on day {seed}"
+        "rule violations with seed {seed}"
     );
     assert_eq!(
         world.open_jobs(),
         Vec::<String>::new(),
-        "open jobs on day {seed}"
+        "open jobs with seed {seed}"
     );
     world
 }
@@ -94,7 +98,7 @@
     Priority::Prod,
 ];
 
-/// Plays the days of a group and compares their digest with the recorded one.
+/// Runs a scenario with each seed and compares the digest of all runs with the recorded one.
 fn assert_digest(name: &str, seeds: Range<u64>, scenario: fn(u64) -> World) {
     let mut group = Trace::default();
     let mut events = 0;
@@ -120,7 +124,7 @@
         recorded,
         Some(computed.as_str()),
         "the behaviour of the simulated world changed ({events} events). A refactoring must not do that: \
-         for one, trace.digest is never recorded anew; the code is mended. Computed: {computed}"
+         correct the code and do not record trace.digest again for it. Computed: {computed}"
     );
 }
 
--- a/crates/model/tests/waits.rs
+++ b/crates/model/tests/waits.rs
@@ -1,4 +1,4 @@
-//! Work that waits: for how long at most, and what is never placed.
+//! Waiting jobs: the bounds of retries and of idle machines, and jobs that can never be placed.
 
 use model::world::{
     config, config_without_deprovisioning, job, lone_leader, machine_status, machine_type, roster,
@@ -13,13 +13,14 @@
 use wire::users::{Job, Shape};
 use wire::workers::{TaskState, Why};
 
-/// The machine type of these tests.
+/// The catalog of these tests, with one machine type.
 fn small_types() -> Vec<MachineType> {
     vec![machine_type("small", 4.0, 16.0, 0.3)]
 }
 
-/// A job's tasks fail again and again; with heartbeats every 10 s the back-off grew to 800 s, so that
-/// it waited beside a free machine long after the faulty one was gone.
+/// Guards against a long retry backoff: with heartbeats every 10 s, it grew to 800 s for a job
+/// whose tasks failed repeatedly, which then waited beside a free machine long after the faulty
+/// machine was gone.
 #[test]
 fn retry_backoff_is_bounded() {
     let config = SchedulerConfig {
@@ -57,7 +58,7 @@
     assert!(intervals.len() > 8, "{attempts:?}");
     assert!(
         intervals[4] > intervals[0],
-        "it does not grow: {intervals:?}"
+        "the backoff does not grow: {intervals:?}"
     );
     assert!(
         intervals.iter().all(|interval| *interval < 60.0),
@@ -65,8 +66,9 @@
     );
 }
 
-/// `one_zone` together with `spread`: a gang of several tasks can never be placed and an array only
-/// half at a time. The gang stays known, provisions nothing and holds nobody up, until it is cancelled.
+/// With both `one_zone` and `spread`, a gang of several tasks can never be placed, and an array
+/// only half at a time. The gang stays open until it is cancelled, has no machines provisioned and
+/// delays no other job.
 #[test]
 fn gang_that_fits_no_zone_provisions_nothing() {
     let unplaceable_job = |id: u32, shape, tasks| Job {
@@ -103,9 +105,9 @@
     ToLeader::ReserveResult { attempt, reserved }
 }
 
-/// Both machines of a gang were lost between reservation and binding, at two owners: the second refusal
-/// came when the gang was ending already and was ignored, so that its task stayed with that owner for
-/// ever.
+/// Guards against an ignored refusal: both machines of a gang, with two owners, were lost between
+/// reservation and binding. The second owner's refusal arrived when the gang's attempt was already
+/// ending and was ignored, so that its task stayed assigned to that owner forever.
 #[test]
 fn gang_retries_after_all_owners_refuse_binding() {
     let spec = Rc::new(job(1, "red", Shape::Gang, 2, 3.0));
@@ -152,12 +154,12 @@
         }
         None
     };
-    let first = reserve_and_refuse(&mut leader).expect("it is held at first");
-    let second = reserve_and_refuse(&mut leader).expect("it is held again");
+    let first = reserve_and_refuse(&mut leader).expect("no first reservation for the gang");
+    let second = reserve_and_refuse(&mut leader).expect("no second reservation for the gang");
     assert!(second > first);
 }
 
-/// The tasks of an assignment, each of which fails.
+/// Returns the tasks of an assignment as failed.
 fn failed_tasks(job: &str, attempt: u64, tasks: &[(u32, u32)]) -> Vec<TaskStatus> {
     let indices = tasks
         .iter()
@@ -173,8 +175,9 @@
     failed.collect()
 }
 
-/// A job that was submitted with a mistake fails on every machine. Two such jobs made healthy machines
-/// look faulty, which were drained, and others were provisioned for what failed there again.
+/// Guards against draining machines for faulty jobs: two jobs that fail on every machine made
+/// healthy machines look faulty. These were drained, and new ones were provisioned on which the
+/// jobs failed again.
 #[test]
 fn job_failing_everywhere_drains_no_machine() {
     let open = |id, revision| {
@@ -206,7 +209,7 @@
                     let failed = failed_tasks(&job, attempt, &tasks);
                     assigned.push((now, failed.len()));
                     for task in failed {
-                        // Spread over the machines, as an owner does.
+                        // Tasks are distributed over the machines, as an owner does.
                         let host = hosts[next_host % hosts.len()].clone();
                         reports.entry(host).or_default().push(task);
                         next_host += 1;
@@ -230,14 +233,15 @@
         leader.on_owner_message("rung-0", ToLeader::MachineStatuses(statuses), now);
     }
     assert_eq!(unexpected, Vec::<String>::new());
-    // After the first ones, one task at a time shows whether it still fails.
+    // After the first failures, the leader assigns one task at a time to see whether it still
+    // fails.
     assert!(
         assigned.len() > 8 && assigned[2..].iter().all(|(_, n)| *n == 1),
         "{assigned:?}"
     );
 }
 
-/// Whether a leader tells some owner to drain a machine.
+/// Whether the leader's pending actions tell some owner to drain a machine.
 fn drains_machine(leader: &mut Leader) -> bool {
     leader.take_actions().iter().any(|action| {
         matches!(
@@ -247,7 +251,8 @@
     })
 }
 
-/// Machines stood idle for as long after the last job of a day as between the jobs of a busy hour.
+/// Guards against idle machines being kept as long after the last job as between the jobs of a busy
+/// hour.
 #[test]
 fn idle_machines_are_released_sooner_without_jobs() {
     let config = SchedulerConfig {
@@ -271,7 +276,7 @@
                 .collect();
             leader.on_owner_message("rung-0", ToLeader::MachineStatuses(statuses), now);
             if now >= f64::from(jobs + 1) * every_s {
-                // A job of another type: it comes, and leaves these machines idle.
+                // A job for another machine type, which leaves these machines idle.
                 jobs += 1;
                 let large_only_job = Job {
                     types: Some(vec!["large".into()]),
@@ -283,12 +288,19 @@
         }
     };
     let (busy, quiet) = (first_drained(5.0), first_drained(1e9));
-    assert!((55.0..70.0).contains(&busy), "{busy}: 20 boot times of 3 s");
-    assert!((14.0..20.0).contains(&quiet), "{quiet}: a quarter of that");
+    assert!(
+        (55.0..70.0).contains(&busy),
+        "drained after {busy} s instead of 20 boot times of 3 s"
+    );
+    assert!(
+        (14.0..20.0).contains(&quiet),
+        "drained after {quiet} s instead of a quarter of 20 boot times of 3 s"
+    );
 }
 
-/// Of a job that failed on two machines both were blamed again at the second failure, also the one that had
-/// completed other work since: the next job's failure there had a healthy machine drained.
+/// Guards against counting a failure for machines other than its own: at a job's second failure, on
+/// another machine, its first machine was counted as faulty again, though it had completed other
+/// work since. The next job's failure there then drained a healthy machine.
 #[test]
 fn only_machine_of_failure_counts_as_faulty() {
     let open = |id, revision| {
@@ -318,7 +330,7 @@
         leader.tick(now + 0.9, 0);
         drains_machine(&mut leader)
     };
-    // Job 1 fails on the first machine, which then completes a task of job 3.
+    // Job 1 fails on host-1, which then completes a task of job 3.
     drains_on_statuses(
         vec![
             running(task(1, 0)),
@@ -339,13 +351,13 @@
         vec![exited(task(3, 0), Why::Done), running(task(2, 0))],
         vec![running(task(1, 1))]
     ));
-    // It fails on the second one as well, and job 2 on the first.
+    // Job 1 then fails on host-2 as well, and job 2 on host-1.
     assert!(!drains_on_statuses(
         vec![running(task(2, 0))],
         vec![exited(task(1, 1), Why::Error)]
     ));
     assert!(
         !drains_on_statuses(vec![exited(task(2, 0), Why::Error)], vec![]),
-        "a healthy machine is drained"
+        "a healthy machine was drained"
     );
 }
