--- a/crates/model/tests/scale_out.rs
+++ b/crates/model/tests/scale_out.rs
@@ -135,7 +135,7 @@
 /// While a small gang waits that fits on any machine, arrays may still use the type reserved for
 /// large gangs: with pipelines, some small gang waits nearly all the time.
 #[test]
-fn small_gang_does_not_block_arrays_from_reserved_type() {
+fn small_gang_leaves_reserved_type_to_arrays() {
     for (tasks, cpus, expected) in [(2, 1.0, true), (2, 14.0, false)] {
         let mut scenario = ScaleOutScenario::new(0);
         scenario.complete_large_gang();
--- a/crates/model/tests/staleness.rs
+++ b/crates/model/tests/staleness.rs
@@ -377,7 +377,7 @@
 }
 
 #[test]
-fn no_margin_between_lease_and_cancel_bounds_staleness() {
+fn responses_need_fresh_view_without_cancel_margin() {
     let config_without_margin = SchedulerConfig {
         cancel_s: 9.0,
         ..config()
