--- a/crates/model/src/reference.rs
+++ b/crates/model/src/reference.rs
@@ -17,18 +17,18 @@
 }
 
 /// Places the jobs in the order given: how many tasks of each get a machine. A gang gets all
-/// or nothing, and nothing waits for what does not fit. `limit` is what the team may use.
+/// or nothing, and nothing waits for what does not fit. `cpu_limit` is what the team may use.
 pub fn place(
     machines: &mut [ReferenceMachine],
     jobs: &[Job],
-    mut limit: f64,
+    mut cpu_limit: f64,
 ) -> BTreeMap<String, u32> {
-    let mut out = BTreeMap::new();
+    let mut placed_by_job = BTreeMap::new();
     for job in jobs {
-        let before: Vec<ReferenceMachine> = machines.to_vec();
+        let snapshot: Vec<ReferenceMachine> = machines.to_vec();
         let mut placed = 0;
         for _ in 0..job.tasks {
-            if job.cpus > limit - f64::from(placed) * job.cpus + 1e-6 {
+            if job.cpus > cpu_limit - f64::from(placed) * job.cpus + 1e-6 {
                 break;
             }
             let fits = |machine: &&mut ReferenceMachine| {
@@ -51,13 +51,13 @@
             placed += 1;
         }
         if job.shape == Shape::Gang && placed < job.tasks {
-            machines.clone_from_slice(&before);
+            machines.clone_from_slice(&snapshot);
             placed = 0;
         }
-        limit -= f64::from(placed) * job.cpus;
+        cpu_limit -= f64::from(placed) * job.cpus;
         if placed > 0 {
-            out.insert(job.id.clone(), placed);
+            placed_by_job.insert(job.id.clone(), placed);
         }
     }
-    out
+    placed_by_job
 }
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -14,28 +14,28 @@
 use wire::users::{Job, Priority, Shape};
 use wire::workers::{Heartbeat, Order, Orders, ReportedTask, TaskState, Why};
 
-mod chains;
 mod cloud;
 mod controllers;
 mod defect;
+mod dependencies;
 mod election;
 mod faults;
 mod fixtures;
 mod freeze;
+mod heterogeneous;
 mod jobs;
 mod leadership;
 mod outcomes;
-mod rich;
 mod rules;
-mod script;
+mod scenario;
 mod store;
 mod trace;
 mod transit;
 mod workers;
 
-use chains::ChainView;
-use controllers::{index_of, name, Controller, StoreRead};
+use controllers::{controller_index, controller_name, Controller, StoreRead};
 pub use defect::Defect;
+use dependencies::DependencyView;
 pub use faults::Fault;
 use faults::{Partition, PlannedOutage};
 use fixtures::random_job;
@@ -44,32 +44,32 @@
     machine_type, machine_types, owner_of_one_machine, roster, roster_record, task_requirements,
     task_status, unlimited_teams, EmptyJobLookup,
 };
+pub use heterogeneous::CloudEvent;
 pub use jobs::JobTimes;
-use jobs::{JobState, JobsAsRead};
+use jobs::{JobReplica, JobState};
 use leadership::LeadingController;
 use outcomes::Outcome;
-pub use rich::CloudEvent;
 use store::PendingWrite;
 pub use trace::Trace;
 use transit::{Connection, HeartbeatId, InTransit, Message};
 use workers::{SimTask, TaskKey, Worker};
 
 /// The time between two steps of the world.
-const STEP: f64 = 0.1;
+const STEP_S: f64 = 0.1;
 const CONTROLLERS: usize = 3;
 /// How long the leader's lease in the store runs without being renewed.
 const LEADER_LEASE_S: f64 = 2.0;
 /// The share of its lease for which a leader relies on it.
-const RENEWED_SHARE: f64 = 0.95;
+const AUTHORITY_SHARE: f64 = 0.95;
 /// A job that the leader does not know for this long is forgotten (a figure of the users).
-const FORGOTTEN_S: f64 = 75.0;
+const MAX_UNKNOWN_S: f64 = 75.0;
 /// Once faults are over, no job waits so long while a machine has capacity for it (a figure of the
 /// users).
-const WAITS_S: f64 = 90.0;
+const MAX_WAIT_WITH_CAPACITY_S: f64 = 90.0;
 /// Within this time also the largest jobs must begin (a figure of the users).
-const BEGIN_S: f64 = 240.0;
+const MAX_START_WAIT_S: f64 = 240.0;
 /// The tasks of the largest random gangs.
-const LARGEST_GANG: u32 = 3;
+const LARGEST_GANG_TASKS: u32 = 3;
 
 /// The simulated world.
 pub struct World {
@@ -87,7 +87,7 @@
     /// When the leader's lease in the store ends, if it is not renewed.
     lease_end: f64,
     /// No new leader before this: the old one's lease in the store still runs.
-    free_at: f64,
+    no_election_before: f64,
     /// The last token given out, at an election or for a new epoch.
     term: u64,
     /// The store's revision.
@@ -100,11 +100,11 @@
     writes: Vec<PendingWrite>,
     /// Versions of the keys that leaders write, in the store and as the present leader knows them.
     versions: BTreeMap<String, u64>,
-    known_versions: BTreeMap<String, u64>,
+    leader_known_versions: BTreeMap<String, u64>,
     machines_provisioned: u64,
     store_down_until: f64,
-    outage_at: Option<PlannedOutage>,
-    partitioned: Option<Partition>,
+    planned_outage: Option<PlannedOutage>,
+    partition: Option<Partition>,
     /// How often each kind of fault happened.
     pub faults: BTreeMap<Fault, u32>,
     /// How often each kind of event of rich worlds happened.
@@ -122,7 +122,7 @@
     /// Whether the controller that confirms a cancellation tells the leader at once.
     pub cancel_hints: bool,
     /// Since when a job has waited though there was capacity for it.
-    fits_since: BTreeMap<rules::Opening, f64>,
+    capacity_since: BTreeMap<rules::WaitingWithCapacity, f64>,
     /// Jobs in a hundred that depend on earlier ones.
     pub dependent_percent: u32,
     /// Jobs that were cancelled along with one of their dependencies.
@@ -142,7 +142,7 @@
     /// Leaders so far.
     pub leaders_elected: u64,
     /// What only rich worlds have.
-    rich: Option<rich::Rich>,
+    heterogeneous: Option<heterogeneous::HeterogeneousState>,
     trace: Trace,
 }
 
@@ -154,28 +154,28 @@
 
     /// A world with other settings.
     pub fn with_config(seed: u64, defect: Defect, config: SchedulerConfig) -> World {
-        let mut believed = config.clone();
+        let mut scheduler_config = config.clone();
         if defect == Defect::DoubleLimit {
-            believed
+            scheduler_config
                 .teams
                 .values_mut()
                 .for_each(|team| team.cpus_max *= 2.0);
         }
         let controllers = (0..CONTROLLERS)
-            .map(|i| Controller::new(i, &believed))
+            .map(|i| Controller::new(i, &scheduler_config))
             .collect();
         World {
             now: 0.0,
             rng: fastrand::Rng::with_seed(seed),
             defect,
-            config: believed,
+            config: scheduler_config,
             limits: config.teams,
             types: machine_types(),
             workers: BTreeMap::new(),
             controllers,
             leading: None,
             lease_end: 0.0,
-            free_at: 0.0,
+            no_election_before: 0.0,
             term: 0,
             revision: 0,
             started_upto: 0,
@@ -184,11 +184,11 @@
             messages: Vec::new(),
             writes: Vec::new(),
             versions: BTreeMap::new(),
-            known_versions: BTreeMap::new(),
+            leader_known_versions: BTreeMap::new(),
             machines_provisioned: 0,
             store_down_until: 0.0,
-            outage_at: None,
-            partitioned: None,
+            planned_outage: None,
+            partition: None,
             faults: BTreeMap::new(),
             cloud_events: BTreeMap::new(),
             lost_percent: 3,
@@ -197,7 +197,7 @@
             late_write_percent: 0,
             extra_read_s: 0.0,
             cancel_hints: true,
-            fits_since: BTreeMap::new(),
+            capacity_since: BTreeMap::new(),
             dependent_percent: 0,
             cancelled_by_dependency: 0,
             cancellations: 0,
@@ -207,7 +207,7 @@
             tasks_started: 0,
             jobs_done: 0,
             leaders_elected: 0,
-            rich: None,
+            heterogeneous: None,
             trace: Trace::default(),
         }
     }
@@ -217,8 +217,8 @@
         &self.trace
     }
 
-    /// Random jobs, cancellations and faults for `seconds`, then quiet for `calm`.
-    pub fn run_random(&mut self, seconds: f64, calm: f64) {
+    /// Random jobs, cancellations and faults for `seconds`, then quiet for `quiet_s`.
+    pub fn run_random(&mut self, seconds: f64, quiet_s: f64) {
         let mut submitted = self.jobs.len() as u32;
         let end = self.now + seconds;
         while self.now < end {
@@ -236,10 +236,10 @@
             self.step();
         }
         let quiet_since = self.now;
-        while self.now < quiet_since + calm {
+        while self.now < quiet_since + quiet_s {
             self.step_without_faults(quiet_since);
         }
-        self.check_served();
+        self.check_started_in_time();
     }
 
     /// Runs on without faults until all is done, for `seconds` at most.
@@ -260,29 +260,29 @@
     /// A step in a time without faults, in which every job must get on.
     fn step_without_faults(&mut self, quiet_since: f64) {
         self.step();
-        if self.now - quiet_since > FORGOTTEN_S {
-            self.check_known();
+        if self.now - quiet_since > MAX_UNKNOWN_S {
+            self.check_leader_knows_jobs();
         }
         self.check_waiting();
     }
 
     /// One step of time, in which everything runs once.
     pub fn step(&mut self) {
-        self.now += STEP;
+        self.now += STEP_S;
         let outage = self
-            .outage_at
+            .planned_outage
             .take_if(|outage| self.now >= outage.begins_at);
         if let Some(outage) = outage {
-            self.store_outage(outage.for_s);
+            self.store_outage(outage.duration_s);
         }
         self.run_reads();
-        self.run_rich();
+        self.run_preemptions_and_checkpoints();
         self.run_workers();
         self.deliver();
         self.run_controllers();
         self.run_leader();
         self.run_writes();
-        self.check();
+        self.check_running_tasks();
     }
 
     /// What the leader, the owners and the workers know, in words.
@@ -295,7 +295,7 @@
         };
         let head = format!(
             "leader {} token={} members={:?}",
-            name(*controller),
+            controller_name(*controller),
             leader.token(),
             leader.members()
         );
@@ -314,11 +314,11 @@
         let controller = &self.controllers[i];
         format!(
             "{} token={} authority={} joined={} epoch={}\n{}",
-            name(i),
+            controller_name(i),
             controller.owner.token(),
             controller.owner.has_authority(self.now),
             controller.joined,
-            controller.epoch,
+            controller.has_epoch,
             controller.owner.explain()
         )
     }
--- a/crates/model/src/world/cloud.rs
+++ b/crates/model/src/world/cloud.rs
@@ -5,10 +5,10 @@
 impl World {
     /// Gives as many of the machines asked for as the cloud has.
     pub(super) fn provision(&mut self, request: &ProvisionRequest) -> Vec<String> {
-        let offer = self.rich_offer(request);
-        let most = offer.map_or(3, |(most, _)| most);
+        let offer = self.draw_offer(request);
+        let available = offer.map_or(3, |(available, _)| available);
         let granted =
-            (request.count as usize).min(most.saturating_sub(self.provisioned_like(request)));
+            (request.count as usize).min(available.saturating_sub(self.matching_machines(request)));
         self.count_cloud_event(
             CloudEvent::ProvisionRefused,
             request.count as usize - granted,
@@ -17,8 +17,8 @@
         for _ in 0..granted {
             self.machines_provisioned += 1;
             let machine = format!("host-{:06}", self.machines_provisioned);
-            let boots_s = offer.map_or(0.0, |(_, boot_s)| (boot_s - 2.5).max(0.0));
-            let up_at = self.now + 1.0 + self.rng.f64() * 3.0 + boots_s;
+            let extra_boot_s = offer.map_or(0.0, |(_, boot_s)| (boot_s - 2.5).max(0.0));
+            let up_at = self.now + 1.0 + self.rng.f64() * 3.0 + extra_boot_s;
             let target = self.rng.usize(0..CONTROLLERS);
             let worker = Worker::booting(request, up_at, target);
             self.workers.insert(machine.clone(), worker);
@@ -29,14 +29,14 @@
     }
 
     /// Machines of the kind, zone and price asked for that are there already.
-    fn provisioned_like(&self, request: &ProvisionRequest) -> usize {
-        let is_like = |worker: &&Worker| {
+    fn matching_machines(&self, request: &ProvisionRequest) -> usize {
+        let is_match = |worker: &&Worker| {
             !worker.gone
                 && worker.kind == request.kind
                 && worker.zone == request.zone
                 && worker.spot == request.spot
         };
-        self.workers.values().filter(is_like).count()
+        self.workers.values().filter(is_match).count()
     }
 
     /// Takes machines back.
--- a/crates/model/src/world/controllers.rs
+++ b/crates/model/src/world/controllers.rs
@@ -5,7 +5,7 @@
 /// A read of the store that is under way.
 #[derive(Clone, Copy)]
 pub(super) struct StoreRead {
-    pub(super) sent: f64,
+    pub(super) sent_at: f64,
     pub(super) answered_at: f64,
 }
 
@@ -14,84 +14,84 @@
     pub(super) owner: Owner,
     pub(super) down_until: f64,
     /// When the connection to the leader works again; it works if this is past.
-    pub(super) link_at: f64,
+    pub(super) reconnects_at: f64,
     pub(super) joined: bool,
     pub(super) to_owner: Connection<ToOwner>,
     pub(super) to_leader: Connection<ToLeader>,
     /// Pings to the leader, each with the time at which it was sent.
     pub(super) pings: Connection<f64>,
     /// It has received an epoch since it joined.
-    pub(super) epoch: bool,
+    pub(super) has_epoch: bool,
     /// When the leader last read the store, as its responses to pings tell; each arrives after the
     /// messages that the leader sent before it.
-    pub(super) leader_read_at: Connection<f64>,
+    pub(super) leader_reads: Connection<f64>,
     /// The store refuses this controller until then, and no other.
-    pub(super) refused_until: f64,
+    pub(super) store_refuses_until: f64,
     /// It is frozen until then.
     pub(super) frozen_until: f64,
     /// It freezes for so long once it has decided its next response to a worker.
-    pub(super) freezes_for: Option<f64>,
+    pub(super) freeze_after_response_s: Option<f64>,
     /// The size of values for which it lays out its records.
     pub(super) value_kb: f64,
     /// What it has derived from the dependencies between jobs.
-    pub(super) chains: ChainView,
+    pub(super) dependencies: DependencyView,
     /// When the last completed read of the store was sent.
     pub(super) read_at: f64,
-    pub(super) read: Option<StoreRead>,
+    pub(super) pending_read: Option<StoreRead>,
     /// A read of all records.
-    pub(super) reload: Option<StoreRead>,
+    pub(super) pending_reload: Option<StoreRead>,
 }
 
 impl Controller {
     pub(super) fn new(index: usize, config: &SchedulerConfig) -> Controller {
         Controller {
-            owner: Owner::new(&name(index), config.clone()),
+            owner: Owner::new(&controller_name(index), config.clone()),
             down_until: 0.0,
-            link_at: 0.0,
+            reconnects_at: 0.0,
             joined: false,
             to_owner: Connection::default(),
             to_leader: Connection::default(),
             pings: Connection::default(),
-            epoch: false,
-            leader_read_at: Connection::default(),
-            refused_until: 0.0,
+            has_epoch: false,
+            leader_reads: Connection::default(),
+            store_refuses_until: 0.0,
             frozen_until: 0.0,
-            freezes_for: None,
+            freeze_after_response_s: None,
             value_kb: 4.0,
-            chains: ChainView::default(),
+            dependencies: DependencyView::default(),
             read_at: f64::MIN,
-            read: None,
-            reload: None,
+            pending_read: None,
+            pending_reload: None,
         }
     }
 
     /// Its connection to the leader breaks; what is under way on it is lost.
     pub(super) fn disconnect(&mut self, until: f64) {
-        self.link_at = self.link_at.max(until);
+        self.reconnects_at = self.reconnects_at.max(until);
         self.joined = false;
         self.to_owner.clear();
         self.to_leader.clear();
         self.pings.clear();
-        self.leader_read_at.clear();
+        self.leader_reads.clear();
     }
 
     fn join(&mut self) {
         if !self.joined {
             self.joined = true;
-            self.epoch = false;
+            self.has_epoch = false;
         }
     }
 
     /// Hears what the leader sent and has arrived by now.
-    fn receive_from_leader(&mut self, now: f64, jobs: &JobsAsRead) {
+    fn receive_from_leader(&mut self, now: f64, jobs: &JobReplica) {
         while let Some(message) = self.to_owner.receive(now) {
-            if matches!(message, ToOwner::Epoch { .. }) && !self.epoch {
-                self.epoch = true;
+            if matches!(message, ToOwner::Epoch { .. }) && !self.has_epoch {
+                self.has_epoch = true;
                 self.owner.authority.set_until(f64::MIN);
             }
             self.owner.on_leader_message(message, now, jobs);
         }
-        while let Some(read_at) = self.leader_read_at.receive(now) {
+        while let Some(read_at) = self.leader_reads.receive(now) {
             self.owner.authority.record_read(read_at);
         }
     }
@@ -105,10 +105,10 @@
             if self.now < self.controllers[i].down_until || self.is_frozen(i) {
                 continue;
             }
-            let delay = self.connection_delay();
+            let delay = self.draw_connection_delay();
             self.tick_owner(i);
             let has_leader = led_by.is_some_and(|leading| leading != i);
-            if has_leader && self.now >= self.controllers[i].link_at {
+            if has_leader && self.now >= self.controllers[i].reconnects_at {
                 self.exchange_with_leader(i, delay);
             }
         }
@@ -133,7 +133,7 @@
             self.trace.pinged(now, i, now + delay);
             controller.pings.send(now + delay, now);
         }
-        controller.receive_from_leader(now, &JobsAsRead::new(&self.jobs, terminal_read_at));
+        controller.receive_from_leader(now, &JobReplica::new(&self.jobs, terminal_read_at));
         let mut arrives_at = controller.to_leader.arrival(now + delay);
         for message in controller.owner.drain() {
             arrives_at += 0.001;
@@ -143,20 +143,20 @@
     }
 
     /// How long a message between controllers takes.
-    pub(super) fn connection_delay(&mut self) -> f64 {
+    pub(super) fn draw_connection_delay(&mut self) -> f64 {
         0.02 + self.rng.f64() * 0.15
     }
 
     /// Whether a controller is cut off from the store and the other controllers.
     pub(super) fn is_partitioned(&self, i: usize) -> bool {
-        let partition = self.partitioned.as_ref();
+        let partition = self.partition.as_ref();
         partition.is_some_and(|it| it.controller == i && self.now < it.until)
     }
 
     /// Whether the store serves this controller now.
     pub(super) fn reaches_store(&self, i: usize) -> bool {
         let up = self.now >= self.controllers[i].down_until
-            && self.now >= self.controllers[i].refused_until
+            && self.now >= self.controllers[i].store_refuses_until
             && !self.is_frozen(i);
         up && self.now >= self.store_down_until && !self.is_partitioned(i)
     }
@@ -174,11 +174,13 @@
 }
 
 /// The name of a controller.
-pub(super) fn name(i: usize) -> String {
+pub(super) fn controller_name(i: usize) -> String {
     format!("rung-{i}")
 }
 
 /// The controller of a name; the first if there is none.
-pub(super) fn index_of(member: &str) -> usize {
-    (0..CONTROLLERS).find(|i| name(*i) == member).unwrap_or(0)
+pub(super) fn controller_index(member: &str) -> usize {
+    (0..CONTROLLERS)
+        .find(|i| controller_name(*i) == member)
+        .unwrap_or(0)
 }
--- a/crates/model/src/world/chains.rs
+++ b/crates/model/src/world/dependencies.rs
@@ -6,21 +6,21 @@
 
 /// What a controller has derived from the records of jobs that it has read.
 #[derive(Default)]
-pub(super) struct ChainView {
+pub(super) struct DependencyView {
     graph: DependencyGraph,
     cancelled: BTreeSet<String>,
 }
 
-impl ChainView {
+impl DependencyView {
     /// A job's record as this controller has it after a read that was sent at `read_at`.
-    fn record(
+    fn dependency_state(
         &self,
         jobs: &BTreeMap<String, JobState>,
         id: &str,
         read_at: f64,
     ) -> Option<DependencyState> {
-        let job = jobs.get(id).filter(|job| job.accepted <= read_at)?;
-        let is_terminal = job.has_own_end_by(read_at);
+        let job = jobs.get(id).filter(|job| job.accepted_at <= read_at)?;
+        let is_terminal = job.is_recorded_terminal_by(read_at);
         Some(match (is_terminal, job.cancelled) {
             (true, true) => DependencyState::Cancelled,
             (true, false) => DependencyState::Done,
@@ -31,10 +31,10 @@
 
     fn update(&mut self, jobs: &BTreeMap<String, JobState>, id: &str, read_at: f64) -> Vec<Effect> {
         let mut graph = std::mem::take(&mut self.graph);
-        let effects = match self.record(jobs, id, read_at) {
-            Some(DependencyState::Open(_)) => {
-                graph.on_accepted(&jobs[id].spec, |other| self.record(jobs, other, read_at))
-            }
+        let effects = match self.dependency_state(jobs, id, read_at) {
+            Some(DependencyState::Open(_)) => graph.on_accepted(&jobs[id].spec, |other| {
+                self.dependency_state(jobs, other, read_at)
+            }),
             Some(DependencyState::Done) => graph.on_done(id),
             Some(DependencyState::Cancelled) => graph.on_cancelled(id),
             None => Vec::new(),
@@ -50,7 +50,7 @@
 
     /// Starts over from all records, in the order of their keys.
     pub(super) fn reload(&mut self, jobs: &BTreeMap<String, JobState>, read_at: f64) {
-        *self = ChainView::default();
+        *self = DependencyView::default();
         for id in jobs.keys() {
             self.update(jobs, id, read_at);
         }
@@ -70,7 +70,7 @@
     /// A controller has read what happened to the jobs since its last read, in the order in which the
     /// store holds it. If it leads, its leader is told what follows.
     pub(super) fn read_jobs(&mut self, i: usize, before: f64, read_at: f64) {
-        let mut view = std::mem::take(&mut self.controllers[i].chains);
+        let mut view = std::mem::take(&mut self.controllers[i].dependencies);
         let mut leading = self.leading.take_if(|leading| leading.controller == i);
         for id in self.changed_jobs(before, read_at) {
             let effects = view.update(&self.jobs, &id, read_at);
@@ -84,17 +84,20 @@
         if leading.is_some() {
             self.leading = leading;
         }
-        self.check_orphaned(&view, read_at);
-        self.controllers[i].chains = view;
+        self.check_descendants_of_cancelled(&view, read_at);
+        self.controllers[i].dependencies = view;
     }
 
     /// The jobs that were accepted or recorded as terminal between two reads, by time.
     fn changed_jobs(&self, before: f64, read_at: f64) -> Vec<String> {
-        let accepted = self.jobs.values().map(|job| (job.accepted, &job.spec.id));
+        let accepted = self
+            .jobs
+            .values()
+            .map(|job| (job.accepted_at, &job.spec.id));
         let ended = self
             .jobs
             .values()
-            .filter_map(|job| Some((job.own_end?, &job.spec.id)));
+            .filter_map(|job| Some((job.record_terminal_at?, &job.spec.id)));
         let mut changes: Vec<(f64, &String)> = accepted
             .chain(ended)
             .filter(|(at, _)| *at > before && *at <= read_at)
@@ -107,30 +110,31 @@
     /// wrote itself since then.
     pub(super) fn finish_reload(&mut self, i: usize, read_at: f64) {
         let now = self.now;
-        let mut view = std::mem::take(&mut self.controllers[i].chains);
+        let mut view = std::mem::take(&mut self.controllers[i].dependencies);
         view.reload(&self.jobs, read_at);
-        let replaces = self.defect == Defect::ReloadDiscardsOwnWrites;
-        let is_own_end = |job: &JobState| job.ended_by == Some(i) && !replaces;
-        for job in self.jobs.values().filter(|job| is_own_end(job)) {
+        let discards_own_writes = self.defect == Defect::ReloadDiscardsOwnWrites;
+        let is_own_write =
+            |job: &JobState| job.terminal_written_by == Some(i) && !discards_own_writes;
+        for job in self.jobs.values().filter(|job| is_own_write(job)) {
             view.update(&self.jobs, &job.spec.id, now);
         }
         if let Some(mut leading) = self.leading.take_if(|leading| leading.controller == i) {
-            for job in self.jobs.values().filter(|job| job.accepted <= read_at) {
-                let known_at = if is_own_end(job) { now } else { read_at };
+            for job in self.jobs.values().filter(|job| job.accepted_at <= read_at) {
+                let known_at = if is_own_write(job) { now } else { read_at };
                 self.notify_leader(&mut leading.leader, &view, &job.spec.id, known_at);
             }
             self.leading = Some(leading);
         }
-        self.check_orphaned(&view, read_at);
+        self.check_descendants_of_cancelled(&view, read_at);
         let controller = &mut self.controllers[i];
-        controller.chains = view;
+        controller.dependencies = view;
         controller.read_at = read_at;
         controller.owner.authority.record_read(read_at);
     }
 
-    fn notify_leader(&self, leader: &mut Leader, view: &ChainView, id: &str, read_at: f64) {
+    fn notify_leader(&self, leader: &mut Leader, view: &DependencyView, id: &str, read_at: f64) {
         let job = &self.jobs[id];
-        if job.has_own_end_by(read_at) {
+        if job.is_recorded_terminal_by(read_at) {
             if !matches!(
                 self.defect,
                 Defect::IgnoreCancel | Defect::FinishAtHalfUnseen
@@ -150,7 +154,7 @@
     fn notify_of_effect(
         &self,
         leader: &mut Leader,
-        view: &ChainView,
+        view: &DependencyView,
         effect: Effect,
         read_at: f64,
     ) {
@@ -162,9 +166,9 @@
     }
 
     /// Whether the leader learns of an open job.
-    pub(super) fn is_known_to_leader(&self, view: &ChainView, job: &JobState) -> bool {
+    pub(super) fn is_known_to_leader(&self, view: &DependencyView, job: &JobState) -> bool {
         let starts_blocked = self.defect == Defect::StartBlocked;
-        (starts_blocked || view.is_runnable(&job.spec.id)) && !self.is_kept_from_leader(&job.spec)
+        (starts_blocked || view.is_runnable(&job.spec.id)) && !self.is_hidden_from_leader(&job.spec)
     }
 
     /// Ends all open jobs that depend on a cancelled one, directly or through others: the truth, derived
@@ -192,7 +196,7 @@
     }
 
     /// Notes which jobs may start because the last of their dependencies is done.
-    pub(super) fn note_ready(&mut self) {
+    pub(super) fn record_ready_jobs(&mut self) {
         let now = self.now;
         let is_done = |id: &String| {
             let job = self.jobs.get(id);
@@ -211,24 +215,24 @@
     }
 
     /// No task starts before the store holds that all dependencies of its job are done.
-    pub(super) fn check_too_early(&mut self, job: &str) {
+    pub(super) fn check_dependencies_done(&mut self, job: &str) {
         if self.jobs.get(job).is_some_and(|job| job.ready_at.is_none()) {
-            self.break_rule("too_early");
+            self.record_violation("too_early");
         }
     }
 
     /// A controller that has read a cancellation takes no job for open that depends on the cancelled one.
-    fn check_orphaned(&mut self, view: &ChainView, read_at: f64) {
-        let derives_nothing = self.defect == Defect::IgnoreCancelledDependencies;
+    fn check_descendants_of_cancelled(&mut self, view: &DependencyView, read_at: f64) {
+        let ignores_cancellations = self.defect == Defect::IgnoreCancelledDependencies;
         let is_orphan = |job: &JobState| {
             let known_to_be_terminal =
                 job.cancelled && job.terminal_at.is_some_and(|at| at <= read_at);
-            let called_open = job.own_end.is_none()
-                && (derives_nothing || !view.cancelled.contains(&job.spec.id));
-            known_to_be_terminal && called_open
+            let considered_open = job.record_terminal_at.is_none()
+                && (ignores_cancellations || !view.cancelled.contains(&job.spec.id));
+            known_to_be_terminal && considered_open
         };
         if self.jobs.values().any(is_orphan) {
-            self.break_rule("orphaned");
+            self.record_violation("orphaned");
         }
     }
 
@@ -241,8 +245,8 @@
         if ids.is_empty() {
             return Vec::new();
         }
-        let named = (0..self.rng.usize(1..4)).map(|_| ids[self.rng.usize(0..ids.len())].clone());
-        let distinct: BTreeSet<String> = named.collect();
+        let drawn = (0..self.rng.usize(1..4)).map(|_| ids[self.rng.usize(0..ids.len())].clone());
+        let distinct: BTreeSet<String> = drawn.collect();
         distinct.into_iter().collect()
     }
 
--- a/crates/model/src/world/election.rs
+++ b/crates/model/src/world/election.rs
@@ -6,7 +6,7 @@
     /// A controller that reaches the store is elected, unless the last leader's lease still runs.
     pub(super) fn elect(&mut self) {
         let now = self.now;
-        if now < self.free_at || now < self.store_down_until {
+        if now < self.no_election_before || now < self.store_down_until {
             return;
         }
         let Some(elected) = self.draw_reachable_controller() else {
@@ -16,27 +16,27 @@
         self.revision += 1;
         self.leaders_elected += 1;
         self.trace.elected(now, elected, self.term, self.revision);
-        let mut chains = std::mem::take(&mut self.controllers[elected].chains);
-        chains.reload(&self.jobs, now);
-        let leader = self.new_leader(elected, &chains);
+        let mut dependencies = std::mem::take(&mut self.controllers[elected].dependencies);
+        dependencies.reload(&self.jobs, now);
+        let leader = self.new_leader(elected, &dependencies);
         self.lease_end = now + LEADER_LEASE_S;
-        self.known_versions = self.versions.clone();
-        self.start_as_leader(elected, chains);
+        self.leader_known_versions = self.versions.clone();
+        self.start_as_leader(elected, dependencies);
         for controller in &mut self.controllers {
             controller.disconnect(now + 0.1);
         }
         self.leading = Some(LeadingController {
             controller: elected,
             leader,
-            leadership: self.revision,
+            elected_revision: self.revision,
         });
     }
 
     /// A leader with all that the store holds now.
-    fn new_leader(&mut self, elected: usize, chains: &ChainView) -> Leader {
+    fn new_leader(&mut self, elected: usize, dependencies: &DependencyView) -> Leader {
         let seed = self.rng.u64(..);
-        let jobs = self.jobs_for_new_leader(chains);
-        let priority = |job: &OpenJob| (job.spec.id.clone(), chains.priority(&job.spec));
+        let jobs = self.jobs_for_new_leader(dependencies);
+        let priority = |job: &OpenJob| (job.spec.id.clone(), dependencies.priority(&job.spec));
         let priorities: Vec<(String, Priority)> = jobs.iter().map(priority).collect();
         let no_machines = BTreeMap::new();
         let roster = match self.defect {
@@ -44,7 +44,7 @@
             _ => &self.roster,
         };
         let mut leader = Leader::new(
-            &name(elected),
+            &controller_name(elected),
             self.config.clone(),
             seed,
             self.term,
@@ -65,13 +65,13 @@
     }
 
     /// The open jobs, as a new leader learns of them.
-    fn jobs_for_new_leader(&self, chains: &ChainView) -> Vec<OpenJob> {
+    fn jobs_for_new_leader(&self, dependencies: &DependencyView) -> Vec<OpenJob> {
         let ignores_cancel = self.defect == Defect::IgnoreCancel;
         let is_lost = |job: &JobState| self.defect == Defect::LoseJobs && job.revision & 1 == 0;
         let is_known = |job: &&JobState| {
-            (job.own_end.is_none() || ignores_cancel && job.cancelled)
+            (job.record_terminal_at.is_none() || ignores_cancel && job.cancelled)
                 && !is_lost(job)
-                && self.is_known_to_leader(chains, job)
+                && self.is_known_to_leader(dependencies, job)
         };
         let known = self.jobs.values().filter(is_known);
         known.map(|job| self.open_job(job)).collect()
@@ -80,13 +80,13 @@
     /// Jobs of which tasks may still run though they were cancelled: id, team, and the resources of
     /// all tasks.
     fn recently_cancelled(&self) -> Vec<(String, String, Resources)> {
-        let forgotten_s = self.config.lease_s + self.config.cancel_s;
+        let retention_s = self.config.lease_s + self.config.cancel_s;
         let is_recent = |job: &&JobState| {
             job.cancelled
-                && job.own_end.is_some()
+                && job.record_terminal_at.is_some()
                 && job
                     .terminal_at
-                    .is_some_and(|at| self.now - at < forgotten_s)
+                    .is_some_and(|at| self.now - at < retention_s)
         };
         let recent = self.jobs.values().filter(is_recent);
         let described = recent.map(|job| {
@@ -102,18 +102,18 @@
     }
 
     /// The elected controller begins as an owner without machines, and with a fresh view.
-    fn start_as_leader(&mut self, elected: usize, chains: ChainView) {
+    fn start_as_leader(&mut self, elected: usize, dependencies: DependencyView) {
         let now = self.now;
         let controller = &mut self.controllers[elected];
-        controller.owner = Owner::new(&name(elected), self.config.clone());
+        controller.owner = Owner::new(&controller_name(elected), self.config.clone());
         let authority = &mut controller.owner.authority;
-        authority.set_until(now + LEADER_LEASE_S * RENEWED_SHARE);
+        authority.set_until(now + LEADER_LEASE_S * AUTHORITY_SHARE);
         authority.record_read(now);
         // What changes at this very instant comes with the next read.
-        controller.read_at = now - STEP / 10.0;
-        controller.read = None;
-        controller.chains = chains;
-        controller.reload = None;
+        controller.read_at = now - STEP_S / 10.0;
+        controller.pending_read = None;
+        controller.dependencies = dependencies;
+        controller.pending_reload = None;
     }
 
     /// A job as the leader learns of it.
@@ -132,9 +132,11 @@
     }
 
     /// Whether a defect keeps a job from the leader.
-    pub(super) fn is_kept_from_leader(&self, spec: &Job) -> bool {
+    pub(super) fn is_hidden_from_leader(&self, spec: &Job) -> bool {
         match self.defect {
-            Defect::HideLargestGangs => spec.shape == Shape::Gang && spec.tasks == LARGEST_GANG,
+            Defect::HideLargestGangs => {
+                spec.shape == Shape::Gang && spec.tasks == LARGEST_GANG_TASKS
+            }
             Defect::HideRedArrays => spec.shape == Shape::Array && spec.team == "red",
             _ => false,
         }
--- a/crates/model/src/world/faults.rs
+++ b/crates/model/src/world/faults.rs
@@ -45,7 +45,7 @@
 
 impl Fault {
     /// The fault for a number drawn from 0 to 2999; most numbers stand for none.
-    fn drawn(number: u32, has_leader: bool) -> Option<Fault> {
+    fn from_draw(number: u32, has_leader: bool) -> Option<Fault> {
         Some(match number {
             0..=9 => Fault::Crash,
             10..=14 => Fault::LeaderCrash,
@@ -72,10 +72,10 @@
 
 /// Where a fault strikes and how long it lasts, as a share of the longest.
 #[derive(Clone, Copy)]
-struct Strike {
+struct FaultTarget {
     machine: usize,
     controller: usize,
-    share: f64,
+    duration_share: f64,
 }
 
 /// A controller without the store and the other controllers, but with its workers.
@@ -87,36 +87,36 @@
 /// An outage of the store that begins later.
 pub(super) struct PlannedOutage {
     pub(super) begins_at: f64,
-    pub(super) for_s: f64,
+    pub(super) duration_s: f64,
 }
 
 impl World {
     /// Draws whether a fault happens now, and if so, which and where.
     pub(super) fn inject_fault(&mut self) {
         let number = self.rng.u32(0..3000);
-        let Some(fault) = Fault::drawn(number, self.leading.is_some()) else {
+        let Some(fault) = Fault::from_draw(number, self.leading.is_some()) else {
             return;
         };
         self.count_fault(fault);
         let machine = self.rng.usize(0..self.workers.len().max(1));
         let share = self.rng.f64();
         let controller = self.rng.usize(0..self.controllers.len());
-        let strike = Strike {
+        let target = FaultTarget {
             machine,
             controller,
-            share,
+            duration_share: share,
         };
-        self.strike_controllers(fault, strike);
-        self.strike_store(fault, strike);
-        self.strike_machine(fault, strike);
+        self.inject_controller_fault(fault, target);
+        self.inject_store_fault(fault, target);
+        self.inject_machine_fault(fault, target);
     }
 
     pub(super) fn count_fault(&mut self, fault: Fault) {
         *self.faults.entry(fault).or_default() += 1;
     }
 
-    fn strike_controllers(&mut self, fault: Fault, strike: Strike) {
-        let (now, i, share) = (self.now, strike.controller, strike.share);
+    fn inject_controller_fault(&mut self, fault: Fault, target: FaultTarget) {
+        let (now, i, share) = (self.now, target.controller, target.duration_share);
         let leading = self.leader_index();
         match fault {
             Fault::Crash | Fault::CrashDuringElection => self.crash(i),
@@ -124,7 +124,7 @@
             Fault::AllControllersCrash => (0..CONTROLLERS).for_each(|i| self.crash(i)),
             Fault::ControllerDisconnected => self.disconnect_controller(i, 0.3),
             Fault::NetworkPartition => {
-                self.partitioned = Some(Partition {
+                self.partition = Some(Partition {
                     controller: i,
                     until: now + 1.0 + share * 12.0,
                 });
@@ -138,17 +138,17 @@
         }
     }
 
-    fn strike_store(&mut self, fault: Fault, strike: Strike) {
-        let (now, share) = (self.now, strike.share);
-        let refused = self.leader_index().unwrap_or(strike.controller);
+    fn inject_store_fault(&mut self, fault: Fault, target: FaultTarget) {
+        let (now, share) = (self.now, target.duration_share);
+        let refused = self.leader_index().unwrap_or(target.controller);
         match fault {
             Fault::StoreDown => self.store_down_until = now + share * 6.0,
             Fault::StoreRefusesLeader => self.refuse_controller(refused, share * 10.0),
             Fault::StoreRefusesThenDown => {
                 self.refuse_controller(refused, 8.0);
-                self.outage_at = Some(PlannedOutage {
+                self.planned_outage = Some(PlannedOutage {
                     begins_at: now + 0.2 + share * 2.0,
-                    for_s: [5.0, 9.0, 30.0][self.rng.usize(0..3)],
+                    duration_s: [5.0, 9.0, 30.0][self.rng.usize(0..3)],
                 });
             }
             Fault::CancelCompletedJob => {
@@ -158,16 +158,16 @@
         }
     }
 
-    fn strike_machine(&mut self, fault: Fault, strike: Strike) {
-        let (now, share) = (self.now, strike.share);
-        let Some(worker) = self.workers.values_mut().nth(strike.machine) else {
+    fn inject_machine_fault(&mut self, fault: Fault, target: FaultTarget) {
+        let (now, share) = (self.now, target.duration_share);
+        let Some(worker) = self.workers.values_mut().nth(target.machine) else {
             return;
         };
         match fault {
             Fault::MachineHang => worker.hung_until = now + share * 14.0,
             Fault::MachineGone => worker.die(),
-            Fault::HeartbeatsLost => worker.outbound_cut_until = now + share * 20.0,
-            Fault::ResponsesLost => worker.inbound_cut_until = now + share * 20.0,
+            Fault::HeartbeatsLost => worker.heartbeats_lost_until = now + share * 20.0,
+            Fault::ResponsesLost => worker.responses_lost_until = now + share * 20.0,
             Fault::WorkerRestart => {
                 worker.restart(now);
                 worker.next_heartbeat_at = now + share * 0.5;
@@ -177,38 +177,38 @@
     }
 
     /// A job of which every task is done, while no record says so yet.
-    pub(super) fn job_at_its_end(&self) -> Option<String> {
+    pub(super) fn completed_unrecorded_job(&self) -> Option<String> {
         let mut open = self.jobs.iter().filter(|(_, job)| job.is_open());
         let found = open.find(|(id, job)| self.completed_tasks(id) == job.spec.tasks as usize);
         found.map(|(id, _)| id.clone())
     }
 
     fn crash(&mut self, i: usize) {
-        let for_s = [0.1, 0.4, 4.0][self.rng.usize(0..3)];
-        self.restart_controller(i, for_s);
+        let duration_s = [0.1, 0.4, 4.0][self.rng.usize(0..3)];
+        self.restart_controller(i, duration_s);
     }
 
     /// A controller ends and is back, with nothing, after a while.
-    pub fn restart_controller(&mut self, i: usize, for_s: f64) {
+    pub fn restart_controller(&mut self, i: usize, duration_s: f64) {
         let was_leading = self.leader_index() == Some(i);
         let controller = Controller {
             value_kb: self.controllers[i].value_kb,
-            down_until: self.now + for_s,
+            down_until: self.now + duration_s,
             ..Controller::new(i, &self.config)
         };
         self.controllers[i] = controller;
         if was_leading {
-            self.end_leader();
+            self.end_leadership();
         } else if let Some(leading) = &mut self.leading {
-            leading.leader.on_owner_disconnected(&name(i));
+            leading.leader.on_owner_disconnected(&controller_name(i));
         }
     }
 
     /// A controller's connections to the others break.
-    pub fn disconnect_controller(&mut self, i: usize, for_s: f64) {
-        self.controllers[i].disconnect(self.now + for_s);
+    pub fn disconnect_controller(&mut self, i: usize, duration_s: f64) {
+        self.controllers[i].disconnect(self.now + duration_s);
         if let Some(leading) = &mut self.leading {
-            leading.leader.on_owner_disconnected(&name(i));
+            leading.leader.on_owner_disconnected(&controller_name(i));
         }
     }
 }
--- a/crates/model/src/world/rich.rs
+++ b/crates/model/src/world/heterogeneous.rs
@@ -7,7 +7,7 @@
 const BULK_TASKS: u32 = 130;
 
 /// How many in a thousand steps give some spot machine its notice.
-const NOTICES: u32 = 12;
+const NOTICES_PER_1000_STEPS: u32 = 12;
 
 /// What happens in rich worlds only.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -28,7 +28,7 @@
 
 /// What only a rich world knows.
 #[derive(Default)]
-pub(super) struct Rich {
+pub(super) struct HeterogeneousState {
     /// How long tasks ran by their last checkpoints: by job and index.
     saved: BTreeMap<(String, u32), f64>,
     submitted: u32,
@@ -37,24 +37,24 @@
 impl World {
     /// A world of many machine types, few of each, and of teams that borrow from each other.
     pub fn heterogeneous(seed: u64) -> World {
-        let mut world = World::with_config(seed, Defect::None, rich_setup());
-        world.types = rich_types();
-        world.rich = Some(Rich::default());
+        let mut world = World::with_config(seed, Defect::None, heterogeneous_config());
+        world.types = heterogeneous_types();
+        world.heterogeneous = Some(HeterogeneousState::default());
         world
     }
 
     /// Random jobs and notices for `seconds`, as many jobs in a thousand steps as given, with faults if
     /// asked for.
-    pub fn run_heterogeneous(&mut self, seconds: f64, jobs: u32, with_faults: bool) {
+    pub fn run_heterogeneous(&mut self, seconds: f64, jobs_per_1000_steps: u32, with_faults: bool) {
         let end = self.now + seconds;
         while self.now < end {
-            if self.rng.u32(0..1000) < jobs {
-                let number = self.next_rich_id();
-                let spec = rich_job(&mut self.rng, number);
+            if self.rng.u32(0..1000) < jobs_per_1000_steps {
+                let number = self.next_job_number();
+                let spec = random_heterogeneous_job(&mut self.rng, number);
                 self.submit(spec);
             }
-            if self.rng.u32(0..1000) < NOTICES {
-                self.give_notice();
+            if self.rng.u32(0..1000) < NOTICES_PER_1000_STEPS {
+                self.send_preemption_notice();
             }
             if with_faults {
                 self.inject_fault();
@@ -65,7 +65,7 @@
 
     /// A job of many tasks that each take a whole machine of one of these types.
     pub fn submit_bulk(&mut self, types: &[&str]) {
-        let number = self.next_rich_id();
+        let number = self.next_job_number();
         self.submit(Job {
             class: "bulk".into(),
             priority: Priority::BestEffort,
@@ -77,36 +77,36 @@
         });
     }
 
-    fn next_rich_id(&mut self) -> u32 {
-        let rich = self.rich.get_or_insert_default();
-        rich.submitted += 1;
-        rich.submitted
+    fn next_job_number(&mut self) -> u32 {
+        let state = self.heterogeneous.get_or_insert_default();
+        state.submitted += 1;
+        state.submitted
     }
 
     /// The cloud announces that it takes a spot machine back.
-    fn give_notice(&mut self) {
+    fn send_preemption_notice(&mut self) {
         let now = self.now;
-        let may_be_taken = |worker: &&mut Worker| {
-            worker.spot && !worker.gone && worker.up_at < now && worker.taken_at.is_none()
+        let is_preemptible = |worker: &&mut Worker| {
+            worker.spot && !worker.gone && worker.up_at < now && worker.preempted_at.is_none()
         };
         let mut candidates: Vec<&mut Worker> =
-            self.workers.values_mut().filter(may_be_taken).collect();
+            self.workers.values_mut().filter(is_preemptible).collect();
         if candidates.is_empty() {
             return;
         }
         let at = self.rng.usize(0..candidates.len());
-        candidates[at].taken_at = Some(now + 4.0 + self.rng.f64() * 12.0);
+        candidates[at].preempted_at = Some(now + 4.0 + self.rng.f64() * 12.0);
         self.count_cloud_event(CloudEvent::PreemptionNotice, 1);
     }
 
     /// Machines are taken back at the end of their notice, and tasks save.
-    pub(super) fn run_rich(&mut self) {
-        if self.rich.is_none() {
+    pub(super) fn run_preemptions_and_checkpoints(&mut self) {
+        if self.heterogeneous.is_none() {
             return;
         }
         let now = self.now;
         for worker in self.workers.values_mut() {
-            if worker.taken_at.is_some_and(|at| now >= at) && !worker.gone {
+            if worker.preempted_at.is_some_and(|at| now >= at) && !worker.gone {
                 worker.die();
             }
         }
@@ -122,26 +122,28 @@
                 }
             }
         }
-        let rich = self.rich.get_or_insert_default();
-        rich.saved.extend(saved);
+        let state = self.heterogeneous.get_or_insert_default();
+        state.saved.extend(saved);
     }
 
     /// How long a task that starts has run already, by its checkpoints; a gang goes on from where all of its
     /// tasks have been.
     pub(super) fn saved_s(&self, id: &str, index: u32) -> f64 {
-        let Some(rich) = &self.rich else { return 0.0 };
-        let of = |index: u32| rich.saved.get(&(id.to_string(), index)).copied();
+        let Some(state) = &self.heterogeneous else {
+            return 0.0;
+        };
+        let saved_s_of = |index: u32| state.saved.get(&(id.to_string(), index)).copied();
         match self.jobs.get(id).map(|job| &job.spec) {
             Some(spec) if spec.shape == Shape::Gang => (0..spec.tasks)
-                .map(|index| of(index).unwrap_or(0.0))
+                .map(|index| saved_s_of(index).unwrap_or(0.0))
                 .fold(f64::MAX, f64::min),
-            _ => of(index).unwrap_or(0.0),
+            _ => saved_s_of(index).unwrap_or(0.0),
         }
     }
 
     /// Whether a task that is told to stop saves first, and then until when.
     pub(super) fn saves_until(&mut self, id: &str, grace_s: f64) -> Option<f64> {
-        self.rich.as_ref()?;
+        self.heterogeneous.as_ref()?;
         self.count_cloud_event(CloudEvent::Stop, 1);
         let spec = &self.jobs.get(id)?.spec;
         let can_save = spec.checkpoint_s > 0.0 && spec.save_s <= grace_s;
@@ -151,21 +153,21 @@
     }
 
     /// How many machines of an offer the cloud has, and how long one boots.
-    pub(super) fn rich_offer(&mut self, request: &ProvisionRequest) -> Option<(usize, f64)> {
-        self.rich.as_ref()?;
+    pub(super) fn draw_offer(&mut self, request: &ProvisionRequest) -> Option<(usize, f64)> {
+        self.heterogeneous.as_ref()?;
         let boot_s = self.types.iter().find(|t| t.name == request.kind)?.boot_s;
-        let most = match (request.kind.as_str(), request.spot) {
+        let max_machines = match (request.kind.as_str(), request.spot) {
             ("small", true) => 3,
             ("gpu" | "memory", _) => 2,
             (_, true) => 1,
             _ => 2,
         };
         self.count_cloud_event(CloudEvent::Provision, 1);
-        Some((most, boot_s * (0.8 + 0.45 * self.rng.f64())))
+        Some((max_machines, boot_s * (0.8 + 0.45 * self.rng.f64())))
     }
 
     pub(super) fn count_cloud_event(&mut self, event: CloudEvent, times: usize) {
-        if self.rich.is_some() && times > 0 {
+        if self.heterogeneous.is_some() && times > 0 {
             *self.cloud_events.entry(event).or_default() += times as u32;
         }
     }
@@ -182,7 +184,7 @@
                 Some(self.ran_s(self.saves_until - spec.save_s))
             }
             TaskState::Running if spec.checkpoint_s > 0.0 => {
-                let checkpoints = ((now - self.began) / spec.checkpoint_s).floor();
+                let checkpoints = ((now - self.began_at) / spec.checkpoint_s).floor();
                 (checkpoints > 0.0).then_some(self.saved_s + checkpoints * spec.checkpoint_s)
             }
             _ => None,
@@ -191,45 +193,45 @@
 }
 
 /// Three teams, one of which owns little and may borrow much; classes of gangs that should start in time.
-fn rich_setup() -> SchedulerConfig {
+fn heterogeneous_config() -> SchedulerConfig {
     let team = |cpus: f64, cpus_max: f64, gpus: f64, gpus_max: f64| Team {
         cpus,
         cpus_max,
         gpus,
         gpus_max,
     };
-    let within = [("train", 20.0), ("wide", 24.0), ("heavy", 16.0)];
+    let wait_targets = [("train", 20.0), ("wide", 24.0), ("heavy", 16.0)];
     SchedulerConfig {
         teams: BTreeMap::from([
             ("red".into(), team(24.0, 64.0, 4.0, 12.0)),
             ("blue".into(), team(32.0, 80.0, 4.0, 8.0)),
             ("green".into(), team(4.0, 640.0, 0.0, 8.0)),
         ]),
-        wait_s: within.map(|(class, s)| (class.to_string(), s)).into(),
+        wait_s: wait_targets.map(|(class, s)| (class.to_string(), s)).into(),
         ..config()
     }
 }
 
 /// Three small types of different prices, a large one, one with much memory, and one with GPUs.
-fn rich_types() -> Vec<MachineType> {
-    let with = |t: MachineType, spot_price: f64, boot_s: f64, gpus: f64| MachineType {
+fn heterogeneous_types() -> Vec<MachineType> {
+    let variant = |t: MachineType, spot_price: f64, boot_s: f64, gpus: f64| MachineType {
         spot_price,
         boot_s,
         gpus,
         ..t
     };
     vec![
-        with(machine_type("small", 4.0, 16.0, 0.30), 0.10, 3.0, 0.0),
-        with(machine_type("steady", 4.0, 16.0, 0.36), 0.15, 3.0, 0.0),
-        with(machine_type("costly", 4.0, 16.0, 0.44), 0.13, 3.0, 0.0),
-        with(machine_type("large", 16.0, 64.0, 1.10), 0.50, 6.0, 0.0),
-        with(machine_type("memory", 8.0, 128.0, 0.90), 0.30, 8.0, 0.0),
-        with(machine_type("gpu", 16.0, 64.0, 4.00), 1.40, 10.0, 4.0),
+        variant(machine_type("small", 4.0, 16.0, 0.30), 0.10, 3.0, 0.0),
+        variant(machine_type("steady", 4.0, 16.0, 0.36), 0.15, 3.0, 0.0),
+        variant(machine_type("costly", 4.0, 16.0, 0.44), 0.13, 3.0, 0.0),
+        variant(machine_type("large", 16.0, 64.0, 1.10), 0.50, 6.0, 0.0),
+        variant(machine_type("memory", 8.0, 128.0, 0.90), 0.30, 8.0, 0.0),
+        variant(machine_type("gpu", 16.0, 64.0, 4.00), 1.40, 10.0, 4.0),
     ]
 }
 
 /// A job of some class: arrays of each team, and gangs that need GPUs, memory or several machines.
-fn rich_job(rng: &mut fastrand::Rng, id: u32) -> Job {
+fn random_heterogeneous_job(rng: &mut fastrand::Rng, id: u32) -> Job {
     let team = ["red", "blue", "green", "green"][rng.usize(0..4)];
     let (class, shape, tasks, cpus) = match rng.u32(0..10) {
         0 => ("train", Shape::Gang, rng.u32(1..4), 4.0),
--- a/crates/model/src/world/jobs.rs
+++ b/crates/model/src/world/jobs.rs
@@ -5,7 +5,7 @@
 /// A job and the truth about it.
 pub(super) struct JobState {
     pub(super) spec: Rc<Job>,
-    pub(super) accepted: f64,
+    pub(super) accepted_at: f64,
     /// When its first task began to run.
     pub(super) started_at: Option<f64>,
     pub(super) revision: u64,
@@ -13,9 +13,9 @@
     /// When it ended, by its own record or because one of its dependencies was cancelled.
     pub(super) terminal_at: Option<f64>,
     /// When its own record was written as terminal.
-    pub(super) own_end: Option<f64>,
+    pub(super) record_terminal_at: Option<f64>,
     /// The controller that wrote that record.
-    pub(super) ended_by: Option<usize>,
+    pub(super) terminal_written_by: Option<usize>,
     /// When the last of its dependencies was done.
     pub(super) ready_at: Option<f64>,
     pub(super) cancelled: bool,
@@ -23,16 +23,16 @@
 }
 
 impl JobState {
-    fn new(spec: Job, accepted: f64, revision: u64) -> JobState {
+    fn new(spec: Job, accepted_at: f64, revision: u64) -> JobState {
         JobState {
             spec: Rc::new(spec),
-            accepted,
+            accepted_at,
             started_at: None,
             revision,
             done: RangeSet::default(),
             terminal_at: None,
-            own_end: None,
-            ended_by: None,
+            record_terminal_at: None,
+            terminal_written_by: None,
             ready_at: None,
             cancelled: false,
             prior_runs: PriorRuns::None,
@@ -44,8 +44,8 @@
     }
 
     /// Whether its end was recorded at `time` or earlier.
-    pub(super) fn has_own_end_by(&self, time: f64) -> bool {
-        self.own_end.is_some_and(|at| at <= time)
+    pub(super) fn is_recorded_terminal_by(&self, time: f64) -> bool {
+        self.record_terminal_at.is_some_and(|at| at <= time)
     }
 }
 
@@ -61,14 +61,14 @@
 }
 
 /// The jobs as a controller's replica has them, which is as old as its last read of the store.
-pub(super) struct JobsAsRead<'a> {
+pub(super) struct JobReplica<'a> {
     jobs: &'a BTreeMap<String, JobState>,
     read_at: f64,
 }
 
-impl JobsAsRead<'_> {
-    pub(super) fn new(jobs: &BTreeMap<String, JobState>, read_at: f64) -> JobsAsRead<'_> {
-        JobsAsRead { jobs, read_at }
+impl JobReplica<'_> {
+    pub(super) fn new(jobs: &BTreeMap<String, JobState>, read_at: f64) -> JobReplica<'_> {
+        JobReplica { jobs, read_at }
     }
 
     fn open_spec(&self, job: &str) -> Option<&Job> {
@@ -77,7 +77,7 @@
     }
 }
 
-impl JobLookup for JobsAsRead<'_> {
+impl JobLookup for JobReplica<'_> {
     fn resources(&self, job: &str) -> Option<Resources> {
         let spec = self.open_spec(job)?;
         Some(Resources {
@@ -104,7 +104,7 @@
         self.jobs
             .insert(id, JobState::new(spec, self.now, self.revision));
         self.cancel_descendants();
-        self.note_ready();
+        self.record_ready_jobs();
     }
 
     /// A user cancels a job; any controller that reaches the store confirms it, at once. False if
@@ -124,20 +124,20 @@
             return false;
         };
         job.terminal_at = Some(now);
-        job.own_end = Some(now);
-        job.ended_by = Some(by);
+        job.record_terminal_at = Some(now);
+        job.terminal_written_by = Some(by);
         job.cancelled = true;
         self.trace.ended(now, id, true);
         self.cancellations += 1;
         self.cancel_descendants();
         if self.defect != Defect::IgnoreCancel {
-            self.tell_leader_of_cancellation(by, id);
+            self.notify_leader_of_cancellation(by, id);
         }
         true
     }
 
     /// The controller that confirmed a cancellation tells the leader without waiting for its read.
-    fn tell_leader_of_cancellation(&mut self, by: usize, id: &str) {
+    fn notify_leader_of_cancellation(&mut self, by: usize, id: &str) {
         let now = self.now;
         match &mut self.leading {
             Some(leading) if leading.controller == by => leading.leader.on_job_terminal(id),
@@ -153,7 +153,7 @@
     }
 
     /// Records a job as done; the truth is what the workers have completed.
-    pub(super) fn finish(&mut self, id: &str) {
+    pub(super) fn record_done(&mut self, id: &str) {
         let now = self.now;
         let completed = self.completed_tasks(id) as u32;
         let Some(job) = self.jobs.get_mut(id) else {
@@ -162,13 +162,13 @@
         let tasks = job.spec.tasks;
         let is_done = completed == tasks || job.spec.shape == Shape::Gang && completed > 0;
         job.terminal_at = Some(now);
-        job.own_end = Some(now);
+        job.record_terminal_at = Some(now);
         self.jobs_done += 1;
         self.trace.ended(now, id, false);
         if !is_done {
-            self.break_rule("not_done");
+            self.record_violation("not_done");
         }
-        self.note_ready();
+        self.record_ready_jobs();
     }
 
     /// How many of a job's tasks workers have completed.
@@ -181,7 +181,7 @@
             .count()
     }
 
-    pub(super) fn note_started(&mut self, started: BTreeSet<String>) {
+    pub(super) fn record_first_starts(&mut self, started: BTreeSet<String>) {
         for id in started {
             if let Some(job) = self.jobs.get_mut(&id) {
                 job.started_at.get_or_insert(self.now);
@@ -198,7 +198,7 @@
     /// When each of the accepted jobs came to its stages, by id.
     pub fn job_times(&self) -> BTreeMap<&str, JobTimes> {
         let times = |job: &JobState| JobTimes {
-            accepted: job.accepted,
+            accepted: job.accepted_at,
             ready: job.ready_at,
             started: job.started_at,
         };
--- a/crates/model/src/world/leadership.rs
+++ b/crates/model/src/world/leadership.rs
@@ -7,7 +7,7 @@
     pub(super) controller: usize,
     pub(super) leader: Leader,
     /// The revision of the store at which it was elected; its writes depend on it.
-    pub(super) leadership: u64,
+    pub(super) elected_revision: u64,
 }
 
 impl World {
@@ -19,13 +19,13 @@
         let Some(mut leading) = self.leading.take() else {
             return;
         };
-        self.lose_owners_if_partitioned(&mut leading);
-        if !self.keeps_lease(leading.controller) {
-            self.end_leader();
+        self.disconnect_owners_if_partitioned(&mut leading);
+        if !self.renew_lease(leading.controller) {
+            self.end_leadership();
             return;
         }
         if !self.is_frozen(leading.controller) {
-            self.hear_owners(&mut leading);
+            self.receive_from_owners(&mut leading);
             self.tick_leader(&mut leading.leader, leading.controller);
             self.act(&mut leading);
         }
@@ -34,23 +34,23 @@
 
     /// A partitioned leader loses its owners at once; its own authority runs out later, and only then
     /// another controller can be elected.
-    fn lose_owners_if_partitioned(&mut self, leading: &mut LeadingController) {
+    fn disconnect_owners_if_partitioned(&mut self, leading: &mut LeadingController) {
         if !self.is_partitioned(leading.controller) {
             return;
         }
         for i in (0..self.controllers.len()).filter(|i| *i != leading.controller) {
-            leading.leader.on_owner_disconnected(&name(i));
+            leading.leader.on_owner_disconnected(&controller_name(i));
             self.controllers[i].disconnect(self.now + 0.2);
         }
     }
 
     /// Renews the lease in the store if it can; says whether it still runs.
-    fn keeps_lease(&mut self, controller: usize) -> bool {
+    fn renew_lease(&mut self, controller: usize) -> bool {
         let now = self.now;
         if self.reaches_store(controller) {
             self.lease_end = now + LEADER_LEASE_S;
             let authority = &mut self.controllers[controller].owner.authority;
-            authority.renew(now + LEADER_LEASE_S * RENEWED_SHARE, now);
+            authority.renew(now + LEADER_LEASE_S * AUTHORITY_SHARE, now);
         } else if now < self.store_down_until {
             // An outage preserves the leases; afterwards they get their full time again.
             self.lease_end = self.store_down_until + LEADER_LEASE_S;
@@ -66,46 +66,50 @@
             leader.tick(self.now, 2);
         }
         if !leader.index_is_consistent() {
-            self.break_rule("index");
+            self.record_violation("index");
         }
     }
 
     /// The leader answers the pings of owners that joined and hears their messages.
-    fn hear_owners(&mut self, leading: &mut LeadingController) {
+    fn receive_from_owners(&mut self, leading: &mut LeadingController) {
         let now = self.now;
         for i in 0..self.controllers.len() {
             let controller = &self.controllers[i];
             if i == leading.controller || now < controller.down_until || !controller.joined {
                 continue;
             }
-            while let Some(sent) = self.controllers[i].pings.receive(now) {
-                self.answer_ping(leading, i, sent);
+            while let Some(sent_at) = self.controllers[i].pings.receive(now) {
+                self.answer_ping(leading, i, sent_at);
             }
             while let Some(message) = self.controllers[i].to_leader.receive(now) {
-                leading.leader.on_owner_message(&name(i), message, now);
+                leading
+                    .leader
+                    .on_owner_message(&controller_name(i), message, now);
             }
         }
     }
 
     /// The leader answers an owner's ping with authority, if it may grant any.
-    fn answer_ping(&mut self, leading: &mut LeadingController, from: usize, sent: f64) {
+    fn answer_ping(&mut self, leading: &mut LeadingController, from: usize, sent_at: f64) {
         let now = self.now;
         let authority = &self.controllers[leading.controller].owner.authority;
-        let (answers_until, read_at) = (authority.responses_until(), authority.read_at());
-        leading.leader.on_owner_contact(&name(from), now);
-        let until = answers_until.min(now + self.config.owner_timeout_s() * 1.25);
-        let granted = leading.leader.grant_authority(&name(from), now, until);
-        self.trace.granted(now, from, sent, granted);
+        let (responses_until, read_at) = (authority.responses_until(), authority.read_at());
+        leading.leader.on_owner_contact(&controller_name(from), now);
+        let until = responses_until.min(now + self.config.owner_timeout_s() * 1.25);
+        let granted = leading
+            .leader
+            .grant_authority(&controller_name(from), now, until);
+        self.trace.granted(now, from, sent_at, granted);
         let Some(valid_s) = granted else {
             return;
         };
         let controller = &mut self.controllers[from];
-        if controller.epoch && controller.owner.token() == leading.leader.token() {
-            controller.owner.authority.set_until(sent + valid_s);
+        if controller.has_epoch && controller.owner.token() == leading.leader.token() {
+            controller.owner.authority.set_until(sent_at + valid_s);
             // Behind all that was sent before it.
             let arrives_at = controller.to_owner.arrival(now + 0.02);
-            let known_until = sent - (now - read_at);
-            controller.leader_read_at.send(arrives_at, known_until);
+            let leader_read_at = sent_at - (now - read_at);
+            controller.leader_reads.send(arrives_at, leader_read_at);
         }
     }
 
@@ -118,7 +122,7 @@
             for message in messages {
                 self.trace
                     .sent_to_leader(self.now, leading.controller, self.now, &message);
-                let from = name(leading.controller);
+                let from = controller_name(leading.controller);
                 leading.leader.on_owner_message(&from, message, self.now);
             }
             for action in leading.leader.take_actions() {
@@ -133,17 +137,18 @@
 
     /// A message to an owner, or a request to the store or the cloud, sets out.
     fn request(&mut self, leading: &LeadingController, action: Action) {
-        self.trace.requested(self.now, leading.leadership, &action);
+        self.trace
+            .requested(self.now, leading.elected_revision, &action);
         match action {
             Action::Send(to, message) => {
-                self.send_to_owner(leading.controller, index_of(&to), message);
+                self.send_to_owner(leading.controller, controller_index(&to), message);
             }
             action => {
                 let arrives_at = self.now + 0.02 + self.rng.f64() * 0.3;
                 let expected_version = self.expected_version(&action);
                 self.writes.push(PendingWrite {
                     arrives_at,
-                    leadership: leading.leadership,
+                    elected_revision: leading.elected_revision,
                     action,
                     expected_version,
                     is_late: false,
@@ -154,20 +159,20 @@
 
     fn send_to_owner(&mut self, leading: usize, to: usize, message: ToOwner) {
         if to == leading {
-            let jobs = JobsAsRead::new(&self.jobs, self.terminal_jobs_read_at(leading));
+            let jobs = JobReplica::new(&self.jobs, self.terminal_jobs_read_at(leading));
             let owner = &mut self.controllers[leading].owner;
             owner.on_leader_message(message, self.now, &jobs);
         } else if self.controllers[to].joined {
-            let delay = self.connection_delay();
+            let delay = self.draw_connection_delay();
             let to_owner = &mut self.controllers[to].to_owner;
             to_owner.send(to_owner.arrival(self.now + delay), message);
         }
     }
 
     /// No controller leads any more. The store keeps the key until the lease has run out.
-    pub(super) fn end_leader(&mut self) {
+    pub(super) fn end_leadership(&mut self) {
         self.leading = None;
-        self.free_at = self.free_at.max(self.lease_end + 0.1);
+        self.no_election_before = self.no_election_before.max(self.lease_end + 0.1);
         for controller in &mut self.controllers {
             controller.disconnect(self.now + 0.2);
         }
--- a/crates/model/src/world/outcomes.rs
+++ b/crates/model/src/world/outcomes.rs
@@ -6,25 +6,25 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Outcome {
     /// It was carried out, and the leader hears so.
-    Answered,
+    Confirmed,
     /// It was carried out, but the response is lost.
-    AnswerLost,
+    ResponseLost,
     /// It was not carried out, or is not yet.
-    Refused,
+    NotApplied,
 }
 
 impl Outcome {
     pub(super) fn took_effect(self) -> bool {
-        self != Outcome::Refused
+        self != Outcome::NotApplied
     }
 
     pub(super) fn is_confirmed(self) -> bool {
-        self == Outcome::Answered
+        self == Outcome::Confirmed
     }
 }
 
 /// The tasks of a page of progress, which starts at a task and has a bit for each.
-fn tasks_of_page(first_task: u32, bits: &str) -> RangeSet {
+fn decode_progress_page(first_task: u32, bits: &str) -> RangeSet {
     let byte = |i: usize| u8::from_str_radix(&bits[i * 2..i * 2 + 2], 16).ok();
     let bytes: Vec<u8> = (0..bits.len() / 2).filter_map(byte).collect();
     let mut tasks = RangeSet::default();
@@ -35,7 +35,7 @@
 impl World {
     /// Carries an action out if it took effect, and tells the leader its outcome, or that it is not
     /// known.
-    pub(super) fn carry_out(&mut self, leader: &mut Leader, action: Action, outcome: Outcome) {
+    pub(super) fn apply_action(&mut self, leader: &mut Leader, action: Action, outcome: Outcome) {
         let now = self.now;
         self.trace.carried_out(now, &action, outcome);
         match action {
@@ -53,13 +53,13 @@
                 first_task,
                 bits,
             } => {
-                let written = tasks_of_page(first_task, &bits);
+                let written = decode_progress_page(first_task, &bits);
                 self.write_progress(&job, &written, outcome);
                 let written = outcome.is_confirmed().then_some(&written);
                 leader.progress_result(&job, first_task, written);
             }
             Action::FinishJob { job } => {
-                let is_written = self.write_end(&job, outcome);
+                let is_written = self.write_job_done(&job, outcome);
                 leader.finish_result(&job, is_written);
             }
             Action::RecordStartedArrays(record) => {
@@ -110,11 +110,11 @@
     }
 
     /// Records a job as done, unless it is terminal already; says whether it did.
-    fn write_end(&mut self, job: &str, outcome: Outcome) -> bool {
+    fn write_job_done(&mut self, job: &str, outcome: Outcome) -> bool {
         let is_open = self.jobs.get(job).is_some_and(JobState::is_open);
         let is_written = outcome.took_effect() && is_open;
         if is_written {
-            self.finish(job);
+            self.record_done(job);
         }
         is_written
     }
@@ -154,7 +154,7 @@
         let half_done = self.jobs.iter().filter(|(_, job)| is_half_done(job));
         let half_done: Vec<String> = half_done.map(|(id, _)| id.clone()).collect();
         for id in half_done {
-            self.finish(&id);
+            self.record_done(&id);
         }
     }
 }
--- a/crates/model/src/world/rules.rs
+++ b/crates/model/src/world/rules.rs
@@ -3,19 +3,19 @@
 use super::*;
 
 mod placement;
-mod service;
+mod start_times;
 mod waiting;
 
-pub(super) use waiting::Opening;
+pub(super) use waiting::WaitingWithCapacity;
 
 /// What a team uses, or may use.
 #[derive(Clone, Copy, Default)]
-struct Usage {
+struct TeamUsage {
     cpus: f64,
     gpus: f64,
 }
 
-impl Usage {
+impl TeamUsage {
     fn add_task(&mut self, spec: &Job) {
         self.cpus += spec.cpus;
         self.gpus += spec.gpus;
@@ -23,22 +23,24 @@
 }
 
 impl World {
-    pub(super) fn break_rule(&mut self, rule: &str) {
+    pub(super) fn record_violation(&mut self, rule: &str) {
         self.trace.rule_broken(self.now, rule);
         self.violations.insert(rule.to_string());
     }
 
-    fn break_rules(&mut self, rules: Vec<&str>) {
-        rules.into_iter().for_each(|rule| self.break_rule(rule));
+    fn record_violations(&mut self, rules: Vec<&str>) {
+        rules
+            .into_iter()
+            .for_each(|rule| self.record_violation(rule));
     }
 
     /// At every moment, no terminal job runs on for long, and no team exceeds its limits.
-    pub(super) fn check(&mut self) {
-        let mut broken = self.overrunning_tasks();
+    pub(super) fn check_running_tasks(&mut self) {
+        let mut violations = self.overrunning_tasks();
         if self.exceeds_limits() {
-            broken.push("quota");
+            violations.push("quota");
         }
-        self.break_rules(broken);
+        self.record_violations(violations);
     }
 
     /// The rule that is broken by each task that runs on though its job ended long ago.
@@ -59,13 +61,13 @@
     }
 
     fn exceeds_limits(&self) -> bool {
-        let mut used: BTreeMap<&str, Usage> = BTreeMap::new();
+        let mut used: BTreeMap<&str, TeamUsage> = BTreeMap::new();
         for task in self.workers.values().flat_map(Worker::live_tasks) {
             if let Some(job) = self.jobs.get(&task.job) {
                 used.entry(&job.spec.team).or_default().add_task(&job.spec);
             }
         }
-        let is_within = |limit: &Team, used: &Usage| {
+        let is_within = |limit: &Team, used: &TeamUsage| {
             used.cpus <= limit.cpus_max + 1e-6 && used.gpus <= limit.gpus_max + 1e-6
         };
         used.iter().any(|(team, used)| {
@@ -76,7 +78,7 @@
 
     /// Once faults are over, the leader knows every open job whose dependencies are done, as soon as
     /// it has read that they are.
-    pub(super) fn check_known(&mut self) {
+    pub(super) fn check_leader_knows_jobs(&mut self) {
         let Some(leading) = &self.leading else {
             return;
         };
@@ -87,7 +89,7 @@
             job.is_open() && is_ready && !leading.leader.has_job(id)
         };
         if self.jobs.iter().any(is_forgotten) {
-            self.break_rule("forgotten");
+            self.record_violation("forgotten");
         }
     }
 }
--- a/crates/model/src/world/rules/placement.rs
+++ b/crates/model/src/world/rules/placement.rs
@@ -5,27 +5,27 @@
 impl World {
     /// A task starts on a machine.
     pub(in crate::world) fn check_start(&mut self, machine: &str, job: &str, index: u32) {
-        self.check_too_early(job);
-        let mut broken = Vec::new();
+        self.check_dependencies_done(job);
+        let mut violations = Vec::new();
         if let Some(state) = self.jobs.get(job) {
             if self.is_started_after_cancellation(state) {
-                broken.push("started_cancelled");
+                violations.push("started_cancelled");
             }
-            if state.own_end.is_some() && !state.cancelled {
-                broken.push("started_done");
+            if state.record_terminal_at.is_some() && !state.cancelled {
+                violations.push("started_done");
             }
         }
         let is_same_task = |task: &TaskKey| task.job == job && task.index == index;
         let live = || self.workers.values().flat_map(Worker::live_tasks);
         if live().any(is_same_task) {
-            broken.push("ran_twice");
+            violations.push("ran_twice");
         }
         if let (Some(state), Some(worker)) = (self.jobs.get(job), self.workers.get(machine)) {
             if !self.may_run_on(&state.spec, worker) {
-                broken.push("wrong_place");
+                violations.push("wrong_place");
             }
         }
-        self.break_rules(broken);
+        self.record_violations(violations);
     }
 
     /// Whether the job was cancelled so long ago that neither a response under way nor a leader that
@@ -45,9 +45,9 @@
             }
         }
         let in_zone = by_zone.get(worker.zone.as_str()).copied().unwrap_or(0);
-        let is_elsewhere = spec.one_zone && by_zone.keys().any(|zone| *zone != worker.zone);
-        let is_crowded = spec.spread && in_zone + 1 > spec.tasks.div_ceil(2);
-        allows_machine(spec, worker) && !is_elsewhere && !is_crowded
+        let in_other_zone = spec.one_zone && by_zone.keys().any(|zone| *zone != worker.zone);
+        let exceeds_spread = spec.spread && in_zone + 1 > spec.tasks.div_ceil(2);
+        allows_machine(spec, worker) && !in_other_zone && !exceeds_spread
     }
 }
 
--- a/crates/model/src/world/rules/waiting.rs
+++ b/crates/model/src/world/rules/waiting.rs
@@ -6,12 +6,12 @@
 /// What machines have free, and what teams use on them.
 struct Capacity<'a> {
     free: Vec<(&'a String, &'a Worker, Resources)>,
-    used: BTreeMap<&'a str, Usage>,
+    used: BTreeMap<&'a str, TeamUsage>,
 }
 
 /// A job that waits, and where there is capacity: a machine for an array, none for a gang, which
 /// needs several.
-pub(in crate::world) type Opening = (String, Option<String>);
+pub(in crate::world) type WaitingWithCapacity = (String, Option<String>);
 
 /// Tasks of a job that fit into what a machine has free.
 fn fitting_tasks(spec: &Job, free: &Resources) -> usize {
@@ -23,7 +23,7 @@
 }
 
 /// Tasks of a gang that fit together, by how many fit in each zone.
-fn fitting_together(spec: &Job, by_zone: &BTreeMap<&str, usize>) -> usize {
+fn fitting_gang_tasks(spec: &Job, by_zone: &BTreeMap<&str, usize>) -> usize {
     let most_in_zone = match spec.spread {
         true => spec.tasks.div_ceil(2) as usize,
         false => usize::MAX,
@@ -39,37 +39,37 @@
     /// Once faults are over, no job waits long while the same machine has capacity for a task of it
     /// (for a gang: while machines have capacity for all of it) and its team is under its limit.
     pub(in crate::world) fn check_waiting(&mut self) {
-        let openings = self.openings();
-        self.fits_since
-            .retain(|opening, _| openings.contains(opening));
-        for opening in openings {
-            self.fits_since.entry(opening).or_insert(self.now);
+        let waiting = self.jobs_waiting_with_capacity();
+        self.capacity_since
+            .retain(|entry, _| waiting.contains(entry));
+        for entry in waiting {
+            self.capacity_since.entry(entry).or_insert(self.now);
         }
-        let mut since = self.fits_since.values();
-        if since.any(|since| self.now - since > WAITS_S) {
-            self.break_rule("waits");
+        let mut since = self.capacity_since.values();
+        if since.any(|since| self.now - since > MAX_WAIT_WITH_CAPACITY_S) {
+            self.record_violation("waits");
         }
     }
 
     /// The jobs without a task on any machine for which there is capacity now.
-    fn openings(&self) -> BTreeSet<Opening> {
+    fn jobs_waiting_with_capacity(&self) -> BTreeSet<WaitingWithCapacity> {
         let capacity = self.capacity();
-        let mut openings = BTreeSet::new();
+        let mut waiting = BTreeSet::new();
         let is_waiting = |job: &JobState| job.is_open() && job.ready_at.is_some();
         for (id, job) in self.jobs.iter().filter(|(_, job)| is_waiting(job)) {
             if self.live_tasks(id) > 0 {
                 continue;
             }
-            let lacking = job.spec.tasks as usize - self.completed_tasks(id);
+            let remaining = job.spec.tasks as usize - self.completed_tasks(id);
             let needed = match job.spec.shape {
-                Shape::Gang => lacking,
-                _ => lacking.min(1),
+                Shape::Gang => remaining,
+                _ => remaining.min(1),
             };
             if needed > 0 && self.is_within_limit(&job.spec, needed, &capacity) {
-                add_openings(&mut openings, &job.spec, needed, &capacity);
+                add_waiting_job(&mut waiting, &job.spec, needed, &capacity);
             }
         }
-        openings
+        waiting
     }
 
     /// What the machines have free that work and stay.
@@ -80,7 +80,7 @@
         };
         let is_usable = |worker: &Worker| {
             let is_running = self.now >= worker.up_at && self.now >= worker.hung_until;
-            !worker.gone && is_running && worker.taken_at.is_none()
+            !worker.gone && is_running && worker.preempted_at.is_none()
         };
         for (name, worker) in self.workers.iter().filter(|(_, it)| is_usable(it)) {
             let kind = self.types.iter().find(|kind| kind.name == worker.kind);
@@ -116,7 +116,12 @@
 }
 
 /// Adds where there is capacity for a job that waits.
-fn add_openings(openings: &mut BTreeSet<Opening>, spec: &Job, needed: usize, capacity: &Capacity) {
+fn add_waiting_job(
+    waiting: &mut BTreeSet<WaitingWithCapacity>,
+    spec: &Job,
+    needed: usize,
+    capacity: &Capacity,
+) {
     let is_gang = spec.shape == Shape::Gang;
     let mut by_zone: BTreeMap<&str, usize> = BTreeMap::new();
     let allowed = capacity
@@ -127,10 +132,10 @@
         let fitting = fitting_tasks(spec, free);
         *by_zone.entry(worker.zone.as_str()).or_default() += fitting;
         if !is_gang && fitting > 0 {
-            openings.insert((spec.id.clone(), Some(name.to_string())));
+            waiting.insert((spec.id.clone(), Some(name.to_string())));
         }
     }
-    if is_gang && fitting_together(spec, &by_zone) >= needed {
-        openings.insert((spec.id.clone(), None));
+    if is_gang && fitting_gang_tasks(spec, &by_zone) >= needed {
+        waiting.insert((spec.id.clone(), None));
     }
 }
--- a/crates/model/src/world/script.rs
+++ b/crates/model/src/world/scenario.rs
@@ -12,32 +12,32 @@
     }
 
     /// The store refuses one controller, and serves the others.
-    pub fn refuse_controller(&mut self, i: usize, for_s: f64) {
-        self.controllers[i].refused_until = self.now + for_s;
+    pub fn refuse_controller(&mut self, i: usize, duration_s: f64) {
+        self.controllers[i].store_refuses_until = self.now + duration_s;
     }
 
     /// The store refuses everybody. Its leases keep.
-    pub fn store_outage(&mut self, for_s: f64) {
-        self.store_down_until = self.store_down_until.max(self.now + for_s);
+    pub fn store_outage(&mut self, duration_s: f64) {
+        self.store_down_until = self.store_down_until.max(self.now + duration_s);
     }
 
     /// A controller loses the store and the others, not its workers.
-    pub fn partition_controller(&mut self, i: usize, for_s: f64) {
-        self.partitioned = Some(Partition {
+    pub fn partition_controller(&mut self, i: usize, duration_s: f64) {
+        self.partition = Some(Partition {
             controller: i,
-            until: self.now + for_s,
+            until: self.now + duration_s,
         });
-        self.disconnect_controller(i, for_s);
+        self.disconnect_controller(i, duration_s);
     }
 
     /// A controller finds its view too old and reloads all records, which takes `for_s`.
-    pub fn reload_records(&mut self, i: usize, for_s: f64) {
+    pub fn reload_records(&mut self, i: usize, duration_s: f64) {
         let now = self.now;
         let controller = &mut self.controllers[i];
-        controller.read = None;
-        controller.reload.get_or_insert(StoreRead {
-            sent: now,
-            answered_at: now + for_s,
+        controller.pending_read = None;
+        controller.pending_reload.get_or_insert(StoreRead {
+            sent_at: now,
+            answered_at: now + duration_s,
         });
     }
 
@@ -47,65 +47,65 @@
     }
 
     /// Machines on which something is, as many as asked for at most.
-    pub fn busy_machines(&self, most: usize) -> Vec<String> {
+    pub fn busy_machines(&self, max: usize) -> Vec<String> {
         let is_busy = |worker: &Worker| !worker.gone && worker.live_tasks().next().is_some();
         let busy = self.workers.iter().filter(|(_, worker)| is_busy(worker));
-        busy.map(|(name, _)| name.clone()).take(most).collect()
+        busy.map(|(name, _)| name.clone()).take(max).collect()
     }
 
-    fn on_machines(&mut self, names: &[String], change: impl Fn(&mut Worker)) {
+    fn update_workers(&mut self, names: &[String], update: impl Fn(&mut Worker)) {
         for name in names {
-            self.workers.get_mut(name).into_iter().for_each(&change);
+            self.workers.get_mut(name).into_iter().for_each(&update);
         }
     }
 
     /// Machines hang for a while, and then go on.
-    pub fn hang_machines(&mut self, names: &[String], for_s: f64) {
-        let until = self.now + for_s;
-        self.on_machines(names, |worker| worker.hung_until = until);
+    pub fn hang_machines(&mut self, names: &[String], duration_s: f64) {
+        let until = self.now + duration_s;
+        self.update_workers(names, |worker| worker.hung_until = until);
     }
 
     /// Heartbeats of machines arrive, but the responses are lost.
-    pub fn drop_responses(&mut self, names: &[String], for_s: f64) {
-        let until = self.now + for_s;
-        self.on_machines(names, |worker| worker.inbound_cut_until = until);
+    pub fn drop_responses(&mut self, names: &[String], duration_s: f64) {
+        let until = self.now + duration_s;
+        self.update_workers(names, |worker| worker.responses_lost_until = until);
     }
 
     /// No heartbeat of machines arrives.
-    pub fn drop_heartbeats(&mut self, names: &[String], for_s: f64) {
-        let until = self.now + for_s;
-        self.on_machines(names, |worker| worker.outbound_cut_until = until);
+    pub fn drop_heartbeats(&mut self, names: &[String], duration_s: f64) {
+        let until = self.now + duration_s;
+        self.update_workers(names, |worker| worker.heartbeats_lost_until = until);
     }
 
     /// Machines die without notice.
     pub fn kill_machines(&mut self, names: &[String]) {
-        self.on_machines(names, Worker::die);
+        self.update_workers(names, Worker::die);
     }
 
     /// A zone is cut off with its machines; a controller in it keeps them.
-    pub fn partition_zone(&mut self, zone: &str, controller: Option<usize>, for_s: f64) {
+    pub fn partition_zone(&mut self, zone: &str, controller: Option<usize>, duration_s: f64) {
         let in_zone = self
             .workers
             .iter()
             .filter(|(_, worker)| worker.zone == zone);
         let names: Vec<String> = in_zone.map(|(name, _)| name.clone()).collect();
         match controller {
-            Some(i) => self.partition_controller(i, for_s),
-            None => self.drop_heartbeats(&names, for_s),
+            Some(i) => self.partition_controller(i, duration_s),
+            None => self.drop_heartbeats(&names, duration_s),
         }
     }
 
     /// Cancels jobs that run, as many as asked for; says which were confirmed.
-    pub fn cancel_running(&mut self, most: usize) -> Vec<String> {
+    pub fn cancel_running(&mut self, max: usize) -> Vec<String> {
         let open = self.open_jobs().into_iter();
         let running = open.filter(|id| self.live_tasks(id) > 0);
-        let running: Vec<String> = running.take(most).collect();
+        let running: Vec<String> = running.take(max).collect();
         running.into_iter().filter(|id| self.cancel(id)).collect()
     }
 
     /// Cancels a job of which every task is done, while no record says so yet.
     pub fn cancel_completed_job(&mut self) -> Option<String> {
-        let id = self.job_at_its_end()?;
+        let id = self.completed_unrecorded_job()?;
         self.cancel(&id).then_some(id)
     }
 
--- a/crates/model/src/world/store.rs
+++ b/crates/model/src/world/store.rs
@@ -7,7 +7,7 @@
 pub(super) struct PendingWrite {
     pub(super) arrives_at: f64,
     /// The leadership under which it was asked for.
-    pub(super) leadership: u64,
+    pub(super) elected_revision: u64,
     pub(super) action: Action,
     /// The version that its key must have.
     pub(super) expected_version: u64,
@@ -16,7 +16,7 @@
 }
 
 /// The key that an action replaces; none for what has a condition of its own or is no write.
-fn key(action: &Action) -> Option<String> {
+fn written_key(action: &Action) -> Option<String> {
     match action {
         Action::UpdateRoster(machine, _) => Some(format!("roster/{machine}")),
         Action::Bind { job, .. } => Some(format!("binding/{job}")),
@@ -33,7 +33,7 @@
     /// read shows is known before anything else is done on the strength of it.
     pub(super) fn run_reads(&mut self) {
         for i in 0..self.controllers.len() {
-            match self.controllers[i].reload {
+            match self.controllers[i].pending_reload {
                 Some(reload) => self.run_reload(i, reload),
                 None => self.run_read(i),
             }
@@ -42,43 +42,43 @@
 
     fn run_reload(&mut self, i: usize, reload: StoreRead) {
         if self.now >= reload.answered_at && self.reaches_store(i) {
-            self.controllers[i].reload = None;
-            self.finish_reload(i, reload.sent);
+            self.controllers[i].pending_reload = None;
+            self.finish_reload(i, reload.sent_at);
         }
     }
 
     fn run_read(&mut self, i: usize) {
         let now = self.now;
         let answered = self.controllers[i]
-            .read
+            .pending_read
             .take_if(|read| now >= read.answered_at);
         if let Some(read) = answered.filter(|_| self.reaches_store(i)) {
-            self.finish_read(i, read.sent);
+            self.finish_read(i, read.sent_at);
         }
         let controller = &self.controllers[i];
         let is_due = now - controller.read_at >= LEADER_LEASE_S / 5.0;
-        if controller.read.is_none() && is_due && self.reaches_store(i) {
-            let usual = if self.rng.u32(0..100) < 2 { 1.2 } else { 0.1 };
-            self.controllers[i].read = Some(StoreRead {
-                sent: now,
-                answered_at: now + self.extra_read_s + self.rng.f64() * usual,
+        if controller.pending_read.is_none() && is_due && self.reaches_store(i) {
+            let max_delay_s = if self.rng.u32(0..100) < 2 { 1.2 } else { 0.1 };
+            self.controllers[i].pending_read = Some(StoreRead {
+                sent_at: now,
+                answered_at: now + self.extra_read_s + self.rng.f64() * max_delay_s,
             });
         }
     }
 
-    fn finish_read(&mut self, i: usize, sent: f64) {
-        let before = std::mem::replace(&mut self.controllers[i].read_at, sent);
-        self.read_jobs(i, before, sent);
-        self.controllers[i].owner.authority.record_read(sent);
+    fn finish_read(&mut self, i: usize, sent_at: f64) {
+        let before = std::mem::replace(&mut self.controllers[i].read_at, sent_at);
+        self.read_jobs(i, before, sent_at);
+        self.controllers[i].owner.authority.record_read(sent_at);
     }
 
     /// Up to when a controller's replica shows which jobs are terminal.
     pub(super) fn terminal_jobs_read_at(&self, i: usize) -> f64 {
-        let reads_no_ends = matches!(
+        let ignores_terminal_jobs = matches!(
             self.defect,
             Defect::IgnoreCancel | Defect::ForgetCancelled | Defect::FinishAtHalfUnseen
         );
-        if reads_no_ends {
+        if ignores_terminal_jobs {
             return f64::MIN;
         }
         self.controllers[i].read_at
@@ -86,8 +86,8 @@
 
     /// The version that the leader believes the key of a write to have.
     pub(super) fn expected_version(&self, action: &Action) -> u64 {
-        key(action)
-            .and_then(|key| self.known_versions.get(&key).copied())
+        written_key(action)
+            .and_then(|key| self.leader_known_versions.get(&key).copied())
             .unwrap_or(0)
     }
 
@@ -101,7 +101,7 @@
             }
             let write = self.writes.remove(i);
             let Some(mut leading) = self.leading.take() else {
-                self.refuse_write(&write);
+                self.reject_write(&write);
                 continue;
             };
             self.receive_write(&mut leading, write);
@@ -117,37 +117,37 @@
                 arrives_at,
                 ..write
             });
-        } else if leading.leadership != write.leadership {
+        } else if leading.elected_revision != write.elected_revision {
             // A write of an earlier leader fails on its condition.
-            self.refuse_write(&write);
+            self.reject_write(&write);
         } else if write.is_late {
-            self.carry_out_late(&leading.leader, write);
+            self.apply_late(&leading.leader, write);
         } else {
-            self.carry_out_now(leading, write);
+            self.apply_now(leading, write);
         }
     }
 
-    fn refuse_write(&mut self, write: &PendingWrite) {
+    fn reject_write(&mut self, write: &PendingWrite) {
         self.trace
-            .refused(self.now, write.leadership, &write.action);
+            .refused(self.now, write.elected_revision, &write.action);
     }
 
-    fn carry_out_now(&mut self, leading: &mut LeadingController, write: PendingWrite) {
-        let is_reached = self.reaches_store(leading.controller);
-        let may_be_late = is_reached && key(&write.action).is_some();
+    fn apply_now(&mut self, leading: &mut LeadingController, write: PendingWrite) {
+        let is_reachable = self.reaches_store(leading.controller);
+        let may_be_late = is_reachable && written_key(&write.action).is_some();
         if may_be_late && self.rng.u32(0..100) < self.late_write_percent {
             return self.postpone(&mut leading.leader, write);
         }
-        let outcome = self.draw_outcome(is_reached, &write);
+        let outcome = self.draw_outcome(is_reachable, &write);
         if outcome.took_effect() {
             self.bump_version(&write.action);
-            self.note_writer(leading.controller, &write.action);
+            self.record_end_writer(leading.controller, &write.action);
         }
         // It was carried out, or refused and then looked at.
-        if outcome == Outcome::Answered || is_reached && outcome == Outcome::Refused {
-            self.learn_version(&write.action);
+        if outcome == Outcome::Confirmed || is_reachable && outcome == Outcome::NotApplied {
+            self.update_known_version(&write.action);
         }
-        self.carry_out(&mut leading.leader, write.action, outcome);
+        self.apply_action(&mut leading.leader, write.action, outcome);
     }
 
     /// A write gets no response, and is carried out later: after newer ones.
@@ -161,38 +161,38 @@
             is_late: true,
             ..write
         });
-        self.carry_out(leader, action, Outcome::Refused);
+        self.apply_action(leader, action, Outcome::NotApplied);
     }
 
     /// What becomes of a write. Now and then it is carried out, but the response is lost.
-    fn draw_outcome(&mut self, is_reached: bool, write: &PendingWrite) -> Outcome {
-        let took_effect = is_reached && self.rng.u32(0..100) >= 3 && self.admits(write);
+    fn draw_outcome(&mut self, is_reachable: bool, write: &PendingWrite) -> Outcome {
+        let took_effect = is_reachable && self.rng.u32(0..100) >= 3 && self.admits(write);
         if !took_effect {
-            Outcome::Refused
+            Outcome::NotApplied
         } else if self.rng.u32(0..100) >= 2 {
-            Outcome::Answered
+            Outcome::Confirmed
         } else {
-            Outcome::AnswerLost
+            Outcome::ResponseLost
         }
     }
 
     /// A job's end that a leader writes is known at its controller from then on.
-    fn note_writer(&mut self, leading: usize, action: &Action) {
+    fn record_end_writer(&mut self, leading: usize, action: &Action) {
         let Action::FinishJob { job } = action else {
             return;
         };
         if let Some(job) = self.jobs.get_mut(job).filter(|job| job.is_open()) {
-            job.ended_by = Some(leading);
+            job.terminal_written_by = Some(leading);
         }
     }
 
     /// A postponed write arrives. Its leader took it to have failed long ago; only the store changes.
-    fn carry_out_late(&mut self, leader: &Leader, write: PendingWrite) {
+    fn apply_late(&mut self, leader: &Leader, write: PendingWrite) {
         if self.now < self.store_down_until || !self.admits(&write) {
-            return self.refuse_write(&write);
+            return self.reject_write(&write);
         }
         self.bump_version(&write.action);
-        let mut nobody = Leader::new(
+        let mut detached_leader = Leader::new(
             "nobody",
             self.config.clone(),
             0,
@@ -203,12 +203,12 @@
             0,
             self.now,
         );
-        self.carry_out(&mut nobody, write.action, Outcome::AnswerLost);
+        self.apply_action(&mut detached_leader, write.action, Outcome::ResponseLost);
     }
 
     /// Whether a write's key still has the version that its writer expected.
     fn admits(&self, write: &PendingWrite) -> bool {
-        let Some(key) = key(&write.action) else {
+        let Some(key) = written_key(&write.action) else {
             return true;
         };
         let version = self.versions.get(&key).copied().unwrap_or(0);
@@ -216,16 +216,16 @@
     }
 
     fn bump_version(&mut self, action: &Action) {
-        if let Some(key) = key(action) {
+        if let Some(key) = written_key(action) {
             *self.versions.entry(key).or_default() += 1;
         }
     }
 
     /// The leader learns the present version of the key of its write.
-    fn learn_version(&mut self, action: &Action) {
-        if let Some(key) = key(action) {
+    fn update_known_version(&mut self, action: &Action) {
+        if let Some(key) = written_key(action) {
             let version = self.versions.get(&key).copied().unwrap_or(0);
-            self.known_versions.insert(key, version);
+            self.leader_known_versions.insert(key, version);
         }
     }
 }
--- a/crates/model/src/world/trace.rs
+++ b/crates/model/src/world/trace.rs
@@ -67,10 +67,10 @@
 
     /// Records a number, as eight bytes in little-endian order.
     pub fn number(&mut self, number: u64) -> &mut Trace {
-        self.raw(&number.to_le_bytes())
+        self.hash_bytes(&number.to_le_bytes())
     }
 
-    fn raw(&mut self, bytes: &[u8]) -> &mut Trace {
+    fn hash_bytes(&mut self, bytes: &[u8]) -> &mut Trace {
         for byte in bytes {
             self.hash = (self.hash ^ u64::from(*byte)).wrapping_mul(0x0000_0100_0000_01b3);
         }
@@ -78,24 +78,24 @@
     }
 
     fn bytes(&mut self, bytes: &[u8]) -> &mut Trace {
-        self.number(bytes.len() as u64).raw(bytes)
+        self.number(bytes.len() as u64).hash_bytes(bytes)
     }
 
     fn text(&mut self, text: &str) -> &mut Trace {
         self.bytes(text.as_bytes())
     }
 
-    fn amount(&mut self, amount: f64) -> &mut Trace {
-        self.number(amount.to_bits())
+    fn float(&mut self, float: f64) -> &mut Trace {
+        self.number(float.to_bits())
     }
 
     fn flag(&mut self, flag: bool) -> &mut Trace {
-        self.raw(&[u8::from(flag)])
+        self.hash_bytes(&[u8::from(flag)])
     }
 
     fn event(&mut self, now: f64, event: Event) -> &mut Trace {
         self.events += 1;
-        self.raw(&[event as u8]).amount(now)
+        self.hash_bytes(&[event as u8]).float(now)
     }
 
     /// A user's job is accepted.
@@ -134,13 +134,15 @@
             .number(heartbeat.incarnation)
             .number(heartbeat.seq);
         match response {
-            HeartbeatResponse::Orders(orders) => self.raw(&[1]).bytes(&encode(orders)),
-            HeartbeatResponse::Redirect(member) => self.raw(&[2]).bytes(&encode(&Redirect {
-                member: Some(member.clone()),
-            })),
-            HeartbeatResponse::Unavailable => {
-                self.raw(&[3]).bytes(&encode(&Redirect { member: None }))
+            HeartbeatResponse::Orders(orders) => self.hash_bytes(&[1]).bytes(&encode(orders)),
+            HeartbeatResponse::Redirect(member) => {
+                self.hash_bytes(&[2]).bytes(&encode(&Redirect {
+                    member: Some(member.clone()),
+                }))
             }
+            HeartbeatResponse::Unavailable => self
+                .hash_bytes(&[3])
+                .bytes(&encode(&Redirect { member: None })),
         };
     }
 
@@ -155,24 +157,22 @@
     pub(super) fn sent_to_leader(&mut self, now: f64, from: usize, at: f64, message: &ToLeader) {
         self.event(now, Event::ToLeader)
             .number(from as u64)
-            .amount(at)
+            .float(at)
             .bytes(&encode_frame(message));
     }
 
     /// A controller pings the leader, where the ping arrives at `at`.
     pub(super) fn pinged(&mut self, now: f64, from: usize, at: f64) {
-        self.event(now, Event::Pinged)
-            .number(from as u64)
-            .amount(at);
+        self.event(now, Event::Pinged).number(from as u64).float(at);
     }
 
     /// The leader answers a ping that was sent at `sent`, granting authority for some seconds or none.
-    pub(super) fn granted(&mut self, now: f64, to: usize, sent: f64, valid_s: Option<f64>) {
+    pub(super) fn granted(&mut self, now: f64, to: usize, sent_at: f64, valid_s: Option<f64>) {
         self.event(now, Event::Granted)
             .number(to as u64)
-            .amount(sent)
+            .float(sent_at)
             .flag(valid_s.is_some())
-            .amount(valid_s.unwrap_or(0.0));
+            .float(valid_s.unwrap_or(0.0));
     }
 
     /// A leader asks for something: a message to an owner, a write, or a request to the cloud.
@@ -200,7 +200,7 @@
 
     /// A write got no response and is carried out at `at`.
     pub(super) fn postponed(&mut self, now: f64, at: f64, action: &Action) {
-        self.event(now, Event::Postponed).amount(at).action(action);
+        self.event(now, Event::Postponed).float(at).action(action);
     }
 
     /// A write fails because its writer leads no more, or because its key was written since.
@@ -231,32 +231,34 @@
     /// An action as its record in the store or its request to the cloud, with the key's parts before it.
     fn action(&mut self, action: &Action) {
         match action {
-            Action::Send(to, message) => self.raw(&[1]).text(to).bytes(&encode_frame(message)),
-            Action::IssueToken => self.raw(&[2]),
+            Action::Send(to, message) => {
+                self.hash_bytes(&[1]).text(to).bytes(&encode_frame(message))
+            }
+            Action::IssueToken => self.hash_bytes(&[2]),
             Action::UpdateRoster(machine, record) => self
-                .raw(&[3])
+                .hash_bytes(&[3])
                 .text(machine)
                 .flag(record.is_some())
                 .bytes(&record.as_ref().map(encode).unwrap_or_default()),
-            Action::RecordStartedArrays(record) => self.raw(&[4]).bytes(&encode(record)),
+            Action::RecordStartedArrays(record) => self.hash_bytes(&[4]).bytes(&encode(record)),
             Action::RecordProgress {
                 job,
                 first_task,
                 bits,
             } => self
-                .raw(&[5])
+                .hash_bytes(&[5])
                 .bytes(&encode(&progress(job, *first_task, bits))),
-            Action::FinishJob { job } => self.raw(&[6]).text(job),
+            Action::FinishJob { job } => self.hash_bytes(&[6]).text(job),
             Action::Bind {
                 job,
                 attempt,
                 places,
             } => self
-                .raw(&[7])
+                .hash_bytes(&[7])
                 .text(job)
                 .bytes(&encode(&binding(*attempt, places))),
-            Action::Provision(request) => self.raw(&[8]).bytes(&encode(request)),
-            Action::Deprovision(machines) => self.raw(&[9]).bytes(&encode(&Names {
+            Action::Provision(request) => self.hash_bytes(&[8]).bytes(&encode(request)),
+            Action::Deprovision(machines) => self.hash_bytes(&[9]).bytes(&encode(&Names {
                 machines: machines.clone(),
             })),
         };
--- a/crates/model/src/world/transit.rs
+++ b/crates/model/src/world/transit.rs
@@ -101,7 +101,7 @@
     }
 
     /// How long a message between a worker and a controller takes; none if it is lost.
-    pub(super) fn delay(&mut self) -> Option<f64> {
+    pub(super) fn draw_message_delay(&mut self) -> Option<f64> {
         match self.rng.u32(0..100) {
             n if n < self.lost_percent => None,
             // Held up in the network, possibly for longer than the sender waits.
@@ -124,13 +124,13 @@
         if self.defect == Defect::TrustAnyHeartbeat {
             heartbeat.token = u64::MAX;
         }
-        let jobs = JobsAsRead::new(&self.jobs, self.terminal_jobs_read_at(to));
+        let jobs = JobReplica::new(&self.jobs, self.terminal_jobs_read_at(to));
         let controller = &mut self.controllers[to];
         let response = controller.owner.on_heartbeat(&heartbeat, now, &jobs);
         self.trace.answered(now, to, &heartbeat, &response);
-        let held_s = controller.freezes_for.take().unwrap_or(0.0);
-        controller.frozen_until = controller.frozen_until.max(now + held_s);
-        if let Some(delay) = self.delay() {
+        let frozen_s = controller.freeze_after_response_s.take().unwrap_or(0.0);
+        controller.frozen_until = controller.frozen_until.max(now + frozen_s);
+        if let Some(delay) = self.draw_message_delay() {
             let id = HeartbeatId {
                 incarnation: heartbeat.incarnation,
                 seq: heartbeat.seq,
@@ -140,7 +140,7 @@
                 heartbeat: id,
                 response,
             };
-            self.send(now + held_s + delay, response);
+            self.send(now + frozen_s + delay, response);
         }
     }
 }
--- a/crates/model/src/world/workers.rs
+++ b/crates/model/src/world/workers.rs
@@ -27,7 +27,7 @@
 pub(super) struct SimTask {
     pub(super) state: TaskState,
     pub(super) why: Option<Why>,
-    pub(super) began: f64,
+    pub(super) began_at: f64,
     /// How long it had run when it was started here, by its checkpoints.
     pub(super) saved_s: f64,
     /// It has saved, and exited because it was told to stop.
@@ -41,7 +41,7 @@
         SimTask {
             state: TaskState::Fetching,
             why: None,
-            began: now,
+            began_at: now,
             saved_s,
             saved: false,
             saves_until: 0.0,
@@ -50,7 +50,7 @@
 
     /// How long a task has run, with what it went on from.
     pub(super) fn ran_s(&self, now: f64) -> f64 {
-        self.saved_s + (now - self.began)
+        self.saved_s + (now - self.began_at)
     }
 
     fn exit(&mut self, why: Why) {
@@ -59,7 +59,7 @@
     }
 
     /// Whether a gang counts this task as present.
-    fn is_with_its_gang(&self) -> bool {
+    fn is_present_in_gang(&self) -> bool {
         let is_here = matches!(
             self.state,
             TaskState::Waiting | TaskState::Running | TaskState::Saving
@@ -71,10 +71,10 @@
     /// gang that is not complete.
     fn advance(&mut self, now: f64, estimate_s: f64, can_run: bool) -> Option<TaskEvent> {
         match self.state {
-            TaskState::Fetching if now - self.began > 0.5 => self.state = TaskState::Waiting,
+            TaskState::Fetching if now - self.began_at > 0.5 => self.state = TaskState::Waiting,
             TaskState::Waiting if can_run => {
                 self.state = TaskState::Running;
-                self.began = now;
+                self.began_at = now;
                 return Some(TaskEvent::Started);
             }
             TaskState::Running if !can_run => self.exit(Why::Peers),
@@ -96,7 +96,7 @@
 
 /// A heartbeat whose response a worker waits for.
 pub(super) struct InFlight {
-    pub(super) sent: f64,
+    pub(super) sent_at: f64,
     pub(super) id: HeartbeatId,
 }
 
@@ -109,11 +109,11 @@
     pub(super) gone: bool,
     pub(super) hung_until: f64,
     /// Until then its heartbeats arrive, but no response reaches it.
-    pub(super) inbound_cut_until: f64,
+    pub(super) responses_lost_until: f64,
     /// Until then none of its heartbeats arrives anywhere.
-    pub(super) outbound_cut_until: f64,
+    pub(super) heartbeats_lost_until: f64,
     /// When the cloud takes the machine back, once it has given notice.
-    pub(super) taken_at: Option<f64>,
+    pub(super) preempted_at: Option<f64>,
     pub(super) incarnation: u64,
     pub(super) seq: u64,
     pub(super) token: u64,
@@ -135,9 +135,9 @@
             up_at,
             gone: false,
             hung_until: 0.0,
-            inbound_cut_until: 0.0,
-            outbound_cut_until: 0.0,
-            taken_at: None,
+            responses_lost_until: 0.0,
+            heartbeats_lost_until: 0.0,
+            preempted_at: None,
             incarnation: 1,
             seq: 0,
             token: 0,
@@ -177,7 +177,7 @@
         &mut self,
         now: f64,
         jobs: &BTreeMap<String, JobState>,
-        complete_gangs: &BTreeSet<GangRun>,
+        complete_gangs: &BTreeSet<GangAttempt>,
     ) -> Vec<(TaskKey, TaskEvent)> {
         let mut events = Vec::new();
         for (key, task) in &mut self.tasks {
@@ -201,7 +201,7 @@
     /// Gives up waiting for a response that does not come.
     fn time_out_heartbeat(&mut self, now: f64) {
         let in_flight = self.in_flight.as_ref();
-        if in_flight.is_some_and(|heartbeat| now - heartbeat.sent > 4.0) {
+        if in_flight.is_some_and(|heartbeat| now - heartbeat.sent_at > 4.0) {
             self.in_flight = None;
             self.try_another_controller(now);
         }
@@ -217,7 +217,7 @@
             incarnation: self.incarnation,
             seq: self.seq,
         };
-        self.in_flight = Some(InFlight { sent: now, id });
+        self.in_flight = Some(InFlight { sent_at: now, id });
         self.next_heartbeat_at = now + every_s;
         Some(self.heartbeat(machine, now))
     }
@@ -239,21 +239,24 @@
             incarnation: self.incarnation,
             seq: self.seq,
             token: self.token,
-            notice_s: self.taken_at.map(|at| (at - now).max(0.0)),
+            notice_s: self.preempted_at.map(|at| (at - now).max(0.0)),
             tasks: self.tasks.iter().map(reported).collect(),
         }
     }
 
     /// Whether a response to one of its heartbeats still counts.
     fn expects_response(&self, to: HeartbeatId, now: f64) -> bool {
-        let is_awaited = self.in_flight.as_ref().is_some_and(|sent| sent.id == to);
-        let is_reached = !self.gone && now >= self.inbound_cut_until;
-        is_reached && is_awaited && self.incarnation == to.incarnation
+        let is_awaited = self
+            .in_flight
+            .as_ref()
+            .is_some_and(|heartbeat| heartbeat.id == to);
+        let is_reachable = !self.gone && now >= self.responses_lost_until;
+        is_reachable && is_awaited && self.incarnation == to.incarnation
     }
 }
 
 /// A gang under one attempt.
-type GangRun = (String, u64);
+type GangAttempt = (String, u64);
 
 impl World {
     /// Workers go on with their tasks and send their heartbeats.
@@ -264,13 +267,13 @@
         for machine in machines {
             self.run_worker(&machine, &complete_gangs, &mut started);
         }
-        self.note_started(started);
+        self.record_first_starts(started);
     }
 
     fn run_worker(
         &mut self,
         machine: &str,
-        complete_gangs: &BTreeSet<GangRun>,
+        complete_gangs: &BTreeSet<GangAttempt>,
         started: &mut BTreeSet<String>,
     ) {
         let now = self.now;
@@ -296,8 +299,8 @@
         }
         worker.time_out_heartbeat(now);
         let heartbeat = worker.next_heartbeat(machine, now, self.config.heartbeat_s);
-        let (to, is_cut) = (worker.target, now < worker.outbound_cut_until);
-        if let Some(heartbeat) = heartbeat.filter(|_| !is_cut) {
+        let (to, is_lost) = (worker.target, now < worker.heartbeats_lost_until);
+        if let Some(heartbeat) = heartbeat.filter(|_| !is_lost) {
             self.send_heartbeat(to, heartbeat);
         }
     }
@@ -312,7 +315,7 @@
         };
         let is_duplicated = self.rng.u32(0..100) < 2;
         for _ in 0..=u32::from(is_duplicated) {
-            if let Some(delay) = self.delay() {
+            if let Some(delay) = self.draw_message_delay() {
                 self.send(now + delay, message(heartbeat.clone()));
             }
         }
@@ -324,10 +327,10 @@
     }
 
     /// Gangs of which every task is on some machine under one attempt.
-    fn complete_gangs(&self) -> BTreeSet<GangRun> {
-        let mut present: BTreeMap<GangRun, u32> = BTreeMap::new();
+    fn complete_gangs(&self) -> BTreeSet<GangAttempt> {
+        let mut present: BTreeMap<GangAttempt, u32> = BTreeMap::new();
         let tasks = self.workers.values().flat_map(|worker| &worker.tasks);
-        for (key, _) in tasks.filter(|(_, task)| task.is_with_its_gang()) {
+        for (key, _) in tasks.filter(|(_, task)| task.is_present_in_gang()) {
             *present.entry((key.job.clone(), key.attempt)).or_default() += 1;
         }
         let is_complete = |id: &String, tasks: u32| {
@@ -354,7 +357,7 @@
         };
         if now < worker.hung_until {
             // It waits there until the machine goes on; by then the worker may have given it up.
-            let arrives_at = worker.hung_until + STEP;
+            let arrives_at = worker.hung_until + STEP_S;
             let worker = machine.into();
             let response = Message::Response {
                 worker,
@@ -366,13 +369,13 @@
         if !worker.expects_response(heartbeat, now) {
             return;
         }
-        let Some(sent) = worker.in_flight.take().map(|heartbeat| heartbeat.sent) else {
+        let Some(sent_at) = worker.in_flight.take().map(|heartbeat| heartbeat.sent_at) else {
             return;
         };
         match response {
-            HeartbeatResponse::Orders(orders) => self.accept_orders(machine, sent, orders),
+            HeartbeatResponse::Orders(orders) => self.accept_orders(machine, sent_at, orders),
             HeartbeatResponse::Redirect(member) => {
-                worker.target = index_of(&member);
+                worker.target = controller_index(&member);
                 worker.next_heartbeat_at = now + 0.1;
             }
             HeartbeatResponse::Unavailable => worker.try_another_controller(now),
@@ -380,7 +383,7 @@
     }
 
     /// A worker renews its lease and carries out its orders, unless an earlier token gave them.
-    fn accept_orders(&mut self, machine: &str, sent: f64, response: Orders) {
+    fn accept_orders(&mut self, machine: &str, sent_at: f64, response: Orders) {
         let Some(worker) = self.workers.get_mut(machine) else {
             return;
         };
@@ -391,7 +394,7 @@
             worker.next_heartbeat_at = worker.next_heartbeat_at.min(self.now + 0.5);
         }
         worker.token = response.token;
-        worker.lease_renewed_at = worker.lease_renewed_at.max(sent);
+        worker.lease_renewed_at = worker.lease_renewed_at.max(sent_at);
         for order in response.orders {
             self.execute(machine, order);
         }
