--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,6 +1,6 @@
-//! Models for tests only: a simulation of workers, controllers, the store and the cloud around the real
-//! scheduler, which loses, delays and repeats messages and checks the rules of the protocol, and a
-//! plain model of the placement pass.
+//! Test-only models of the system: a discrete-time simulation of workers, controllers, the store
+//! and the cloud around the real scheduler, which drops, delays and duplicates messages and checks
+//! the protocol's invariants; and a reference implementation of placement.
 
 pub mod reference;
 pub mod world;
--- a/crates/model/src/reference.rs
+++ b/crates/model/src/reference.rs
@@ -1,23 +1,24 @@
-//! A plain model of the placement pass: what is placed where, slow and simple.
+//! A simple, unoptimized reference implementation of the placement pass.
 
 use std::collections::BTreeMap;
 use wire::users::{Job, Shape};
 
-/// A machine of the plain model.
+/// A machine of the reference implementation.
 #[derive(Clone, Debug)]
 pub struct ReferenceMachine {
-    /// Its name.
+    /// The machine name, which breaks ties between equally good machines.
     pub name: String,
     /// Free CPUs.
     pub cpus: f64,
-    /// Free memory.
+    /// Free memory in GB.
     pub memory_gb: f64,
-    /// The image that it has.
+    /// The image cached on the machine, if any.
     pub image: Option<String>,
 }
 
-/// Places the jobs in the order given: how many tasks of each get a machine. A gang gets all
-/// or nothing, and nothing waits for what does not fit. `cpu_limit` is what the team may use.
+/// Places the jobs in the given order and returns the number of placed tasks per job. A gang is
+/// placed completely or not at all, and a job that does not fit does not block later ones.
+/// `cpu_limit` is the number of CPUs that the team may use.
 pub fn place(
     machines: &mut [ReferenceMachine],
     jobs: &[Job],
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -1,5 +1,5 @@
-//! A simulated world around the real decisions of `sched`: workers, controllers, the store and the
-//! cloud, in steps of simulated time, with faults at random or on purpose.
+//! A simulation of workers, controllers, the store and the cloud that runs the real scheduling code
+//! of `sched`. It advances in fixed steps of simulated time and injects random or scripted faults.
 
 use sched::config::{SchedulerConfig, Team};
 use sched::leader::{Action, Leader, OpenJob, PriorRuns};
@@ -54,105 +54,109 @@
 use transit::{Connection, HeartbeatId, InTransit, Message};
 use workers::{SimTask, TaskKey, Worker};
 
-/// The time between two steps of the world.
+/// The simulated time per step, in seconds.
 const STEP_S: f64 = 0.1;
 const CONTROLLERS: usize = 3;
-/// How long the leader's lease in the store runs without being renewed.
+/// The duration of the leader's lease in the store, in seconds.
 const LEADER_LEASE_S: f64 = 2.0;
-/// The share of its lease for which a leader relies on it.
+/// The share of the lease duration for which a leader relies on its lease.
 const AUTHORITY_SHARE: f64 = 0.95;
-/// A job that the leader does not know for this long is forgotten (a figure of the users).
+/// The maximum time for which an open job may be unknown to the leader; a job unknown for longer
+/// counts as forgotten. Required by the users.
 const MAX_UNKNOWN_S: f64 = 75.0;
-/// Once faults are over, no job waits so long while a machine has capacity for it (a figure of the
-/// users).
+/// The maximum time for which a job may wait, in the absence of faults, while a machine has
+/// capacity for it. Required by the users.
 const MAX_WAIT_WITH_CAPACITY_S: f64 = 90.0;
-/// Within this time also the largest jobs must begin (a figure of the users).
+/// The maximum time until a job starts, even one of the largest. Required by the users.
 const MAX_START_WAIT_S: f64 = 240.0;
-/// The tasks of the largest random gangs.
+/// The number of tasks of the largest randomly generated gangs.
 const LARGEST_GANG_TASKS: u32 = 3;
 
-/// The simulated world.
+/// A simulated cluster with its users, the store and the cloud.
 pub struct World {
-    /// The time, in seconds.
+    /// The current simulated time, in seconds.
     pub now: f64,
     rng: fastrand::Rng,
     defect: Defect,
     config: SchedulerConfig,
-    /// The teams' true limits.
+    /// The teams' true limits; those in `config` may be changed by a defect.
     limits: BTreeMap<String, Team>,
     types: Vec<MachineType>,
     workers: BTreeMap<String, Worker>,
     controllers: Vec<Controller>,
     leading: Option<LeadingController>,
-    /// When the leader's lease in the store ends, if it is not renewed.
+    /// When the leader's lease in the store expires unless it is renewed.
     lease_end: f64,
-    /// No new leader before this: the old one's lease in the store still runs.
+    /// The earliest time of the next election: until then the previous leader's lease is still
+    /// valid.
     no_election_before: f64,
-    /// The last token given out, at an election or for a new epoch.
+    /// The last fencing token issued, at an election or for a new epoch.
     term: u64,
-    /// The store's revision.
+    /// The store's current revision.
     revision: u64,
-    /// Up to which revision arrays may have started, by the store's record.
+    /// The revision up to which arrays may have started, according to the record in the store.
     started_upto: u64,
     roster: BTreeMap<String, RosterRecord>,
     jobs: BTreeMap<String, JobState>,
     messages: Vec<InTransit<Message>>,
     writes: Vec<PendingWrite>,
-    /// Versions of the keys that leaders write, in the store and as the present leader knows them.
+    /// The versions of the keys that leaders write, as the store has them.
     versions: BTreeMap<String, u64>,
+    /// The same versions as the current leader knows them.
     leader_known_versions: BTreeMap<String, u64>,
     machines_provisioned: u64,
     store_down_until: f64,
     planned_outage: Option<PlannedOutage>,
     partition: Option<Partition>,
-    /// How often each kind of fault happened.
+    /// The number of injected faults of each kind.
     pub faults: BTreeMap<Fault, u32>,
-    /// How often each kind of event of rich worlds happened.
+    /// The number of events of each kind that only heterogeneous worlds have.
     pub cloud_events: BTreeMap<CloudEvent, u32>,
-    /// Messages in a hundred that are lost.
+    /// The percentage of messages that are lost.
     pub lost_percent: u32,
-    /// Messages in a hundred that are delayed for long.
+    /// The percentage of messages that are delayed by 2 to 27 s.
     pub delayed_percent: u32,
-    /// Heartbeats in a hundred of which a copy arrives late, by up to three leases.
+    /// The percentage of heartbeats of which a duplicate arrives late, by up to three worker
+    /// leases.
     pub late_copy_percent: u32,
-    /// Writes in a hundred that get no response and are carried out 2 to 12 s later.
+    /// The percentage of writes that get no response and are applied 2 to 12 s later.
     pub late_write_percent: u32,
-    /// How much longer, in seconds, the store takes to serve reads.
+    /// The extra latency of reads of the store, in seconds.
     pub extra_read_s: f64,
-    /// Whether the controller that confirms a cancellation tells the leader at once.
+    /// Whether the controller that confirms a cancellation notifies the leader immediately.
     pub cancel_hints: bool,
-    /// Since when a job has waited though there was capacity for it.
+    /// Since when each waiting job has had capacity available.
     capacity_since: BTreeMap<rules::WaitingWithCapacity, f64>,
-    /// Jobs in a hundred that depend on earlier ones.
+    /// The percentage of random jobs that depend on earlier ones.
     pub dependent_percent: u32,
-    /// Jobs that were cancelled along with one of their dependencies.
+    /// The number of jobs cancelled because one of their dependencies was cancelled.
     pub cancelled_by_dependency: u32,
-    /// Cancellations that were confirmed.
+    /// The number of confirmed cancellations.
     pub cancellations: u32,
-    /// Workers' leases that ended.
+    /// The number of worker leases that expired.
     pub lease_expiries: u32,
-    /// The tasks that workers have completed, by job and index.
+    /// The tasks that workers have completed, as job id and task index.
     completed: BTreeSet<(String, u32)>,
-    /// The rules that were broken.
+    /// The names of the violated rules.
     pub violations: BTreeSet<String>,
-    /// Tasks that were started.
+    /// The number of task starts.
     pub tasks_started: u64,
-    /// Jobs that were recorded as done.
+    /// The number of jobs recorded as done.
     pub jobs_done: u64,
-    /// Leaders so far.
+    /// The number of leaders elected so far.
     pub leaders_elected: u64,
-    /// What only rich worlds have.
+    /// The extra state of a heterogeneous world.
     heterogeneous: Option<heterogeneous::HeterogeneousState>,
     trace: Trace,
 }
 
 impl World {
-    /// A world with the usual settings.
+    /// Creates a world with the default test configuration.
     pub fn new(seed: u64, defect: Defect) -> World {
         World::with_config(seed, defect, config())
     }
 
-    /// A world with other settings.
+    /// Creates a world with the given configuration.
     pub fn with_config(seed: u64, defect: Defect, config: SchedulerConfig) -> World {
         let mut scheduler_config = config.clone();
         if defect == Defect::DoubleLimit {
@@ -212,12 +216,13 @@
         }
     }
 
-    /// The digest of all that crossed an edge of this world so far.
+    /// Returns the trace of everything that has crossed a component boundary so far.
     pub fn trace(&self) -> &Trace {
         &self.trace
     }
 
-    /// Random jobs, cancellations and faults for `seconds`, then quiet for `quiet_s`.
+    /// Runs with random jobs, cancellations and injected faults for `seconds`, then without new
+    /// ones for `quiet_s`, and finally checks that enough jobs started in time.
     pub fn run_random(&mut self, seconds: f64, quiet_s: f64) {
         let mut submitted = self.jobs.len() as u32;
         let end = self.now + seconds;
@@ -242,7 +247,7 @@
         self.check_started_in_time();
     }
 
-    /// Runs on without faults until all is done, for `seconds` at most.
+    /// Runs without faults until no job is open, but at most for `seconds`.
     pub fn run_until_done(&mut self, seconds: f64) {
         let quiet_since = self.now;
         (
@@ -257,7 +262,7 @@
         }
     }
 
-    /// A step in a time without faults, in which every job must get on.
+    /// Runs one step of a period without new faults and checks that every job makes progress.
     fn step_without_faults(&mut self, quiet_since: f64) {
         self.step();
         if self.now - quiet_since > MAX_UNKNOWN_S {
@@ -266,7 +271,7 @@
         self.check_waiting();
     }
 
-    /// One step of time, in which everything runs once.
+    /// Advances the time by one step, in which every component runs once.
     pub fn step(&mut self) {
         self.now += STEP_S;
         let outage = self
@@ -285,7 +290,7 @@
         self.check_running_tasks();
     }
 
-    /// What the leader, the owners and the workers know, in words.
+    /// Returns a description of the state of the leader, the owners and the workers.
     pub fn explain(&self) -> String {
         let Some(LeadingController {
             controller, leader, ..
--- a/crates/model/src/world/cloud.rs
+++ b/crates/model/src/world/cloud.rs
@@ -1,9 +1,9 @@
-//! The cloud: machines that are provisioned, as far as there are any, and returned.
+//! The cloud: provisions machines within its capacity and takes back returned ones.
 
 use super::*;
 
 impl World {
-    /// Gives as many of the machines asked for as the cloud has.
+    /// Provisions as many of the requested machines as the cloud has and returns their names.
     pub(super) fn provision(&mut self, request: &ProvisionRequest) -> Vec<String> {
         let offer = self.draw_offer(request);
         let available = offer.map_or(3, |(available, _)| available);
@@ -28,7 +28,7 @@
         machines
     }
 
-    /// Machines of the kind, zone and price asked for that are there already.
+    /// Returns the number of existing machines of the requested type, zone and price class.
     fn matching_machines(&self, request: &ProvisionRequest) -> usize {
         let is_match = |worker: &&Worker| {
             !worker.gone
@@ -39,7 +39,7 @@
         self.workers.values().filter(is_match).count()
     }
 
-    /// Takes machines back.
+    /// Removes returned machines.
     pub(super) fn deprovision(&mut self, machines: &[String]) {
         self.count_cloud_event(CloudEvent::Deprovision, machines.len());
         for machine in machines {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Machines that were ever provisioned.
+    /// Returns the total number of machines provisioned so far.
     pub fn machines_provisioned(&self) -> u64 {
         self.machines_provisioned
     }
--- a/crates/model/src/world/controllers.rs
+++ b/crates/model/src/world/controllers.rs
@@ -1,8 +1,8 @@
-//! The controllers: each owns a part of the machines and keeps a connection to the leader.
+//! The controllers: each owns a shard of the machines and keeps a connection to the leader.
 
 use super::*;
 
-/// A read of the store that is under way.
+/// A read of the store in progress, with the times at which it was sent and gets its response.
 #[derive(Clone, Copy)]
 pub(super) struct StoreRead {
     pub(super) sent_at: f64,
@@ -12,33 +12,35 @@
 /// A controller and its connection to the leader.
 pub(super) struct Controller {
     pub(super) owner: Owner,
+    /// When it runs again after a crash; it is running if this is in the past.
     pub(super) down_until: f64,
-    /// When the connection to the leader works again; it works if this is past.
+    /// When it can connect to the leader again; it can if this is in the past.
     pub(super) reconnects_at: f64,
+    /// Whether it is connected to the leader.
     pub(super) joined: bool,
     pub(super) to_owner: Connection<ToOwner>,
     pub(super) to_leader: Connection<ToLeader>,
-    /// Pings to the leader, each with the time at which it was sent.
+    /// Pings to the leader in transit, each carrying the time at which it was sent.
     pub(super) pings: Connection<f64>,
-    /// It has received an epoch since it joined.
+    /// Whether it has received an epoch since it connected.
     pub(super) has_epoch: bool,
-    /// When the leader last read the store, as its responses to pings tell; each arrives after the
-    /// messages that the leader sent before it.
+    /// Times of the leader's last read of the store, as carried by its responses to pings. Each
+    /// arrives after the messages that the leader sent before it.
     pub(super) leader_reads: Connection<f64>,
-    /// The store refuses this controller until then, and no other.
+    /// Until when the store refuses this controller's requests.
     pub(super) store_refuses_until: f64,
-    /// It is frozen until then.
+    /// Until when it is frozen.
     pub(super) frozen_until: f64,
-    /// It freezes for so long once it has decided its next response to a worker.
+    /// How long it freezes once it has computed its next response to a worker, if it is to freeze.
     pub(super) freeze_after_response_s: Option<f64>,
-    /// The size of values for which it lays out its records.
+    /// The maximum size of values in the store, by which it partitions its records.
     pub(super) value_kb: f64,
-    /// What it has derived from the dependencies between jobs.
+    /// The dependency state that it has derived from the job records.
     pub(super) dependencies: DependencyView,
-    /// When the last completed read of the store was sent.
+    /// When its last completed read of the store was sent.
     pub(super) read_at: f64,
     pub(super) pending_read: Option<StoreRead>,
-    /// A read of all records.
+    /// A reload of all records in progress.
     pub(super) pending_reload: Option<StoreRead>,
 }
 
@@ -65,7 +67,7 @@
         }
     }
 
-    /// Its connection to the leader breaks; what is under way on it is lost.
+    /// Breaks the connection to the leader until `until`; messages in transit on it are lost.
     pub(super) fn disconnect(&mut self, until: f64) {
         self.reconnects_at = self.reconnects_at.max(until);
         self.joined = false;
@@ -82,7 +84,7 @@
         }
     }
 
-    /// Hears what the leader sent and has arrived by now.
+    /// Processes the messages of the leader that have arrived by now.
     fn receive_from_leader(&mut self, now: f64, jobs: &JobReplica) {
         while let Some(message) = self.to_owner.receive(now) {
             if matches!(message, ToOwner::Epoch { .. }) && !self.has_epoch {
@@ -98,7 +100,7 @@
 }
 
 impl World {
-    /// Controllers that run exchange messages with the leader.
+    /// Runs the owners of all running controllers and exchanges their messages with the leader.
     pub(super) fn run_controllers(&mut self) {
         let led_by = self.leader_index();
         for i in 0..self.controllers.len() {
@@ -122,7 +124,7 @@
         }
     }
 
-    /// Pings the leader, hears what arrived from it, and sends what the owner has to say.
+    /// Pings the leader, processes its messages, and sends the owner's messages to it.
     fn exchange_with_leader(&mut self, i: usize, delay: f64) {
         let now = self.now;
         let terminal_read_at = self.terminal_jobs_read_at(i);
@@ -142,18 +144,18 @@
         }
     }
 
-    /// How long a message between controllers takes.
+    /// Draws the transit time of a message between controllers.
     pub(super) fn draw_connection_delay(&mut self) -> f64 {
         0.02 + self.rng.f64() * 0.15
     }
 
-    /// Whether a controller is cut off from the store and the other controllers.
+    /// Returns whether a controller is partitioned from the store and the other controllers.
     pub(super) fn is_partitioned(&self, i: usize) -> bool {
         let partition = self.partition.as_ref();
         partition.is_some_and(|it| it.controller == i && self.now < it.until)
     }
 
-    /// Whether the store serves this controller now.
+    /// Returns whether a controller can use the store now.
     pub(super) fn reaches_store(&self, i: usize) -> bool {
         let up = self.now >= self.controllers[i].down_until
             && self.now >= self.controllers[i].store_refuses_until
@@ -161,7 +163,7 @@
         up && self.now >= self.store_down_until && !self.is_partitioned(i)
     }
 
-    /// A random controller among those that reach the store, if there are any.
+    /// Draws one of the controllers that can use the store; `None` if there is none.
     pub(super) fn draw_reachable_controller(&mut self) -> Option<usize> {
         let reachable: Vec<usize> = (0..CONTROLLERS)
             .filter(|i| self.reaches_store(*i))
@@ -173,12 +175,12 @@
     }
 }
 
-/// The name of a controller.
+/// Returns the name of a controller.
 pub(super) fn controller_name(i: usize) -> String {
     format!("rung-{i}")
 }
 
-/// The controller of a name; the first if there is none.
+/// Returns the index of the named controller, or 0 for an unknown name.
 pub(super) fn controller_index(member: &str) -> usize {
     (0..CONTROLLERS)
         .find(|i| controller_name(*i) == member)
--- a/crates/model/src/world/defect.rs
+++ b/crates/model/src/world/defect.rs
@@ -1,41 +1,41 @@
-//! Deliberate defects, which show that the rules notice what they are meant to notice.
+//! Deliberate defects, which verify that the checks detect the violations they are meant to detect.
 
-/// A deliberate defect of the simulated system.
+/// A deliberate defect injected into the simulated system.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
-    /// None: the decisions as they are.
+    /// No defect.
     None,
-    /// Owners accept every heartbeat, including those delayed from before a change of owners.
+    /// Owners accept every heartbeat, even delayed ones sent before a change of ownership.
     TrustAnyHeartbeat,
-    /// A new leader starts with an empty roster and does not wait for its machines to reconcile.
+    /// A new leader starts with an empty roster and does not wait for machines to reconcile.
     ForgetRoster,
-    /// The leader works with twice the teams' limits.
+    /// The scheduler uses twice the teams' CPU limits.
     DoubleLimit,
-    /// The leader does not learn which machine types and zones jobs allow.
+    /// The leader is not told which machine types and zones jobs allow.
     IgnoreTypes,
-    /// The leader does not learn of cancellations.
+    /// The leader is not told of cancellations.
     IgnoreCancel,
-    /// A job is recorded as done when half of its tasks are.
+    /// A job is recorded as done when half of its tasks are done.
     FinishAtHalf,
-    /// The same, and no controller reads that the job is done.
+    /// As `FinishAtHalf`, and no controller reads that the job is done.
     FinishAtHalfUnseen,
-    /// A controller that reloads all records prefers them to its own, newer writes.
+    /// A controller that reloads all records discards its own newer writes.
     ReloadDiscardsOwnWrites,
-    /// A new leader does not learn of half of the open jobs.
+    /// A new leader is told of only about half of the open jobs.
     LoseJobs,
-    /// The leader never learns of the largest gangs.
+    /// The leader is never told of the largest gangs.
     HideLargestGangs,
-    /// The leader never learns of one team's arrays.
+    /// The leader is never told of the arrays of team `red`.
     HideRedArrays,
-    /// Controllers take their view of the store to be current, however old it is.
+    /// Controllers treat their view of the store as current, however stale it is.
     TrustStaleView,
-    /// The store ignores the expected versions of writes.
+    /// The store applies conditional writes without checking the expected version.
     IgnoreVersions,
-    /// The leader learns of jobs whose dependencies are not done.
+    /// The leader is told of jobs whose dependencies are not done.
     StartBlocked,
-    /// Controllers do not derive that a job is cancelled along with its dependencies.
+    /// Controllers do not treat the dependents of a cancelled job as cancelled.
     IgnoreCancelledDependencies,
-    /// Controllers never learn of cancellations from their own reads, and a new leader knows of
-    /// none from before its election.
+    /// Controllers do not see cancellations in their own reads, and a new leader knows of none from
+    /// before its election.
     ForgetCancelled,
 }
--- a/crates/model/src/world/dependencies.rs
+++ b/crates/model/src/world/dependencies.rs
@@ -1,10 +1,10 @@
-//! Jobs with dependencies: what each controller derives from the records it has read, the truth, and
-//! the rules.
+//! Dependencies between jobs: the state that each controller derives from the records it has read,
+//! the true state, and the invariants that relate the two.
 
 use super::*;
 use sched::dependencies::{DependencyGraph, DependencyState, Effect};
 
-/// What a controller has derived from the records of jobs that it has read.
+/// The dependency state that a controller has derived from the job records it has read.
 #[derive(Default)]
 pub(super) struct DependencyView {
     graph: DependencyGraph,
@@ -12,7 +12,8 @@
 }
 
 impl DependencyView {
-    /// A job's record as this controller has it after a read that was sent at `read_at`.
+    /// Returns a job's state as this controller knows it from a read sent at `read_at`. Returns
+    /// `None` if the job was accepted later.
     fn dependency_state(
         &self,
         jobs: &BTreeMap<String, JobState>,
@@ -29,6 +30,7 @@
         })
     }
 
+    /// Processes a job's current record and returns the effects on other jobs.
     fn update(&mut self, jobs: &BTreeMap<String, JobState>, id: &str, read_at: f64) -> Vec<Effect> {
         let mut graph = std::mem::take(&mut self.graph);
         let effects = match self.dependency_state(jobs, id, read_at) {
@@ -48,7 +50,7 @@
         effects
     }
 
-    /// Starts over from all records, in the order of their keys.
+    /// Rebuilds the state from all records, in key order.
     pub(super) fn reload(&mut self, jobs: &BTreeMap<String, JobState>, read_at: f64) {
         *self = DependencyView::default();
         for id in jobs.keys() {
@@ -56,7 +58,7 @@
         }
     }
 
-    /// Whether a job may be given to the leader.
+    /// Returns whether a job is neither blocked by dependencies nor cancelled with one of them.
     pub(super) fn is_runnable(&self, id: &str) -> bool {
         !self.graph.is_blocked(id) && !self.cancelled.contains(id)
     }
@@ -67,8 +69,8 @@
 }
 
 impl World {
-    /// A controller has read what happened to the jobs since its last read, in the order in which the
-    /// store holds it. If it leads, its leader is told what follows.
+    /// Processes the changes to jobs that a controller has read since its last read, in the order
+    /// of the store. If the controller leads, its leader is notified of the effects.
     pub(super) fn read_jobs(&mut self, i: usize, before: f64, read_at: f64) {
         let mut view = std::mem::take(&mut self.controllers[i].dependencies);
         let mut leading = self.leading.take_if(|leading| leading.controller == i);
@@ -88,7 +90,8 @@
         self.controllers[i].dependencies = view;
     }
 
-    /// The jobs that were accepted or recorded as terminal between two reads, by time.
+    /// Returns the jobs that were accepted or recorded as terminal between two reads, in order of
+    /// time.
     fn changed_jobs(&self, before: f64, read_at: f64) -> Vec<String> {
         let accepted = self
             .jobs
@@ -106,8 +109,8 @@
         changes.into_iter().map(|(_, id)| id.clone()).collect()
     }
 
-    /// A controller has reloaded all records, as they were at `read_at`. It still knows the ends that it
-    /// wrote itself since then.
+    /// Completes a controller's reload of all records, which were read at `read_at`. The controller
+    /// keeps the terminal records that it has written itself since then.
     pub(super) fn finish_reload(&mut self, i: usize, read_at: f64) {
         let now = self.now;
         let mut view = std::mem::take(&mut self.controllers[i].dependencies);
@@ -142,7 +145,7 @@
                 leader.on_job_terminal(id);
             }
         } else if self.is_known_to_leader(view, job) {
-            // No earlier leader gave out a job that is new to this one.
+            // A job that is new to this leader was not assigned by an earlier one.
             leader.add_job(OpenJob {
                 prior_runs: PriorRuns::None,
                 ..self.open_job(job)
@@ -165,14 +168,14 @@
         }
     }
 
-    /// Whether the leader learns of an open job.
+    /// Returns whether the leader is told of an open job.
     pub(super) fn is_known_to_leader(&self, view: &DependencyView, job: &JobState) -> bool {
         let starts_blocked = self.defect == Defect::StartBlocked;
         (starts_blocked || view.is_runnable(&job.spec.id)) && !self.is_hidden_from_leader(&job.spec)
     }
 
-    /// Ends all open jobs that depend on a cancelled one, directly or through others: the truth, derived
-    /// from scratch.
+    /// Cancels all open jobs that depend directly or transitively on a cancelled one. This is the
+    /// true state, computed independently of the controllers' views.
     pub(super) fn cancel_descendants(&mut self) {
         let now = self.now;
         loop {
@@ -195,7 +198,7 @@
         }
     }
 
-    /// Notes which jobs may start because the last of their dependencies is done.
+    /// Records the time for jobs that may start now that all their dependencies are done.
     pub(super) fn record_ready_jobs(&mut self) {
         let now = self.now;
         let is_done = |id: &String| {
@@ -214,14 +217,15 @@
         }
     }
 
-    /// No task starts before the store holds that all dependencies of its job are done.
+    /// Checks that a task starts only after all dependencies of its job are recorded as done.
     pub(super) fn check_dependencies_done(&mut self, job: &str) {
         if self.jobs.get(job).is_some_and(|job| job.ready_at.is_none()) {
             self.record_violation("too_early");
         }
     }
 
-    /// A controller that has read a cancellation takes no job for open that depends on the cancelled one.
+    /// Checks that a controller that has read a cancellation does not consider jobs that depend on
+    /// the cancelled one open.
     fn check_descendants_of_cancelled(&mut self, view: &DependencyView, read_at: f64) {
         let ignores_cancellations = self.defect == Defect::IgnoreCancelledDependencies;
         let is_orphan = |job: &JobState| {
@@ -236,7 +240,8 @@
         }
     }
 
-    /// Dependencies of a new random job on up to three earlier ones, whatever became of them.
+    /// Returns the dependencies of a new random job: none, or up to three of the twelve latest
+    /// jobs, whatever their state.
     pub(super) fn random_dependencies(&mut self) -> Vec<String> {
         if self.dependent_percent == 0 || self.rng.u32(0..100) >= self.dependent_percent {
             return Vec::new();
@@ -250,7 +255,8 @@
         distinct.into_iter().collect()
     }
 
-    /// Ends the controllers one after the other; each comes back with a new size of its records.
+    /// Restarts the controllers one after the other, `every_s` apart, each with `value_kb` as its
+    /// new maximum size of stored values.
     pub fn rolling_restart(&mut self, every_s: f64, value_kb: f64) {
         for i in 0..self.controllers.len() {
             self.controllers[i].value_kb = value_kb;
--- a/crates/model/src/world/election.rs
+++ b/crates/model/src/world/election.rs
@@ -1,9 +1,10 @@
-//! The election of a leader, and what a new leader reads before it begins.
+//! Leader election, and the state that a new leader loads before it starts.
 
 use super::*;
 
 impl World {
-    /// A controller that reaches the store is elected, unless the last leader's lease still runs.
+    /// Elects a random controller that can use the store, unless the previous leader's lease is
+    /// still valid.
     pub(super) fn elect(&mut self) {
         let now = self.now;
         if now < self.no_election_before || now < self.store_down_until {
@@ -32,7 +33,7 @@
         });
     }
 
-    /// A leader with all that the store holds now.
+    /// Creates a leader from the current contents of the store.
     fn new_leader(&mut self, elected: usize, dependencies: &DependencyView) -> Leader {
         let seed = self.rng.u64(..);
         let jobs = self.jobs_for_new_leader(dependencies);
@@ -64,7 +65,7 @@
         leader
     }
 
-    /// The open jobs, as a new leader learns of them.
+    /// Returns the open jobs that a new leader loads.
     fn jobs_for_new_leader(&self, dependencies: &DependencyView) -> Vec<OpenJob> {
         let ignores_cancel = self.defect == Defect::IgnoreCancel;
         let is_lost = |job: &JobState| self.defect == Defect::LoseJobs && job.revision & 1 == 0;
@@ -77,8 +78,8 @@
         known.map(|job| self.open_job(job)).collect()
     }
 
-    /// Jobs of which tasks may still run though they were cancelled: id, team, and the resources of
-    /// all tasks.
+    /// Returns the cancelled jobs of which tasks may still be running, each as its id, its team and
+    /// the total resources of its tasks.
     fn recently_cancelled(&self) -> Vec<(String, String, Resources)> {
         let retention_s = self.config.lease_s + self.config.cancel_s;
         let is_recent = |job: &&JobState| {
@@ -101,7 +102,7 @@
         described.collect()
     }
 
-    /// The elected controller begins as an owner without machines, and with a fresh view.
+    /// Restarts the elected controller as an owner without machines and with a current view.
     fn start_as_leader(&mut self, elected: usize, dependencies: DependencyView) {
         let now = self.now;
         let controller = &mut self.controllers[elected];
@@ -109,14 +110,14 @@
         let authority = &mut controller.owner.authority;
         authority.set_until(now + LEADER_LEASE_S * AUTHORITY_SHARE);
         authority.record_read(now);
-        // What changes at this very instant comes with the next read.
+        // Changes at exactly this time are included in the next read.
         controller.read_at = now - STEP_S / 10.0;
         controller.pending_read = None;
         controller.dependencies = dependencies;
         controller.pending_reload = None;
     }
 
-    /// A job as the leader learns of it.
+    /// Returns a job as it is passed to the leader.
     pub(super) fn open_job(&self, job: &JobState) -> OpenJob {
         let mut spec = (*job.spec).clone();
         if self.defect == Defect::IgnoreTypes {
@@ -131,7 +132,7 @@
         }
     }
 
-    /// Whether a defect keeps a job from the leader.
+    /// Returns whether a defect hides a job from the leader.
     pub(super) fn is_hidden_from_leader(&self, spec: &Job) -> bool {
         match self.defect {
             Defect::HideLargestGangs => {
--- a/crates/model/src/world/faults.rs
+++ b/crates/model/src/world/faults.rs
@@ -1,4 +1,4 @@
-//! Faults at random: what fails, and for how long.
+//! Random fault injection: the kinds of faults, their probabilities and their durations.
 
 use super::*;
 
@@ -9,42 +9,43 @@
     Crash,
     /// The leading controller crashes.
     LeaderCrash,
-    /// A controller crashes while none leads.
+    /// A controller crashes while there is no leader.
     CrashDuringElection,
-    /// All controllers crash.
+    /// All controllers crash at once.
     AllControllersCrash,
-    /// A controller loses its connections to the others for a moment.
+    /// A controller briefly loses its connections to the other controllers.
     ControllerDisconnected,
-    /// A controller is cut off from the store and the others, but not from workers.
+    /// A controller is partitioned from the store and the other controllers, but not from workers.
     NetworkPartition,
-    /// A controller freezes for a while.
+    /// A controller freezes.
     ControllerFrozen,
-    /// The leader freezes between deciding a response and sending it.
+    /// The leader freezes between computing a response to a worker and sending it.
     LeaderFrozenBeforeResponse,
-    /// The store serves nobody.
+    /// The store is unavailable to all controllers.
     StoreDown,
-    /// The store refuses the leader.
+    /// The store refuses the leader's requests, or those of a random controller if there is no
+    /// leader.
     StoreRefusesLeader,
-    /// The store refuses the leader, and then serves nobody.
+    /// As `StoreRefusesLeader`, and soon after the store is unavailable to all controllers.
     StoreRefusesThenDown,
-    /// A machine hangs and goes on.
+    /// A machine hangs and then resumes.
     MachineHang,
-    /// A machine is gone for good.
+    /// A machine fails permanently.
     MachineGone,
     /// A machine's heartbeats are lost.
     HeartbeatsLost,
     /// The responses to a machine's heartbeats are lost.
     ResponsesLost,
-    /// A worker restarts at once, under a new incarnation.
+    /// A worker restarts immediately, with a new incarnation.
     WorkerRestart,
-    /// A user cancels a job whose tasks are all done, while no record says so.
+    /// A user cancels a job whose tasks have all completed but which is not yet recorded as done.
     CancelCompletedJob,
-    /// A write gets no response and is carried out later.
+    /// A write gets no response and is applied later.
     LateWrite,
 }
 
 impl Fault {
-    /// The fault for a number drawn from 0 to 2999; most numbers stand for none.
+    /// Returns the fault for a random number from 0 to 2999; most numbers map to no fault.
     fn from_draw(number: u32, has_leader: bool) -> Option<Fault> {
         Some(match number {
             0..=9 => Fault::Crash,
@@ -61,7 +62,7 @@
             85..=92 => Fault::HeartbeatsLost,
             93..=97 => Fault::AllControllersCrash,
             98..=117 => Fault::CancelCompletedJob,
-            // No leader is there about one step in ten.
+            // The range is large because only about one step in ten has no leader.
             118..=168 if !has_leader => Fault::CrashDuringElection,
             169..=174 => Fault::ControllerFrozen,
             175..=178 => Fault::LeaderFrozenBeforeResponse,
@@ -70,7 +71,7 @@
     }
 }
 
-/// Where a fault strikes and how long it lasts, as a share of the longest.
+/// The components that a fault affects, and its duration as a share of the maximum.
 #[derive(Clone, Copy)]
 struct FaultTarget {
     machine: usize,
@@ -78,20 +79,20 @@
     duration_share: f64,
 }
 
-/// A controller without the store and the other controllers, but with its workers.
+/// A partition of one controller from the store and the other controllers, but not from workers.
 pub(super) struct Partition {
     pub(super) controller: usize,
     pub(super) until: f64,
 }
 
-/// An outage of the store that begins later.
+/// An outage of the store that starts at a later time.
 pub(super) struct PlannedOutage {
     pub(super) begins_at: f64,
     pub(super) duration_s: f64,
 }
 
 impl World {
-    /// Draws whether a fault happens now, and if so, which and where.
+    /// Draws whether a fault occurs in this step, and if so, its kind and target.
     pub(super) fn inject_fault(&mut self) {
         let number = self.rng.u32(0..3000);
         let Some(fault) = Fault::from_draw(number, self.leading.is_some()) else {
@@ -176,7 +177,7 @@
         }
     }
 
-    /// A job of which every task is done, while no record says so yet.
+    /// Returns an open job whose tasks have all completed but which is not yet recorded as done.
     pub(super) fn completed_unrecorded_job(&self) -> Option<String> {
         let mut open = self.jobs.iter().filter(|(_, job)| job.is_open());
         let found = open.find(|(id, job)| self.completed_tasks(id) == job.spec.tasks as usize);
@@ -188,7 +189,7 @@
         self.restart_controller(i, duration_s);
     }
 
-    /// A controller ends and is back, with nothing, after a while.
+    /// Stops a controller and restarts it with empty state after `duration_s`.
     pub fn restart_controller(&mut self, i: usize, duration_s: f64) {
         let was_leading = self.leader_index() == Some(i);
         let controller = Controller {
@@ -204,7 +205,7 @@
         }
     }
 
-    /// A controller's connections to the others break.
+    /// Breaks a controller's connections to the other controllers for `duration_s`.
     pub fn disconnect_controller(&mut self, i: usize, duration_s: f64) {
         self.controllers[i].disconnect(self.now + duration_s);
         if let Some(leading) = &mut self.leading {
--- a/crates/model/src/world/fixtures.rs
+++ b/crates/model/src/world/fixtures.rs
@@ -1,9 +1,9 @@
-//! Settings, jobs and heartbeats as tests use them.
+//! Fixtures for tests: configurations, jobs, machines and heartbeats.
 
 use super::*;
 use wire::peers::{AllowedMachineType, MachineDescriptor, TaskRequirements};
 
-/// A machine type of both zones.
+/// Returns a machine type that is available in both zones.
 pub fn machine_type(name: &str, cpus: f64, memory_gb: f64, price: f64) -> MachineType {
     MachineType {
         name: name.into(),
@@ -19,7 +19,7 @@
     }
 }
 
-/// The usual machine types: `small` with four CPUs and `large` with sixteen.
+/// Returns the default machine types: `small` with 4 CPUs and `large` with 16.
 pub fn machine_types() -> Vec<MachineType> {
     vec![
         machine_type("small", 4.0, 16.0, 0.3),
@@ -27,7 +27,7 @@
     ]
 }
 
-/// The usual settings: two teams, short times.
+/// Returns the default test configuration: two teams and short timeouts.
 pub fn config() -> SchedulerConfig {
     let team = |cpus: f64, cpus_max: f64| Team {
         cpus,
@@ -53,7 +53,7 @@
     }
 }
 
-/// The usual settings, with idle machines that are never returned.
+/// Returns the default test configuration, but idle machines are never deprovisioned.
 pub fn config_without_deprovisioning() -> SchedulerConfig {
     SchedulerConfig {
         idle_retention_boots: 1e6,
@@ -61,7 +61,7 @@
     }
 }
 
-/// Teams without a guarantee that may use as many CPUs as there are.
+/// Returns teams without guaranteed resources and with practically unlimited CPUs.
 pub fn unlimited_teams(names: &[&str]) -> BTreeMap<String, Team> {
     let unlimited = Team {
         cpus: 0.0,
@@ -73,7 +73,7 @@
     names.iter().map(team).collect()
 }
 
-/// The roster's record of a machine in zone `a`, at the full price.
+/// Returns the roster record of an on-demand machine in zone `a`.
 pub fn roster_record(kind: &str) -> RosterRecord {
     RosterRecord {
         kind: kind.into(),
@@ -82,7 +82,7 @@
     }
 }
 
-/// A roster of machines that have the same record.
+/// Returns a roster in which all machines have the same record.
 pub fn roster<Name: Into<String>>(
     machines: impl IntoIterator<Item = Name>,
     record: &RosterRecord,
@@ -93,8 +93,8 @@
         .collect()
 }
 
-/// A leader in its first term that is its own only owner, with open jobs of which arrays up to a
-/// revision may have started, and with a roster.
+/// Returns a leader in its first term that is the only owner. Arrays up to revision `started_upto`
+/// may have been started by an earlier leader.
 pub fn lone_leader(
     config: SchedulerConfig,
     types: Vec<MachineType>,
@@ -107,7 +107,7 @@
     leader
 }
 
-/// A replica that knows no job at all.
+/// A job lookup without any jobs.
 pub struct EmptyJobLookup;
 
 impl JobLookup for EmptyJobLookup {
@@ -122,8 +122,8 @@
     }
 }
 
-/// An owner `rung-1` of one machine, `host-1` of type `small`, under token 5 since time 10. Its
-/// authority lasts; how old its view of the store is, it does not know.
+/// Returns the owner `rung-1` of one machine, `host-1` of type `small`, with token 5 since time 10.
+/// Its authority does not expire during a test, and no read of the store has been recorded for it.
 pub fn owner_of_one_machine(config: SchedulerConfig) -> Owner {
     let mut owner = Owner::new("rung-1", config);
     let descriptor = MachineDescriptor {
@@ -145,7 +145,7 @@
     owner
 }
 
-/// A heartbeat of a machine of type `small` in zone `a`.
+/// Returns a heartbeat of an on-demand machine of type `small` in zone `a`.
 pub fn heartbeat(
     machine: &str,
     incarnation: u64,
@@ -167,7 +167,7 @@
     }
 }
 
-/// A machine in zone `a` as its owner shows it under the first token.
+/// Returns the status that an owner with token 1 reports for an on-demand machine in zone `a`.
 pub fn machine_status(name: &str, kind: &str, tasks: Vec<TaskStatus>) -> MachineStatus {
     MachineStatus {
         token: 1,
@@ -185,7 +185,7 @@
     }
 }
 
-/// A task as its owner shows it; nothing of it was saved.
+/// Returns the status that an owner reports for a task that has not saved its state.
 pub fn task_status(task: TaskRef, state: TaskState, why: Option<Why>) -> TaskStatus {
     TaskStatus {
         task,
@@ -195,7 +195,7 @@
     }
 }
 
-/// What a task requires that may run on machines of type `small` at the full price.
+/// Returns the requirements of a task that may run on on-demand machines of type `small`.
 pub fn task_requirements(cpus: f64) -> TaskRequirements {
     let kinds = vec![AllowedMachineType {
         kind: "small".into(),
@@ -213,7 +213,7 @@
     }
 }
 
-/// A job as tests submit it.
+/// Returns a job with default values for the remaining fields.
 pub fn job(id: u32, team: &str, shape: Shape, tasks: u32, cpus: f64) -> Job {
     Job {
         id: format!("wk-{id:06}"),
@@ -240,7 +240,7 @@
     }
 }
 
-/// A random job of either team.
+/// Draws a random job of one of the two default teams.
 pub(super) fn random_job(rng: &mut fastrand::Rng, id: u32) -> Job {
     let gang = rng.u32(0..4) == 0;
     let shape = if gang { Shape::Gang } else { Shape::Array };
--- a/crates/model/src/world/freeze.rs
+++ b/crates/model/src/world/freeze.rs
@@ -1,17 +1,17 @@
-//! Frozen controllers: they do nothing for a while, though their clocks run on.
+//! Frozen controllers: the process is suspended for a time while its clock continues.
 
 use super::*;
 
 impl World {
-    /// A controller decides nothing, sends nothing and reads nothing for a while. What reaches it
-    /// meanwhile waits there.
+    /// Suspends a controller for `duration_s`: it neither computes, sends nor reads anything.
+    /// Messages that arrive meanwhile are queued.
     pub fn freeze_controller(&mut self, controller: usize, duration_s: f64) {
         let frozen = &mut self.controllers[controller];
         frozen.frozen_until = frozen.frozen_until.max(self.now + duration_s);
     }
 
-    /// The same right after the controller has decided its next response to a worker, which goes
-    /// out when it runs again.
+    /// Suspends a controller for `duration_s` as soon as it has computed its next response to a
+    /// worker. The response is sent after the controller resumes.
     pub fn freeze_before_next_response(&mut self, controller: usize, duration_s: f64) {
         self.controllers[controller].freeze_after_response_s = Some(duration_s);
     }
--- a/crates/model/src/world/heterogeneous.rs
+++ b/crates/model/src/world/heterogeneous.rs
@@ -1,41 +1,43 @@
-//! Worlds of many machine types: prices, boot times, GPUs, checkpoints, and machines that the cloud takes
-//! back after a notice. Only worlds that ask for it have any of this; others draw no number for it.
+//! Heterogeneous worlds: many machine types with prices, boot times and GPUs, checkpoints, and spot
+//! machines that the cloud preempts after a notice. Other worlds have none of this and draw no
+//! random numbers for it.
 
 use super::*;
 
-/// Hundreds of large tasks at once: more machines than may be asked for in one go.
+/// The number of tasks of a bulk job, which needs more machines than one request may ask for.
 const BULK_TASKS: u32 = 130;
 
-/// How many in a thousand steps give some spot machine its notice.
+/// The number of steps in a thousand in which a spot machine gets a preemption notice.
 const NOTICES_PER_1000_STEPS: u32 = 12;
 
-/// What happens in rich worlds only.
+/// A kind of event that is counted only in heterogeneous worlds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CloudEvent {
-    /// The cloud announces that it takes a spot machine back.
+    /// The cloud announces the preemption of a spot machine.
     PreemptionNotice,
-    /// A task is told to stop.
+    /// A task is ordered to stop.
     Stop,
-    /// A task saves before it stops.
+    /// A task saves its state before it stops.
     Save,
-    /// The cloud is asked for machines.
+    /// Machines are requested from the cloud.
     Provision,
-    /// The cloud refuses a machine.
+    /// The cloud refuses a requested machine.
     ProvisionRefused,
-    /// A machine is returned.
+    /// A machine is returned to the cloud.
     Deprovision,
 }
 
-/// What only a rich world knows.
+/// The extra state of a heterogeneous world.
 #[derive(Default)]
 pub(super) struct HeterogeneousState {
-    /// How long tasks ran by their last checkpoints: by job and index.
+    /// The run time covered by the last checkpoint of each task, by job id and task index.
     saved: BTreeMap<(String, u32), f64>,
     submitted: u32,
 }
 
 impl World {
-    /// A world of many machine types, few of each, and of teams that borrow from each other.
+    /// Creates a world with many machine types, few machines of each, and teams that borrow from
+    /// each other.
     pub fn heterogeneous(seed: u64) -> World {
         let mut world = World::with_config(seed, Defect::None, heterogeneous_config());
         world.types = heterogeneous_types();
@@ -43,8 +45,8 @@
         world
     }
 
-    /// Random jobs and notices for `seconds`, as many jobs in a thousand steps as given, with faults if
-    /// asked for.
+    /// Runs with random jobs and preemption notices for `seconds`, and with injected faults if
+    /// `with_faults` is set.
     pub fn run_heterogeneous(&mut self, seconds: f64, jobs_per_1000_steps: u32, with_faults: bool) {
         let end = self.now + seconds;
         while self.now < end {
@@ -63,7 +65,7 @@
         }
     }
 
-    /// A job of many tasks that each take a whole machine of one of these types.
+    /// Submits a job of many tasks that each need 4 CPUs and run on one of these machine types.
     pub fn submit_bulk(&mut self, types: &[&str]) {
         let number = self.next_job_number();
         self.submit(Job {
@@ -83,7 +85,7 @@
         state.submitted
     }
 
-    /// The cloud announces that it takes a spot machine back.
+    /// Sends a preemption notice of 4 to 16 s to a random spot machine.
     fn send_preemption_notice(&mut self) {
         let now = self.now;
         let is_preemptible = |worker: &&mut Worker| {
@@ -99,7 +101,8 @@
         self.count_cloud_event(CloudEvent::PreemptionNotice, 1);
     }
 
-    /// Machines are taken back at the end of their notice, and tasks save.
+    /// Preempts machines whose notice has expired, and lets tasks take checkpoints and finish
+    /// saving.
     pub(super) fn run_preemptions_and_checkpoints(&mut self) {
         if self.heterogeneous.is_none() {
             return;
@@ -126,8 +129,8 @@
         state.saved.extend(saved);
     }
 
-    /// How long a task that starts has run already, by its checkpoints; a gang goes on from where all of its
-    /// tasks have been.
+    /// Returns the run time that a starting task has already completed according to its
+    /// checkpoints. A gang resumes from the least advanced checkpoint of its tasks.
     pub(super) fn saved_s(&self, id: &str, index: u32) -> f64 {
         let Some(state) = &self.heterogeneous else {
             return 0.0;
@@ -141,7 +144,8 @@
         }
     }
 
-    /// Whether a task that is told to stop saves first, and then until when.
+    /// Returns until when a task that is ordered to stop saves its state, or `None` if it does not
+    /// save.
     pub(super) fn saves_until(&mut self, id: &str, grace_s: f64) -> Option<f64> {
         self.heterogeneous.as_ref()?;
         self.count_cloud_event(CloudEvent::Stop, 1);
@@ -152,7 +156,8 @@
         Some(until)
     }
 
-    /// How many machines of an offer the cloud has, and how long one boots.
+    /// Draws an offer for a request: the number of machines that the cloud has, and the boot time
+    /// in seconds. Returns `None` in other worlds.
     pub(super) fn draw_offer(&mut self, request: &ProvisionRequest) -> Option<(usize, f64)> {
         self.heterogeneous.as_ref()?;
         let boot_s = self.types.iter().find(|t| t.name == request.kind)?.boot_s;
@@ -174,7 +179,7 @@
 }
 
 impl SimTask {
-    /// Takes a checkpoint or finishes saving; returns how long the task had run by what is now saved.
+    /// Takes a checkpoint or finishes saving. Returns the run time covered by the saved state.
     fn save(&mut self, spec: &Job, now: f64) -> Option<f64> {
         match self.state {
             TaskState::Saving if now >= self.saves_until => {
@@ -192,7 +197,8 @@
     }
 }
 
-/// Three teams, one of which owns little and may borrow much; classes of gangs that should start in time.
+/// Returns a configuration with three teams, one with a small guarantee and a high limit, and with
+/// target wait times for the classes of gangs.
 fn heterogeneous_config() -> SchedulerConfig {
     let team = |cpus: f64, cpus_max: f64, gpus: f64, gpus_max: f64| Team {
         cpus,
@@ -212,7 +218,8 @@
     }
 }
 
-/// Three small types of different prices, a large one, one with much memory, and one with GPUs.
+/// Returns three small machine types of different prices, a large one, one with much memory and one
+/// with GPUs.
 fn heterogeneous_types() -> Vec<MachineType> {
     let variant = |t: MachineType, spot_price: f64, boot_s: f64, gpus: f64| MachineType {
         spot_price,
@@ -230,7 +237,7 @@
     ]
 }
 
-/// A job of some class: arrays of each team, and gangs that need GPUs, memory or several machines.
+/// Draws a job of a random class: an array, or a gang that needs GPUs, memory or several machines.
 fn random_heterogeneous_job(rng: &mut fastrand::Rng, id: u32) -> Job {
     let team = ["red", "blue", "green", "green"][rng.usize(0..4)];
     let (class, shape, tasks, cpus) = match rng.u32(0..10) {
@@ -275,7 +282,7 @@
     }
 }
 
-/// How long the tasks run, how they save, and by when they should be done.
+/// Draws the run time, the checkpoint and save times, and the deadline of a job.
 fn set_random_times(spec: &mut Job, rng: &mut fastrand::Rng) {
     let longest_s = if spec.class == "any" { 5.0 } else { 18.0 };
     spec.estimate_s = 1.0 + rng.f64() * longest_s;
--- a/crates/model/src/world/jobs.rs
+++ b/crates/model/src/world/jobs.rs
@@ -1,22 +1,22 @@
-//! Jobs: what the store holds of them, how users submit and cancel them, and how they end.
+//! Jobs: their true state, and how users submit and cancel them.
 
 use super::*;
 
-/// A job and the truth about it.
+/// A job and its true state.
 pub(super) struct JobState {
     pub(super) spec: Rc<Job>,
     pub(super) accepted_at: f64,
-    /// When its first task began to run.
+    /// When its first task started to run.
     pub(super) started_at: Option<f64>,
     pub(super) revision: u64,
     pub(super) done: RangeSet,
-    /// When it ended, by its own record or because one of its dependencies was cancelled.
+    /// When it ended, by its own record or through the cancellation of a dependency.
     pub(super) terminal_at: Option<f64>,
-    /// When its own record was written as terminal.
+    /// When its own record became terminal.
     pub(super) record_terminal_at: Option<f64>,
-    /// The controller that wrote that record.
+    /// The controller that wrote the terminal record.
     pub(super) terminal_written_by: Option<usize>,
-    /// When the last of its dependencies was done.
+    /// When all its dependencies were done.
     pub(super) ready_at: Option<f64>,
     pub(super) cancelled: bool,
     pub(super) prior_runs: PriorRuns,
@@ -43,24 +43,25 @@
         self.terminal_at.is_none()
     }
 
-    /// Whether its end was recorded at `time` or earlier.
+    /// Returns whether its own record was terminal at `time`.
     pub(super) fn is_recorded_terminal_by(&self, time: f64) -> bool {
         self.record_terminal_at.is_some_and(|at| at <= time)
     }
 }
 
-/// When a job came to its stages, as far as it has.
+/// The times at which a job reached its stages, as far as it has reached them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct JobTimes {
     /// When it was accepted.
     pub accepted: f64,
-    /// When the last of its dependencies was done; for a job without any, when it was accepted.
+    /// When all its dependencies were done; for a job without dependencies, when it was accepted.
     pub ready: Option<f64>,
-    /// When its first task began to run.
+    /// When its first task started to run.
     pub started: Option<f64>,
 }
 
-/// The jobs as a controller's replica has them, which is as old as its last read of the store.
+/// The jobs as in a controller's replica of the store, whose terminal states date from its last
+/// read.
 pub(super) struct JobReplica<'a> {
     jobs: &'a BTreeMap<String, JobState>,
     read_at: f64,
@@ -96,7 +97,7 @@
 }
 
 impl World {
-    /// A job is accepted; the leader learns of it with its next read of the store.
+    /// Accepts a job; the leader learns of it from its next read of the store.
     pub fn submit(&mut self, spec: Job) {
         self.revision += 1;
         self.trace.submitted(self.now, &spec);
@@ -107,8 +108,8 @@
         self.record_ready_jobs();
     }
 
-    /// A user cancels a job; any controller that reaches the store confirms it, at once. False if
-    /// none does, or the job is terminal.
+    /// Cancels a job through a random controller that can use the store, which confirms
+    /// immediately. Returns false if there is no such controller or the job is not open.
     pub fn cancel(&mut self, id: &str) -> bool {
         let confirmed = self.confirm_cancel(id);
         self.trace.cancelled(self.now, id, confirmed);
@@ -136,7 +137,7 @@
         true
     }
 
-    /// The controller that confirmed a cancellation tells the leader without waiting for its read.
+    /// Notifies the leader of a cancellation before it reads the record itself.
     fn notify_leader_of_cancellation(&mut self, by: usize, id: &str) {
         let now = self.now;
         match &mut self.leading {
@@ -152,7 +153,7 @@
         }
     }
 
-    /// Records a job as done; the truth is what the workers have completed.
+    /// Records a job as done and checks this against the tasks that workers have completed.
     pub(super) fn record_done(&mut self, id: &str) {
         let now = self.now;
         let completed = self.completed_tasks(id) as u32;
@@ -171,7 +172,7 @@
         self.record_ready_jobs();
     }
 
-    /// How many of a job's tasks workers have completed.
+    /// Returns how many of a job's tasks have completed.
     pub(super) fn completed_tasks(&self, id: &str) -> usize {
         let Some(job) = self.jobs.get(id) else {
             return 0;
@@ -189,13 +190,13 @@
         }
     }
 
-    /// Jobs that are neither done nor cancelled.
+    /// Returns the jobs that are neither done nor cancelled.
     pub fn open_jobs(&self) -> Vec<String> {
         let open = self.jobs.iter().filter(|(_, job)| job.is_open());
         open.map(|(id, _)| id.clone()).collect()
     }
 
-    /// When each of the accepted jobs came to its stages, by id.
+    /// Returns the times of all accepted jobs by id.
     pub fn job_times(&self) -> BTreeMap<&str, JobTimes> {
         let times = |job: &JobState| JobTimes {
             accepted: job.accepted_at,
@@ -206,7 +207,7 @@
         jobs.map(|(id, job)| (id.as_str(), times(job))).collect()
     }
 
-    /// What the store says of a job: done, cancelled, or neither yet.
+    /// Returns `done` or `cancelled` for a terminal job and `None` for an open or unknown one.
     pub fn outcome(&self, id: &str) -> Option<&'static str> {
         let job = self.jobs.get(id)?;
         job.terminal_at
--- a/crates/model/src/world/leadership.rs
+++ b/crates/model/src/world/leadership.rs
@@ -1,17 +1,17 @@
-//! The controller that leads: its lease, what it hears from owners, and what it asks for.
+//! The leading controller: its lease, the messages of its owners, and the actions it requests.
 
 use super::*;
 
-/// The controller that leads now.
+/// The current leader and the controller it runs on.
 pub(super) struct LeadingController {
     pub(super) controller: usize,
     pub(super) leader: Leader,
-    /// The revision of the store at which it was elected; its writes depend on it.
+    /// The store's revision at its election. Its writes are conditional on it.
     pub(super) elected_revision: u64,
 }
 
 impl World {
-    /// The leader renews its lease, hears the owners, and acts. Without one, a controller is elected.
+    /// Runs one step of the leader, after an election if there is none.
     pub(super) fn run_leader(&mut self) {
         if self.leading.is_none() {
             self.elect();
@@ -32,8 +32,8 @@
         self.leading = Some(leading);
     }
 
-    /// A partitioned leader loses its owners at once; its own authority runs out later, and only then
-    /// another controller can be elected.
+    /// Disconnects the owners of a partitioned leader. Its own lease expires later, and only then
+    /// can another controller be elected.
     fn disconnect_owners_if_partitioned(&mut self, leading: &mut LeadingController) {
         if !self.is_partitioned(leading.controller) {
             return;
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Renews the lease in the store if it can; says whether it still runs.
+    /// Renews the leader's lease if the store is reachable. Returns whether the lease is valid.
     fn renew_lease(&mut self, controller: usize) -> bool {
         let now = self.now;
         if self.reaches_store(controller) {
@@ -52,7 +52,7 @@
             let authority = &mut self.controllers[controller].owner.authority;
             authority.renew(now + LEADER_LEASE_S * AUTHORITY_SHARE, now);
         } else if now < self.store_down_until {
-            // An outage preserves the leases; afterwards they get their full time again.
+            // An outage preserves leases: they restart with their full duration when it ends.
             self.lease_end = self.store_down_until + LEADER_LEASE_S;
         } else if now > self.lease_end {
             return false;
@@ -70,7 +70,7 @@
         }
     }
 
-    /// The leader answers the pings of owners that joined and hears their messages.
+    /// Processes the pings and messages of connected owners.
     fn receive_from_owners(&mut self, leading: &mut LeadingController) {
         let now = self.now;
         for i in 0..self.controllers.len() {
@@ -89,7 +89,7 @@
         }
     }
 
-    /// The leader answers an owner's ping with authority, if it may grant any.
+    /// Responds to an owner's ping by granting it authority, if the leader may grant any.
     fn answer_ping(&mut self, leading: &mut LeadingController, from: usize, sent_at: f64) {
         let now = self.now;
         let authority = &self.controllers[leading.controller].owner.authority;
@@ -106,15 +106,15 @@
         let controller = &mut self.controllers[from];
         if controller.has_epoch && controller.owner.token() == leading.leader.token() {
             controller.owner.authority.set_until(sent_at + valid_s);
-            // Behind all that was sent before it.
+            // The response must not overtake earlier messages.
             let arrives_at = controller.to_owner.arrival(now + 0.02);
             let leader_read_at = sent_at - (now - read_at);
             controller.leader_reads.send(arrives_at, leader_read_at);
         }
     }
 
-    /// The leader and its own controller's owner exchange messages until neither has more to say,
-    /// and the leader's requests set out.
+    /// Exchanges messages between the leader and the owner on its own controller until neither has
+    /// any left, and sends the leader's requests.
     fn act(&mut self, leading: &mut LeadingController) {
         loop {
             let messages = self.controllers[leading.controller].owner.drain();
@@ -135,7 +135,7 @@
         }
     }
 
-    /// A message to an owner, or a request to the store or the cloud, sets out.
+    /// Sends a message to an owner, or a request to the store or the cloud.
     fn request(&mut self, leading: &LeadingController, action: Action) {
         self.trace
             .requested(self.now, leading.elected_revision, &action);
@@ -169,7 +169,7 @@
         }
     }
 
-    /// No controller leads any more. The store keeps the key until the lease has run out.
+    /// Ends the leadership. The store keeps the leader's key until the lease expires.
     pub(super) fn end_leadership(&mut self) {
         self.leading = None;
         self.no_election_before = self.no_election_before.max(self.lease_end + 0.1);
@@ -178,7 +178,7 @@
         }
     }
 
-    /// The controller that leads.
+    /// Returns the index of the leading controller.
     pub fn leader_index(&self) -> Option<usize> {
         self.leading.as_ref().map(|leading| leading.controller)
     }
--- a/crates/model/src/world/outcomes.rs
+++ b/crates/model/src/world/outcomes.rs
@@ -1,15 +1,15 @@
-//! What a leader's requests change in the store and the cloud, and what the leader hears of it.
+//! The effects of a leader's requests on the store and the cloud, and the results the leader sees.
 
 use super::*;
 
-/// What became of a request, as the store and the leader see it.
+/// The outcome of a request, for the store or cloud and for the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Outcome {
-    /// It was carried out, and the leader hears so.
+    /// The request was applied, and the leader gets the response.
     Confirmed,
-    /// It was carried out, but the response is lost.
+    /// The request was applied, but the response is lost.
     ResponseLost,
-    /// It was not carried out, or is not yet.
+    /// The request was not applied, or not yet.
     NotApplied,
 }
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// The tasks of a page of progress, which starts at a task and has a bit for each.
+/// Decodes a bitmap of progress, in hexadecimal, whose first bit stands for `first_task`.
 fn decode_progress_page(first_task: u32, bits: &str) -> RangeSet {
     let byte = |i: usize| u8::from_str_radix(&bits[i * 2..i * 2 + 2], 16).ok();
     let bytes: Vec<u8> = (0..bits.len() / 2).filter_map(byte).collect();
@@ -33,8 +33,8 @@
 }
 
 impl World {
-    /// Carries an action out if it took effect, and tells the leader its outcome, or that it is not
-    /// known.
+    /// Applies an action if its outcome says so, and passes the result to the leader: confirmed, or
+    /// unknown.
     pub(super) fn apply_action(&mut self, leader: &mut Leader, action: Action, outcome: Outcome) {
         let now = self.now;
         self.trace.carried_out(now, &action, outcome);
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Records a job as done, unless it is terminal already; says whether it did.
+    /// Records a job as done if it is still open. Returns whether it did.
     fn write_job_done(&mut self, job: &str, outcome: Outcome) -> bool {
         let is_open = self.jobs.get(job).is_some_and(JobState::is_open);
         let is_written = outcome.took_effect() && is_open;
@@ -142,7 +142,8 @@
         }
     }
 
-    /// By a defect, jobs are done when half of their tasks are.
+    /// Records jobs as done when half of their tasks are, with the defects `FinishAtHalf` and
+    /// `FinishAtHalfUnseen`.
     fn finish_half_done(&mut self) {
         if !matches!(
             self.defect,
--- a/crates/model/src/world/rules.rs
+++ b/crates/model/src/world/rules.rs
@@ -1,4 +1,4 @@
-//! The rules of the protocol and of the users, checked on the true state of the world.
+//! Invariants of the protocol and requirements of the users, checked against the true state.
 
 use super::*;
 
@@ -8,7 +8,7 @@
 
 pub(super) use waiting::WaitingWithCapacity;
 
-/// What a team uses, or may use.
+/// The resources that a team uses.
 #[derive(Clone, Copy, Default)]
 struct TeamUsage {
     cpus: f64,
@@ -34,7 +34,7 @@
             .for_each(|rule| self.record_violation(rule));
     }
 
-    /// At every moment, no terminal job runs on for long, and no team exceeds its limits.
+    /// Checks that tasks of terminal jobs stop in time and that no team exceeds its limits.
     pub(super) fn check_running_tasks(&mut self) {
         let mut violations = self.overrunning_tasks();
         if self.exceeds_limits() {
@@ -43,7 +43,7 @@
         self.record_violations(violations);
     }
 
-    /// The rule that is broken by each task that runs on though its job ended long ago.
+    /// Returns the violated rule for each task that still runs too long after its job ended.
     fn overrunning_tasks(&self) -> Vec<&'static str> {
         let tasks = self.workers.values().flat_map(Worker::live_tasks);
         let jobs = tasks.filter_map(|task| self.jobs.get(&task.job));
@@ -52,7 +52,7 @@
             job.terminal_at
                 .is_some_and(|at| self.now > may_run_until(at))
         };
-        // Of a job that is done, no controller knows the task any more.
+        // If the job is done, no controller knows the task any more, so nothing would stop it.
         let rule = |job: &JobState| match job.cancelled {
             true => "ran_cancelled",
             false => "orphaned",
@@ -76,8 +76,8 @@
         })
     }
 
-    /// Once faults are over, the leader knows every open job whose dependencies are done, as soon as
-    /// it has read that they are.
+    /// Checks that, in the absence of faults, the leader knows every open job whose dependencies
+    /// have been done for longer than the leader takes to read so.
     pub(super) fn check_leader_knows_jobs(&mut self) {
         let Some(leading) = &self.leading else {
             return;
--- a/crates/model/src/world/rules/placement.rs
+++ b/crates/model/src/world/rules/placement.rs
@@ -1,9 +1,9 @@
-//! What must hold when a task starts: of its job, and of the machine.
+//! Invariants of a task start, for the job and the machine.
 
 use super::*;
 
 impl World {
-    /// A task starts on a machine.
+    /// Checks the start of a task on a machine.
     pub(in crate::world) fn check_start(&mut self, machine: &str, job: &str, index: u32) {
         self.check_dependencies_done(job);
         let mut violations = Vec::new();
@@ -28,15 +28,15 @@
         self.record_violations(violations);
     }
 
-    /// Whether the job was cancelled so long ago that neither a response under way nor a leader that
-    /// could not know yet explains the start of a task.
+    /// Returns whether the job was cancelled so long ago that neither a response in transit nor a
+    /// leader with a stale view explains the start of a task.
     fn is_started_after_cancellation(&self, job: &JobState) -> bool {
         let allowed_s = self.config.max_start_staleness_s() + wire::HEARTBEAT_RESPONSE_TIMEOUT_S;
         let ended_long_ago = |at: f64| self.now > at + allowed_s;
         job.cancelled && job.terminal_at.is_some_and(ended_long_ago)
     }
 
-    /// Whether a machine is one of those that a job asks for, given where its other tasks run.
+    /// Returns whether a job may run on a machine, given the zones of its other tasks.
     fn may_run_on(&self, spec: &Job, worker: &Worker) -> bool {
         let mut by_zone: BTreeMap<&str, u32> = BTreeMap::new();
         for other in self.workers.values() {
@@ -51,7 +51,7 @@
     }
 }
 
-/// Whether a job allows a machine's type, zone and price.
+/// Returns whether a job allows a machine's type, zone and price class (spot or on demand).
 pub(super) fn allows_machine(spec: &Job, worker: &Worker) -> bool {
     let types = spec.types.as_ref();
     let zone = spec.zone.as_ref();
--- a/crates/model/src/world/rules/start_times.rs
+++ b/crates/model/src/world/rules/start_times.rs
@@ -1,17 +1,17 @@
-//! Whether all groups of jobs are served.
+//! Checks that every group of jobs gets started in time.
 
 use super::*;
 
 const LARGEST_GANGS_GROUP: &str = "largest gangs";
 
-/// How many jobs of a group there were, and how many of them began in time.
+/// The number of jobs in a group and how many of them started in time.
 #[derive(Default)]
 struct StartStats {
     jobs: u32,
     started_in_time: u32,
 }
 
-/// The groups of which a job is counted.
+/// Returns the groups in which a job is counted.
 fn job_groups(spec: &Job) -> Vec<String> {
     let mut groups = vec![
         format!("{:?}", spec.shape),
@@ -24,8 +24,8 @@
 }
 
 impl World {
-    /// At least half of the jobs of each shape and team, and of the largest gangs, began in time. Jobs
-    /// that came too late to tell do not count.
+    /// Checks that at least half of the jobs of each shape, of each shape and team, and of the
+    /// largest gangs started in time. Jobs whose time has not run out yet do not count.
     pub(in crate::world) fn check_started_in_time(&mut self) {
         let is_starved = |(_, stats): &(String, StartStats)| stats.started_in_time * 2 < stats.jobs;
         let rule = |(group, _): (String, StartStats)| match group.as_str() {
@@ -40,7 +40,7 @@
     fn start_stats_by_group(&self) -> BTreeMap<String, StartStats> {
         let mut groups: BTreeMap<String, StartStats> = BTreeMap::new();
         for job in self.jobs.values().filter(|job| !job.cancelled) {
-            // The time of a job with dependencies counts from when the last of them is done.
+            // For a job with dependencies, the time starts when the last of them is done.
             let Some(ready_at) = job.ready_at.filter(|at| self.now - at > MAX_START_WAIT_S) else {
                 continue;
             };
--- a/crates/model/src/world/rules/waiting.rs
+++ b/crates/model/src/world/rules/waiting.rs
@@ -1,19 +1,19 @@
-//! Whether jobs wait though there is capacity for them.
+//! Checks that no job waits long while there is capacity for it.
 
 use super::placement::allows_machine;
 use super::*;
 
-/// What machines have free, and what teams use on them.
+/// The free resources of the machines, and what the teams use on them.
 struct Capacity<'a> {
     free: Vec<(&'a String, &'a Worker, Resources)>,
     used: BTreeMap<&'a str, TeamUsage>,
 }
 
-/// A job that waits, and where there is capacity: a machine for an array, none for a gang, which
-/// needs several.
+/// A waiting job and the machine that has capacity for it. There is no single machine for a gang,
+/// which may need several.
 pub(in crate::world) type WaitingWithCapacity = (String, Option<String>);
 
-/// Tasks of a job that fit into what a machine has free.
+/// Returns how many tasks of a job fit into a machine's free resources.
 fn fitting_tasks(spec: &Job, free: &Resources) -> usize {
     let gpus = (free.gpus + 1e-6) / spec.gpus;
     ((free.cpus + 1e-6) / spec.cpus)
@@ -22,7 +22,7 @@
         .max(0.0) as usize
 }
 
-/// Tasks of a gang that fit together, by how many fit in each zone.
+/// Returns how many tasks of a gang fit at the same time, given how many fit in each zone.
 fn fitting_gang_tasks(spec: &Job, by_zone: &BTreeMap<&str, usize>) -> usize {
     let most_in_zone = match spec.spread {
         true => spec.tasks.div_ceil(2) as usize,
@@ -36,8 +36,9 @@
 }
 
 impl World {
-    /// Once faults are over, no job waits long while the same machine has capacity for a task of it
-    /// (for a gang: while machines have capacity for all of it) and its team is under its limit.
+    /// Checks that, in the absence of faults, no job waits long while its team is within its limit
+    /// and the same machine has capacity for one of its tasks, or, for a gang, while the machines
+    /// together have capacity for all of it.
     pub(in crate::world) fn check_waiting(&mut self) {
         let waiting = self.jobs_waiting_with_capacity();
         self.capacity_since
@@ -51,7 +52,7 @@
         }
     }
 
-    /// The jobs without a task on any machine for which there is capacity now.
+    /// Returns the jobs that have no task on any machine although there is capacity for them now.
     fn jobs_waiting_with_capacity(&self) -> BTreeSet<WaitingWithCapacity> {
         let capacity = self.capacity();
         let mut waiting = BTreeSet::new();
@@ -72,7 +73,7 @@
         waiting
     }
 
-    /// What the machines have free that work and stay.
+    /// Returns the capacity of the machines that are running and not about to be preempted.
     fn capacity(&self) -> Capacity<'_> {
         let mut capacity = Capacity {
             free: Vec::new(),
@@ -101,7 +102,7 @@
         capacity
     }
 
-    /// Whether a job's team may use as much more as some of its tasks need.
+    /// Returns whether this many more tasks of a job stay within the limit of its team.
     fn is_within_limit(&self, spec: &Job, tasks: usize, capacity: &Capacity) -> bool {
         let limit = self.limits.get(&spec.team);
         let (cpus_max, gpus_max) =
@@ -115,7 +116,7 @@
     }
 }
 
-/// Adds where there is capacity for a job that waits.
+/// Adds a waiting job once for each machine with capacity, or once if it is a gang that fits.
 fn add_waiting_job(
     waiting: &mut BTreeSet<WaitingWithCapacity>,
     spec: &Job,
--- a/crates/model/src/world/scenario.rs
+++ b/crates/model/src/world/scenario.rs
@@ -1,9 +1,9 @@
-//! What tests do to a world, one fault at a time, and what they look at.
+//! The operations by which tests script faults and inspect the world.
 
 use super::*;
 
 impl World {
-    /// Lets time pass.
+    /// Runs the world for a time.
     pub fn advance(&mut self, seconds: f64) {
         let end = self.now + seconds;
         while self.now < end {
@@ -11,17 +11,17 @@
         }
     }
 
-    /// The store refuses one controller, and serves the others.
+    /// Makes the store refuse one controller's requests for `duration_s`.
     pub fn refuse_controller(&mut self, i: usize, duration_s: f64) {
         self.controllers[i].store_refuses_until = self.now + duration_s;
     }
 
-    /// The store refuses everybody. Its leases keep.
+    /// Makes the store unavailable for `duration_s`. Leases are preserved.
     pub fn store_outage(&mut self, duration_s: f64) {
         self.store_down_until = self.store_down_until.max(self.now + duration_s);
     }
 
-    /// A controller loses the store and the others, not its workers.
+    /// Partitions a controller from the store and the other controllers, but not from its workers.
     pub fn partition_controller(&mut self, i: usize, duration_s: f64) {
         self.partition = Some(Partition {
             controller: i,
@@ -30,7 +30,7 @@
         self.disconnect_controller(i, duration_s);
     }
 
-    /// A controller finds its view too old and reloads all records, which takes `for_s`.
+    /// Starts a reload of all records by a controller whose view is too old; it takes `duration_s`.
     pub fn reload_records(&mut self, i: usize, duration_s: f64) {
         let now = self.now;
         let controller = &mut self.controllers[i];
@@ -41,12 +41,12 @@
         });
     }
 
-    /// The machines that were provisioned and not returned, in the order of their names.
+    /// Returns the machines that were provisioned and not returned, ordered by name.
     pub fn machines(&self) -> Vec<String> {
         self.workers.keys().cloned().collect()
     }
 
-    /// Machines on which something is, as many as asked for at most.
+    /// Returns at most `max` machines that have tasks.
     pub fn busy_machines(&self, max: usize) -> Vec<String> {
         let is_busy = |worker: &Worker| !worker.gone && worker.live_tasks().next().is_some();
         let busy = self.workers.iter().filter(|(_, worker)| is_busy(worker));
@@ -59,30 +59,32 @@
         }
     }
 
-    /// Machines hang for a while, and then go on.
+    /// Makes machines hang for `duration_s` and then resume.
     pub fn hang_machines(&mut self, names: &[String], duration_s: f64) {
         let until = self.now + duration_s;
         self.update_workers(names, |worker| worker.hung_until = until);
     }
 
-    /// Heartbeats of machines arrive, but the responses are lost.
+    /// Drops the responses to heartbeats of machines for `duration_s`.
     pub fn drop_responses(&mut self, names: &[String], duration_s: f64) {
         let until = self.now + duration_s;
         self.update_workers(names, |worker| worker.responses_lost_until = until);
     }
 
-    /// No heartbeat of machines arrives.
+    /// Drops the heartbeats of machines for `duration_s`.
     pub fn drop_heartbeats(&mut self, names: &[String], duration_s: f64) {
         let until = self.now + duration_s;
         self.update_workers(names, |worker| worker.heartbeats_lost_until = until);
     }
 
-    /// Machines die without notice.
+    /// Makes machines fail permanently, without notice.
     pub fn kill_machines(&mut self, names: &[String]) {
         self.update_workers(names, Worker::die);
     }
 
-    /// A zone is cut off with its machines; a controller in it keeps them.
+    /// Partitions a zone for `duration_s`. If a controller is in the zone, it is partitioned from
+    /// the store and the other controllers but keeps its workers. Without one, the heartbeats of
+    /// all machines in the zone are lost.
     pub fn partition_zone(&mut self, zone: &str, controller: Option<usize>, duration_s: f64) {
         let in_zone = self
             .workers
@@ -95,7 +97,7 @@
         }
     }
 
-    /// Cancels jobs that run, as many as asked for; says which were confirmed.
+    /// Cancels at most `max` running jobs. Returns those of which the cancellation was confirmed.
     pub fn cancel_running(&mut self, max: usize) -> Vec<String> {
         let open = self.open_jobs().into_iter();
         let running = open.filter(|id| self.live_tasks(id) > 0);
@@ -103,13 +105,14 @@
         running.into_iter().filter(|id| self.cancel(id)).collect()
     }
 
-    /// Cancels a job of which every task is done, while no record says so yet.
+    /// Cancels a job whose tasks have all completed but which is not yet recorded as done. Returns
+    /// its id if the cancellation was confirmed.
     pub fn cancel_completed_job(&mut self) -> Option<String> {
         let id = self.completed_unrecorded_job()?;
         self.cancel(&id).then_some(id)
     }
 
-    /// A job's tasks that are on machines now.
+    /// Returns the number of a job's tasks that are on machines and have not exited.
     pub fn live_tasks(&self, id: &str) -> usize {
         self.workers
             .values()
--- a/crates/model/src/world/store.rs
+++ b/crates/model/src/world/store.rs
@@ -1,21 +1,21 @@
-//! The state service, as the world's controllers see it: their reads, and the leader's writes on
-//! their way to it.
+//! The state service as the controllers see it: their reads, and the leader's writes in transit.
 
 use super::*;
 
-/// A request of a leader on its way to the store or the cloud.
+/// A leader's request in transit to the store or the cloud.
 pub(super) struct PendingWrite {
     pub(super) arrives_at: f64,
-    /// The leadership under which it was asked for.
+    /// The revision of the election of the leader that sent it.
     pub(super) elected_revision: u64,
     pub(super) action: Action,
-    /// The version that its key must have.
+    /// The version that its key must have for the write to be applied.
     pub(super) expected_version: u64,
-    /// Its leader was told already that its outcome is unknown.
+    /// Whether the leader was already told that the outcome is unknown.
     pub(super) is_late: bool,
 }
 
-/// The key that an action replaces; none for what has a condition of its own or is no write.
+/// Returns the key that an action overwrites; `None` if the action has a condition of its own or is
+/// not a write.
 fn written_key(action: &Action) -> Option<String> {
     match action {
         Action::UpdateRoster(machine, _) => Some(format!("roster/{machine}")),
@@ -29,8 +29,8 @@
 }
 
 impl World {
-    /// Controllers read the changes of the store every few steps; responses take their time. What a
-    /// read shows is known before anything else is done on the strength of it.
+    /// Runs the reads of all controllers, which read the store's changes every few steps and get
+    /// delayed responses. Results are processed before any other component runs in the step.
     pub(super) fn run_reads(&mut self) {
         for i in 0..self.controllers.len() {
             match self.controllers[i].pending_reload {
@@ -72,7 +72,7 @@
         self.controllers[i].owner.authority.record_read(sent_at);
     }
 
-    /// Up to when a controller's replica shows which jobs are terminal.
+    /// Returns the time up to which a controller's replica includes terminal jobs.
     pub(super) fn terminal_jobs_read_at(&self, i: usize) -> f64 {
         let ignores_terminal_jobs = matches!(
             self.defect,
@@ -84,14 +84,14 @@
         self.controllers[i].read_at
     }
 
-    /// The version that the leader believes the key of a write to have.
+    /// Returns the leader's known version of the key of a write.
     pub(super) fn expected_version(&self, action: &Action) -> u64 {
         written_key(action)
             .and_then(|key| self.leader_known_versions.get(&key).copied())
             .unwrap_or(0)
     }
 
-    /// Carries out what has arrived at the store or the cloud by now.
+    /// Processes the requests that have arrived at the store or the cloud by now.
     pub(super) fn run_writes(&mut self) {
         let mut i = 0;
         while i < self.writes.len() {
@@ -111,14 +111,14 @@
 
     fn receive_write(&mut self, leading: &mut LeadingController, write: PendingWrite) {
         if self.is_frozen(leading.controller) {
-            // Its response is read when the leader runs again.
+            // A frozen leader reads the response when it resumes.
             let arrives_at = self.controllers[leading.controller].frozen_until;
             self.writes.push(PendingWrite {
                 arrives_at,
                 ..write
             });
         } else if leading.elected_revision != write.elected_revision {
-            // A write of an earlier leader fails on its condition.
+            // A write of an earlier leader fails its condition.
             self.reject_write(&write);
         } else if write.is_late {
             self.apply_late(&leading.leader, write);
@@ -143,14 +143,14 @@
             self.bump_version(&write.action);
             self.record_end_writer(leading.controller, &write.action);
         }
-        // It was carried out, or refused and then looked at.
+        // The leader learns the version from the response, or by reading the key after a failure.
         if outcome == Outcome::Confirmed || is_reachable && outcome == Outcome::NotApplied {
             self.update_known_version(&write.action);
         }
         self.apply_action(&mut leading.leader, write.action, outcome);
     }
 
-    /// A write gets no response, and is carried out later: after newer ones.
+    /// Leaves a write without a response and applies it later, possibly after newer ones.
     fn postpone(&mut self, leader: &mut Leader, write: PendingWrite) {
         let arrives_at = self.now + 2.0 + self.rng.f64() * 10.0;
         self.trace.postponed(self.now, arrives_at, &write.action);
@@ -164,7 +164,8 @@
         self.apply_action(leader, action, Outcome::NotApplied);
     }
 
-    /// What becomes of a write. Now and then it is carried out, but the response is lost.
+    /// Draws the outcome of a request. It is not applied if the store is unreachable or the version
+    /// outdated, nor in 3 % of the other cases. Of the applied ones, 2 % lose their response.
     fn draw_outcome(&mut self, is_reachable: bool, write: &PendingWrite) -> Outcome {
         let took_effect = is_reachable && self.rng.u32(0..100) >= 3 && self.admits(write);
         if !took_effect {
@@ -176,7 +177,8 @@
         }
     }
 
-    /// A job's end that a leader writes is known at its controller from then on.
+    /// Records the leader's controller as the writer of a job's terminal record, so that it keeps
+    /// the record across reloads.
     fn record_end_writer(&mut self, leading: usize, action: &Action) {
         let Action::FinishJob { job } = action else {
             return;
@@ -186,7 +188,8 @@
         }
     }
 
-    /// A postponed write arrives. Its leader took it to have failed long ago; only the store changes.
+    /// Applies a postponed write to the store only. Its leader has long treated it as failed and
+    /// gets no result.
     fn apply_late(&mut self, leader: &Leader, write: PendingWrite) {
         if self.now < self.store_down_until || !self.admits(&write) {
             return self.reject_write(&write);
@@ -206,7 +209,7 @@
         self.apply_action(&mut detached_leader, write.action, Outcome::ResponseLost);
     }
 
-    /// Whether a write's key still has the version that its writer expected.
+    /// Returns whether the key of a write still has the expected version.
     fn admits(&self, write: &PendingWrite) -> bool {
         let Some(key) = written_key(&write.action) else {
             return true;
@@ -221,7 +224,7 @@
         }
     }
 
-    /// The leader learns the present version of the key of its write.
+    /// Updates the leader's known version of the key of its write.
     fn update_known_version(&mut self, action: &Action) {
         if let Some(key) = written_key(action) {
             let version = self.versions.get(&key).copied().unwrap_or(0);
--- a/crates/model/src/world/trace.rs
+++ b/crates/model/src/world/trace.rs
@@ -1,10 +1,11 @@
-//! A running digest of all that crosses an edge of the simulated world: heartbeats and responses, messages
-//! between controllers, writes, requests to the cloud, what users are told, ends of jobs, elections.
+//! A running digest of everything that crosses a component boundary of the simulated world:
+//! heartbeats and responses, messages between controllers, writes, cloud requests, results for
+//! users, ends of jobs and elections.
 //!
-//! Two worlds of equal digest took the same decisions at the same times. Everything is hashed as the bytes
-//! that go out (CBOR, bitcode frames, stored records), or as numbers and texts with their lengths; names of
-//! types and fields and debugging text never are, so that renaming them leaves the digest as it is.
-//! Recording draws no random numbers and changes nothing but the digest.
+//! Two worlds with equal digests made the same decisions at the same times. Everything is hashed as
+//! its encoded bytes (CBOR, bitcode frames, stored records), or as numbers and length-prefixed
+//! strings. Names of types and fields and debug output are not hashed, so that renaming does not
+//! change the digest. Recording draws no random numbers and has no effect but on the digest.
 
 use super::outcomes::Outcome;
 use sched::leader::Action;
@@ -16,7 +17,7 @@
 use wire::users::Job;
 use wire::workers::{Heartbeat, Order, Redirect};
 
-/// What happened. The numbers are part of the digest and never change.
+/// A kind of event. The numbers are part of the digest and never change.
 #[derive(Clone, Copy)]
 enum Event {
     Submitted = 1,
@@ -38,7 +39,8 @@
     RuleBroken = 17,
 }
 
-/// A 64-bit FNV-1a hash (offset basis and prime of its authors) of the events so far, in their order.
+/// A 64-bit FNV-1a hash, with the standard offset basis and prime, of the events so far in their
+/// order.
 #[derive(Clone, Debug)]
 pub struct Trace {
     hash: u64,
@@ -55,17 +57,17 @@
 }
 
 impl Trace {
-    /// The digest of all that was recorded so far.
+    /// Returns the digest of everything recorded so far.
     pub fn digest(&self) -> u64 {
         self.hash
     }
 
-    /// How many events were recorded.
+    /// Returns the number of recorded events.
     pub fn events(&self) -> u64 {
         self.events
     }
 
-    /// Records a number, as eight bytes in little-endian order.
+    /// Records a number as eight little-endian bytes.
     pub fn number(&mut self, number: u64) -> &mut Trace {
         self.hash_bytes(&number.to_le_bytes())
     }
@@ -77,6 +79,7 @@
         self
     }
 
+    /// Records bytes with their length as a prefix.
     fn bytes(&mut self, bytes: &[u8]) -> &mut Trace {
         self.number(bytes.len() as u64).hash_bytes(bytes)
     }
@@ -98,29 +101,29 @@
         self.hash_bytes(&[event as u8]).float(now)
     }
 
-    /// A user's job is accepted.
+    /// Records the acceptance of a user's job.
     pub(super) fn submitted(&mut self, now: f64, job: &Job) {
         self.event(now, Event::Submitted).bytes(&encode(job));
     }
 
-    /// A user asked for a cancellation, which was confirmed or not.
+    /// Records a user's cancellation request and whether it was confirmed.
     pub(super) fn cancelled(&mut self, now: f64, job: &str, confirmed: bool) {
         self.event(now, Event::Cancelled).text(job).flag(confirmed);
     }
 
-    /// A job is terminal.
+    /// Records that a job is terminal.
     pub(super) fn ended(&mut self, now: f64, job: &str, cancelled: bool) {
         self.event(now, Event::Ended).text(job).flag(cancelled);
     }
 
-    /// A worker sends a heartbeat.
+    /// Records that a worker sends a heartbeat.
     pub(super) fn reported(&mut self, now: f64, to: usize, heartbeat: &Heartbeat) {
         self.event(now, Event::Reported)
             .number(to as u64)
             .bytes(&encode(heartbeat));
     }
 
-    /// A controller has decided its response to a heartbeat.
+    /// Records a controller's response to a heartbeat.
     pub(super) fn answered(
         &mut self,
         now: f64,
@@ -146,14 +149,14 @@
         };
     }
 
-    /// A worker carries out an order.
+    /// Records that a worker executes an order.
     pub(super) fn executed(&mut self, now: f64, machine: &str, order: &Order) {
         self.event(now, Event::Executed)
             .text(machine)
             .bytes(&encode(order));
     }
 
-    /// A controller sends a message to the leader, where it arrives at `at`.
+    /// Records a message from a controller to the leader, which arrives at `at`.
     pub(super) fn sent_to_leader(&mut self, now: f64, from: usize, at: f64, message: &ToLeader) {
         self.event(now, Event::ToLeader)
             .number(from as u64)
@@ -161,12 +164,13 @@
             .bytes(&encode_frame(message));
     }
 
-    /// A controller pings the leader, where the ping arrives at `at`.
+    /// Records a ping from a controller to the leader, which arrives at `at`.
     pub(super) fn pinged(&mut self, now: f64, from: usize, at: f64) {
         self.event(now, Event::Pinged).number(from as u64).float(at);
     }
 
-    /// The leader answers a ping that was sent at `sent`, granting authority for some seconds or none.
+    /// Records the leader's response to a ping sent at `sent_at`: authority for `valid_s` seconds,
+    /// or none.
     pub(super) fn granted(&mut self, now: f64, to: usize, sent_at: f64, valid_s: Option<f64>) {
         self.event(now, Event::Granted)
             .number(to as u64)
@@ -175,7 +179,7 @@
             .float(valid_s.unwrap_or(0.0));
     }
 
-    /// A leader asks for something: a message to an owner, a write, or a request to the cloud.
+    /// Records a leader's action: a message to an owner, a write, or a request to the cloud.
     pub(super) fn requested(&mut self, now: f64, by: u64, action: &Action) {
         if let Action::Send(to, message) = action {
             return self.sent_to_owner(now, by, to, message);
@@ -190,7 +194,7 @@
             .bytes(&encode_frame(message));
     }
 
-    /// What became of a request: whether it was carried out, and whether the leader hears so.
+    /// Records the outcome of a request: whether it was applied, and whether the leader learns so.
     pub(super) fn carried_out(&mut self, now: f64, action: &Action, outcome: Outcome) {
         self.event(now, Event::CarriedOut)
             .flag(outcome.took_effect())
@@ -198,24 +202,25 @@
             .action(action);
     }
 
-    /// A write got no response and is carried out at `at`.
+    /// Records a write that gets no response and is applied at `at`.
     pub(super) fn postponed(&mut self, now: f64, at: f64, action: &Action) {
         self.event(now, Event::Postponed).float(at).action(action);
     }
 
-    /// A write fails because its writer leads no more, or because its key was written since.
+    /// Records a write that fails because its writer is no longer the leader, its key has been
+    /// written since, or the store is unavailable.
     pub(super) fn refused(&mut self, now: f64, by: u64, action: &Action) {
         self.event(now, Event::Refused).number(by).action(action);
     }
 
-    /// The cloud provisions machines.
+    /// Records machines that the cloud provisions.
     pub(super) fn provisioned(&mut self, now: f64, machines: &[String]) {
         self.event(now, Event::Provisioned).bytes(&encode(&Names {
             machines: machines.to_vec(),
         }));
     }
 
-    /// A controller is elected, under a term and a revision of the store.
+    /// Records an election with its term and the revision of the store.
     pub(super) fn elected(&mut self, now: f64, controller: usize, term: u64, revision: u64) {
         self.event(now, Event::Elected)
             .number(controller as u64)
@@ -223,12 +228,12 @@
             .number(revision);
     }
 
-    /// A rule is broken.
+    /// Records the violation of a rule.
     pub(super) fn rule_broken(&mut self, now: f64, rule: &str) {
         self.event(now, Event::RuleBroken).text(rule);
     }
 
-    /// An action as its record in the store or its request to the cloud, with the key's parts before it.
+    /// Records an action as its stored record or cloud request, preceded by the parts of its key.
     fn action(&mut self, action: &Action) {
         match action {
             Action::Send(to, message) => {
@@ -272,7 +277,7 @@
     }
 }
 
-/// What one action records of a job's progress, as a page of its own.
+/// Returns the progress of a job that one action records, as a page of its own.
 fn progress(job: &str, first_task: u32, bits: &str) -> ProgressPage {
     let entry = vec![(job.to_string(), first_task, bits.to_string())];
     match first_task {
--- a/crates/model/src/world/transit.rs
+++ b/crates/model/src/world/transit.rs
@@ -1,15 +1,15 @@
-//! Messages on their way: between workers and controllers, where each takes its own time, and
-//! between controllers, where connections keep the order.
+//! Messages in transit: between workers and controllers, where each has its own delay, and between
+//! controllers, where connections preserve the order.
 
 use super::*;
 
-/// Something that was sent and has not arrived yet.
+/// A message that has been sent and has not arrived yet.
 pub(super) struct InTransit<T> {
     pub(super) arrives_at: f64,
     pub(super) message: T,
 }
 
-/// One direction of a connection: messages arrive in the order in which they were sent.
+/// One direction of a connection, in which messages arrive in the order in which they were sent.
 pub(super) struct Connection<T>(VecDeque<InTransit<T>>);
 
 impl<T> Default for Connection<T> {
@@ -26,7 +26,8 @@
         });
     }
 
-    /// The earliest arrival, at `at` or later, that overtakes no earlier message.
+    /// Returns the earliest arrival time that is at least `at` and does not overtake earlier
+    /// messages.
     pub(super) fn arrival(&self, at: f64) -> f64 {
         self.last().map_or(0.0, |last| last.arrives_at).max(at)
     }
@@ -35,7 +36,7 @@
         self.0.back()
     }
 
-    /// The next message, if it has arrived.
+    /// Removes and returns the next message if it has arrived.
     pub(super) fn receive(&mut self, now: f64) -> Option<T> {
         if self.0.front()?.arrives_at > now {
             return None;
@@ -61,7 +62,7 @@
     },
 }
 
-/// Which heartbeat of a worker a response belongs to.
+/// Identifies the heartbeat of a worker to which a response belongs.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) struct HeartbeatId {
     pub(super) incarnation: u64,
@@ -76,7 +77,7 @@
         });
     }
 
-    /// Delivers what workers and controllers sent to each other and has arrived by now.
+    /// Delivers the messages between workers and controllers that have arrived by now.
     pub(super) fn deliver(&mut self) {
         let mut due: Vec<InTransit<Message>> = Vec::new();
         let mut i = 0;
@@ -100,17 +101,18 @@
         }
     }
 
-    /// How long a message between a worker and a controller takes; none if it is lost.
+    /// Draws the transit time of a message between a worker and a controller; `None` if it is lost.
     pub(super) fn draw_message_delay(&mut self) -> Option<f64> {
         match self.rng.u32(0..100) {
             n if n < self.lost_percent => None,
-            // Held up in the network, possibly for longer than the sender waits.
+            // Delayed in the network, possibly for longer than the sender waits.
             n if n < self.lost_percent + self.delayed_percent => Some(2.0 + self.rng.f64() * 25.0),
             _ => Some(0.01 + self.rng.f64() * 0.2),
         }
     }
 
-    /// A heartbeat has reached a controller: the response goes out after some time, or is lost.
+    /// Processes a heartbeat that has reached a controller and sends the response, which may be
+    /// lost.
     fn receive_heartbeat(&mut self, to: usize, mut heartbeat: Box<Heartbeat>) {
         let now = self.now;
         if now < self.controllers[to].down_until {
--- a/crates/model/src/world/workers.rs
+++ b/crates/model/src/world/workers.rs
@@ -1,8 +1,8 @@
-//! The workers: they run tasks, send heartbeats, and carry out the orders in the responses.
+//! The workers: they run tasks, send heartbeats and execute the orders in the responses.
 
 use super::*;
 
-/// Which run of which task: a job, the index in it, and the attempt.
+/// Identifies one attempt at a task: the job, the index of the task in the job, and the attempt.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct TaskKey {
     pub(super) job: String,
@@ -11,7 +11,7 @@
 }
 
 impl TaskKey {
-    /// The key of a task as orders name it.
+    /// Parses the task name used in orders.
     fn parse(task: &str, attempt: u64) -> Option<TaskKey> {
         let (job, index) = wire::split_task_name(task)?;
         Some(TaskKey {
@@ -27,12 +27,13 @@
 pub(super) struct SimTask {
     pub(super) state: TaskState,
     pub(super) why: Option<Why>,
+    /// When it was started here or, once it runs, when it began to run.
     pub(super) began_at: f64,
-    /// How long it had run when it was started here, by its checkpoints.
+    /// The run time it had completed before it was started here, according to its checkpoints.
     pub(super) saved_s: f64,
-    /// It has saved, and exited because it was told to stop.
+    /// Whether it saved its state before it exited on an order to stop.
     pub(super) saved: bool,
-    /// Until when it saves, once it was told to stop.
+    /// When it finishes saving its state, after an order to stop.
     pub(super) saves_until: f64,
 }
 
@@ -48,7 +49,7 @@
         }
     }
 
-    /// How long a task has run, with what it went on from.
+    /// Returns the run time of a task, including that covered by the checkpoint it resumed from.
     pub(super) fn ran_s(&self, now: f64) -> f64 {
         self.saved_s + (now - self.began_at)
     }
@@ -58,7 +59,7 @@
         self.why = Some(why);
     }
 
-    /// Whether a gang counts this task as present.
+    /// Returns whether the task counts as present in its gang.
     fn is_present_in_gang(&self) -> bool {
         let is_here = matches!(
             self.state,
@@ -67,8 +68,8 @@
         is_here || self.why == Some(Why::Done)
     }
 
-    /// Goes on; says what became of the task, if anything did. `can_run` is false for a task of a
-    /// gang that is not complete.
+    /// Advances the task to `now` and returns the resulting event, if any. `can_run` is false for a
+    /// task of an incomplete gang.
     fn advance(&mut self, now: f64, estimate_s: f64, can_run: bool) -> Option<TaskEvent> {
         match self.state {
             TaskState::Fetching if now - self.began_at > 0.5 => self.state = TaskState::Waiting,
@@ -88,13 +89,13 @@
     }
 }
 
-/// What becomes of a task as time passes.
+/// A change in the state of a task over time.
 enum TaskEvent {
     Started,
     Completed,
 }
 
-/// A heartbeat whose response a worker waits for.
+/// A heartbeat that awaits its response.
 pub(super) struct InFlight {
     pub(super) sent_at: f64,
     pub(super) id: HeartbeatId,
@@ -105,28 +106,30 @@
     pub(super) kind: String,
     pub(super) zone: String,
     pub(super) spot: bool,
+    /// When it has booted.
     pub(super) up_at: f64,
+    /// Whether the machine has failed permanently or been preempted.
     pub(super) gone: bool,
     pub(super) hung_until: f64,
-    /// Until then its heartbeats arrive, but no response reaches it.
+    /// Until when all responses to its heartbeats are lost.
     pub(super) responses_lost_until: f64,
-    /// Until then none of its heartbeats arrives anywhere.
+    /// Until when all its heartbeats are lost.
     pub(super) heartbeats_lost_until: f64,
-    /// When the cloud takes the machine back, once it has given notice.
+    /// When the cloud preempts the machine, if it has given notice.
     pub(super) preempted_at: Option<f64>,
     pub(super) incarnation: u64,
     pub(super) seq: u64,
     pub(super) token: u64,
     pub(super) lease_renewed_at: f64,
     pub(super) tasks: BTreeMap<TaskKey, SimTask>,
-    /// The controller to which it sends its heartbeats.
+    /// The index of the controller to which it sends its heartbeats.
     pub(super) target: usize,
     pub(super) next_heartbeat_at: f64,
     pub(super) in_flight: Option<InFlight>,
 }
 
 impl Worker {
-    /// A worker of a machine that boots until `up_at`.
+    /// Creates the worker of a machine that is booting until `up_at`.
     pub(super) fn booting(request: &ProvisionRequest, up_at: f64, target: usize) -> Worker {
         Worker {
             kind: request.kind.clone(),
@@ -149,7 +152,7 @@
         }
     }
 
-    /// The tasks that have not exited.
+    /// Returns the tasks that have not exited.
     pub(super) fn live_tasks(&self) -> impl Iterator<Item = &TaskKey> {
         let live = self
             .tasks
@@ -158,7 +161,7 @@
         live.map(|(key, _)| key)
     }
 
-    /// Goes on under a new incarnation, with nothing of the previous one.
+    /// Restarts the worker with a new incarnation and without tasks.
     pub(super) fn restart(&mut self, now: f64) {
         self.tasks.clear();
         self.incarnation += 1;
@@ -166,13 +169,13 @@
         self.in_flight = None;
     }
 
-    /// The machine dies without notice.
+    /// Makes the machine fail permanently.
     pub(super) fn die(&mut self) {
         self.gone = true;
         self.tasks.clear();
     }
 
-    /// Goes on with its tasks; says which of them started or were completed.
+    /// Advances all tasks and returns those that started to run or completed.
     fn advance_tasks(
         &mut self,
         now: f64,
@@ -198,7 +201,7 @@
         self.next_heartbeat_at = now + 1.0;
     }
 
-    /// Gives up waiting for a response that does not come.
+    /// Gives up on a heartbeat without a response after 4 s and tries another controller.
     fn time_out_heartbeat(&mut self, now: f64) {
         let in_flight = self.in_flight.as_ref();
         if in_flight.is_some_and(|heartbeat| now - heartbeat.sent_at > 4.0) {
@@ -207,7 +210,7 @@
         }
     }
 
-    /// The next heartbeat, if it is time for it.
+    /// Returns the next heartbeat if it is due and none is in flight.
     fn next_heartbeat(&mut self, machine: &str, now: f64, every_s: f64) -> Option<Heartbeat> {
         if self.in_flight.is_some() || now < self.next_heartbeat_at {
             return None;
@@ -244,7 +247,7 @@
         }
     }
 
-    /// Whether a response to one of its heartbeats still counts.
+    /// Returns whether a response to this heartbeat reaches the worker and is still awaited.
     fn expects_response(&self, to: HeartbeatId, now: f64) -> bool {
         let is_awaited = self
             .in_flight
@@ -255,11 +258,11 @@
     }
 }
 
-/// A gang under one attempt.
+/// One attempt at a gang, as the job id and the attempt.
 type GangAttempt = (String, u64);
 
 impl World {
-    /// Workers go on with their tasks and send their heartbeats.
+    /// Runs the tasks of all workers and sends their heartbeats.
     pub(super) fn run_workers(&mut self) {
         let complete_gangs = self.complete_gangs();
         let mut started: BTreeSet<String> = BTreeSet::new();
@@ -284,7 +287,7 @@
             return;
         }
         if now - worker.lease_renewed_at > self.config.lease_s {
-            // Kills and forgets all tasks, also while it hangs: nothing of it runs on.
+            // On lease expiry all tasks are killed and forgotten, even if the machine hangs.
             self.lease_expiries += 1;
             worker.restart(now);
         }
@@ -305,7 +308,7 @@
         }
     }
 
-    /// Sends a heartbeat, now and then twice, and sometimes with a copy that arrives much later.
+    /// Sends a heartbeat, 2 % of them twice, and some with a duplicate that arrives much later.
     fn send_heartbeat(&mut self, to: usize, heartbeat: Heartbeat) {
         let now = self.now;
         self.trace.reported(now, to, &heartbeat);
@@ -319,14 +322,14 @@
                 self.send(now + delay, message(heartbeat.clone()));
             }
         }
-        // Late copies, from seconds to well over a lease.
+        // Late duplicates arrive between one second and well over a lease later.
         if self.rng.u32(0..100) < self.late_copy_percent {
             let delay = 1.0 + self.rng.f64() * self.config.lease_s * 3.0;
             self.send(now + delay, message(heartbeat));
         }
     }
 
-    /// Gangs of which every task is on some machine under one attempt.
+    /// Returns the gang attempts of which every task is present on some machine.
     fn complete_gangs(&self) -> BTreeSet<GangAttempt> {
         let mut present: BTreeMap<GangAttempt, u32> = BTreeMap::new();
         let tasks = self.workers.values().flat_map(|worker| &worker.tasks);
@@ -344,7 +347,7 @@
             .collect()
     }
 
-    /// A response to a heartbeat has reached a worker.
+    /// Processes a response to a heartbeat that has reached a worker.
     pub(super) fn receive_response(
         &mut self,
         machine: &str,
@@ -356,7 +359,8 @@
             return;
         };
         if now < worker.hung_until {
-            // It waits there until the machine goes on; by then the worker may have given it up.
+            // The response is queued until the machine resumes. The worker may have given up on it
+            // by then.
             let arrives_at = worker.hung_until + STEP_S;
             let worker = machine.into();
             let response = Message::Response {
@@ -382,7 +386,7 @@
         }
     }
 
-    /// A worker renews its lease and carries out its orders, unless an earlier token gave them.
+    /// Renews a worker's lease and executes its orders, unless they have an outdated token.
     fn accept_orders(&mut self, machine: &str, sent_at: f64, response: Orders) {
         let Some(worker) = self.workers.get_mut(machine) else {
             return;
