--- a/crates/model/src/world/heterogeneous.rs
+++ b/crates/model/src/world/heterogeneous.rs
@@ -65,7 +65,8 @@
         }
     }
 
-    /// Submits a job of many tasks that each need 4 CPUs and run on one of these machine types.
+    /// Submits a job of many tasks that may run on these machine types and each need 4 CPUs, a
+    /// whole machine of the smaller types.
     pub fn submit_bulk(&mut self, types: &[&str]) {
         let number = self.next_job_number();
         self.submit(Job {
--- a/crates/model/src/world/leadership.rs
+++ b/crates/model/src/world/leadership.rs
@@ -27,7 +27,7 @@
         if !self.is_frozen(leading.controller) {
             self.receive_from_owners(&mut leading);
             self.tick_leader(&mut leading.leader, leading.controller);
-            self.act(&mut leading);
+            self.run_actions(&mut leading);
         }
         self.leading = Some(leading);
     }
@@ -115,7 +115,7 @@
 
     /// Exchanges messages between the leader and the owner on its own controller until neither has
     /// any left, and sends the leader's requests.
-    fn act(&mut self, leading: &mut LeadingController) {
+    fn run_actions(&mut self, leading: &mut LeadingController) {
         loop {
             let messages = self.controllers[leading.controller].owner.drain();
             let mut is_idle = messages.is_empty();
@@ -127,7 +127,7 @@
             }
             for action in leading.leader.take_actions() {
                 is_idle = false;
-                self.request(leading, action);
+                self.send_action(leading, action);
             }
             if is_idle {
                 return;
@@ -136,7 +136,7 @@
     }
 
     /// Sends a message to an owner, or a request to the store or the cloud.
-    fn request(&mut self, leading: &LeadingController, action: Action) {
+    fn send_action(&mut self, leading: &LeadingController, action: Action) {
         self.trace
             .requested(self.now, leading.elected_revision, &action);
         match action {
--- a/crates/model/src/world/store.rs
+++ b/crates/model/src/world/store.rs
@@ -167,7 +167,7 @@
     /// Draws the outcome of a request. It is not applied if the store is unreachable or the version
     /// outdated, nor in 3 % of the other cases. Of the applied ones, 2 % lose their response.
     fn draw_outcome(&mut self, is_reachable: bool, write: &PendingWrite) -> Outcome {
-        let took_effect = is_reachable && self.rng.u32(0..100) >= 3 && self.admits(write);
+        let took_effect = is_reachable && self.rng.u32(0..100) >= 3 && self.version_matches(write);
         if !took_effect {
             Outcome::NotApplied
         } else if self.rng.u32(0..100) >= 2 {
@@ -191,7 +191,7 @@
     /// Applies a postponed write to the store only. Its leader has long treated it as failed and
     /// gets no result.
     fn apply_late(&mut self, leader: &Leader, write: PendingWrite) {
-        if self.now < self.store_down_until || !self.admits(&write) {
+        if self.now < self.store_down_until || !self.version_matches(&write) {
             return self.reject_write(&write);
         }
         self.bump_version(&write.action);
@@ -210,7 +210,7 @@
     }
 
     /// Returns whether the key of a write still has the expected version.
-    fn admits(&self, write: &PendingWrite) -> bool {
+    fn version_matches(&self, write: &PendingWrite) -> bool {
         let Some(key) = written_key(&write.action) else {
             return true;
         };
