--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -1,5 +1,5 @@
-//! A simulated world around the real decisions of `sched`: workers, controllers, the store and the
-//! cloud, in steps of simulated time, with faults at random or on purpose.
+//! A simulation of workers, controllers, the store and the cloud that runs the real scheduling code
+//! of `sched`. It advances in fixed steps of simulated time and injects random or scripted faults.
 
 use sched::config::{SchedulerConfig, Team};
 use sched::leader::{Action, Leader, OpenJob, PriorRuns};
@@ -14,28 +14,28 @@
 use wire::users::{Job, Priority, Shape};
 use wire::workers::{Heartbeat, Order, Orders, ReportedTask, TaskState, Why};
 
-mod chains;
 mod cloud;
 mod controllers;
 mod defect;
+mod dependencies;
 mod election;
 mod faults;
 mod fixtures;
 mod freeze;
+mod heterogeneous;
 mod jobs;
 mod leadership;
 mod outcomes;
-mod rich;
 mod rules;
-mod script;
+mod scenario;
 mod store;
 mod trace;
 mod transit;
 mod workers;
 
-use chains::ChainView;
-use controllers::{index_of, name, Controller, StoreRead};
+use controllers::{controller_index, controller_name, Controller, StoreRead};
 pub use defect::Defect;
+use dependencies::DependencyView;
 pub use faults::Fault;
 use faults::{Partition, PlannedOutage};
 use fixtures::random_job;
@@ -44,138 +44,142 @@
     machine_type, machine_types, owner_of_one_machine, roster, roster_record, task_requirements,
     task_status, unlimited_teams, EmptyJobLookup,
 };
+pub use heterogeneous::CloudEvent;
 pub use jobs::JobTimes;
-use jobs::{JobState, JobsAsRead};
+use jobs::{JobReplica, JobState};
 use leadership::LeadingController;
 use outcomes::Outcome;
-pub use rich::CloudEvent;
 use store::PendingWrite;
 pub use trace::Trace;
 use transit::{Connection, HeartbeatId, InTransit, Message};
 use workers::{SimTask, TaskKey, Worker};
 
-/// The time between two steps of the world.
-const STEP: f64 = 0.1;
+/// The simulated time per step, in seconds.
+const STEP_S: f64 = 0.1;
 const CONTROLLERS: usize = 3;
-/// How long the leader's lease in the store runs without being renewed.
+/// The duration of the leader's lease in the store, in seconds.
 const LEADER_LEASE_S: f64 = 2.0;
-/// The share of its lease for which a leader relies on it.
-const RENEWED_SHARE: f64 = 0.95;
-/// A job that the leader does not know for this long is forgotten (a figure of the users).
-const FORGOTTEN_S: f64 = 75.0;
-/// Once faults are over, no job waits so long while a machine has capacity for it (a figure of the
-/// users).
-const WAITS_S: f64 = 90.0;
-/// Within this time also the largest jobs must begin (a figure of the users).
-const BEGIN_S: f64 = 240.0;
-/// The tasks of the largest random gangs.
-const LARGEST_GANG: u32 = 3;
+/// The share of the lease duration for which a leader relies on its lease.
+const AUTHORITY_SHARE: f64 = 0.95;
+/// The maximum time for which an open job may be unknown to the leader; a job unknown for longer
+/// counts as forgotten. Required by the users.
+const MAX_UNKNOWN_S: f64 = 75.0;
+/// The maximum time for which a job may wait, in the absence of faults, while a machine has
+/// capacity for it. Required by the users.
+const MAX_WAIT_WITH_CAPACITY_S: f64 = 90.0;
+/// The maximum time until a job starts, even one of the largest. Required by the users.
+const MAX_START_WAIT_S: f64 = 240.0;
+/// The number of tasks of the largest randomly generated gangs.
+const LARGEST_GANG_TASKS: u32 = 3;
 
-/// The simulated world.
+/// A simulated cluster with its users, the store and the cloud.
 pub struct World {
-    /// The time, in seconds.
+    /// The current simulated time, in seconds.
     pub now: f64,
     rng: fastrand::Rng,
     defect: Defect,
     config: SchedulerConfig,
-    /// The teams' true limits.
+    /// The teams' true limits; those in `config` may be changed by a defect.
     limits: BTreeMap<String, Team>,
     types: Vec<MachineType>,
     workers: BTreeMap<String, Worker>,
     controllers: Vec<Controller>,
     leading: Option<LeadingController>,
-    /// When the leader's lease in the store ends, if it is not renewed.
+    /// When the leader's lease in the store expires unless it is renewed.
     lease_end: f64,
-    /// No new leader before this: the old one's lease in the store still runs.
-    free_at: f64,
-    /// The last token given out, at an election or for a new epoch.
+    /// The earliest time of the next election: until then the previous leader's lease is still
+    /// valid.
+    no_election_before: f64,
+    /// The last fencing token issued, at an election or for a new epoch.
     term: u64,
-    /// The store's revision.
+    /// The store's current revision.
     revision: u64,
-    /// Up to which revision arrays may have started, by the store's record.
+    /// The revision up to which arrays may have started, according to the record in the store.
     started_upto: u64,
     roster: BTreeMap<String, RosterRecord>,
     jobs: BTreeMap<String, JobState>,
     messages: Vec<InTransit<Message>>,
     writes: Vec<PendingWrite>,
-    /// Versions of the keys that leaders write, in the store and as the present leader knows them.
+    /// The versions of the keys that leaders write, as the store has them.
     versions: BTreeMap<String, u64>,
-    known_versions: BTreeMap<String, u64>,
+    /// The same versions as the current leader knows them.
+    leader_known_versions: BTreeMap<String, u64>,
     machines_provisioned: u64,
     store_down_until: f64,
-    outage_at: Option<PlannedOutage>,
-    partitioned: Option<Partition>,
-    /// How often each kind of fault happened.
+    planned_outage: Option<PlannedOutage>,
+    partition: Option<Partition>,
+    /// The number of injected faults of each kind.
     pub faults: BTreeMap<Fault, u32>,
-    /// How often each kind of event of rich worlds happened.
+    /// The number of events of each kind that only heterogeneous worlds have.
     pub cloud_events: BTreeMap<CloudEvent, u32>,
-    /// Messages in a hundred that are lost.
+    /// The percentage of messages that are lost.
     pub lost_percent: u32,
-    /// Messages in a hundred that are delayed for long.
+    /// The percentage of messages that are delayed by 2 to 27 s.
     pub delayed_percent: u32,
-    /// Heartbeats in a hundred of which a copy arrives late, by up to three leases.
+    /// The percentage of heartbeats of which a duplicate arrives late, by up to three worker
+    /// leases.
     pub late_copy_percent: u32,
-    /// Writes in a hundred that get no response and are carried out 2 to 12 s later.
+    /// The percentage of writes that get no response and are applied 2 to 12 s later.
     pub late_write_percent: u32,
-    /// How much longer, in seconds, the store takes to serve reads.
+    /// The extra latency of reads of the store, in seconds.
     pub extra_read_s: f64,
-    /// Whether the controller that confirms a cancellation tells the leader at once.
+    /// Whether the controller that confirms a cancellation notifies the leader immediately.
     pub cancel_hints: bool,
-    /// Since when a job has waited though there was capacity for it.
-    fits_since: BTreeMap<rules::Opening, f64>,
-    /// Jobs in a hundred that depend on earlier ones.
+    /// Since when each waiting job has had capacity available.
+    capacity_since: BTreeMap<rules::WaitingWithCapacity, f64>,
+    /// The percentage of random jobs that depend on earlier ones.
     pub dependent_percent: u32,
-    /// Jobs that were cancelled along with one of their dependencies.
+    /// The number of jobs cancelled because one of their dependencies was cancelled.
     pub cancelled_by_dependency: u32,
-    /// Cancellations that were confirmed.
+    /// The number of confirmed cancellations.
     pub cancellations: u32,
-    /// Workers' leases that ended.
+    /// The number of worker leases that expired.
     pub lease_expiries: u32,
-    /// The tasks that workers have completed, by job and index.
+    /// The tasks that workers have completed, as job id and task index.
     completed: BTreeSet<(String, u32)>,
-    /// The rules that were broken.
+    /// The names of the violated rules.
     pub violations: BTreeSet<String>,
-    /// Tasks that were started.
+    /// The number of task starts.
     pub tasks_started: u64,
-    /// Jobs that were recorded as done.
+    /// The number of jobs recorded as done.
     pub jobs_done: u64,
-    /// Leaders so far.
+    /// The number of leaders elected so far.
     pub leaders_elected: u64,
-    /// What only rich worlds have.
-    rich: Option<rich::Rich>,
+    /// The extra state of a heterogeneous world.
+    heterogeneous: Option<heterogeneous::HeterogeneousState>,
     trace: Trace,
 }
 
 impl World {
-    /// A world with the usual settings.
+    /// Creates a world with the default test configuration.
     pub fn new(seed: u64, defect: Defect) -> World {
         World::with_config(seed, defect, config())
     }
 
-    /// A world with other settings.
+    /// Creates a world with the given configuration.
     pub fn with_config(seed: u64, defect: Defect, config: SchedulerConfig) -> World {
-        let mut believed = config.clone();
+        let mut scheduler_config = config.clone();
         if defect == Defect::DoubleLimit {
-            believed
+            scheduler_config
                 .teams
                 .values_mut()
                 .for_each(|team| team.cpus_max *= 2.0);
         }
         let controllers = (0..CONTROLLERS)
-            .map(|i| Controller::new(i, &believed))
+            .map(|i| Controller::new(i, &scheduler_config))
             .collect();
         World {
             now: 0.0,
             rng: fastrand::Rng::with_seed(seed),
             defect,
-            config: believed,
+            config: scheduler_config,
             limits: config.teams,
             types: machine_types(),
             workers: BTreeMap::new(),
             controllers,
             leading: None,
             lease_end: 0.0,
-            free_at: 0.0,
+            no_election_before: 0.0,
             term: 0,
             revision: 0,
             started_upto: 0,
@@ -184,11 +188,11 @@
             messages: Vec::new(),
             writes: Vec::new(),
             versions: BTreeMap::new(),
-            known_versions: BTreeMap::new(),
+            leader_known_versions: BTreeMap::new(),
             machines_provisioned: 0,
             store_down_until: 0.0,
-            outage_at: None,
-            partitioned: None,
+            planned_outage: None,
+            partition: None,
             faults: BTreeMap::new(),
             cloud_events: BTreeMap::new(),
             lost_percent: 3,
@@ -197,7 +201,7 @@
             late_write_percent: 0,
             extra_read_s: 0.0,
             cancel_hints: true,
-            fits_since: BTreeMap::new(),
+            capacity_since: BTreeMap::new(),
             dependent_percent: 0,
             cancelled_by_dependency: 0,
             cancellations: 0,
@@ -207,18 +211,19 @@
             tasks_started: 0,
             jobs_done: 0,
             leaders_elected: 0,
-            rich: None,
+            heterogeneous: None,
             trace: Trace::default(),
         }
     }
 
-    /// The digest of all that crossed an edge of this world so far.
+    /// Returns the trace of everything that has crossed a component boundary so far.
     pub fn trace(&self) -> &Trace {
         &self.trace
     }
 
-    /// Random jobs, cancellations and faults for `seconds`, then quiet for `calm`.
-    pub fn run_random(&mut self, seconds: f64, calm: f64) {
+    /// Runs with random jobs, cancellations and injected faults for `seconds`, then without new
+    /// ones for `quiet_s`, and finally checks that enough jobs started in time.
+    pub fn run_random(&mut self, seconds: f64, quiet_s: f64) {
         let mut submitted = self.jobs.len() as u32;
         let end = self.now + seconds;
         while self.now < end {
@@ -236,13 +241,13 @@
             self.step();
         }
         let quiet_since = self.now;
-        while self.now < quiet_since + calm {
+        while self.now < quiet_since + quiet_s {
             self.step_without_faults(quiet_since);
         }
-        self.check_served();
+        self.check_started_in_time();
     }
 
-    /// Runs on without faults until all is done, for `seconds` at most.
+    /// Runs without faults until no job is open, but at most for `seconds`.
     pub fn run_until_done(&mut self, seconds: f64) {
         let quiet_since = self.now;
         (
@@ -257,35 +262,35 @@
         }
     }
 
-    /// A step in a time without faults, in which every job must get on.
+    /// Runs one step of a period without new faults and checks that every job makes progress.
     fn step_without_faults(&mut self, quiet_since: f64) {
         self.step();
-        if self.now - quiet_since > FORGOTTEN_S {
-            self.check_known();
+        if self.now - quiet_since > MAX_UNKNOWN_S {
+            self.check_leader_knows_jobs();
         }
         self.check_waiting();
     }
 
-    /// One step of time, in which everything runs once.
+    /// Advances the time by one step, in which every component runs once.
     pub fn step(&mut self) {
-        self.now += STEP;
+        self.now += STEP_S;
         let outage = self
-            .outage_at
+            .planned_outage
             .take_if(|outage| self.now >= outage.begins_at);
         if let Some(outage) = outage {
-            self.store_outage(outage.for_s);
+            self.store_outage(outage.duration_s);
         }
         self.run_reads();
-        self.run_rich();
+        self.run_preemptions_and_checkpoints();
         self.run_workers();
         self.deliver();
         self.run_controllers();
         self.run_leader();
         self.run_writes();
-        self.check();
+        self.check_running_tasks();
     }
 
-    /// What the leader, the owners and the workers know, in words.
+    /// Returns a description of the state of the leader, the owners and the workers.
     pub fn explain(&self) -> String {
         let Some(LeadingController {
             controller, leader, ..
@@ -295,7 +300,7 @@
         };
         let head = format!(
             "leader {} token={} members={:?}",
-            name(*controller),
+            controller_name(*controller),
             leader.token(),
             leader.members()
         );
@@ -314,11 +319,11 @@
         let controller = &self.controllers[i];
         format!(
             "{} token={} authority={} joined={} epoch={}\n{}",
-            name(i),
+            controller_name(i),
             controller.owner.token(),
             controller.owner.has_authority(self.now),
             controller.joined,
-            controller.epoch,
+            controller.has_epoch,
             controller.owner.explain()
         )
     }
--- a/crates/model/src/world/faults.rs
+++ b/crates/model/src/world/faults.rs
@@ -1,4 +1,4 @@
-//! Faults at random: what fails, and for how long.
+//! Random fault injection: the kinds of faults, their probabilities and their durations.
 
 use super::*;
 
@@ -9,43 +9,44 @@
     Crash,
     /// The leading controller crashes.
     LeaderCrash,
-    /// A controller crashes while none leads.
+    /// A controller crashes while there is no leader.
     CrashDuringElection,
-    /// All controllers crash.
+    /// All controllers crash at once.
     AllControllersCrash,
-    /// A controller loses its connections to the others for a moment.
+    /// A controller briefly loses its connections to the other controllers.
     ControllerDisconnected,
-    /// A controller is cut off from the store and the others, but not from workers.
+    /// A controller is partitioned from the store and the other controllers, but not from workers.
     NetworkPartition,
-    /// A controller freezes for a while.
+    /// A controller freezes.
     ControllerFrozen,
-    /// The leader freezes between deciding a response and sending it.
+    /// The leader freezes between computing a response to a worker and sending it.
     LeaderFrozenBeforeResponse,
-    /// The store serves nobody.
+    /// The store is unavailable to all controllers.
     StoreDown,
-    /// The store refuses the leader.
+    /// The store refuses the leader's requests, or those of a random controller if there is no
+    /// leader.
     StoreRefusesLeader,
-    /// The store refuses the leader, and then serves nobody.
+    /// As `StoreRefusesLeader`, and soon after the store is unavailable to all controllers.
     StoreRefusesThenDown,
-    /// A machine hangs and goes on.
+    /// A machine hangs and then resumes.
     MachineHang,
-    /// A machine is gone for good.
+    /// A machine fails permanently.
     MachineGone,
     /// A machine's heartbeats are lost.
     HeartbeatsLost,
     /// The responses to a machine's heartbeats are lost.
     ResponsesLost,
-    /// A worker restarts at once, under a new incarnation.
+    /// A worker restarts immediately, with a new incarnation.
     WorkerRestart,
-    /// A user cancels a job whose tasks are all done, while no record says so.
+    /// A user cancels a job whose tasks have all completed but which is not yet recorded as done.
     CancelCompletedJob,
-    /// A write gets no response and is carried out later.
+    /// A write gets no response and is applied later.
     LateWrite,
 }
 
 impl Fault {
-    /// The fault for a number drawn from 0 to 2999; most numbers stand for none.
-    fn drawn(number: u32, has_leader: bool) -> Option<Fault> {
+    /// Returns the fault for a random number from 0 to 2999; most numbers map to no fault.
+    fn from_draw(number: u32, has_leader: bool) -> Option<Fault> {
         Some(match number {
             0..=9 => Fault::Crash,
             10..=14 => Fault::LeaderCrash,
@@ -61,7 +62,7 @@
             85..=92 => Fault::HeartbeatsLost,
             93..=97 => Fault::AllControllersCrash,
             98..=117 => Fault::CancelCompletedJob,
-            // No leader is there about one step in ten.
+            // The range is large because only about one step in ten has no leader.
             118..=168 if !has_leader => Fault::CrashDuringElection,
             169..=174 => Fault::ControllerFrozen,
             175..=178 => Fault::LeaderFrozenBeforeResponse,
@@ -70,53 +71,53 @@
     }
 }
 
-/// Where a fault strikes and how long it lasts, as a share of the longest.
+/// The components that a fault affects, and its duration as a share of the maximum.
 #[derive(Clone, Copy)]
-struct Strike {
+struct FaultTarget {
     machine: usize,
     controller: usize,
-    share: f64,
+    duration_share: f64,
 }
 
-/// A controller without the store and the other controllers, but with its workers.
+/// A partition of one controller from the store and the other controllers, but not from workers.
 pub(super) struct Partition {
     pub(super) controller: usize,
     pub(super) until: f64,
 }
 
-/// An outage of the store that begins later.
+/// An outage of the store that starts at a later time.
 pub(super) struct PlannedOutage {
     pub(super) begins_at: f64,
-    pub(super) for_s: f64,
+    pub(super) duration_s: f64,
 }
 
 impl World {
-    /// Draws whether a fault happens now, and if so, which and where.
+    /// Draws whether a fault occurs in this step, and if so, its kind and target.
     pub(super) fn inject_fault(&mut self) {
         let number = self.rng.u32(0..3000);
-        let Some(fault) = Fault::drawn(number, self.leading.is_some()) else {
+        let Some(fault) = Fault::from_draw(number, self.leading.is_some()) else {
             return;
         };
         self.count_fault(fault);
         let machine = self.rng.usize(0..self.workers.len().max(1));
         let share = self.rng.f64();
         let controller = self.rng.usize(0..self.controllers.len());
-        let strike = Strike {
+        let target = FaultTarget {
             machine,
             controller,
-            share,
+            duration_share: share,
         };
-        self.strike_controllers(fault, strike);
-        self.strike_store(fault, strike);
-        self.strike_machine(fault, strike);
+        self.inject_controller_fault(fault, target);
+        self.inject_store_fault(fault, target);
+        self.inject_machine_fault(fault, target);
     }
 
     pub(super) fn count_fault(&mut self, fault: Fault) {
         *self.faults.entry(fault).or_default() += 1;
     }
 
-    fn strike_controllers(&mut self, fault: Fault, strike: Strike) {
-        let (now, i, share) = (self.now, strike.controller, strike.share);
+    fn inject_controller_fault(&mut self, fault: Fault, target: FaultTarget) {
+        let (now, i, share) = (self.now, target.controller, target.duration_share);
         let leading = self.leader_index();
         match fault {
             Fault::Crash | Fault::CrashDuringElection => self.crash(i),
@@ -124,7 +125,7 @@
             Fault::AllControllersCrash => (0..CONTROLLERS).for_each(|i| self.crash(i)),
             Fault::ControllerDisconnected => self.disconnect_controller(i, 0.3),
             Fault::NetworkPartition => {
-                self.partitioned = Some(Partition {
+                self.partition = Some(Partition {
                     controller: i,
                     until: now + 1.0 + share * 12.0,
                 });
@@ -138,17 +139,17 @@
         }
     }
 
-    fn strike_store(&mut self, fault: Fault, strike: Strike) {
-        let (now, share) = (self.now, strike.share);
-        let refused = self.leader_index().unwrap_or(strike.controller);
+    fn inject_store_fault(&mut self, fault: Fault, target: FaultTarget) {
+        let (now, share) = (self.now, target.duration_share);
+        let refused = self.leader_index().unwrap_or(target.controller);
         match fault {
             Fault::StoreDown => self.store_down_until = now + share * 6.0,
             Fault::StoreRefusesLeader => self.refuse_controller(refused, share * 10.0),
             Fault::StoreRefusesThenDown => {
                 self.refuse_controller(refused, 8.0);
-                self.outage_at = Some(PlannedOutage {
+                self.planned_outage = Some(PlannedOutage {
                     begins_at: now + 0.2 + share * 2.0,
-                    for_s: [5.0, 9.0, 30.0][self.rng.usize(0..3)],
+                    duration_s: [5.0, 9.0, 30.0][self.rng.usize(0..3)],
                 });
             }
             Fault::CancelCompletedJob => {
@@ -158,16 +159,16 @@
         }
     }
 
-    fn strike_machine(&mut self, fault: Fault, strike: Strike) {
-        let (now, share) = (self.now, strike.share);
-        let Some(worker) = self.workers.values_mut().nth(strike.machine) else {
+    fn inject_machine_fault(&mut self, fault: Fault, target: FaultTarget) {
+        let (now, share) = (self.now, target.duration_share);
+        let Some(worker) = self.workers.values_mut().nth(target.machine) else {
             return;
         };
         match fault {
             Fault::MachineHang => worker.hung_until = now + share * 14.0,
             Fault::MachineGone => worker.die(),
-            Fault::HeartbeatsLost => worker.outbound_cut_until = now + share * 20.0,
-            Fault::ResponsesLost => worker.inbound_cut_until = now + share * 20.0,
+            Fault::HeartbeatsLost => worker.heartbeats_lost_until = now + share * 20.0,
+            Fault::ResponsesLost => worker.responses_lost_until = now + share * 20.0,
             Fault::WorkerRestart => {
                 worker.restart(now);
                 worker.next_heartbeat_at = now + share * 0.5;
@@ -176,39 +177,39 @@
         }
     }
 
-    /// A job of which every task is done, while no record says so yet.
-    pub(super) fn job_at_its_end(&self) -> Option<String> {
+    /// Returns an open job whose tasks have all completed but which is not yet recorded as done.
+    pub(super) fn completed_unrecorded_job(&self) -> Option<String> {
         let mut open = self.jobs.iter().filter(|(_, job)| job.is_open());
         let found = open.find(|(id, job)| self.completed_tasks(id) == job.spec.tasks as usize);
         found.map(|(id, _)| id.clone())
     }
 
     fn crash(&mut self, i: usize) {
-        let for_s = [0.1, 0.4, 4.0][self.rng.usize(0..3)];
-        self.restart_controller(i, for_s);
+        let duration_s = [0.1, 0.4, 4.0][self.rng.usize(0..3)];
+        self.restart_controller(i, duration_s);
     }
 
-    /// A controller ends and is back, with nothing, after a while.
-    pub fn restart_controller(&mut self, i: usize, for_s: f64) {
+    /// Stops a controller and restarts it with empty state after `duration_s`.
+    pub fn restart_controller(&mut self, i: usize, duration_s: f64) {
         let was_leading = self.leader_index() == Some(i);
         let controller = Controller {
             value_kb: self.controllers[i].value_kb,
-            down_until: self.now + for_s,
+            down_until: self.now + duration_s,
             ..Controller::new(i, &self.config)
         };
         self.controllers[i] = controller;
         if was_leading {
-            self.end_leader();
+            self.end_leadership();
         } else if let Some(leading) = &mut self.leading {
-            leading.leader.on_owner_disconnected(&name(i));
+            leading.leader.on_owner_disconnected(&controller_name(i));
         }
     }
 
-    /// A controller's connections to the others break.
-    pub fn disconnect_controller(&mut self, i: usize, for_s: f64) {
-        self.controllers[i].disconnect(self.now + for_s);
+    /// Breaks a controller's connections to the other controllers for `duration_s`.
+    pub fn disconnect_controller(&mut self, i: usize, duration_s: f64) {
+        self.controllers[i].disconnect(self.now + duration_s);
         if let Some(leading) = &mut self.leading {
-            leading.leader.on_owner_disconnected(&name(i));
+            leading.leader.on_owner_disconnected(&controller_name(i));
         }
     }
 }
--- a/crates/model/src/world/jobs.rs
+++ b/crates/model/src/world/jobs.rs
@@ -1,38 +1,38 @@
-//! Jobs: what the store holds of them, how users submit and cancel them, and how they end.
+//! Jobs: their true state, and how users submit and cancel them.
 
 use super::*;
 
-/// A job and the truth about it.
+/// A job and its true state.
 pub(super) struct JobState {
     pub(super) spec: Rc<Job>,
-    pub(super) accepted: f64,
-    /// When its first task began to run.
+    pub(super) accepted_at: f64,
+    /// When its first task started to run.
     pub(super) started_at: Option<f64>,
     pub(super) revision: u64,
     pub(super) done: RangeSet,
-    /// When it ended, by its own record or because one of its dependencies was cancelled.
+    /// When it ended, by its own record or through the cancellation of a dependency.
     pub(super) terminal_at: Option<f64>,
-    /// When its own record was written as terminal.
-    pub(super) own_end: Option<f64>,
-    /// The controller that wrote that record.
-    pub(super) ended_by: Option<usize>,
-    /// When the last of its dependencies was done.
+    /// When its own record became terminal.
+    pub(super) record_terminal_at: Option<f64>,
+    /// The controller that wrote the terminal record.
+    pub(super) terminal_written_by: Option<usize>,
+    /// When all its dependencies were done.
     pub(super) ready_at: Option<f64>,
     pub(super) cancelled: bool,
     pub(super) prior_runs: PriorRuns,
 }
 
 impl JobState {
-    fn new(spec: Job, accepted: f64, revision: u64) -> JobState {
+    fn new(spec: Job, accepted_at: f64, revision: u64) -> JobState {
         JobState {
             spec: Rc::new(spec),
-            accepted,
+            accepted_at,
             started_at: None,
             revision,
             done: RangeSet::default(),
             terminal_at: None,
-            own_end: None,
-            ended_by: None,
+            record_terminal_at: None,
+            terminal_written_by: None,
             ready_at: None,
             cancelled: false,
             prior_runs: PriorRuns::None,
@@ -43,32 +43,33 @@
         self.terminal_at.is_none()
     }
 
-    /// Whether its end was recorded at `time` or earlier.
-    pub(super) fn has_own_end_by(&self, time: f64) -> bool {
-        self.own_end.is_some_and(|at| at <= time)
+    /// Returns whether its own record was terminal at `time`.
+    pub(super) fn is_recorded_terminal_by(&self, time: f64) -> bool {
+        self.record_terminal_at.is_some_and(|at| at <= time)
     }
 }
 
-/// When a job came to its stages, as far as it has.
+/// The times at which a job reached its stages, as far as it has reached them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct JobTimes {
     /// When it was accepted.
     pub accepted: f64,
-    /// When the last of its dependencies was done; for a job without any, when it was accepted.
+    /// When all its dependencies were done; for a job without dependencies, when it was accepted.
     pub ready: Option<f64>,
-    /// When its first task began to run.
+    /// When its first task started to run.
     pub started: Option<f64>,
 }
 
-/// The jobs as a controller's replica has them, which is as old as its last read of the store.
-pub(super) struct JobsAsRead<'a> {
+/// The jobs as in a controller's replica of the store, whose terminal states date from its last
+/// read.
+pub(super) struct JobReplica<'a> {
     jobs: &'a BTreeMap<String, JobState>,
     read_at: f64,
 }
 
-impl JobsAsRead<'_> {
-    pub(super) fn new(jobs: &BTreeMap<String, JobState>, read_at: f64) -> JobsAsRead<'_> {
-        JobsAsRead { jobs, read_at }
+impl JobReplica<'_> {
+    pub(super) fn new(jobs: &BTreeMap<String, JobState>, read_at: f64) -> JobReplica<'_> {
+        JobReplica { jobs, read_at }
     }
 
     fn open_spec(&self, job: &str) -> Option<&Job> {
@@ -77,7 +78,7 @@
     }
 }
 
-impl JobLookup for JobsAsRead<'_> {
+impl JobLookup for JobReplica<'_> {
     fn resources(&self, job: &str) -> Option<Resources> {
         let spec = self.open_spec(job)?;
         Some(Resources {
@@ -96,7 +97,7 @@
 }
 
 impl World {
-    /// A job is accepted; the leader learns of it with its next read of the store.
+    /// Accepts a job; the leader learns of it from its next read of the store.
     pub fn submit(&mut self, spec: Job) {
         self.revision += 1;
         self.trace.submitted(self.now, &spec);
@@ -104,11 +105,11 @@
         self.jobs
             .insert(id, JobState::new(spec, self.now, self.revision));
         self.cancel_descendants();
-        self.note_ready();
+        self.record_ready_jobs();
     }
 
-    /// A user cancels a job; any controller that reaches the store confirms it, at once. False if
-    /// none does, or the job is terminal.
+    /// Cancels a job through a random controller that can use the store, which confirms
+    /// immediately. Returns false if there is no such controller or the job is not open.
     pub fn cancel(&mut self, id: &str) -> bool {
         let confirmed = self.confirm_cancel(id);
         self.trace.cancelled(self.now, id, confirmed);
@@ -124,20 +125,20 @@
             return false;
         };
         job.terminal_at = Some(now);
-        job.own_end = Some(now);
-        job.ended_by = Some(by);
+        job.record_terminal_at = Some(now);
+        job.terminal_written_by = Some(by);
         job.cancelled = true;
         self.trace.ended(now, id, true);
         self.cancellations += 1;
         self.cancel_descendants();
         if self.defect != Defect::IgnoreCancel {
-            self.tell_leader_of_cancellation(by, id);
+            self.notify_leader_of_cancellation(by, id);
         }
         true
     }
 
-    /// The controller that confirmed a cancellation tells the leader without waiting for its read.
-    fn tell_leader_of_cancellation(&mut self, by: usize, id: &str) {
+    /// Notifies the leader of a cancellation before it reads the record itself.
+    fn notify_leader_of_cancellation(&mut self, by: usize, id: &str) {
         let now = self.now;
         match &mut self.leading {
             Some(leading) if leading.controller == by => leading.leader.on_job_terminal(id),
@@ -152,8 +153,8 @@
         }
     }
 
-    /// Records a job as done; the truth is what the workers have completed.
-    pub(super) fn finish(&mut self, id: &str) {
+    /// Records a job as done and checks this against the tasks that workers have completed.
+    pub(super) fn record_done(&mut self, id: &str) {
         let now = self.now;
         let completed = self.completed_tasks(id) as u32;
         let Some(job) = self.jobs.get_mut(id) else {
@@ -162,16 +163,16 @@
         let tasks = job.spec.tasks;
         let is_done = completed == tasks || job.spec.shape == Shape::Gang && completed > 0;
         job.terminal_at = Some(now);
-        job.own_end = Some(now);
+        job.record_terminal_at = Some(now);
         self.jobs_done += 1;
         self.trace.ended(now, id, false);
         if !is_done {
-            self.break_rule("not_done");
+            self.record_violation("not_done");
         }
-        self.note_ready();
+        self.record_ready_jobs();
     }
 
-    /// How many of a job's tasks workers have completed.
+    /// Returns how many of a job's tasks have completed.
     pub(super) fn completed_tasks(&self, id: &str) -> usize {
         let Some(job) = self.jobs.get(id) else {
             return 0;
@@ -181,7 +182,7 @@
             .count()
     }
 
-    pub(super) fn note_started(&mut self, started: BTreeSet<String>) {
+    pub(super) fn record_first_starts(&mut self, started: BTreeSet<String>) {
         for id in started {
             if let Some(job) = self.jobs.get_mut(&id) {
                 job.started_at.get_or_insert(self.now);
@@ -189,16 +190,16 @@
         }
     }
 
-    /// Jobs that are neither done nor cancelled.
+    /// Returns the jobs that are neither done nor cancelled.
     pub fn open_jobs(&self) -> Vec<String> {
         let open = self.jobs.iter().filter(|(_, job)| job.is_open());
         open.map(|(id, _)| id.clone()).collect()
     }
 
-    /// When each of the accepted jobs came to its stages, by id.
+    /// Returns the times of all accepted jobs by id.
     pub fn job_times(&self) -> BTreeMap<&str, JobTimes> {
         let times = |job: &JobState| JobTimes {
-            accepted: job.accepted,
+            accepted: job.accepted_at,
             ready: job.ready_at,
             started: job.started_at,
         };
@@ -206,7 +207,7 @@
         jobs.map(|(id, job)| (id.as_str(), times(job))).collect()
     }
 
-    /// What the store says of a job: done, cancelled, or neither yet.
+    /// Returns `done` or `cancelled` for a terminal job and `None` for an open or unknown one.
     pub fn outcome(&self, id: &str) -> Option<&'static str> {
         let job = self.jobs.get(id)?;
         job.terminal_at
--- a/crates/model/src/world/rules/placement.rs
+++ b/crates/model/src/world/rules/placement.rs
@@ -1,42 +1,42 @@
-//! What must hold when a task starts: of its job, and of the machine.
+//! Invariants of a task start, for the job and the machine.
 
 use super::*;
 
 impl World {
-    /// A task starts on a machine.
+    /// Checks the start of a task on a machine.
     pub(in crate::world) fn check_start(&mut self, machine: &str, job: &str, index: u32) {
-        self.check_too_early(job);
-        let mut broken = Vec::new();
+        self.check_dependencies_done(job);
+        let mut violations = Vec::new();
         if let Some(state) = self.jobs.get(job) {
             if self.is_started_after_cancellation(state) {
-                broken.push("started_cancelled");
+                violations.push("started_cancelled");
             }
-            if state.own_end.is_some() && !state.cancelled {
-                broken.push("started_done");
+            if state.record_terminal_at.is_some() && !state.cancelled {
+                violations.push("started_done");
             }
         }
         let is_same_task = |task: &TaskKey| task.job == job && task.index == index;
         let live = || self.workers.values().flat_map(Worker::live_tasks);
         if live().any(is_same_task) {
-            broken.push("ran_twice");
+            violations.push("ran_twice");
         }
         if let (Some(state), Some(worker)) = (self.jobs.get(job), self.workers.get(machine)) {
             if !self.may_run_on(&state.spec, worker) {
-                broken.push("wrong_place");
+                violations.push("wrong_place");
             }
         }
-        self.break_rules(broken);
+        self.record_violations(violations);
     }
 
-    /// Whether the job was cancelled so long ago that neither a response under way nor a leader that
-    /// could not know yet explains the start of a task.
+    /// Returns whether the job was cancelled so long ago that neither a response in transit nor a
+    /// leader with a stale view explains the start of a task.
     fn is_started_after_cancellation(&self, job: &JobState) -> bool {
         let allowed_s = self.config.max_start_staleness_s() + wire::HEARTBEAT_RESPONSE_TIMEOUT_S;
         let ended_long_ago = |at: f64| self.now > at + allowed_s;
         job.cancelled && job.terminal_at.is_some_and(ended_long_ago)
     }
 
-    /// Whether a machine is one of those that a job asks for, given where its other tasks run.
+    /// Returns whether a job may run on a machine, given the zones of its other tasks.
     fn may_run_on(&self, spec: &Job, worker: &Worker) -> bool {
         let mut by_zone: BTreeMap<&str, u32> = BTreeMap::new();
         for other in self.workers.values() {
@@ -45,13 +45,13 @@
             }
         }
         let in_zone = by_zone.get(worker.zone.as_str()).copied().unwrap_or(0);
-        let is_elsewhere = spec.one_zone && by_zone.keys().any(|zone| *zone != worker.zone);
-        let is_crowded = spec.spread && in_zone + 1 > spec.tasks.div_ceil(2);
-        allows_machine(spec, worker) && !is_elsewhere && !is_crowded
+        let in_other_zone = spec.one_zone && by_zone.keys().any(|zone| *zone != worker.zone);
+        let exceeds_spread = spec.spread && in_zone + 1 > spec.tasks.div_ceil(2);
+        allows_machine(spec, worker) && !in_other_zone && !exceeds_spread
     }
 }
 
-/// Whether a job allows a machine's type, zone and price.
+/// Returns whether a job allows a machine's type, zone and price class (spot or on demand).
 pub(super) fn allows_machine(spec: &Job, worker: &Worker) -> bool {
     let types = spec.types.as_ref();
     let zone = spec.zone.as_ref();
--- a/crates/model/src/world/rules/waiting.rs
+++ b/crates/model/src/world/rules/waiting.rs
@@ -1,19 +1,19 @@
-//! Whether jobs wait though there is capacity for them.
+//! Checks that no job waits long while there is capacity for it.
 
 use super::placement::allows_machine;
 use super::*;
 
-/// What machines have free, and what teams use on them.
+/// The free resources of the machines, and what the teams use on them.
 struct Capacity<'a> {
     free: Vec<(&'a String, &'a Worker, Resources)>,
-    used: BTreeMap<&'a str, Usage>,
+    used: BTreeMap<&'a str, TeamUsage>,
 }
 
-/// A job that waits, and where there is capacity: a machine for an array, none for a gang, which
-/// needs several.
-pub(in crate::world) type Opening = (String, Option<String>);
+/// A waiting job and the machine that has capacity for it. There is no single machine for a gang,
+/// which may need several.
+pub(in crate::world) type WaitingWithCapacity = (String, Option<String>);
 
-/// Tasks of a job that fit into what a machine has free.
+/// Returns how many tasks of a job fit into a machine's free resources.
 fn fitting_tasks(spec: &Job, free: &Resources) -> usize {
     let gpus = (free.gpus + 1e-6) / spec.gpus;
     ((free.cpus + 1e-6) / spec.cpus)
@@ -22,8 +22,8 @@
         .max(0.0) as usize
 }
 
-/// Tasks of a gang that fit together, by how many fit in each zone.
-fn fitting_together(spec: &Job, by_zone: &BTreeMap<&str, usize>) -> usize {
+/// Returns how many tasks of a gang fit at the same time, given how many fit in each zone.
+fn fitting_gang_tasks(spec: &Job, by_zone: &BTreeMap<&str, usize>) -> usize {
     let most_in_zone = match spec.spread {
         true => spec.tasks.div_ceil(2) as usize,
         false => usize::MAX,
@@ -36,43 +36,44 @@
 }
 
 impl World {
-    /// Once faults are over, no job waits long while the same machine has capacity for a task of it
-    /// (for a gang: while machines have capacity for all of it) and its team is under its limit.
+    /// Checks that, in the absence of faults, no job waits long while its team is within its limit
+    /// and the same machine has capacity for one of its tasks, or, for a gang, while the machines
+    /// together have capacity for all of it.
     pub(in crate::world) fn check_waiting(&mut self) {
-        let openings = self.openings();
-        self.fits_since
-            .retain(|opening, _| openings.contains(opening));
-        for opening in openings {
-            self.fits_since.entry(opening).or_insert(self.now);
+        let waiting = self.jobs_waiting_with_capacity();
+        self.capacity_since
+            .retain(|entry, _| waiting.contains(entry));
+        for entry in waiting {
+            self.capacity_since.entry(entry).or_insert(self.now);
         }
-        let mut since = self.fits_since.values();
-        if since.any(|since| self.now - since > WAITS_S) {
-            self.break_rule("waits");
+        let mut since = self.capacity_since.values();
+        if since.any(|since| self.now - since > MAX_WAIT_WITH_CAPACITY_S) {
+            self.record_violation("waits");
         }
     }
 
-    /// The jobs without a task on any machine for which there is capacity now.
-    fn openings(&self) -> BTreeSet<Opening> {
+    /// Returns the jobs that have no task on any machine although there is capacity for them now.
+    fn jobs_waiting_with_capacity(&self) -> BTreeSet<WaitingWithCapacity> {
         let capacity = self.capacity();
-        let mut openings = BTreeSet::new();
+        let mut waiting = BTreeSet::new();
         let is_waiting = |job: &JobState| job.is_open() && job.ready_at.is_some();
         for (id, job) in self.jobs.iter().filter(|(_, job)| is_waiting(job)) {
             if self.live_tasks(id) > 0 {
                 continue;
             }
-            let lacking = job.spec.tasks as usize - self.completed_tasks(id);
+            let remaining = job.spec.tasks as usize - self.completed_tasks(id);
             let needed = match job.spec.shape {
-                Shape::Gang => lacking,
-                _ => lacking.min(1),
+                Shape::Gang => remaining,
+                _ => remaining.min(1),
             };
             if needed > 0 && self.is_within_limit(&job.spec, needed, &capacity) {
-                add_openings(&mut openings, &job.spec, needed, &capacity);
+                add_waiting_job(&mut waiting, &job.spec, needed, &capacity);
             }
         }
-        openings
+        waiting
     }
 
-    /// What the machines have free that work and stay.
+    /// Returns the capacity of the machines that are running and not about to be preempted.
     fn capacity(&self) -> Capacity<'_> {
         let mut capacity = Capacity {
             free: Vec::new(),
@@ -80,7 +81,7 @@
         };
         let is_usable = |worker: &Worker| {
             let is_running = self.now >= worker.up_at && self.now >= worker.hung_until;
-            !worker.gone && is_running && worker.taken_at.is_none()
+            !worker.gone && is_running && worker.preempted_at.is_none()
         };
         for (name, worker) in self.workers.iter().filter(|(_, it)| is_usable(it)) {
             let kind = self.types.iter().find(|kind| kind.name == worker.kind);
@@ -101,7 +102,7 @@
         capacity
     }
 
-    /// Whether a job's team may use as much more as some of its tasks need.
+    /// Returns whether this many more tasks of a job stay within the limit of its team.
     fn is_within_limit(&self, spec: &Job, tasks: usize, capacity: &Capacity) -> bool {
         let limit = self.limits.get(&spec.team);
         let (cpus_max, gpus_max) =
@@ -115,8 +116,13 @@
     }
 }
 
-/// Adds where there is capacity for a job that waits.
-fn add_openings(openings: &mut BTreeSet<Opening>, spec: &Job, needed: usize, capacity: &Capacity) {
+/// Adds a waiting job once for each machine with capacity, or once if it is a gang that fits.
+fn add_waiting_job(
+    waiting: &mut BTreeSet<WaitingWithCapacity>,
+    spec: &Job,
+    needed: usize,
+    capacity: &Capacity,
+) {
     let is_gang = spec.shape == Shape::Gang;
     let mut by_zone: BTreeMap<&str, usize> = BTreeMap::new();
     let allowed = capacity
@@ -127,10 +133,10 @@
         let fitting = fitting_tasks(spec, free);
         *by_zone.entry(worker.zone.as_str()).or_default() += fitting;
         if !is_gang && fitting > 0 {
-            openings.insert((spec.id.clone(), Some(name.to_string())));
+            waiting.insert((spec.id.clone(), Some(name.to_string())));
         }
     }
-    if is_gang && fitting_together(spec, &by_zone) >= needed {
-        openings.insert((spec.id.clone(), None));
+    if is_gang && fitting_gang_tasks(spec, &by_zone) >= needed {
+        waiting.insert((spec.id.clone(), None));
     }
 }
