--- a/crates/model/src/world/controllers.rs
+++ b/crates/model/src/world/controllers.rs
@@ -12,7 +12,7 @@
 /// A controller and its connection to the leader.
 pub(super) struct Controller {
     pub(super) owner: Owner,
-    /// When it runs again after a crash; it is running if this is in the past.
+    /// When it runs again after a crash or a rolling restart; it is running if this is in the past.
     pub(super) down_until: f64,
     /// When it can connect to the leader again; it can if this is in the past.
     pub(super) reconnects_at: f64,
@@ -27,7 +27,7 @@
     /// Times of the leader's last read of the store, as carried by its responses to pings. Each
     /// arrives after the messages that the leader sent before it.
     pub(super) leader_reads: Connection<f64>,
-    /// Until when the store refuses this controller's requests.
+    /// Until when the store refuses this controller's requests. It serves the others meanwhile.
     pub(super) store_refuses_until: f64,
     /// Until when it is frozen.
     pub(super) frozen_until: f64,
--- a/crates/model/src/world/dependencies.rs
+++ b/crates/model/src/world/dependencies.rs
@@ -30,7 +30,8 @@
         })
     }
 
-    /// Processes a job's current record and returns the effects on other jobs.
+    /// Processes a job's record as known from a read sent at `read_at`, and returns the effects on
+    /// this job and on others.
     fn update(&mut self, jobs: &BTreeMap<String, JobState>, id: &str, read_at: f64) -> Vec<Effect> {
         let mut graph = std::mem::take(&mut self.graph);
         let effects = match self.dependency_state(jobs, id, read_at) {
@@ -59,6 +60,7 @@
     }
 
     /// Returns whether a job is neither blocked by dependencies nor cancelled with one of them.
+    /// Only such a job may be given to the leader.
     pub(super) fn is_runnable(&self, id: &str) -> bool {
         !self.graph.is_blocked(id) && !self.cancelled.contains(id)
     }
--- a/crates/model/src/world/leadership.rs
+++ b/crates/model/src/world/leadership.rs
@@ -32,8 +32,8 @@
         self.leading = Some(leading);
     }
 
-    /// Disconnects the owners of a partitioned leader. Its own lease expires later, and only then
-    /// can another controller be elected.
+    /// Disconnects the owners of a partitioned leader at once. Its own authority ends later, and
+    /// its lease after that; only then can another controller be elected.
     fn disconnect_owners_if_partitioned(&mut self, leading: &mut LeadingController) {
         if !self.is_partitioned(leading.controller) {
             return;
--- a/crates/model/src/world/rules.rs
+++ b/crates/model/src/world/rules.rs
@@ -34,7 +34,8 @@
             .for_each(|rule| self.record_violation(rule));
     }
 
-    /// Checks that tasks of terminal jobs stop in time and that no team exceeds its limits.
+    /// Checks that tasks of terminal jobs stop in time and that no team exceeds its limits. Both
+    /// must hold at every moment, also during faults.
     pub(super) fn check_running_tasks(&mut self) {
         let mut violations = self.overrunning_tasks();
         if self.exceeds_limits() {
@@ -52,7 +53,7 @@
             job.terminal_at
                 .is_some_and(|at| self.now > may_run_until(at))
         };
-        // If the job is done, no controller knows the task any more, so nothing would stop it.
+        // If the job is done, no controller knows the task any more.
         let rule = |job: &JobState| match job.cancelled {
             true => "ran_cancelled",
             false => "orphaned",
--- a/crates/model/src/world/scenario.rs
+++ b/crates/model/src/world/scenario.rs
@@ -11,7 +11,7 @@
         }
     }
 
-    /// Makes the store refuse one controller's requests for `duration_s`.
+    /// Makes the store refuse one controller's requests for `duration_s`. It serves the others.
     pub fn refuse_controller(&mut self, i: usize, duration_s: f64) {
         self.controllers[i].store_refuses_until = self.now + duration_s;
     }
@@ -65,7 +65,7 @@
         self.update_workers(names, |worker| worker.hung_until = until);
     }
 
-    /// Drops the responses to heartbeats of machines for `duration_s`.
+    /// Drops the responses to heartbeats of machines for `duration_s`. The heartbeats still arrive.
     pub fn drop_responses(&mut self, names: &[String], duration_s: f64) {
         let until = self.now + duration_s;
         self.update_workers(names, |worker| worker.responses_lost_until = until);
--- a/crates/model/src/world/store.rs
+++ b/crates/model/src/world/store.rs
@@ -30,7 +30,8 @@
 
 impl World {
     /// Runs the reads of all controllers, which read the store's changes every few steps and get
-    /// delayed responses. Results are processed before any other component runs in the step.
+    /// delayed responses. Results are processed before any other component runs in the step,
+    /// so that nothing relies on a read before its contents are known.
     pub(super) fn run_reads(&mut self) {
         for i in 0..self.controllers.len() {
             match self.controllers[i].pending_reload {
--- a/crates/model/src/world/trace.rs
+++ b/crates/model/src/world/trace.rs
@@ -123,7 +123,7 @@
             .bytes(&encode(heartbeat));
     }
 
-    /// Records a controller's response to a heartbeat.
+    /// Records a controller's response to a heartbeat when it is decided, even if it is then lost.
     pub(super) fn answered(
         &mut self,
         now: f64,
--- a/crates/model/src/world/workers.rs
+++ b/crates/model/src/world/workers.rs
@@ -111,7 +111,7 @@
     /// Whether the machine has failed permanently or been preempted.
     pub(super) gone: bool,
     pub(super) hung_until: f64,
-    /// Until when all responses to its heartbeats are lost.
+    /// Until when all responses to its heartbeats are lost. The heartbeats still arrive.
     pub(super) responses_lost_until: f64,
     /// Until when all its heartbeats are lost.
     pub(super) heartbeats_lost_until: f64,
@@ -161,7 +161,8 @@
         live.map(|(key, _)| key)
     }
 
-    /// Restarts the worker with a new incarnation and without tasks.
+    /// Restarts the worker with a new incarnation and without tasks. A response to a heartbeat of
+    /// the previous incarnation is no longer awaited.
     pub(super) fn restart(&mut self, now: f64) {
         self.tasks.clear();
         self.incarnation += 1;
