--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -19,7 +19,7 @@
 const TYPICAL_RESPONSE_BYTES: usize = 1024;
 
 /// Largest number of bytes taken from the socket by one read.
-const READ_BYTES: usize = 8192;
+const READ_BUFFER_BYTES: usize = 8192;
 
 /// Why a request has no response.
 #[derive(Debug, thiserror::Error)]
@@ -101,7 +101,7 @@
 /// An idle connection in the pool.
 struct IdleConnection {
     stream: TcpStream,
-    since: Instant,
+    idle_since: Instant,
 }
 
 /// A client of one server.
@@ -129,22 +129,22 @@
         self.pool.borrow_mut().clear();
     }
 
-    /// Sends a request and waits for the response, for at most `limit` in all.
+    /// Sends a request and waits for the response, for at most `timeout` in all.
     pub async fn request(
         &self,
         method: &str,
         path: &str,
         body: &[u8],
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<Response, RequestError> {
         let started_at = Instant::now();
         let pooled = self.take_idle();
         let is_pooled = pooled.is_some();
         let stream = match pooled {
             Some(stream) => stream,
-            None => self.connect(limit).await?,
+            None => self.connect(timeout).await?,
         };
-        let remaining = limit.saturating_sub(started_at.elapsed());
+        let remaining = timeout.saturating_sub(started_at.elapsed());
         let exchange = self.exchange(stream, method, path, body);
         match with_timeout(remaining, exchange).await {
             Some(Ok(response)) => Ok(response),
@@ -166,16 +166,16 @@
     fn take_idle(&self) -> Option<TcpStream> {
         let mut pool = self.pool.borrow_mut();
         while let Some(connection) = pool.pop() {
-            if connection.since.elapsed() < IDLE_TIMEOUT {
+            if connection.idle_since.elapsed() < IDLE_TIMEOUT {
                 return Some(connection.stream);
             }
         }
         None
     }
 
-    async fn connect(&self, limit: Duration) -> Result<TcpStream, RequestError> {
+    async fn connect(&self, timeout: Duration) -> Result<TcpStream, RequestError> {
         let addr = self.addr;
-        let cause = match with_timeout(limit, TcpStream::connect(addr)).await {
+        let cause = match with_timeout(timeout, TcpStream::connect(addr)).await {
             Some(Ok(stream)) => {
                 let _ = stream.set_nodelay(true);
                 return Ok(stream);
@@ -201,15 +201,15 @@
         if head.chunked {
             return Err(outcome_unknown(self.addr, ExchangeFault::Chunked));
         }
-        let ended = reader.read_body(&head, self.max_body_bytes).await?;
+        let ends_connection = reader.read_body(&head, self.max_body_bytes).await?;
         let ResponseReader {
             stream,
             mut received,
             ..
         } = reader;
         received.drain(..head.head_len);
-        if !head.close && !ended {
-            self.keep_alive(stream);
+        if !head.close && !ends_connection {
+            self.return_to_pool(stream);
         }
         Ok(Response {
             status: head.status,
@@ -234,11 +234,11 @@
     }
 
     /// Returns a connection to the pool, or closes it if the pool is full.
-    fn keep_alive(&self, stream: TcpStream) {
+    fn return_to_pool(&self, stream: TcpStream) {
         let mut pool = self.pool.borrow_mut();
         if pool.len() < self.max_idle {
-            let since = Instant::now();
-            pool.push(IdleConnection { stream, since });
+            let idle_since = Instant::now();
+            pool.push(IdleConnection { stream, idle_since });
         }
     }
 }
@@ -248,7 +248,7 @@
     addr: SocketAddr,
     stream: TcpStream,
     received: Vec<u8>,
-    chunk: [u8; READ_BYTES],
+    read_buffer: [u8; READ_BUFFER_BYTES],
 }
 
 impl ResponseReader {
@@ -257,7 +257,7 @@
             addr,
             stream,
             received: Vec::with_capacity(TYPICAL_RESPONSE_BYTES),
-            chunk: [0; READ_BYTES],
+            read_buffer: [0; READ_BUFFER_BYTES],
         }
     }
 
@@ -316,9 +316,9 @@
 
     /// Reads what is available; 0 at the end of the connection.
     async fn read(&mut self) -> Result<usize, RequestError> {
-        let result = self.stream.read(&mut self.chunk).await;
+        let result = self.stream.read(&mut self.read_buffer).await;
         let count = result.map_err(|error| outcome_unknown(self.addr, error.into()))?;
-        self.received.extend_from_slice(&self.chunk[..count]);
+        self.received.extend_from_slice(&self.read_buffer[..count]);
         Ok(count)
     }
 }
--- a/crates/http/src/connections.rs
+++ b/crates/http/src/connections.rs
@@ -21,11 +21,11 @@
 }
 
 /// Share of all connections above which responses to users close theirs.
-const USER_SHARE: f64 = 0.85;
+const USER_CLOSE_THRESHOLD: f64 = 0.85;
 
 /// Share of all connections above which responses to workers close theirs, so that many workers can
 /// take turns on few connections.
-const WORKER_SHARE: f64 = 0.95;
+const WORKER_CLOSE_THRESHOLD: f64 = 0.95;
 
 /// A connection in the table.
 struct Entry {
@@ -44,7 +44,7 @@
     /// Idle connections as (priority, idle since, id): the first one is closed first.
     idle: RefCell<BTreeSet<(ConnectionPriority, u64, u64)>>,
     buffered_bytes: Cell<usize>,
-    sequence: Cell<u64>,
+    last_sequence: Cell<u64>,
 }
 
 impl ConnectionTable {
@@ -56,24 +56,24 @@
             entries: RefCell::default(),
             idle: RefCell::default(),
             buffered_bytes: Cell::new(0),
-            sequence: Cell::new(0),
+            last_sequence: Cell::new(0),
         }
     }
 
     /// Number of open connections.
-    pub fn open(&self) -> usize {
+    pub fn open_count(&self) -> usize {
         self.entries.borrow().len()
     }
 
     fn next_sequence(&self) -> u64 {
-        self.sequence.set(self.sequence.get() + 1);
-        self.sequence.get()
+        self.last_sequence.set(self.last_sequence.get() + 1);
+        self.last_sequence.get()
     }
 
     /// Adds a connection and returns its id. If the table is full, the connection of the lowest
     /// priority that has been idle longest is closed; `None` if none is idle.
     pub fn admit(&self, stream: TcpStream) -> Option<u64> {
-        if self.open() >= self.max_connections {
+        if self.open_count() >= self.max_connections {
             // Connections of machines that lost power look idle for ever; rejecting the newest
             // connections would lock these machines out once they are back.
             let victim = self.idle.borrow_mut().pop_first();
@@ -122,11 +122,11 @@
 
     /// Whether so many connections are open that a response of this priority should close its own.
     pub fn should_close(&self, priority: ConnectionPriority) -> bool {
-        let share = match priority {
-            ConnectionPriority::User | ConnectionPriority::Unclassified => USER_SHARE,
-            ConnectionPriority::Worker | ConnectionPriority::Probe => WORKER_SHARE,
+        let threshold = match priority {
+            ConnectionPriority::User | ConnectionPriority::Unclassified => USER_CLOSE_THRESHOLD,
+            ConnectionPriority::Worker | ConnectionPriority::Probe => WORKER_CLOSE_THRESHOLD,
         };
-        self.open() as f64 > self.max_connections as f64 * share
+        self.open_count() as f64 > self.max_connections as f64 * threshold
     }
 
     /// Removes a connection that has ended.
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -11,11 +11,11 @@
 use std::future::Future;
 use std::time::Duration;
 
-/// Runs a future for at most `limit`; `None` if it has not completed by then.
-pub async fn with_timeout<T>(limit: Duration, work: impl Future<Output = T>) -> Option<T> {
-    let completed = async { Some(work.await) };
+/// Runs a future for at most `timeout`; `None` if it has not completed by then.
+pub async fn with_timeout<T>(timeout: Duration, future: impl Future<Output = T>) -> Option<T> {
+    let completed = async { Some(future.await) };
     let timed_out = async {
-        smol::Timer::after(limit).await;
+        smol::Timer::after(timeout).await;
         None
     };
     smol::future::or(completed, timed_out).await
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -16,13 +16,13 @@
 use std::time::Duration;
 
 /// Largest number of bytes taken from a socket by one read.
-const READ_BYTES: usize = 16 << 10;
+const READ_BUFFER_BYTES: usize = 16 << 10;
 
 /// Capacity that is reserved for the head of a response, in bytes.
 const TYPICAL_HEAD_BYTES: usize = 160;
 
 /// Pause after a failed `accept`, which would otherwise fail again at once (no free descriptors).
-const ACCEPT_RETRY: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Time to write the response to a rejected request.
 const REJECT_TIMEOUT: Duration = Duration::from_secs(1);
@@ -191,14 +191,14 @@
     let server = Rc::new(Server {
         limits,
         connections: ConnectionTable::new(limits.max_connections, limits.max_buffered_bytes),
-        read_buffer: RefCell::new(vec![0; READ_BYTES]),
+        read_buffer: RefCell::new(vec![0; READ_BUFFER_BYTES]),
     });
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
                 log::debug!("event=accept_failed error=\"{error}\"");
-                smol::Timer::after(ACCEPT_RETRY).await;
+                smol::Timer::after(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
@@ -257,8 +257,8 @@
     /// long.
     async fn wait_for_request(&mut self) -> bool {
         if self.received.is_empty() {
-            let idle = self.server.limits.idle_timeout;
-            match with_timeout(idle, self.read()).await {
+            let idle_timeout = self.server.limits.idle_timeout;
+            match with_timeout(idle_timeout, self.read()).await {
                 Some(Ok(count)) if count > 0 => {}
                 _ => return false,
             }
@@ -272,8 +272,8 @@
         H: Fn(Request) -> F,
         F: Future<Output = Response>,
     {
-        let limit = self.server.limits.request_timeout;
-        let received = with_timeout(limit, self.receive()).await;
+        let timeout = self.server.limits.request_timeout;
+        let received = with_timeout(timeout, self.receive()).await;
         let (request, close_requested) = match received.unwrap_or(Err(ReceiveError::TimedOut)) {
             Ok(received) => received,
             Err(error) => {
@@ -285,7 +285,7 @@
         let should_close = self.server.connections.should_close(response.priority);
         let close = close_requested || response.close || should_close;
         let out = response.encode(close);
-        let Some(Ok(())) = with_timeout(limit, self.stream.write_all(&out)).await else {
+        let Some(Ok(())) = with_timeout(timeout, self.stream.write_all(&out)).await else {
             return false;
         };
         if let Some(OnWritten(call)) = response.on_written.take() {
--- a/crates/http/tests/client.rs
+++ b/crates/http/tests/client.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 /// Long enough that no result depends on it.
-const NEVER: Duration = Duration::from_secs(600);
+const LONG_TIMEOUT: Duration = Duration::from_secs(600);
 
 /// Largest body that the clients of these tests accept, in bytes.
 const MAX_BODY_BYTES: usize = 100;
@@ -23,14 +23,14 @@
 
 /// What the server sends after each request.
 #[derive(Clone, Copy)]
-struct Script {
+struct ScriptedResponse {
     response: &'static str,
     /// Whether it closes the connection after the response.
     close: bool,
 }
 
 /// Serves one connection after the other by the script, and counts them.
-async fn serve(listener: TcpListener, script: Script, connections: Rc<Cell<u32>>) {
+async fn serve(listener: TcpListener, script: ScriptedResponse, connections: Rc<Cell<u32>>) {
     loop {
         let (mut stream, _) = listener.accept().await.unwrap();
         connections.set(connections.get() + 1);
@@ -46,15 +46,15 @@
 }
 
 /// The results of two requests to a server, and the number of connections that they took.
-fn request_twice(script: Script) -> ([Result<Response, RequestError>; 2], u32) {
+fn request_twice(script: ScriptedResponse) -> ([Result<Response, RequestError>; 2], u32) {
     let executor = smol::LocalExecutor::new();
     let connections = Rc::new(Cell::new(0));
     let results = smol::block_on(executor.run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let client = Client::new(listener.local_addr().unwrap(), MAX_IDLE, MAX_BODY_BYTES);
         let server = executor.spawn(serve(listener, script, connections.clone()));
-        let first = client.request("GET", "/", &[], NEVER).await;
-        let second = client.request("GET", "/", &[], NEVER).await;
+        let first = client.request("GET", "/", &[], LONG_TIMEOUT).await;
+        let second = client.request("GET", "/", &[], LONG_TIMEOUT).await;
         drop(server);
         [first, second]
     }));
@@ -62,7 +62,7 @@
 }
 
 /// The cause for which a request has no response.
-fn fault(script: Script) -> ExchangeFault {
+fn exchange_fault(script: ScriptedResponse) -> ExchangeFault {
     let ([first, _], _) = request_twice(script);
     match first {
         Err(RequestError::OutcomeUnknown(error)) => error.cause,
@@ -71,14 +71,14 @@
 }
 
 #[test]
-fn a_connection_is_kept_alive_unless_the_server_closes_it() {
+fn connections_are_kept_alive_unless_closed() {
     let kept = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello";
     let closed = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nConnection: close\r\n\r\nhello";
     let until_end = "HTTP/1.1 200 OK\r\n\r\nhello";
     for (response, close, expected_connections) in
         [(kept, false, 1), (closed, true, 2), (until_end, true, 2)]
     {
-        let (results, connections) = request_twice(Script { response, close });
+        let (results, connections) = request_twice(ScriptedResponse { response, close });
         for result in results {
             let received = result.unwrap();
             assert_eq!(received.status, 200);
@@ -89,23 +89,23 @@
 }
 
 #[test]
-fn a_response_without_an_end_has_an_unknown_outcome() {
-    let script = |response, close| Script { response, close };
+fn incomplete_response_has_an_unknown_outcome() {
+    let script = |response, close| ScriptedResponse { response, close };
     let partial = script("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhel", true);
-    assert!(matches!(fault(partial), ExchangeFault::Closed));
+    assert!(matches!(exchange_fault(partial), ExchangeFault::Closed));
     let garbage = script("\x00\x01garbage\r\n\r\n", false);
-    let malformed = fault(garbage);
+    let malformed = exchange_fault(garbage);
     assert!(matches!(malformed, ExchangeFault::Malformed(_)));
     let chunked = script(
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
         false,
     );
-    assert!(matches!(fault(chunked), ExchangeFault::Chunked));
+    assert!(matches!(exchange_fault(chunked), ExchangeFault::Chunked));
 }
 
 /// The store's client logs these texts.
 #[test]
-fn faults_are_described_in_the_words_that_are_logged() {
+fn fault_texts_stay_as_logged() {
     let malformed = ExchangeFault::Malformed(HeadError::Malformed);
     let chunked = "a chunked response is not expected here";
     assert_eq!(ExchangeFault::TimedOut.to_string(), "time-out");
@@ -120,18 +120,18 @@
 fn a_response_beyond_the_limit_is_too_large() {
     let response = "HTTP/1.1 200 OK\r\nContent-Length: 101\r\n\r\n";
     let close = false;
-    let ([first, _], _) = request_twice(Script { response, close });
+    let ([first, _], _) = request_twice(ScriptedResponse { response, close });
     assert!(matches!(first, Err(RequestError::ResponseTooLarge(101))));
 }
 
 #[test]
-fn a_refused_connection_means_that_the_request_was_not_sent() {
+fn refused_connection_means_request_not_sent() {
     let addr: SocketAddr = smol::block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         listener.local_addr().unwrap()
     });
     let client = Client::new(addr, MAX_IDLE, MAX_BODY_BYTES);
-    let result = smol::block_on(client.request("GET", "/", &[], NEVER));
+    let result = smol::block_on(client.request("GET", "/", &[], LONG_TIMEOUT));
     let Err(RequestError::NotSent(error)) = result else {
         panic!("{result:?}")
     };
--- a/crates/http/tests/limits.rs
+++ b/crates/http/tests/limits.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 /// Long enough that no result depends on it.
-const NEVER: Duration = Duration::from_secs(600);
+const LONG_TIMEOUT: Duration = Duration::from_secs(600);
 
 /// Path whose responses have the priority of workers.
 const WORKER_PATH: &str = "/work";
@@ -44,8 +44,8 @@
             max_connections,
             max_body_bytes: MAX_BODY_BYTES,
             max_buffered_bytes,
-            request_timeout: NEVER,
-            idle_timeout: NEVER,
+            request_timeout: LONG_TIMEOUT,
+            idle_timeout: LONG_TIMEOUT,
         };
         let handler = Rc::new(move |request: Request| {
             count.set(count.get() + 1);
@@ -95,7 +95,7 @@
 /// When a rack is back after a loss of power, its old connections look idle for ever. A server that
 /// rejects the newest connections would lock out these very machines.
 #[test]
-fn a_full_server_closes_idle_users_first_then_unclassified_then_workers() {
+fn a_full_server_evicts_idle_connections_by_priority() {
     with_server(20, AMPLE_BYTES, |addr, _| async move {
         let mut open = Vec::new();
         for path in [[WORKER_PATH; 3], [USER_PATH; 3]].concat() {
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn near_the_connection_limit_responses_close_users_connections_before_workers() {
+fn connections_close_by_priority_near_the_limit() {
     with_server(20, AMPLE_BYTES, |addr, _| async move {
         let mut open = Vec::new();
         for _ in 0..18 {
--- a/crates/wire/src/cbor.rs
+++ b/crates/wire/src/cbor.rs
@@ -1,7 +1,7 @@
 //! CBOR encoding and decoding through serde.
 //!
 //! The protocol defines amounts (CPUs, gigabytes, seconds) as decimals, but senders may write a
-//! whole number as an integer; [`amount`] and [`amount_opt`] accept both.
+//! whole number as an integer; [`amount`] and [`optional_amount`] accept both.
 
 use serde::de::{Deserializer, Error, Visitor};
 use serde::{de::DeserializeOwned, Serialize};
@@ -16,7 +16,7 @@
 /// A body that could not be decoded, with the decoder's description of the fault.
 #[derive(Debug, thiserror::Error)]
 #[error("malformed body: {0}")]
-pub struct Malformed(pub String);
+pub struct DecodeError(pub String);
 
 /// Encodes a value as CBOR.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
@@ -31,9 +31,9 @@
 /// Decodes a value from CBOR.
 ///
 /// The depth of nesting is limited, so that a hostile body can't exhaust the stack.
-pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, Malformed> {
+pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, DecodeError> {
     ciborium::de::from_reader_with_recursion_limit(body, RECURSION_LIMIT)
-        .map_err(|error| Malformed(error.to_string()))
+        .map_err(|error| DecodeError(error.to_string()))
 }
 
 /// Accepts a finite decimal or an integer.
@@ -92,7 +92,9 @@
 }
 
 /// Deserializes an amount that may be null. For `deserialize_with`.
-pub fn amount_opt<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<f64>, D::Error> {
+pub fn optional_amount<'de, D: Deserializer<'de>>(
+    deserializer: D,
+) -> Result<Option<f64>, D::Error> {
     deserializer
         .deserialize_option(OptionalAmountVisitor)
         .map_err(|error| D::Error::custom(error.to_string()))
--- a/crates/wire/src/peers.rs
+++ b/crates/wire/src/peers.rs
@@ -301,8 +301,8 @@
 
 /// Decodes what follows a frame's length: version and message. `None` if the version is another or
 /// the message can't be decoded.
-pub fn decode_frame<T: for<'a> Decode<'a>>(inside: &[u8]) -> Option<T> {
-    let (version, body) = inside.split_first()?;
+pub fn decode_frame<T: for<'a> Decode<'a>>(payload: &[u8]) -> Option<T> {
+    let (version, body) = payload.split_first()?;
     if *version != VERSION {
         return None;
     }
--- a/crates/wire/src/users.rs
+++ b/crates/wire/src/users.rs
@@ -109,7 +109,7 @@
     #[serde(
         rename = "due_s",
         default,
-        deserialize_with = "crate::cbor::amount_opt"
+        deserialize_with = "crate::cbor::optional_amount"
     )]
     pub deadline_s: Option<f64>,
     /// Jobs that have to be done before any task of this one starts, without duplicates.
--- a/crates/wire/src/workers.rs
+++ b/crates/wire/src/workers.rs
@@ -98,7 +98,7 @@
     #[serde(
         rename = "recall_s",
         default,
-        deserialize_with = "crate::cbor::amount_opt"
+        deserialize_with = "crate::cbor::optional_amount"
     )]
     pub notice_s: Option<f64>,
     /// All tasks on the machine, exited ones included until they are cleared.
--- a/crates/wire/tests/encodings.rs
+++ b/crates/wire/tests/encodings.rs
@@ -40,7 +40,7 @@
 }
 
 /// The lines of a fixture, by the part before the separator.
-fn lines(text: &'static str, separator: &str) -> BTreeMap<&'static str, &'static str> {
+fn parse_fixture(text: &'static str, separator: &str) -> BTreeMap<&'static str, &'static str> {
     let parts = text.lines().map(|line| line.split_once(separator).unwrap());
     let lines: BTreeMap<&str, &str> = parts.collect();
     assert_eq!(lines.len(), text.lines().count(), "a name occurs twice");
@@ -48,85 +48,85 @@
 }
 
 /// Compares current results with a fixture, and names each difference.
-fn compare(now: &[(String, String)], fixture: &BTreeMap<&str, &str>) {
-    let mut wrong = Vec::new();
-    for (name, value) in now {
+fn compare(actual: &[(String, String)], fixture: &BTreeMap<&str, &str>) {
+    let mut mismatches = Vec::new();
+    for (name, value) in actual {
         let expected = fixture.get(name.as_str()).unwrap_or(&"nothing");
         if value != expected {
-            wrong.push(format!("{name}\n  is       {value}\n  expected {expected}"));
+            mismatches.push(format!("{name}\n  is       {value}\n  expected {expected}"));
         }
     }
-    assert!(wrong.is_empty(), "\n{}", wrong.join("\n"));
-    let names: Vec<&String> = now.iter().map(|(name, _)| name).collect();
-    let lost = fixture.keys().find(|key| !names.iter().any(|n| n == *key));
-    assert_eq!(lost, None, "has no sample");
-    assert_eq!(now.len(), fixture.len(), "a sample occurs twice");
+    assert!(mismatches.is_empty(), "\n{}", mismatches.join("\n"));
+    let names: Vec<&String> = actual.iter().map(|(name, _)| name).collect();
+    let missing = fixture.keys().find(|key| !names.iter().any(|n| n == *key));
+    assert_eq!(missing, None, "has no sample");
+    assert_eq!(actual.len(), fixture.len(), "a sample occurs twice");
 }
 
 #[test]
 fn each_sample_is_encoded_as_before() {
-    let now = samples().into_iter().map(|s| (s.name, to_hex(&s.bytes)));
-    let fixture = lines(include_str!("encodings/written.txt"), " ");
-    compare(&now.collect::<Vec<_>>(), &fixture);
+    let actual = samples().into_iter().map(|s| (s.name, to_hex(&s.bytes)));
+    let fixture = parse_fixture(include_str!("encodings/written.txt"), " ");
+    compare(&actual.collect::<Vec<_>>(), &fixture);
 }
 
 #[test]
 fn each_sample_is_decoded_as_before() {
-    let fixture = lines(include_str!("encodings/written.txt"), " ");
+    let fixture = parse_fixture(include_str!("encodings/written.txt"), " ");
     for sample in samples() {
         let written = from_hex(fixture[sample.name.as_str()]);
-        let (content, again) = (sample.read)(&written).unwrap();
-        assert_eq!(content, sample.content, "{}", sample.name);
-        assert_eq!(to_hex(&again), to_hex(&written), "{}", sample.name);
+        let (debug_text, reencoded) = (sample.decode)(&written).unwrap();
+        assert_eq!(debug_text, sample.debug_text, "{}", sample.name);
+        assert_eq!(to_hex(&reencoded), to_hex(&written), "{}", sample.name);
     }
 }
 
 /// A sample with one field absent, null, or of another type, and with an unknown field.
-fn changed(sample: &Sample) -> Vec<(String, Vec<u8>)> {
+fn mutations(sample: &Sample) -> Vec<(String, Vec<u8>)> {
     let Ok(Value::Map(fields)) = decode::<Value>(&sample.bytes) else {
         return Vec::new();
     };
-    let mut changed = Vec::new();
-    let mut add = |how: String, fields: Vec<(Value, Value)>| {
-        changed.push((how, encode(&Value::Map(fields))));
+    let mut mutations = Vec::new();
+    let mut add = |name: String, fields: Vec<(Value, Value)>| {
+        mutations.push((name, encode(&Value::Map(fields))));
     };
     for (i, (key, _)) in fields.iter().enumerate() {
         let key = key.as_text().unwrap();
-        let mut lacks = fields.clone();
-        lacks.remove(i);
-        add(format!("{} without {key}", sample.name), lacks);
+        let mut without = fields.clone();
+        without.remove(i);
+        add(format!("{} without {key}", sample.name), without);
         for (kind, value) in [
             ("null", Value::Null),
             ("odd", Value::Text("odd".into())),
             ("whole", Value::Integer(3.into())),
             ("negative", Value::Integer((-3).into())),
         ] {
-            let mut other = fields.clone();
-            other[i].1 = value;
-            add(format!("{} with {kind} {key}", sample.name), other);
+            let mut replaced = fields.clone();
+            replaced[i].1 = value;
+            add(format!("{} with {kind} {key}", sample.name), replaced);
         }
     }
-    let mut more = fields;
+    let mut extended = fields;
     let unknown = (Value::Text("unknown".into()), Value::Integer(1.into()));
-    more.push(unknown);
-    add(format!("{} with more", sample.name), more);
-    changed
+    extended.push(unknown);
+    add(format!("{} with more", sample.name), extended);
+    mutations
 }
 
 /// Which fields may be absent or null and their defaults, and the errors for all others.
 #[test]
 fn changed_samples_are_decoded_or_rejected_as_before() {
-    let mut now = Vec::new();
-    for sample in samples().iter().filter(|s| s.change_fields) {
-        for (how, bytes) in changed(sample) {
-            let result = match (sample.read)(&bytes) {
-                Ok((_, again)) => to_hex(&again),
+    let mut actual = Vec::new();
+    for sample in samples().iter().filter(|s| s.mutate_fields) {
+        for (name, bytes) in mutations(sample) {
+            let result = match (sample.decode)(&bytes) {
+                Ok((_, reencoded)) => to_hex(&reencoded),
                 // The only message with the name of a Rust type, which no user sees.
                 Err(error) => error.replace("untagged enum Write", "an untagged enum"),
             };
-            now.push((how, result));
+            actual.push((name, result));
         }
     }
-    let fixture = lines(include_str!("encodings/changed.txt"), ": ");
-    compare(&now, &fixture);
+    let fixture = parse_fixture(include_str!("encodings/changed.txt"), ": ");
+    compare(&actual, &fixture);
 }
--- a/crates/wire/tests/encodings/cloud.rs
+++ b/crates/wire/tests/encodings/cloud.rs
@@ -1,6 +1,6 @@
 //! Samples of the cloud's interface.
 
-use crate::sample::{body, fields, Sample};
+use crate::sample::{body, body_with_mutations, Sample};
 use wire::cloud::{
     Catalog, Listed, ListedMachine, MachineList, MachineType, Names, ProvisionRequest,
 };
@@ -49,13 +49,13 @@
     };
     let types = vec![machine_type()];
     vec![
-        fields("cloud_machine_type", &machine_type()),
-        fields("cloud_catalog", &Catalog { types }),
-        fields("cloud_hire", &provision_request),
-        fields("cloud_names", &names),
-        fields("cloud_listed_booting", &listed(Listed::Booting)),
+        body_with_mutations("cloud_machine_type", &machine_type()),
+        body_with_mutations("cloud_catalog", &Catalog { types }),
+        body_with_mutations("cloud_hire", &provision_request),
+        body_with_mutations("cloud_names", &names),
+        body_with_mutations("cloud_listed_booting", &listed(Listed::Booting)),
         body("cloud_listed_running", &listed(Listed::Running)),
         body("cloud_listed_failed", &listed(Listed::Failed)),
-        fields("cloud_machine_list", &list),
+        body_with_mutations("cloud_machine_list", &list),
     ]
 }
--- a/crates/wire/tests/encodings/peers.rs
+++ b/crates/wire/tests/encodings/peers.rs
@@ -2,7 +2,7 @@
 
 use crate::cloud::machine_type;
 use crate::sample::{framed, Sample};
-use crate::workers::{REASONS, STATES};
+use crate::workers::{EXIT_REASONS, TASK_STATES};
 use wire::cloud::MachineType;
 use wire::peers::{
     AllowedMachineType, MachineDescriptor, MachineStatus, TaskRef, TaskRequirements, TaskStatus,
@@ -84,16 +84,16 @@
 fn machine_statuses() -> Vec<Sample> {
     let mut samples = Vec::new();
     let mut all = Vec::new();
-    for (name, state) in STATES {
-        let seen = task_status(state, None, false);
-        all.push(seen.clone());
-        let message = ToLeader::MachineStatuses(vec![machine_status(vec![seen], None)]);
+    for (name, state) in TASK_STATES {
+        let status = task_status(state, None, false);
+        all.push(status.clone());
+        let message = ToLeader::MachineStatuses(vec![machine_status(vec![status], None)]);
         samples.push(framed(format!("view_{name}"), &message));
     }
-    for (name, why) in REASONS {
-        let seen = task_status(TaskState::Exited, Some(why), true);
-        all.push(seen.clone());
-        let message = ToLeader::MachineStatuses(vec![machine_status(vec![seen], Some(18.5))]);
+    for (name, why) in EXIT_REASONS {
+        let status = task_status(TaskState::Exited, Some(why), true);
+        all.push(status.clone());
+        let message = ToLeader::MachineStatuses(vec![machine_status(vec![status], Some(18.5))]);
         samples.push(framed(format!("view_exited_{name}"), &message));
     }
     let lapsed = MachineStatus {
@@ -119,7 +119,7 @@
         attempt: ATTEMPT,
         tasks: vec![(0, 4), (70_000, 1)],
     };
-    let answer = |reserved| ToLeader::ReserveResult {
+    let result = |reserved| ToLeader::ReserveResult {
         attempt: ATTEMPT,
         reserved,
     };
@@ -127,8 +127,8 @@
         framed("hello", &hello),
         framed("ping", &ToLeader::Ping { n: 1 << 40 }),
         framed("hand_back", &hand_back),
-        framed("hold_answer_held", &answer(true)),
-        framed("hold_answer_refused", &answer(false)),
+        framed("hold_answer_held", &result(true)),
+        framed("hold_answer_refused", &result(false)),
         framed("cancelled", &ToLeader::Cancelled { job: job() }),
     ]
 }
--- a/crates/wire/tests/encodings/sample.rs
+++ b/crates/wire/tests/encodings/sample.rs
@@ -12,13 +12,13 @@
     /// Name in the fixtures.
     pub name: String,
     /// The value's `Debug` text.
-    pub content: String,
+    pub debug_text: String,
     /// Its encoding by this version.
     pub bytes: Vec<u8>,
     /// Decodes a value of this type.
-    pub read: fn(&[u8]) -> Decoded,
+    pub decode: fn(&[u8]) -> Decoded,
     /// Whether the test of changed fields includes it.
-    pub change_fields: bool,
+    pub mutate_fields: bool,
 }
 
 /// A sample of a body or of a record.
@@ -28,23 +28,23 @@
 {
     Sample {
         name: name.into(),
-        content: format!("{value:?}"),
+        debug_text: format!("{value:?}"),
         bytes: encode(value),
-        read: |bytes| {
+        decode: |bytes| {
             let value: T = decode(bytes).map_err(|e| e.to_string())?;
             Ok((format!("{value:?}"), encode(&value)))
         },
-        change_fields: false,
+        mutate_fields: false,
     }
 }
 
 /// A sample that represents its type in the test of changed fields.
-pub fn fields<T>(name: impl Into<String>, value: &T) -> Sample
+pub fn body_with_mutations<T>(name: impl Into<String>, value: &T) -> Sample
 where
     T: serde::Serialize + serde::de::DeserializeOwned + Debug,
 {
     Sample {
-        change_fields: true,
+        mutate_fields: true,
         ..body(name, value)
     }
 }
@@ -56,13 +56,13 @@
 {
     Sample {
         name: name.into(),
-        content: format!("{message:?}"),
+        debug_text: format!("{message:?}"),
         bytes: encode_frame(message),
-        read: |bytes| {
+        decode: |bytes| {
             let message: T = decode_frame(&bytes[LENGTH_BYTES..]).ok_or("no message")?;
             Ok((format!("{message:?}"), encode_frame(&message)))
         },
-        change_fields: false,
+        mutate_fields: false,
     }
 }
 
--- a/crates/wire/tests/encodings/store.rs
+++ b/crates/wire/tests/encodings/store.rs
@@ -1,6 +1,6 @@
 //! Samples of the state service's interface and of the records there.
 
-use crate::sample::{body, fields, Sample};
+use crate::sample::{body, body_with_mutations, Sample};
 use crate::users::{bare_job, job};
 use ciborium::cbor;
 use wire::store::{
@@ -31,13 +31,13 @@
         writes: vec![put(None), put(Some(7)), drop.clone()],
     };
     vec![
-        fields("store_condition", &condition),
-        fields("store_put", &put(None)),
-        fields("store_put_with_lease", &put(Some(7))),
-        fields("store_drop", &drop),
-        fields("store_txn", &txn),
+        body_with_mutations("store_condition", &condition),
+        body_with_mutations("store_put", &put(None)),
+        body_with_mutations("store_put_with_lease", &put(Some(7))),
+        body_with_mutations("store_drop", &drop),
+        body_with_mutations("store_txn", &txn),
         body("store_txn_empty", &Txn::default()),
-        fields("store_lease_ask", &LeaseAsk { ttl_ms: 5400 }),
+        body_with_mutations("store_lease_ask", &LeaseAsk { ttl_ms: 5400 }),
     ]
 }
 
@@ -70,14 +70,14 @@
     };
     let failed = vec!["lr/term".to_string()];
     vec![
-        fields("store_item", &item),
-        fields("store_page", &page),
-        fields("store_revision", &Revision { revision: 431 }),
-        fields("store_conflict", &Conflict { failed }),
-        fields("store_lease", &LeaseId { lease: 7 }),
-        fields("store_change_put", &put),
-        fields("store_change_drop", &dropped),
-        fields("store_changes", &changes),
+        body_with_mutations("store_item", &item),
+        body_with_mutations("store_page", &page),
+        body_with_mutations("store_revision", &Revision { revision: 431 }),
+        body_with_mutations("store_conflict", &Conflict { failed }),
+        body_with_mutations("store_lease", &LeaseId { lease: 7 }),
+        body_with_mutations("store_change_put", &put),
+        body_with_mutations("store_change_drop", &dropped),
+        body_with_mutations("store_changes", &changes),
     ]
 }
 
@@ -97,7 +97,10 @@
         samples.push(body(format!("record_full_{name}"), &record(job())));
         samples.push(body(format!("record_bare_{name}"), &record(bare_job())));
         let terminal = JobRecord::terminal(state, created_ms, &job());
-        samples.push(fields(format!("record_terminal_{name}"), &terminal));
+        samples.push(body_with_mutations(
+            format!("record_terminal_{name}"),
+            &terminal,
+        ));
     }
     samples
 }
@@ -135,16 +138,16 @@
         token: 41,
     };
     vec![
-        fields("progress_page", &progress),
+        body_with_mutations("progress_page", &progress),
         body("progress_page_empty", &ProgressPage::default()),
-        fields("roster_record", &roster_record("g8", true)),
-        fields("roster_page", &roster),
+        body_with_mutations("roster_record", &roster_record("g8", true)),
+        body_with_mutations("roster_page", &roster),
         body("roster_page_empty", &RosterPage::default()),
-        fields("binding", &binding),
-        fields("begun", &started_arrays),
+        body_with_mutations("binding", &binding),
+        body_with_mutations("begun", &started_arrays),
         body("begun_none", &StartedArraysRecord::default()),
-        fields("leader", &leader),
-        fields("term", &TermRecord { term: 1 << 33 }),
+        body_with_mutations("leader", &leader),
+        body_with_mutations("term", &TermRecord { term: 1 << 33 }),
     ]
 }
 
--- a/crates/wire/tests/encodings/users.rs
+++ b/crates/wire/tests/encodings/users.rs
@@ -1,6 +1,6 @@
 //! Samples of users' requests and their responses.
 
-use crate::sample::{body, fields, Sample};
+use crate::sample::{body, body_with_mutations, Sample};
 use wire::users::{Accepted, Job, JobState, Priority, Progress, Refusal, Shape};
 
 /// A job with every field; fields of the same type differ in their values.
@@ -84,16 +84,19 @@
             done: 12,
             running: 3,
         };
-        samples.push(fields(format!("accepted_{name}"), &accepted));
-        samples.push(fields(format!("progress_{name}"), &progress));
+        samples.push(body_with_mutations(format!("accepted_{name}"), &accepted));
+        samples.push(body_with_mutations(format!("progress_{name}"), &progress));
     }
     let error = "no such job".to_string();
-    samples.push(fields("refusal", &Refusal { error }));
+    samples.push(body_with_mutations("refusal", &Refusal { error }));
     samples
 }
 
 pub fn samples() -> Vec<Sample> {
-    let jobs = vec![fields("job", &job()), fields("job_bare", &bare_job())];
+    let jobs = vec![
+        body_with_mutations("job", &job()),
+        body_with_mutations("job_bare", &bare_job()),
+    ];
     jobs.into_iter()
         .chain(variants())
         .chain(responses())
--- a/crates/wire/tests/encodings/workers.rs
+++ b/crates/wire/tests/encodings/workers.rs
@@ -1,9 +1,9 @@
 //! Samples of heartbeats and orders.
 
-use crate::sample::{body, fields, Sample};
+use crate::sample::{body, body_with_mutations, Sample};
 use wire::workers::{Heartbeat, Order, Orders, Redirect, ReportedTask, TaskState, Why};
 
-pub const STATES: [(&str, TaskState); 5] = [
+pub const TASK_STATES: [(&str, TaskState); 5] = [
     ("fetching", TaskState::Fetching),
     ("waiting", TaskState::Waiting),
     ("running", TaskState::Running),
@@ -11,7 +11,7 @@
     ("exited", TaskState::Exited),
 ];
 
-pub const REASONS: [(&str, Why); 8] = [
+pub const EXIT_REASONS: [(&str, Why); 8] = [
     ("done", Why::Done),
     ("stopped", Why::Stopped),
     ("peers", Why::Peers),
@@ -49,18 +49,18 @@
 
 fn heartbeats() -> Vec<Sample> {
     let mut samples: Vec<Sample> = Vec::new();
-    for (name, state) in STATES {
+    for (name, state) in TASK_STATES {
         let task = reported_task(state, None, None);
         samples.push(body(format!("task_{name}"), &task));
     }
-    for (name, why) in REASONS {
+    for (name, why) in EXIT_REASONS {
         let task = reported_task(TaskState::Exited, Some(why), Some(false));
         samples.push(body(format!("task_exited_{name}"), &task));
     }
     let saved = reported_task(TaskState::Exited, Some(Why::Stopped), Some(true));
     let running = reported_task(TaskState::Running, None, None);
-    samples.push(fields("task_saved", &saved));
-    samples.push(fields(
+    samples.push(body_with_mutations("task_saved", &saved));
+    samples.push(body_with_mutations(
         "report",
         &heartbeat(vec![saved, running], Some(18.5)),
     ));
@@ -88,10 +88,10 @@
     };
     let member = Some("rung-2".to_string());
     vec![
-        fields("order_start", &start),
-        fields("order_stop", &stop),
-        fields("order_clear", &clear),
-        fields(
+        body_with_mutations("order_start", &start),
+        body_with_mutations("order_stop", &stop),
+        body_with_mutations("order_clear", &clear),
+        body_with_mutations(
             "orders",
             &Orders {
                 token: 41,
@@ -99,7 +99,7 @@
             },
         ),
         body("orders_none", &none),
-        fields("report_to", &Redirect { member }),
+        body_with_mutations("report_to", &Redirect { member }),
         body("report_to_nobody", &Redirect { member: None }),
     ]
 }
--- a/crates/wire/tests/examples.rs
+++ b/crates/wire/tests/examples.rs
@@ -18,7 +18,7 @@
 }
 
 /// Encodes a map with one of its fields replaced, or removed if there is no new value.
-fn change(map: &Value, key: &str, new: Option<Value>) -> Vec<u8> {
+fn with_field(map: &Value, key: &str, new: Option<Value>) -> Vec<u8> {
     let Value::Map(mut fields) = map.clone() else {
         panic!("not a map: {map:?}")
     };
@@ -40,9 +40,9 @@
     assert_eq!((job.zone.as_deref(), job.deadline_s), (None, Some(900.0)));
     job.check().unwrap();
     // A field that may be null may be absent; an amount may be an integer.
-    let bare: Job = decode(&change(&example_job(), "due_s", None)).unwrap();
+    let bare: Job = decode(&with_field(&example_job(), "due_s", None)).unwrap();
     assert_eq!(bare.deadline_s, None);
-    let whole: Job = decode(&change(&example_job(), "vcpus", Some(8.into()))).unwrap();
+    let whole: Job = decode(&with_field(&example_job(), "vcpus", Some(8.into()))).unwrap();
     assert_eq!(whole.cpus, 8.0);
 }
 
@@ -62,13 +62,13 @@
         "expected_s",
     ] {
         assert!(
-            decode::<Job>(&change(&job, key, None)).is_err(),
+            decode::<Job>(&with_field(&job, key, None)).is_err(),
             "without {key}"
         );
     }
-    assert!(decode::<Job>(&change(&job, "vcpus", Some("8".into()))).is_err());
-    assert!(decode::<Job>(&change(&job, "tickets", Some(1.5.into()))).is_err());
-    assert!(decode::<Job>(&change(&job, "vcpus", Some(f64::NAN.into()))).is_err());
+    assert!(decode::<Job>(&with_field(&job, "vcpus", Some("8".into()))).is_err());
+    assert!(decode::<Job>(&with_field(&job, "tickets", Some(1.5.into()))).is_err());
+    assert!(decode::<Job>(&with_field(&job, "vcpus", Some(f64::NAN.into()))).is_err());
     assert!(decode::<Job>(b"not cbor at all").is_err());
     assert!(decode::<Job>(&encode(&cbor!([1, 2]).unwrap())).is_err());
     // Deep nesting ends in an error before it exhausts the stack.
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn invalid_jobs_are_rejected_with_the_field_and_its_fault() {
+fn invalid_jobs_are_rejected_with_field_and_fault() {
     let job = example_job();
     let invalid_count = FieldFault::InvalidCount { max: MAX_TASKS };
     for (field, value, fault) in [
@@ -86,7 +86,7 @@
         ("vcpus", (-1.0).into(), FieldFault::InvalidAmount),
         ("name_id", "a/b".into(), FieldFault::InvalidId),
     ] {
-        let changed: Job = decode(&change(&job, field, Some(value))).unwrap();
+        let changed: Job = decode(&with_field(&job, field, Some(value))).unwrap();
         assert_eq!(changed.check(), Err(InvalidJob { field, fault }));
     }
 }
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_heartbeat_and_its_response_are_as_in_the_protocol() {
+fn heartbeats_and_orders_are_as_in_the_protocol() {
     let heartbeat = cbor!({"rung" => "host-000231", "addr" => "10.1.0.232:9000", "chassis" => "g8", "yard" => "a", "loaners" => true,
         "shift" => 1, "tick" => 88, "baton" => 41, "recall_s" => null,
         "tickets" => [{"ticket" => "wk-000412/3", "try" => 2, "standing" => "running"},
@@ -175,25 +175,25 @@
         "writes" => [{"write" => "a/b", "v" => {"x" => 1}, "permit" => 7}, {"drop" => "c/d"}]})
     .unwrap();
     assert_eq!(decode::<Value>(&encode(&txn)).unwrap(), expected);
-    let news =
+    let watch_response =
         cbor!({"ledger_rev" => 433, "news" => [{"write" => "c/9", "v" => {"x" => 1}, "stamp" => 433}, {"drop" => "c/d", "stamp" => 432}]})
             .unwrap();
-    let c: Changes = decode(&encode(&news)).unwrap();
+    let changes: Changes = decode(&encode(&watch_response)).unwrap();
     assert_eq!(
         (
-            c.revision,
-            c.changes[0].written_key.as_deref(),
-            c.changes[1].deleted_key.as_deref()
+            changes.revision,
+            changes.changes[0].written_key.as_deref(),
+            changes.changes[1].deleted_key.as_deref()
         ),
         (433, Some("c/9"), Some("c/d"))
     );
     let page = cbor!({"items" => [{"k" => "c/9", "v" => {"x" => 1}, "stamp" => 5}], "more" => true, "ledger_rev" => 431}).unwrap();
-    let p: Page = decode(&encode(&page)).unwrap();
-    assert!(p.more && p.items[0].version == 5);
+    let decoded: Page = decode(&encode(&page)).unwrap();
+    assert!(decoded.more && decoded.items[0].version == 5);
 }
 
 #[test]
-fn frames_between_controllers_reject_other_versions_and_garbage() {
+fn frames_of_other_versions_and_garbage_are_rejected() {
     let message = ToLeader::HandBack {
         job: "wk-1".into(),
         attempt: 9,
@@ -224,8 +224,8 @@
                 random as u8
             })
             .collect();
-        let inside = [vec![VERSION], noise].concat();
-        accepted += usize::from(decode_frame::<ToOwner>(&inside).is_some());
+        let payload = [vec![VERSION], noise].concat();
+        accepted += usize::from(decode_frame::<ToOwner>(&payload).is_some());
     }
     assert!(accepted < 1000, "too much garbage is decoded: {accepted}");
 }
--- a/crates/wire/tests/production.rs
+++ b/crates/wire/tests/production.rs
@@ -17,7 +17,7 @@
 use wire::store::{from_value, Value};
 
 /// The samples as production wrote them, by name.
-fn written() -> BTreeMap<&'static str, Vec<u8>> {
+fn production_bytes() -> BTreeMap<&'static str, Vec<u8>> {
     include_str!("production/written.txt")
         .lines()
         .map(|line| line.split_once(' ').unwrap())
@@ -26,16 +26,16 @@
 }
 
 /// Reads a record that production wrote.
-fn read<T: serde::de::DeserializeOwned>(name: &str) -> T {
-    let value: Value = decode(&written()[name]).unwrap();
+fn read_record<T: serde::de::DeserializeOwned>(name: &str) -> T {
+    let value: Value = decode(&production_bytes()[name]).unwrap();
     from_value(&value).unwrap()
 }
 
 /// Without the fields that production does not know, this version writes what production writes,
 /// byte for byte; so production can read it.
 #[test]
-fn records_and_frames_without_new_fields_equal_those_of_production() {
-    let written = written();
+fn encodings_equal_those_of_production() {
+    let written = production_bytes();
     let samples: Vec<Sample> = records().into_iter().chain(frames()).collect();
     assert_eq!(samples.len(), written.len());
     for (name, bytes) in samples {
@@ -50,32 +50,35 @@
         ("job_done", Recorded::Done),
         ("job_cancelled", Recorded::Cancelled),
     ] {
-        let record: JobRecord = read(name);
+        let record: JobRecord = read_record(name);
         assert_eq!(record.state, state);
         assert_eq!(record.job, job_record(state).job);
         assert!(record.job.dependencies.is_empty());
     }
-    assert_eq!(read::<ProgressPage>("progress_page"), progress_page());
-    assert_eq!(read::<RosterPage>("roster_page"), roster_page());
-    assert_eq!(read::<BindingRecord>("binding"), binding_record());
     assert_eq!(
-        read::<StartedArraysRecord>("begun"),
+        read_record::<ProgressPage>("progress_page"),
+        progress_page()
+    );
+    assert_eq!(read_record::<RosterPage>("roster_page"), roster_page());
+    assert_eq!(read_record::<BindingRecord>("binding"), binding_record());
+    assert_eq!(
+        read_record::<StartedArraysRecord>("begun"),
         started_arrays_record()
     );
-    assert_eq!(read::<LeaderRecord>("leader").token, 41);
-    assert_eq!(read::<TermRecord>("term").term, 41);
+    assert_eq!(read_record::<LeaderRecord>("leader").token, 41);
+    assert_eq!(read_record::<TermRecord>("term").term, 41);
 }
 
 #[test]
 fn frames_of_production_are_decoded() {
-    let written = written();
+    let written = production_bytes();
     for (name, message) in to_owner() {
-        let inside = &written[name][LENGTH_BYTES..];
-        assert_eq!(decode_frame::<ToOwner>(inside), Some(message), "{name}");
+        let payload = &written[name][LENGTH_BYTES..];
+        assert_eq!(decode_frame::<ToOwner>(payload), Some(message), "{name}");
     }
     for (name, message) in to_leader() {
-        let inside = &written[name][LENGTH_BYTES..];
-        assert_eq!(decode_frame::<ToLeader>(inside), Some(message), "{name}");
+        let payload = &written[name][LENGTH_BYTES..];
+        assert_eq!(decode_frame::<ToLeader>(payload), Some(message), "{name}");
     }
 }
 
@@ -105,7 +108,7 @@
 
 /// The record of a terminal job is reduced, but keeps everything that production requires.
 #[test]
-fn a_terminal_record_has_all_fields_that_production_requires() {
+fn terminal_records_keep_fields_production_requires() {
     let mut job = job_record(Recorded::Open).job;
     job.dependencies = vec!["wk-000001".into()];
     let record = JobRecord::terminal(Recorded::Done, 5, &job);
@@ -125,7 +128,7 @@
 
 /// Production requires `chunks` in each page of progress, also if it is empty.
 #[test]
-fn a_progress_page_with_only_sections_still_has_the_field_chunks() {
+fn progress_pages_always_have_the_field_chunks() {
     let page = ProgressPage {
         chunks: Vec::new(),
         sections: vec![("wk-000500".into(), 4096, "05".into())],
