--- a/crates/wire/src/cbor.rs
+++ b/crates/wire/src/cbor.rs
@@ -1,27 +1,27 @@
 //! CBOR encoding and decoding through serde.
 //!
-//! The protocol defines amounts (CPUs, gigabytes, seconds) as decimals, but senders may write a
+//! The protocol defines amounts (CPUs, gigabytes, seconds) as floats, but senders may encode a
 //! whole number as an integer; [`amount`] and [`optional_amount`] accept both.
 
 use serde::de::{Deserializer, Error, Visitor};
 use serde::{de::DeserializeOwned, Serialize};
 use std::fmt;
 
-/// Deepest nesting of arrays and maps that is decoded.
+/// Maximum nesting depth of arrays and maps that is decoded.
 const RECURSION_LIMIT: usize = 16;
 
-/// Initial capacity for an encoded value, in bytes; most bodies fit.
+/// Initial capacity of the buffer for an encoded value, in bytes. Most bodies fit.
 const TYPICAL_BODY_BYTES: usize = 128;
 
-/// A body that could not be decoded, with the decoder's description of the fault.
+/// Error for a body that can't be decoded, with the decoder's message.
 #[derive(Debug, thiserror::Error)]
 #[error("malformed body: {0}")]
 pub struct DecodeError(pub String);
 
-/// Encodes a value as CBOR.
+/// Returns a value encoded as CBOR.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     let mut out = Vec::with_capacity(TYPICAL_BODY_BYTES);
-    // Writing to memory fails only for values that CBOR can't represent; no type here has any.
+    // Writing to memory fails only for values that CBOR can't represent, which no type here has.
     if ciborium::into_writer(value, &mut out).is_err() {
         out.clear();
     }
@@ -30,13 +30,13 @@
 
 /// Decodes a value from CBOR.
 ///
-/// The depth of nesting is limited, so that a hostile body can't exhaust the stack.
+/// The nesting depth is limited, so that a hostile body can't exhaust the stack.
 pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, DecodeError> {
     ciborium::de::from_reader_with_recursion_limit(body, RECURSION_LIMIT)
         .map_err(|error| DecodeError(error.to_string()))
 }
 
-/// Accepts a finite decimal or an integer.
+/// Visitor that accepts a finite float or an integer.
 struct AmountVisitor;
 
 impl Visitor<'_> for AmountVisitor {
@@ -63,7 +63,7 @@
     }
 }
 
-/// Accepts what [`AmountVisitor`] accepts, or null.
+/// Visitor that accepts null and everything that [`AmountVisitor`] accepts.
 struct OptionalAmountVisitor;
 
 impl<'de> Visitor<'de> for OptionalAmountVisitor {
@@ -86,12 +86,12 @@
     }
 }
 
-/// Deserializes an amount: a finite decimal or an integer. For `deserialize_with`.
+/// Deserializes an amount, which is a finite float or an integer. For use in `deserialize_with`.
 pub fn amount<'de, D: Deserializer<'de>>(deserializer: D) -> Result<f64, D::Error> {
     deserializer.deserialize_any(AmountVisitor)
 }
 
-/// Deserializes an amount that may be null. For `deserialize_with`.
+/// Deserializes an amount that may be null. For use in `deserialize_with`.
 pub fn optional_amount<'de, D: Deserializer<'de>>(
     deserializer: D,
 ) -> Result<Option<f64>, D::Error> {
--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A machine type that the cloud offers. Also part of the controllers' own messages.
+/// Machine type that the cloud offers. Also sent between controllers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, bitcode::Encode, bitcode::Decode)]
 pub struct MachineType {
     /// Name of the type, unique in the catalog.
@@ -22,13 +22,13 @@
     /// Rate at which images are fetched, in gigabytes per second.
     #[serde(rename = "pull_gb_per_s", deserialize_with = "crate::cbor::amount")]
     pub fetch_gb_per_s: f64,
-    /// Price of an ordinary machine per hour.
+    /// Price of an on-demand machine per hour.
     #[serde(rename = "hourly", deserialize_with = "crate::cbor::amount")]
     pub price: f64,
     /// Price of a spot machine per hour.
     #[serde(deserialize_with = "crate::cbor::amount")]
     pub spot_price: f64,
-    /// Typical time from the provision request until the machine runs, in seconds.
+    /// Typical time from the provision request until the machine is running, in seconds.
     #[serde(deserialize_with = "crate::cbor::amount")]
     pub boot_s: f64,
     /// Zones in which the type is offered.
@@ -39,7 +39,7 @@
 /// All machine types of the cloud.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Catalog {
-    /// The types, in the cloud's order.
+    /// The machine types, in the order of the cloud's response.
     #[serde(rename = "chassis_list")]
     pub types: Vec<MachineType>,
 }
@@ -47,8 +47,8 @@
 /// Request for new machines.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ProvisionRequest {
-    /// Idempotency key: a repeated request with the same name provisions nothing more. A name is
-    /// never reused for another purpose.
+    /// Idempotency key: a repeated request with the same name provisions no further machines. A
+    /// name is never reused for a different request.
     #[serde(rename = "hire")]
     pub name: String,
     /// Name of the machine type.
@@ -64,7 +64,7 @@
     pub count: u32,
 }
 
-/// Machine names: the response to a provision request, and the body of a release.
+/// Machine names: the response to a provision request, and the body of a release request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Names {
     /// Names of the machines.
@@ -72,19 +72,19 @@
     pub machines: Vec<String>,
 }
 
-/// State of a machine in the cloud's list. It is never proof that the machine's tasks have ended.
+/// State of a machine in the cloud's list. No state proves that the machine's tasks have ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Listed {
-    /// Provisioned, not running yet.
+    /// Provisioned, but not running yet.
     Booting,
     /// Running.
     Running,
-    /// Failed to boot, or broken.
+    /// The machine failed to boot or is broken.
     Failed,
 }
 
-/// One machine of the cloud's list.
+/// Entry of the cloud's list of machines.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ListedMachine {
     /// Name of the machine.
@@ -99,7 +99,7 @@
     /// Whether it is a spot machine.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// Its state, as the cloud last saw it.
+    /// Its state, as last observed by the cloud.
     #[serde(rename = "standing")]
     pub state: Listed,
     /// Time since it was provisioned, in seconds.
@@ -107,7 +107,7 @@
     pub age_s: f64,
 }
 
-/// One page of the cloud's list of machines.
+/// Page of the cloud's list of machines.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MachineList {
     /// The machines of this page.
--- a/crates/wire/src/peers.rs
+++ b/crates/wire/src/peers.rs
@@ -1,10 +1,10 @@
-//! Messages on the controllers' own port: length-prefixed bitcode frames.
+//! Messages between controllers, sent over their own port as length-prefixed bitcode frames.
 //!
-//! A frame consists of its length in four bytes (big endian, without these four), one byte of
-//! version, and the message. A frame of an unknown version, or one that can't be decoded, ends the
+//! A frame consists of its length in four bytes (big endian, not counting these four), a version
+//! byte, and the message. A frame of another version, or one that can't be decoded, ends the
 //! connection. The order of fields and variants is part of the format.
 //!
-//! Tasks of one job are listed as runs `(first index, number of tasks)`; places on machines as
+//! Tasks of one job are listed as runs `(first index, number of tasks)`, and their placements as
 //! `(machine, first index, number of tasks)`.
 
 use crate::cloud::MachineType;
@@ -14,27 +14,27 @@
 /// Version of this format. Controllers with different versions don't communicate.
 pub const VERSION: u8 = 3;
 
-/// Largest frame that is accepted, in bytes.
+/// Maximum size of a frame that is accepted, in bytes.
 pub const FRAME_LIMIT: usize = 1 << 20;
 
-/// Size of the length at the start of a frame, in bytes.
+/// Size of the length prefix of a frame, in bytes.
 pub const LENGTH_BYTES: usize = 4;
 
 /// Size of the version that precedes the message, in bytes.
 const VERSION_BYTES: usize = 1;
 
-/// One attempt of a task.
+/// Identifies one attempt of a task.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct TaskRef {
     /// Id of the job.
     pub job: String,
     /// Index of the task in its job.
     pub index: u32,
-    /// Number of the attempt, unique among all leaders.
+    /// Attempt number, unique across all leaders.
     pub attempt: u64,
 }
 
-/// What a task needs of its machine, and where it may run.
+/// Resources that a task requires, and the machines on which it may run.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct TaskRequirements {
     /// CPUs.
@@ -53,21 +53,21 @@
     pub zone: Option<String>,
 }
 
-/// A machine type on which a task may run.
+/// Machine type on which a task may run, as spot or on-demand machines.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct AllowedMachineType {
     /// Name of the machine type.
     pub kind: String,
-    /// Whether this is about its spot machines or its ordinary ones.
+    /// Whether spot machines of the type are meant, or on-demand ones.
     pub spot: bool,
-    /// Preference; a lower tier is preferred.
+    /// Preference tier; a lower tier is preferred.
     pub tier: u8,
 }
 
-/// A machine as the owner of its shard sees it.
+/// Status of a machine, as observed by the owner of its shard.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct MachineStatus {
-    /// Fencing token of the epoch in which this was observed.
+    /// Fencing token of the epoch in which the status was observed.
     pub token: u64,
     /// Name of the machine.
     pub name: String,
@@ -79,35 +79,37 @@
     pub spot: bool,
     /// Incarnation of its worker.
     pub incarnation: u64,
-    /// Whether its lease has certainly ended and no newer incarnation has sent a heartbeat.
+    /// Whether the worker's lease has certainly expired and no newer incarnation has sent a
+    /// heartbeat.
     pub lease_expired: bool,
-    /// Seconds until the cloud takes the machine back, once it has given notice.
+    /// Time until the cloud reclaims the machine, in seconds; none until it has given notice.
     pub notice_s: Option<f64>,
-    /// Tasks in the newest heartbeat that counts.
+    /// Tasks in the newest heartbeat that the owner has accepted.
     pub tasks: Vec<TaskStatus>,
-    /// Decided starts that no heartbeat has confirmed or ruled out yet.
+    /// Tasks that the owner has decided to start, and whose start no heartbeat has confirmed or
+    /// ruled out yet.
     pub pending: Vec<TaskRef>,
-    /// Whether the owner may still place tasks there, by the leader's last message.
+    /// Whether the owner may place tasks there, according to the leader's last message.
     pub usable: bool,
-    /// Whether its heartbeats arrive while the responses don't reach it. Nothing is placed there
-    /// meanwhile.
+    /// Whether its heartbeats arrive but the responses don't reach it. No tasks are placed there
+    /// while this is so.
     pub unreachable: bool,
 }
 
-/// A task in a [`MachineStatus`].
+/// Status of a task in a [`MachineStatus`].
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct TaskStatus {
     /// The task and its attempt.
     pub task: TaskRef,
     /// Its state.
     pub state: TaskState,
-    /// Why it exited; only with [`TaskState::Exited`].
+    /// Reason why it exited; only with [`TaskState::Exited`].
     pub why: Option<Why>,
     /// Whether it saved its state before it stopped.
     pub saved: bool,
 }
 
-/// A machine that the leader assigns to an owner's shard.
+/// Machine that the leader assigns to an owner's shard.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct MachineDescriptor {
     /// Name of the machine.
@@ -122,20 +124,20 @@
     pub usable: bool,
 }
 
-/// A message from the leader to the owner of a shard.
+/// Message from the leader to the owner of a shard.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum ToOwner {
     /// Begins an epoch.
     Epoch {
         /// Fencing token of the epoch.
         token: u64,
-        /// Token of the preceding epoch if the owner keeps its records; any other owner starts
-        /// without records.
+        /// Token of the previous epoch, or 0 if the owner has to start with empty state. An owner
+        /// that was not in that epoch also starts with empty state.
         previous_token: u64,
         /// Owners of the epoch; they determine the shards.
         members: Vec<String>,
-        /// Milliseconds after the receipt until no earlier owner can respond to heartbeats any
-        /// more.
+        /// Time from the receipt until no previous owner can still respond to heartbeats, in
+        /// milliseconds.
         extra_ms: u64,
         /// Machines of the owner's shard.
         machines: Vec<MachineDescriptor>,
@@ -145,17 +147,17 @@
         /// All machine types.
         types: Vec<MachineType>,
     },
-    /// Response to a ping: extends the owner's authority.
+    /// Response to a ping that extends the owner's authority.
     Grant {
         /// Number of the ping.
         n: u64,
         /// Fencing token of the epoch.
         token: u64,
-        /// How long the authority lasts, in milliseconds from the sending of the ping.
+        /// Validity of the authority, in milliseconds from the time at which the ping was sent.
         valid_ms: u64,
     },
-    /// Response to a ping: the age of the leader's view of the store. It is sent after everything
-    /// that follows from that view, so an owner that reads it has read the rest.
+    /// Response to a ping with the age of the leader's view of the store. It is sent after all
+    /// messages that follow from that view, so an owner that has read it has read those as well.
     ViewAge {
         /// Number of the ping.
         n: u64,
@@ -186,7 +188,7 @@
         tasks: Vec<(u32, u32)>,
     },
     /// Tasks of an array to start on the first machine of the shard whose heartbeat shows enough
-    /// capacity. Those not started in time are handed back.
+    /// free capacity. Tasks that are not started in time are handed back.
     AssignBacklog {
         /// Id of the job.
         job: String,
@@ -196,7 +198,7 @@
         requirements: TaskRequirements,
         /// Runs of tasks.
         tasks: Vec<(u32, u32)>,
-        /// How long the owner keeps them, in milliseconds from the receipt.
+        /// Time for which the owner keeps them, in milliseconds from the receipt.
         wait_ms: u64,
     },
     /// Reserves capacity for tasks of a gang.
@@ -207,9 +209,9 @@
         attempt: u64,
         /// What each task requires.
         requirements: TaskRequirements,
-        /// Places of the tasks.
+        /// Placements of the tasks.
         places: Vec<(String, u32, u32)>,
-        /// How long the reservation lasts, in milliseconds from the receipt.
+        /// Time for which the reservation lasts, in milliseconds from the receipt.
         wait_ms: u64,
     },
     /// Starts the tasks of a reservation.
@@ -228,43 +230,44 @@
         machine: String,
         /// The task and its attempt.
         task: TaskRef,
-        /// Time that the task has to save its state, in seconds.
+        /// Grace period in which the task may save its state, in seconds.
         grace_s: f64,
     },
-    /// Removes an exited task from its machine; its exit has been recorded.
+    /// Removes an exited task from its machine, because its exit has been recorded.
     Clear {
         /// Machine on which it ran.
         machine: String,
         /// The task and its attempt.
         task: TaskRef,
     },
-    /// Running tasks, for the responses to users' queries.
+    /// Numbers of running tasks, for the responses to users' queries.
     RunningCounts {
-        /// Job and the number of its running tasks.
+        /// Job id and number of running tasks.
         running: Vec<(String, u32)>,
     },
 }
 
-/// A message to the leader from the owner of a shard, or from a controller that offers to be one.
+/// Message to the leader from the owner of a shard, or from a controller that offers to become one.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum ToLeader {
     /// First message of a connection.
     Hello {
         /// Name of the controller.
         member: String,
-        /// Identifies the controller's process.
+        /// Identifier of the controller's process.
         process: u64,
-        /// Number of the connection among those of this process; a lower one is stale.
+        /// Sequence number of the connection within the process. A connection with a lower number
+        /// is stale.
         sequence: u64,
     },
-    /// Asks for [`ToOwner::Grant`] and [`ToOwner::ViewAge`].
+    /// Requests [`ToOwner::Grant`] and [`ToOwner::ViewAge`].
     Ping {
         /// Number of the ping.
         n: u64,
     },
     /// Machines whose status has changed.
     MachineStatuses(Vec<MachineStatus>),
-    /// Assigned tasks that the owner did not start and does not keep.
+    /// Returns assigned tasks that the owner has not started and does not keep.
     HandBack {
         /// Id of the job.
         job: String,
@@ -277,18 +280,18 @@
     ReserveResult {
         /// Attempt of the reservation.
         attempt: u64,
-        /// Whether all of the capacity is reserved.
+        /// Whether capacity is reserved for all tasks.
         reserved: bool,
     },
-    /// This controller has confirmed a cancellation, which the leader may not have read from the
-    /// store yet.
+    /// The sender has confirmed a cancellation, which the leader may not have read from the store
+    /// yet.
     Cancelled {
         /// Id of the job.
         job: String,
     },
 }
 
-/// Encodes a message as a frame.
+/// Returns a message encoded as a frame.
 pub fn encode_frame<T: Encode>(message: &T) -> Vec<u8> {
     let body = bitcode::encode(message);
     let length = (body.len() + VERSION_BYTES) as u32;
@@ -299,8 +302,8 @@
     out
 }
 
-/// Decodes what follows a frame's length: version and message. `None` if the version is another or
-/// the message can't be decoded.
+/// Decodes the part of a frame that follows its length: version and message. Returns `None` if the
+/// version differs from [`VERSION`] or the message can't be decoded.
 pub fn decode_frame<T: for<'a> Decode<'a>>(payload: &[u8]) -> Option<T> {
     let (version, body) = payload.split_first()?;
     if *version != VERSION {
--- a/crates/wire/src/store.rs
+++ b/crates/wire/src/store.rs
@@ -1,12 +1,12 @@
-//! The state service's interface, and the records that the controllers keep there.
+//! Messages of the state service, and the records that the controllers store there.
 
 use crate::users::Job;
 use serde::{Deserialize, Serialize};
 
-/// Any CBOR value; what the store keeps under a key.
+/// Any CBOR value, which is what the store holds under a key.
 pub use ciborium::Value;
 
-/// A key with its value.
+/// Key with its value.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Item {
     /// The key.
@@ -20,10 +20,10 @@
     pub version: u64,
 }
 
-/// One page of the keys with a prefix, in the order of the keys.
+/// Page of the keys that have a prefix, in key order.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Page {
-    /// The keys of this page.
+    /// The keys of this page with their values.
     pub items: Vec<Item>,
     /// Whether another page follows.
     #[serde(default)]
@@ -33,18 +33,18 @@
     pub revision: u64,
 }
 
-/// Condition of a transaction: a key is at a version.
+/// Condition of a transaction: a key has a given version.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Condition {
     /// The key.
     #[serde(rename = "k")]
     pub key: String,
-    /// Version that it has to have; 0 if it must not exist.
+    /// Version that the key must have; 0 if the key must not exist.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
 
-/// One change in a transaction.
+/// Write of one key in a transaction.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Write {
@@ -56,7 +56,8 @@
         /// Its new value.
         #[serde(rename = "v")]
         value: Value,
-        /// Lease with which the key is deleted; none if it is to stay.
+        /// Lease to which the key is attached, so that both end together; none if the key stays
+        /// until it is deleted.
         #[serde(rename = "permit", skip_serializing_if = "Option::is_none", default)]
         lease: Option<u64>,
     },
@@ -68,7 +69,7 @@
     },
 }
 
-/// A transaction: all writes are applied if all conditions hold, and none otherwise.
+/// Transaction: all writes are applied if all conditions hold, and none otherwise.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Txn {
     /// The conditions.
@@ -97,7 +98,7 @@
 /// Request for a lease.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LeaseAsk {
-    /// Time to live without a renewal, in milliseconds.
+    /// Time to live of the lease without a renewal, in milliseconds.
     pub ttl_ms: u64,
 }
 
@@ -109,7 +110,7 @@
     pub lease: u64,
 }
 
-/// A change of a key in a watch's response: either `written_key` or `deleted_key` is present.
+/// Change of a key, in the response to a watch. Either `written_key` or `deleted_key` is present.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Change {
     /// Key that was written.
@@ -129,7 +130,7 @@
 /// Response to a watch.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Changes {
-    /// Revision up to which the changes are complete.
+    /// Revision up to which the list of changes is complete.
     #[serde(rename = "ledger_rev")]
     pub revision: u64,
     /// The changes since the requested revision.
@@ -137,11 +138,11 @@
     pub changes: Vec<Change>,
 }
 
-/// State of a job in its record, which is the only authority on it.
+/// State of a job in its record, which is the only source of truth for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Recorded {
-    /// Accepted, and neither done nor cancelled.
+    /// Accepted, but neither done nor cancelled yet.
     Open,
     /// Every task is done. Terminal.
     Done,
@@ -149,21 +150,21 @@
     Cancelled,
 }
 
-/// Record of a job.
+/// Stored record of a job.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct JobRecord {
     /// State of the job.
     pub state: Recorded,
-    /// Unix time of the acceptance, in milliseconds. Informational only: the controllers' clocks
-    /// differ.
+    /// Unix time of the acceptance, in milliseconds. Informational only, because the controllers'
+    /// clocks differ.
     pub created_ms: u64,
     /// The job as its user submitted it.
     pub job: Job,
 }
 
 impl JobRecord {
-    /// The record of a terminal job, without the fields that only an open job needs, so that it
-    /// fits also if the store's limit of a value has been lowered since the job was accepted.
+    /// Returns the record of a terminal job. It lacks the fields that only an open job needs, so
+    /// that it fits even if the store's limit for values was lowered after the job was accepted.
     pub fn terminal(state: Recorded, created_ms: u64, job: &Job) -> JobRecord {
         let job = Job {
             types: None,
@@ -178,92 +179,93 @@
     }
 }
 
-/// Which tasks of some jobs are done, as bitmaps in hexadecimal. If a job has several bitmaps,
-/// their union counts.
+/// Page of progress records: which tasks of some jobs are done, as bitmaps in hexadecimal. If a job
+/// has several bitmaps, their union is valid.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ProgressPage {
-    /// Job, number of the chunk, bitmap. Up to version 0.1 a chunk began at its number times a size
-    /// from the settings. Chunk 0 begins at task 0 with any size, so only chunk 0 is written now.
+    /// Job id, chunk number and bitmap. Up to version 0.1, a chunk began at its number multiplied
+    /// by a chunk size from the settings. Chunk 0 begins at task 0 whatever the size, so only chunk
+    /// 0 is written now.
     pub chunks: Vec<(String, u32, String)>,
-    /// Job, first task, bitmap: those that do not begin at task 0. Version 0.1 ignores this field,
-    /// and would run these tasks once more.
+    /// Job id, first task and bitmap, for bitmaps that do not begin at task 0. Version 0.1 ignores
+    /// this field, and would run these tasks again.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub sections: Vec<(String, u32, String)>,
 }
 
-/// The leader's key, attached to its lease.
+/// Record of the leader, attached to the leader's lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaderRecord {
     /// Name of the controller that leads.
     pub member: String,
-    /// Fencing token with which it took the leadership.
+    /// Fencing token with which it became the leader.
     pub token: u64,
 }
 
-/// The durable term: the highest fencing token ever issued.
+/// Durable record of the highest fencing token ever issued.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TermRecord {
-    /// That token.
+    /// The token.
     pub term: u64,
 }
 
-/// What machines on the roster have in common. A machine is on the roster while tasks may have been
-/// started there.
+/// Attributes of machines on the roster. A machine is on the roster while tasks may have been
+/// started on it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RosterRecord {
     /// Name of the machine type.
     pub kind: String,
-    /// Zone.
+    /// Zone of the machines.
     pub zone: String,
-    /// Whether they are spot machines.
+    /// Whether the machines are spot machines.
     pub spot: bool,
 }
 
-/// One page of the roster.
+/// Page of the roster.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RosterPage {
-    /// Machine names, grouped by what the machines have in common.
+    /// Machine names, grouped by the machines' attributes.
     pub groups: Vec<(RosterRecord, Vec<String>)>,
 }
 
-/// The arrays of which tasks may have been started: those accepted up to a revision, except those
-/// that are listed as waiting. A later leader need not reconcile machines for any other array.
+/// Arrays of which tasks may have been started: those accepted up to a revision, except those
+/// listed as waiting. A later leader doesn't have to reconcile machines for other arrays.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StartedArraysRecord {
-    /// Newest revision of acceptance that is included.
+    /// Newest acceptance revision that is included.
     pub upto: u64,
-    /// Revisions up to `upto` at which an array was accepted that has certainly not started.
+    /// Acceptance revisions up to `upto` of arrays of which certainly no task has been started.
     #[serde(default)]
     pub waiting: Vec<u64>,
 }
 
 impl StartedArraysRecord {
-    /// Whether tasks of an array accepted at this revision may have been started.
+    /// Returns whether tasks of an array accepted at this revision may have been started.
     pub fn covers(&self, revision: u64) -> bool {
         revision <= self.upto && !self.waiting.contains(&revision)
     }
 }
 
-/// Where a gang was bound. Written before any of its tasks starts.
+/// Placement of a gang. It is written before any of the gang's tasks starts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BindingRecord {
     /// Attempt of the gang.
     pub attempt: u64,
-    /// Machine, index of the first task, number of tasks.
+    /// Machine, index of the first task, and number of tasks.
     pub places: Vec<(String, u32, u32)>,
 }
 
-/// The size of a value as the store counts it, in bytes.
+/// Returns the size of a value as the store counts it, in bytes.
 pub fn value_bytes(value: &Value) -> usize {
     crate::cbor::encode(value).len()
 }
 
-/// Converts a record to a value for the store.
+/// Converts a record to a store value.
 pub fn to_value<T: Serialize>(record: &T) -> Value {
     Value::serialized(record).unwrap_or(Value::Null)
 }
 
-/// Converts a value of the store to a record; `None` if it is not one.
+/// Converts a store value to a record. Returns `None` if the value is not such a record.
 pub fn from_value<T: serde::de::DeserializeOwned>(value: &Value) -> Option<T> {
     value.deserialized().ok()
 }
--- a/crates/wire/src/users.rs
+++ b/crates/wire/src/users.rs
@@ -1,24 +1,25 @@
-//! Messages of users: submissions, queries and cancellations, and their responses.
+//! Messages to and from users: submissions, and the responses to submissions, queries and
+//! cancellations.
 
 use serde::{Deserialize, Deserializer, Serialize};
 use std::collections::HashSet;
 
-/// Largest number of tasks of one job.
+/// Maximum number of tasks in a job.
 pub const MAX_TASKS: u32 = 100_000;
 
-/// Longest job id, in bytes.
+/// Maximum length of a job id, in bytes.
 const MAX_ID_BYTES: usize = 100;
 
-/// Longest name of a class, team, image, machine type or zone, in bytes.
+/// Maximum length of the name of a class, team, image, machine type or zone, in bytes.
 const MAX_NAME_BYTES: usize = 200;
 
-/// Most machine types that one job may list.
+/// Maximum number of machine types that a job may list.
 const MAX_TYPES: usize = 100;
 
-/// Largest amount of any kind that is accepted; real ones are far below it.
+/// Maximum of every amount in a job, in the unit of its field. Real amounts are far below it.
 const MAX_AMOUNT: f64 = 1e12;
 
-/// How a job's tasks belong together.
+/// Shape of a job: how its tasks are started together, and whether they end by themselves.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, bitcode::Encode, bitcode::Decode,
 )]
@@ -26,15 +27,15 @@
     /// Independent tasks.
     #[serde(rename = "array")]
     Array,
-    /// All tasks run at the same time or none does.
+    /// Gang-scheduled tasks: all of them run at the same time, or none does.
     #[serde(rename = "ensemble")]
     Gang,
-    /// Independent tasks that run until their user cancels the job.
+    /// Independent tasks that run until the user cancels the job.
     #[serde(rename = "service")]
     Service,
 }
 
-/// Priority of a job. The order of the variants is the order of the queue, most urgent first.
+/// Priority of a job. The variants are in the order of the queue, most urgent first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Priority {
@@ -42,13 +43,13 @@
     Prod,
     /// Urgent work.
     High,
-    /// The usual priority.
+    /// Ordinary work.
     Standard,
-    /// Work without urgency.
+    /// Work that is not urgent.
     BestEffort,
 }
 
-/// A job as its user describes it. All resources and durations are those of one task.
+/// Job as submitted by its user. Resources and durations, except for the deadline, are per task.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Job {
     /// Id of the job, chosen by its user; see [`is_valid_job_id`].
@@ -57,10 +58,10 @@
     /// Class of the job, to which the service objectives refer.
     #[serde(rename = "docket")]
     pub class: String,
-    /// Team that is charged for the job.
+    /// Team whose quota the job is charged to.
     #[serde(rename = "crew")]
     pub team: String,
-    /// How the tasks belong together.
+    /// Shape of the job.
     pub shape: Shape,
     /// Priority in the queue.
     #[serde(rename = "urgency")]
@@ -68,10 +69,10 @@
     /// Number of tasks.
     #[serde(rename = "tickets")]
     pub tasks: u32,
-    /// CPUs.
+    /// Number of CPUs.
     #[serde(rename = "vcpus", deserialize_with = "crate::cbor::amount")]
     pub cpus: f64,
-    /// GPUs.
+    /// Number of GPUs.
     #[serde(deserialize_with = "crate::cbor::amount")]
     pub gpus: f64,
     /// Memory, in gigabytes.
@@ -83,10 +84,10 @@
     /// Size of the image, in gigabytes.
     #[serde(deserialize_with = "crate::cbor::amount")]
     pub image_gb: f64,
-    /// Machine types on which the tasks may run; any if absent.
+    /// Names of the machine types on which the tasks may run; any type if absent.
     #[serde(rename = "chassis_list", default)]
     pub types: Option<Vec<String>>,
-    /// Zone in which the tasks have to run; any if absent.
+    /// Zone in which the tasks have to run; any zone if absent.
     #[serde(rename = "yard", default)]
     pub zone: Option<String>,
     /// Whether all tasks have to run in the same zone.
@@ -96,23 +97,25 @@
     /// Whether the tasks may run on spot machines.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// Expected run time, in seconds.
+    /// Expected run time of a task, in seconds.
     #[serde(rename = "expected_s", deserialize_with = "crate::cbor::amount")]
     pub estimate_s: f64,
     /// Interval between checkpoints, in seconds; 0 if the tasks can't save their state.
     #[serde(rename = "bookmark_s", deserialize_with = "crate::cbor::amount")]
     pub checkpoint_s: f64,
-    /// Time to save the state when a task is stopped, in seconds.
+    /// Time that a task takes to save its state when it is stopped, in seconds.
     #[serde(rename = "stash_s", deserialize_with = "crate::cbor::amount")]
     pub save_s: f64,
-    /// Time from the submission by which the job should be done, in seconds; none if absent.
+    /// Time after the submission by which the job should be done, in seconds; no deadline if
+    /// absent.
     #[serde(
         rename = "due_s",
         default,
         deserialize_with = "crate::cbor::optional_amount"
     )]
     pub deadline_s: Option<f64>,
-    /// Jobs that have to be done before any task of this one starts, without duplicates.
+    /// Ids of the jobs that have to be done before any task of this one starts, without
+    /// duplicates.
     #[serde(
         rename = "awaits",
         default,
@@ -122,7 +125,8 @@
     pub dependencies: Vec<String>,
 }
 
-/// Deserializes a list of ids that may be null, and drops duplicates.
+/// Deserializes a list of ids that may be null, and removes duplicates. For use in
+/// `deserialize_with`.
 fn distinct_ids<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<String>, D::Error> {
     let listed = Option::<Vec<String>>::deserialize(deserializer)?.unwrap_or_default();
     let mut seen = HashSet::new();
@@ -130,38 +134,38 @@
     Ok(distinct.collect())
 }
 
-/// A job that breaks a rule of the protocol. Its text is part of the response to the user.
+/// Error for a job that violates a rule of the protocol. Its text is sent to the user.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: {fault}")]
 pub struct InvalidJob {
     /// Name of the field on the wire.
     pub field: &'static str,
-    /// Which rule its value breaks.
+    /// Rule that its value violates.
     pub fault: FieldFault,
 }
 
-/// The rule that the value of a job's field breaks.
+/// Rule that the value of a job's field violates.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FieldFault {
-    /// The job's own id is not valid; see [`is_valid_job_id`].
+    /// The job's own id is invalid; see [`is_valid_job_id`].
     #[error("not a job id")]
     InvalidId,
-    /// The id of a dependency is not valid; see [`is_valid_job_id`].
+    /// The id of a dependency is invalid; see [`is_valid_job_id`].
     #[error("{0:?} is not a job id")]
     InvalidDependency(String),
     /// A name is empty, longer than the limit, or contains whitespace or control characters.
     #[error("must be 1 to {max_bytes} bytes without spaces")]
     InvalidName {
-        /// Longest name that is allowed, in bytes.
+        /// Maximum length of the name, in bytes.
         max_bytes: usize,
     },
-    /// The number of tasks is 0 or above the limit.
+    /// The number of tasks is 0 or exceeds the limit.
     #[error("must be 1 to {max}")]
     InvalidCount {
-        /// Largest number that is allowed.
+        /// Maximum number of tasks.
         max: u32,
     },
-    /// An amount is negative, or beyond any that can occur.
+    /// An amount is negative, or larger than any that can occur.
     #[error("must not be negative")]
     InvalidAmount,
     /// The list of machine types is too long.
@@ -176,8 +180,8 @@
 }
 
 impl Job {
-    /// Checks the rules that don't depend on the known teams and machine types, and returns the
-    /// first one that is broken.
+    /// Checks the rules that don't depend on the known teams and machine types. Returns the first
+    /// violation as an error.
     pub fn check(&self) -> Result<(), InvalidJob> {
         if !is_valid_job_id(&self.id) {
             return Err(invalid("name_id", FieldFault::InvalidId));
@@ -249,7 +253,8 @@
     Ok(())
 }
 
-/// Whether a text can be a job id: safe as a part of a store key and of a URL path.
+/// Returns whether a text is a valid job id: not too long, and safe as part of a store key and of a
+/// URL path.
 pub fn is_valid_job_id(id: &str) -> bool {
     let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
     !id.is_empty() && id.len() <= MAX_ID_BYTES && id.bytes().all(is_allowed)
@@ -258,21 +263,21 @@
 /// State of a job as users see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobState {
-    /// Accepted; no task runs.
+    /// Accepted; no task is running.
     #[serde(rename = "queued")]
     Queued,
-    /// At least one task runs.
+    /// At least one task is running.
     #[serde(rename = "running")]
     Running,
     /// Every task is done. Terminal.
     #[serde(rename = "done")]
     Done,
-    /// Cancelled by its user, or through a job that it depends on. Terminal.
+    /// Cancelled by its user, or because a job that it depends on was cancelled. Terminal.
     #[serde(rename = "aborted")]
     Cancelled,
 }
 
-/// Response to a submission or a cancellation that was accepted.
+/// Response to an accepted submission or cancellation.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Accepted {
     /// Id of the job.
@@ -283,7 +288,7 @@
     pub state: JobState,
 }
 
-/// Response to a query.
+/// Response to a query for a job's state.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Progress {
     /// Id of the job.
@@ -294,13 +299,13 @@
     pub state: JobState,
     /// Number of tasks that are done.
     pub done: u32,
-    /// Number of tasks that run, as last known.
+    /// Number of running tasks, as last known.
     pub running: u32,
 }
 
 /// Body of a response with an error status.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Refusal {
-    /// What is wrong, for people.
+    /// Human-readable description of the error.
     pub error: String,
 }
--- a/crates/wire/src/workers.rs
+++ b/crates/wire/src/workers.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of workers, and the orders in the responses to them.
+//! Heartbeats of workers, and the orders in their responses.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,7 +10,7 @@
 pub enum TaskState {
     /// Its image is being fetched.
     Fetching,
-    /// Ready, and waiting for the other tasks of its gang.
+    /// Ready to run, and waiting for the other tasks of its gang.
     #[serde(rename = "gathering")]
     Waiting,
     /// Running.
@@ -18,48 +18,48 @@
     /// Saving its state before it stops.
     #[serde(rename = "flushing")]
     Saving,
-    /// Ended; reported until the worker is ordered to clear it.
+    /// Exited; reported until the worker receives [`Order::Clear`] for it.
     Exited,
 }
 
-/// Why a task exited. A cause that this version does not know is read as an error.
+/// Reason why a task exited. A reason that this version does not know is decoded as [`Why::Error`].
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, bitcode::Encode, bitcode::Decode,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Why {
-    /// Its work is complete.
+    /// It completed its work.
     Done,
     /// It was ordered to stop.
     Stopped,
-    /// Another task of its gang is gone.
+    /// Another task of its gang is no longer running.
     Peers,
     /// Its gang was not complete in time.
     Incomplete,
-    /// The machine had too little room for it.
+    /// The machine had too little free capacity for it.
     Full,
     /// Something that it needs on the machine was in use.
     InUse,
-    /// The worker does not know what it was to start.
+    /// The worker does not know what it was ordered to start.
     NoSuch,
     /// It failed.
     #[serde(other)]
     Error,
 }
 
-/// A task in a heartbeat.
+/// Task as reported in a heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReportedTask {
     /// Name of the task; see [`crate::task_name`].
     #[serde(rename = "ticket")]
     pub task: String,
-    /// Attempt that the order to start named.
+    /// Attempt number, from the order that started it.
     #[serde(rename = "try")]
     pub attempt: u64,
     /// Its state.
     #[serde(rename = "standing")]
     pub state: TaskState,
-    /// Why it exited; only with [`TaskState::Exited`].
+    /// Reason why it exited; only with [`TaskState::Exited`].
     #[serde(rename = "cause", default)]
     pub why: Option<Why>,
     /// Whether it saved its state before it stopped.
@@ -67,7 +67,7 @@
     pub saved: Option<bool>,
 }
 
-/// A worker's heartbeat: all tasks of its machine.
+/// Heartbeat of a worker, with all tasks of its machine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// Name of the machine.
@@ -85,28 +85,30 @@
     /// Whether it is a spot machine.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// Incarnation of the worker; grows whenever its lease has ended and it starts afresh.
+    /// Incarnation of the worker. It increases whenever the worker's lease has expired and the
+    /// worker starts over.
     #[serde(rename = "shift")]
     pub incarnation: u64,
-    /// Sequence number within the incarnation.
+    /// Sequence number of the heartbeat within the incarnation.
     #[serde(rename = "tick")]
     pub seq: u64,
-    /// Highest fencing token that the worker has seen; it drops orders with a lower one.
+    /// Highest fencing token that the worker has seen. It discards orders with a lower one.
     #[serde(rename = "baton")]
     pub token: u64,
-    /// Seconds until the cloud takes the spot machine back, once it has given notice.
+    /// Time until the cloud reclaims the spot machine, in seconds; absent until the cloud has given
+    /// notice.
     #[serde(
         rename = "recall_s",
         default,
         deserialize_with = "crate::cbor::optional_amount"
     )]
     pub notice_s: Option<f64>,
-    /// All tasks on the machine, exited ones included until they are cleared.
+    /// All tasks on the machine, including exited ones until they are cleared.
     #[serde(rename = "tickets")]
     pub tasks: Vec<ReportedTask>,
 }
 
-/// An order to a worker.
+/// Order to a worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb", rename_all = "snake_case")]
 pub enum Order {
@@ -116,7 +118,7 @@
         /// Name of the task.
         #[serde(rename = "ticket")]
         task: String,
-        /// Attempt under which it is started.
+        /// Attempt number under which it is started.
         #[serde(rename = "try")]
         attempt: u64,
     },
@@ -126,14 +128,14 @@
         /// Name of the task.
         #[serde(rename = "ticket")]
         task: String,
-        /// Attempt to stop; no other one is.
+        /// Attempt to stop; other attempts of the task are not affected.
         #[serde(rename = "try")]
         attempt: u64,
-        /// Time that the task has to save its state, in seconds.
+        /// Grace period in which the task may save its state, in seconds.
         #[serde(rename = "winddown_s")]
         grace_s: f64,
     },
-    /// Remove an exited task from the heartbeats; its exit has been recorded.
+    /// Remove an exited task from the heartbeats, because its exit has been recorded.
     Clear {
         /// Name of the task.
         #[serde(rename = "ticket")]
@@ -150,7 +152,7 @@
     /// Fencing token of the epoch under which the orders were given.
     #[serde(rename = "baton")]
     pub token: u64,
-    /// The orders; empty if there are none.
+    /// The orders for the worker; may be empty.
     #[serde(rename = "orders")]
     pub orders: Vec<Order>,
 }
@@ -158,7 +160,7 @@
 /// Response that redirects a worker to the controller that owns its shard.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Redirect {
-    /// Name of that controller; absent if it is not known.
+    /// Name of that controller; absent if the owner is not known.
     #[serde(rename = "foreman", skip_serializing_if = "Option::is_none")]
     pub member: Option<String>,
 }
