--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,4 +1,4 @@
-//! The client: requests to one address over a small pool of connections that are kept alive.
+//! HTTP client for one address, with a small pool of keep-alive connections.
 
 use crate::parse::{self, HeadError, ResponseHead};
 use crate::with_timeout;
@@ -9,26 +9,26 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// How long an idle connection may be reused.
+/// Time for which an idle connection may be reused.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Capacity that is reserved for the head of a request, in bytes.
+/// Initial capacity of the buffer for the head of a request, in bytes.
 const TYPICAL_HEAD_BYTES: usize = 160;
 
-/// Initial capacity for a response, in bytes.
+/// Initial capacity of the buffer for a response, in bytes.
 const TYPICAL_RESPONSE_BYTES: usize = 1024;
 
-/// Largest number of bytes taken from the socket by one read.
+/// Maximum number of bytes taken from the socket by one read.
 const READ_BUFFER_BYTES: usize = 8192;
 
-/// Why a request has no response.
+/// Reason why a request has no response.
 #[derive(Debug, thiserror::Error)]
 pub enum RequestError {
     /// The request certainly did not reach the server.
     #[error(transparent)]
     NotSent(ConnectError),
-    /// The response has so many bytes, more than this client accepts. The server has executed the
-    /// request.
+    /// The response is larger than the client accepts. Holds the declared size of the body, or the
+    /// number of bytes received so far if none was declared. The server has executed the request.
     #[error("the response of {0} bytes is too large")]
     ResponseTooLarge(usize),
     /// The server may have executed the request, or may still do so.
@@ -36,7 +36,7 @@
     OutcomeUnknown(ExchangeError),
 }
 
-/// There is no connection to the server.
+/// Error for a connection that could not be made.
 #[derive(Debug, thiserror::Error)]
 #[error("can't connect to {addr}: {cause}")]
 pub struct ConnectError {
@@ -46,10 +46,10 @@
     pub cause: ConnectFault,
 }
 
-/// Why no connection could be made.
+/// Reason why no connection could be made.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectFault {
-    /// It took longer than the time allowed for the request.
+    /// Connecting took longer than the timeout of the request.
     #[error("connecting took too long")]
     TimedOut,
     /// The connection was refused or failed.
@@ -57,7 +57,7 @@
     Io(#[from] io::Error),
 }
 
-/// The request was sent, at least in part, and there is no whole response.
+/// Error for a request that may have been sent, at least in part, without a complete response.
 #[derive(Debug, thiserror::Error)]
 #[error("no response from {addr}: {cause}")]
 pub struct ExchangeError {
@@ -70,7 +70,7 @@
 /// What failed on a connection after a request may have been sent.
 #[derive(Debug, thiserror::Error)]
 pub enum ExchangeFault {
-    /// There was no whole response within the time allowed for the request.
+    /// There was no complete response within the timeout of the request.
     #[error("time-out")]
     TimedOut,
     /// The server closed the connection before the response was complete.
@@ -79,7 +79,7 @@
     /// The head of the response is invalid.
     #[error("malformed response")]
     Malformed(#[source] HeadError),
-    /// The response is in chunked encoding, which no server of these protocols uses.
+    /// The response has a chunked body, which no server of these protocols sends.
     #[error("a chunked response is not expected here")]
     Chunked,
     /// The connection failed.
@@ -87,24 +87,24 @@
     Io(#[from] io::Error),
 }
 
-/// A response of the server.
+/// Response of the server.
 #[derive(Debug)]
 pub struct Response {
     /// Status code.
     pub status: u16,
     /// The whole body.
     pub body: Vec<u8>,
-    /// `Retry-After`, if the server gave it in seconds.
+    /// Value of `Retry-After`, if the server sent it in seconds.
     pub retry_after_s: Option<f64>,
 }
 
-/// An idle connection in the pool.
+/// Idle connection in the pool.
 struct IdleConnection {
     stream: TcpStream,
     idle_since: Instant,
 }
 
-/// A client of one server.
+/// Client of one server.
 pub struct Client {
     addr: SocketAddr,
     pool: RefCell<Vec<IdleConnection>>,
@@ -113,8 +113,8 @@
 }
 
 impl Client {
-    /// A client that keeps at most `max_idle` idle connections alive, and accepts responses whose
-    /// bodies have at most `max_body_bytes`.
+    /// Returns a client that keeps at most `max_idle` idle connections alive, and accepts responses
+    /// with bodies of at most `max_body_bytes`.
     pub fn new(addr: SocketAddr, max_idle: usize, max_body_bytes: usize) -> Client {
         Client {
             addr,
@@ -129,7 +129,8 @@
         self.pool.borrow_mut().clear();
     }
 
-    /// Sends a request and waits for the response, for at most `timeout` in all.
+    /// Sends a request and waits for the response. The timeout covers both, including the time to
+    /// connect.
     pub async fn request(
         &self,
         method: &str,
@@ -150,7 +151,8 @@
             Some(Ok(response)) => Ok(response),
             Some(Err(error)) => {
                 if is_pooled {
-                    // Most likely the server has closed it; the others are at least as old.
+                    // Most likely the server has closed the pooled connection; the other ones have
+                    // been idle at least as long.
                     self.close_idle();
                 }
                 Err(error)
@@ -162,7 +164,7 @@
         }
     }
 
-    /// Takes an idle connection that the server has probably not closed yet.
+    /// Takes an idle connection from the pool that the server has probably not closed yet.
     fn take_idle(&self) -> Option<TcpStream> {
         let mut pool = self.pool.borrow_mut();
         while let Some(connection) = pool.pop() {
@@ -243,7 +245,7 @@
     }
 }
 
-/// Reads one response from a connection.
+/// Reader of one response from a connection.
 struct ResponseReader {
     addr: SocketAddr,
     stream: TcpStream,
@@ -261,7 +263,7 @@
         }
     }
 
-    /// Reads the final response's head; interim responses (`100 Continue`) are skipped.
+    /// Reads the head of the final response, skipping interim responses (`100 Continue`).
     async fn read_head(&mut self) -> Result<ResponseHead, RequestError> {
         loop {
             let parsed = parse::parse_response(&self.received);
@@ -277,8 +279,8 @@
         }
     }
 
-    /// Reads the body into `received`, behind the head. Returns whether the body's end is that of
-    /// the connection, so that it can't be used again.
+    /// Reads the body into `received`, after the head. Returns whether the body ended with the
+    /// connection, which then can't be reused.
     async fn read_body(
         &mut self,
         head: &ResponseHead,
@@ -314,7 +316,7 @@
         }
     }
 
-    /// Reads what is available; 0 at the end of the connection.
+    /// Reads the available bytes and returns their number; 0 at the end of the connection.
     async fn read(&mut self) -> Result<usize, RequestError> {
         let result = self.stream.read(&mut self.read_buffer).await;
         let count = result.map_err(|error| outcome_unknown(self.addr, error.into()))?;
--- a/crates/http/src/connections.rs
+++ b/crates/http/src/connections.rs
@@ -1,18 +1,18 @@
-//! The open connections of a server, ranked by their purpose, so that the most important clients
-//! are still served when sockets or memory run short.
+//! Table of a server's open connections, with priorities by purpose, so that the most important
+//! clients are still served when sockets or memory run short.
 
 use smol::net::TcpStream;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Shutdown;
 
-/// Purpose of a connection, by its last response. When sockets run short, connections of a lower
-/// priority are closed first.
+/// Priority of a connection, by the purpose of its last response. The variants are in ascending
+/// order. When sockets run short, idle connections of a lower priority are closed first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ConnectionPriority {
     /// Requests of users.
     User,
-    /// No request has been answered yet.
+    /// Connection on which no request has been answered yet.
     Unclassified,
     /// Heartbeats of a worker.
     Worker,
@@ -20,35 +20,37 @@
     Probe,
 }
 
-/// Share of all connections above which responses to users close theirs.
+/// Fraction of the maximum number of connections above which responses to users close their
+/// connections.
 const USER_CLOSE_THRESHOLD: f64 = 0.85;
 
-/// Share of all connections above which responses to workers close theirs, so that many workers can
-/// take turns on few connections.
+/// Fraction of the maximum number of connections above which responses to workers close their
+/// connections, so that many workers can take turns on few connections.
 const WORKER_CLOSE_THRESHOLD: f64 = 0.95;
 
-/// A connection in the table.
+/// Connection in the table.
 struct Entry {
     stream: TcpStream,
     priority: ConnectionPriority,
-    /// Sequence number of the event that made it idle; `None` while it serves a request.
+    /// Sequence number of the event that made the connection idle; `None` while it serves a
+    /// request.
     idle_since: Option<u64>,
 }
 
-/// The connections of a server, bounded in their number and in the bytes of requests that have been
+/// The connections of a server. Bounds their number, and the memory for requests that have been
 /// received in part.
 pub struct ConnectionTable {
     max_connections: usize,
     max_buffered_bytes: usize,
     entries: RefCell<BTreeMap<u64, Entry>>,
-    /// Idle connections as (priority, idle since, id): the first one is closed first.
+    /// Idle connections as (priority, idle since, id), in the order in which they are closed.
     idle: RefCell<BTreeSet<(ConnectionPriority, u64, u64)>>,
     buffered_bytes: Cell<usize>,
     last_sequence: Cell<u64>,
 }
 
 impl ConnectionTable {
-    /// An empty table with these limits.
+    /// Returns an empty table with these limits.
     pub fn new(max_connections: usize, max_buffered_bytes: usize) -> ConnectionTable {
         ConnectionTable {
             max_connections,
@@ -60,7 +62,7 @@
         }
     }
 
-    /// Number of open connections.
+    /// Returns the number of open connections.
     pub fn open_count(&self) -> usize {
         self.entries.borrow().len()
     }
@@ -70,12 +72,12 @@
         self.last_sequence.get()
     }
 
-    /// Adds a connection and returns its id. If the table is full, the connection of the lowest
-    /// priority that has been idle longest is closed; `None` if none is idle.
+    /// Adds a connection and returns its id. If the table is full, closes the idle connection of
+    /// the lowest priority that has been idle longest, or returns `None` if no connection is idle.
     pub fn admit(&self, stream: TcpStream) -> Option<u64> {
         if self.open_count() >= self.max_connections {
-            // Connections of machines that lost power look idle for ever; rejecting the newest
-            // connections would lock these machines out once they are back.
+            // Connections of machines that lost power look idle forever. Rejecting new connections
+            // instead would lock out these machines once they are back.
             let victim = self.idle.borrow_mut().pop_first();
             let (_, _, id) = victim?;
             if let Some(entry) = self.entries.borrow_mut().remove(&id) {
@@ -95,7 +97,7 @@
         Some(id)
     }
 
-    /// Marks a connection as serving a request; false if it has been closed meanwhile.
+    /// Marks a connection as serving a request. Returns false if it has been closed meanwhile.
     pub fn begin_request(&self, id: u64) -> bool {
         let mut entries = self.entries.borrow_mut();
         let Some(entry) = entries.get_mut(&id) else {
@@ -110,7 +112,7 @@
         true
     }
 
-    /// Marks a connection as idle once a response of this priority has been written.
+    /// Marks a connection as idle, after a response of this priority has been written.
     pub fn finish_request(&self, id: u64, priority: ConnectionPriority) {
         let idle_since = self.next_sequence();
         if let Some(entry) = self.entries.borrow_mut().get_mut(&id) {
@@ -120,7 +122,8 @@
         }
     }
 
-    /// Whether so many connections are open that a response of this priority should close its own.
+    /// Returns whether so many connections are open that a response of this priority should close
+    /// its connection.
     pub fn should_close(&self, priority: ConnectionPriority) -> bool {
         let threshold = match priority {
             ConnectionPriority::User | ConnectionPriority::Unclassified => USER_CLOSE_THRESHOLD,
@@ -141,7 +144,8 @@
         }
     }
 
-    /// Reserves memory for a request that has been received in part; false if there is not enough.
+    /// Reserves memory for a request that has been received in part. Returns false if not enough is
+    /// left.
     pub fn reserve_bytes(&self, bytes: usize) -> bool {
         let total = self.buffered_bytes.get() + bytes;
         if total > self.max_buffered_bytes {
--- a/crates/http/src/parse.rs
+++ b/crates/http/src/parse.rs
@@ -1,28 +1,28 @@
-//! Parsing of message heads, without I/O.
+//! Parser for the heads of requests and responses. It does no I/O.
 
 use httparse::Header;
 
-/// Largest head (first line and headers) that is accepted, in bytes.
+/// Maximum size of a head (first line and headers), in bytes.
 pub const MAX_HEAD_BYTES: usize = 8 * 1024;
 
-/// Largest number of headers that is accepted.
+/// Maximum number of headers that is accepted.
 pub const MAX_HEADERS: usize = 48;
 
-/// Why a head is rejected.
+/// Reason why a head is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HeadError {
     /// It is not valid HTTP/1.1, or its `Content-Length` is invalid or contradictory.
     #[error("malformed head")]
     Malformed,
-    /// The length of the body is not known before it is read.
+    /// The request uses a transfer encoding, so that the size of its body is not known in advance.
     #[error("the body has no declared length")]
     LengthRequired,
-    /// The declared body exceeds the limit.
+    /// The declared size of the body exceeds the limit.
     #[error("a body of {bytes} bytes exceeds the limit of {max_bytes}")]
     BodyTooLarge {
-        /// Declared size of the body.
+        /// Declared size of the body, in bytes.
         bytes: usize,
-        /// The limit.
+        /// The limit, in bytes.
         max_bytes: usize,
     },
     /// The head exceeds [`MAX_HEAD_BYTES`] or [`MAX_HEADERS`].
@@ -31,7 +31,7 @@
 }
 
 impl HeadError {
-    /// The status with which a server rejects such a request.
+    /// Returns the status code with which a server rejects such a request.
     pub fn status(self) -> u16 {
         match self {
             HeadError::Malformed => 400,
@@ -47,13 +47,13 @@
 pub struct RequestHead {
     /// Method.
     pub method: String,
-    /// Path with the query.
+    /// Path, including the query.
     pub path: String,
     /// Size of the body, in bytes.
     pub body_len: usize,
-    /// Whether the client closes the connection after this request.
+    /// Whether the connection is to be closed after this request.
     pub close: bool,
-    /// Whether the client sends the body only after an interim response (`100 Continue`).
+    /// Whether the client waits for an interim response (`100 Continue`) before it sends the body.
     pub expects_continue: bool,
     /// Size of the head, in bytes.
     pub head_len: usize,
@@ -64,19 +64,20 @@
 pub struct ResponseHead {
     /// Status code.
     pub status: u16,
-    /// Size of the body in bytes, if it is declared.
+    /// Size of the body, in bytes, if it is declared.
     pub body_len: Option<usize>,
-    /// Whether the body is in chunked encoding.
+    /// Whether the body has chunked transfer encoding.
     pub chunked: bool,
     /// Whether the server closes the connection after this response.
     pub close: bool,
-    /// `Retry-After`, if it is given in seconds.
+    /// Value of `Retry-After`, if it is given in seconds.
     pub retry_after_s: Option<f64>,
     /// Size of the head, in bytes.
     pub head_len: usize,
 }
 
-/// Parses the head of a request from the bytes received so far; `None` if it is incomplete.
+/// Parses the head of a request from the bytes received so far. Returns `None` if it is
+/// incomplete.
 pub fn parse_request(
     received: &[u8],
     max_body_bytes: usize,
@@ -115,13 +116,14 @@
     for header in headers {
         if header.name.eq_ignore_ascii_case("content-length") {
             let body_len = parse_length(header.value).ok_or(HeadError::Malformed)?;
-            // Proxies that pick another one of two lengths would see another message boundary.
+            // A proxy that uses the other one of two lengths would see another message boundary
+            // (request smuggling).
             if declared_len.is_some_and(|declared| declared != body_len) {
                 return Err(HeadError::Malformed);
             }
             declared_len = Some(body_len);
         } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
-            // The protocol does not use it, and a body of unknown size can't be bounded.
+            // The protocol uses no transfer encoding, and a body of unknown size can't be bounded.
             return Err(HeadError::LengthRequired);
         } else if header.name.eq_ignore_ascii_case("connection") {
             head.close |= has_token(header.value, "close");
@@ -133,7 +135,8 @@
     Ok(())
 }
 
-/// Parses the head of a response from the bytes received so far; `None` if it is incomplete.
+/// Parses the head of a response from the bytes received so far. Returns `None` if it is
+/// incomplete.
 pub fn parse_response(received: &[u8]) -> Result<Option<ResponseHead>, HeadError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
@@ -169,12 +172,13 @@
     Ok(Some(head))
 }
 
-/// HTTP/1.0 closes the connection after each response.
+/// Returns whether the version is HTTP/1.0, which closes the connection after each response.
 fn is_http_1_0(minor_version: Option<u8>) -> bool {
     minor_version == Some(0)
 }
 
-/// Parses a `Content-Length`; digits only, since `str::parse` accepts a sign.
+/// Parses the value of `Content-Length`. Checks for digits first, because `str::parse` also
+/// accepts a sign.
 fn parse_length(value: &[u8]) -> Option<usize> {
     let text = std::str::from_utf8(value).ok()?.trim();
     if text.is_empty() || !text.bytes().all(|byte| byte.is_ascii_digit()) {
@@ -188,7 +192,7 @@
     text.trim().parse().ok()
 }
 
-/// Whether a comma-separated header value contains a token, in any case.
+/// Returns whether a comma-separated header value contains a token, ignoring case.
 fn has_token(value: &[u8], token: &str) -> bool {
     let Ok(text) = std::str::from_utf8(value) else {
         return false;
@@ -197,7 +201,7 @@
         .any(|part| part.trim().eq_ignore_ascii_case(token))
 }
 
-/// The reason phrase of a status code.
+/// Returns the reason phrase of a status code.
 pub fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,4 +1,4 @@
-//! The server: one task for each connection, bounded in number, memory and time.
+//! HTTP server with one task per connection, and limits on connections, memory and time.
 
 use crate::connections::{ConnectionPriority, ConnectionTable};
 use crate::parse::{self, HeadError, RequestHead};
@@ -15,37 +15,38 @@
 use std::task::Poll;
 use std::time::Duration;
 
-/// Largest number of bytes taken from a socket by one read.
+/// Maximum number of bytes taken from a socket by one read.
 const READ_BUFFER_BYTES: usize = 16 << 10;
 
-/// Capacity that is reserved for the head of a response, in bytes.
+/// Initial capacity of the buffer for the head of a response, in bytes.
 const TYPICAL_HEAD_BYTES: usize = 160;
 
-/// Pause after a failed `accept`, which would otherwise fail again at once (no free descriptors).
+/// Delay before the next `accept` after a failed one, which would otherwise fail again at once (no
+/// free file descriptors).
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Time to write the response to a rejected request.
+/// Timeout for writing the response to a rejected request.
 const REJECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// `Retry-After` of a request that is rejected for lack of memory, in seconds.
+/// `Retry-After` in the response to a request rejected for lack of memory, in seconds.
 const OVERLOADED_RETRY_S: u32 = 1;
 
-/// A request, as the handler receives it.
+/// Request, as the handler receives it.
 #[derive(Debug)]
 pub struct Request {
     /// Method.
     pub method: String,
-    /// Path with the query.
+    /// Path, including the query.
     pub path: String,
     /// The whole body.
     pub body: Vec<u8>,
 }
 
-/// A function to call once a response has been written to its connection.
+/// Callback that runs after a response has been written to its connection.
 pub struct OnWritten(Box<dyn FnOnce()>);
 
 impl OnWritten {
-    /// Wraps a function.
+    /// Wraps a function as a callback.
     pub fn new(call: impl FnOnce() + 'static) -> OnWritten {
         OnWritten(Box::new(call))
     }
@@ -57,25 +58,25 @@
     }
 }
 
-/// A response.
+/// Response to a request.
 #[derive(Debug)]
 pub struct Response {
     /// Status code.
     pub status: u16,
     /// The whole body.
     pub body: Vec<u8>,
-    /// `Retry-After`, in seconds.
+    /// Value of `Retry-After`, in seconds.
     pub retry_after_s: Option<u32>,
     /// Whether the connection is closed after this response.
     pub close: bool,
-    /// Purpose of the connection.
+    /// Priority of the connection after this response.
     pub priority: ConnectionPriority,
-    /// Called once the response has been written, and never if writing fails.
+    /// Callback that runs after the response has been written, and never if writing fails.
     pub on_written: Option<OnWritten>,
 }
 
 impl Response {
-    /// A response to a user that keeps the connection alive.
+    /// Returns a response with [`ConnectionPriority::User`] that keeps the connection alive.
     pub fn new(status: u16, body: Vec<u8>) -> Response {
         Response {
             status,
@@ -93,7 +94,7 @@
         self
     }
 
-    /// Sets the purpose of the connection.
+    /// Sets the priority of the connection.
     pub fn with_priority(mut self, priority: ConnectionPriority) -> Response {
         self.priority = priority;
         self
@@ -101,7 +102,7 @@
 
     fn encode(&self, close: bool) -> Vec<u8> {
         let mut out = Vec::with_capacity(TYPICAL_HEAD_BYTES + self.body.len());
-        // Writing to memory does not fail.
+        // Writing to memory can't fail.
         let _ = write!(
             out,
             "HTTP/1.1 {} {}\r\nContent-Length: {}\r\n",
@@ -127,20 +128,19 @@
 /// Limits of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Largest number of connections.
+    /// Maximum number of connections.
     pub max_connections: usize,
-    /// Largest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// Largest sum of the requests that have been received in part, in bytes.
+    /// Maximum total size of the requests that have been received in part, in bytes.
     pub max_buffered_bytes: usize,
-    /// Time for a request to arrive whole once its first byte has, and for a response to be
-    /// written.
+    /// Timeout for receiving a whole request after its first byte, and for writing a response.
     pub request_timeout: Duration,
-    /// Time that a connection may be idle.
+    /// Time after which an idle connection is closed.
     pub idle_timeout: Duration,
 }
 
-/// Why a request can't be passed to the handler.
+/// Reason why a request can't be passed to the handler.
 #[derive(Debug, thiserror::Error)]
 enum ReceiveError {
     #[error("the connection has ended")]
@@ -154,7 +154,7 @@
 }
 
 impl ReceiveError {
-    /// The response that tells the client; `None` if it can't be reached.
+    /// Returns the response that tells the client, or `None` if the client can't be reached.
     fn response(&self) -> Option<Response> {
         let status = match self {
             ReceiveError::Closed => return None,
@@ -170,15 +170,15 @@
     }
 }
 
-/// What all connections of a server share.
+/// State that all connections of a server share.
 struct Server {
     limits: Limits,
     connections: ConnectionTable,
-    /// Buffer for reads. Since it is shared, a connection that waits holds no memory for it.
+    /// Buffer for reads. It is shared, so that a waiting connection holds no memory for it.
     read_buffer: RefCell<Vec<u8>>,
 }
 
-/// Accepts and serves connections; never returns.
+/// Accepts and serves connections. Never returns.
 pub async fn serve<H, F>(
     executor: Rc<smol::LocalExecutor<'static>>,
     listener: TcpListener,
@@ -202,7 +202,8 @@
                 continue;
             }
         };
-        // Without room it is closed at once: the load balancer and the workers try another server.
+        // Without a free place in the table the connection is closed at once, and the load balancer
+        // and the workers try another server.
         let Some(id) = server.connections.admit(stream.clone()) else {
             continue;
         };
@@ -214,15 +215,15 @@
     }
 }
 
-/// One connection of a server.
+/// Connection of a server.
 struct Connection {
     server: Rc<Server>,
     stream: TcpStream,
-    /// Its id in the server's table.
+    /// Id in the server's connection table.
     id: u64,
-    /// What has been received and not been processed yet.
+    /// Bytes that have been received and not processed yet.
     received: Vec<u8>,
-    /// Memory that is reserved in the server's table for the request being received, in bytes.
+    /// Memory reserved in the server's connection table for the request being received, in bytes.
     reserved_bytes: usize,
 }
 
@@ -237,7 +238,8 @@
         }
     }
 
-    /// Serves requests until the connection ends, and removes it from the server's table.
+    /// Serves requests until the connection ends, then removes it from the server's connection
+    /// table.
     async fn serve<H, F>(mut self, handler: &H)
     where
         H: Fn(Request) -> F,
@@ -253,8 +255,8 @@
         self.server.connections.remove(self.id);
     }
 
-    /// Waits until a request begins to arrive; false if the connection has ended or was idle too
-    /// long.
+    /// Waits until a request begins to arrive. Returns false if the connection has ended or was
+    /// idle too long.
     async fn wait_for_request(&mut self) -> bool {
         if self.received.is_empty() {
             let idle_timeout = self.server.limits.idle_timeout;
@@ -266,7 +268,7 @@
         self.server.connections.begin_request(self.id)
     }
 
-    /// Receives a request and responds to it; false if the connection has to be closed.
+    /// Receives a request and responds to it. Returns false if the connection has to be closed.
     async fn serve_request<H, F>(&mut self, handler: &H) -> bool
     where
         H: Fn(Request) -> F,
@@ -299,7 +301,7 @@
         true
     }
 
-    /// Tells the client why its request is not served.
+    /// Sends the client the response for a request that can't be served.
     async fn reject(&mut self, error: &ReceiveError) {
         if let Some(response) = error.response() {
             let out = response.encode(true);
@@ -307,7 +309,8 @@
         }
     }
 
-    /// Reads what is available into `received`; 0 at the end of the connection.
+    /// Reads the available bytes into `received` and returns their number; 0 at the end of the
+    /// connection.
     async fn read(&mut self) -> io::Result<usize> {
         let Connection {
             server,
@@ -334,7 +337,7 @@
         }
     }
 
-    /// Receives a whole request. Returns with it whether the client asks to close the connection.
+    /// Receives a whole request. Returns it with whether the client asks to close the connection.
     async fn receive(&mut self) -> Result<(Request, bool), ReceiveError> {
         let head = self.receive_head().await?;
         if head.expects_continue {
@@ -365,7 +368,7 @@
         let request_len = head.head_len + head.body_len;
         let missing = request_len.saturating_sub(self.received.len());
         if missing > 0 {
-            // Many bodies that are sent slowly must not exhaust the memory together.
+            // Many bodies that are sent slowly must not exhaust the memory between them.
             if !self.server.connections.reserve_bytes(request_len) {
                 return Err(ReceiveError::Overloaded { bytes: request_len });
             }
@@ -380,7 +383,7 @@
         let body = self.received[head.head_len..request_len].to_vec();
         self.received.drain(..request_len);
         if self.received.is_empty() {
-            // An idle connection holds no memory for requests.
+            // Frees the buffer, so that an idle connection holds no memory for requests.
             self.received = Vec::new();
         }
         Ok(body)
--- a/crates/http/tests/client.rs
+++ b/crates/http/tests/client.rs
@@ -1,6 +1,6 @@
-//! The client against servers that respond in every way that it distinguishes.
+//! Tests the client against every kind of server response that it distinguishes.
 
-// The helpers of these tests unwrap as the tests do.
+// Test helpers unwrap, like the tests themselves.
 #![allow(clippy::unwrap_used)]
 
 use http::client::{Client, ConnectFault, ExchangeFault, RequestError, Response};
@@ -12,24 +12,24 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Long enough that no result depends on it.
+/// Timeout that never expires during a test.
 const LONG_TIMEOUT: Duration = Duration::from_secs(600);
 
-/// Largest body that the clients of these tests accept, in bytes.
+/// Maximum size of a body that the clients of these tests accept, in bytes.
 const MAX_BODY_BYTES: usize = 100;
 
-/// Idle connections that the clients of these tests keep alive.
+/// Maximum number of idle connections that the clients of these tests keep alive.
 const MAX_IDLE: usize = 2;
 
-/// What the server sends after each request.
+/// Response that the server sends to each request.
 #[derive(Clone, Copy)]
 struct ScriptedResponse {
     response: &'static str,
-    /// Whether it closes the connection after the response.
+    /// Whether the server closes the connection after the response.
     close: bool,
 }
 
-/// Serves one connection after the other by the script, and counts them.
+/// Serves one connection after the other with the scripted response, and counts the connections.
 async fn serve(listener: TcpListener, script: ScriptedResponse, connections: Rc<Cell<u32>>) {
     loop {
         let (mut stream, _) = listener.accept().await.unwrap();
@@ -45,7 +45,7 @@
     }
 }
 
-/// The results of two requests to a server, and the number of connections that they took.
+/// Returns the results of two requests to a server, and the number of connections that they used.
 fn request_twice(script: ScriptedResponse) -> ([Result<Response, RequestError>; 2], u32) {
     let executor = smol::LocalExecutor::new();
     let connections = Rc::new(Cell::new(0));
@@ -61,7 +61,7 @@
     (results, connections.get())
 }
 
-/// The cause for which a request has no response.
+/// Returns the fault because of which a request has no response.
 fn exchange_fault(script: ScriptedResponse) -> ExchangeFault {
     let ([first, _], _) = request_twice(script);
     match first {
@@ -103,7 +103,7 @@
     assert!(matches!(exchange_fault(chunked), ExchangeFault::Chunked));
 }
 
-/// The store's client logs these texts.
+/// The client of the store logs these texts.
 #[test]
 fn fault_texts_stay_as_logged() {
     let malformed = ExchangeFault::Malformed(HeadError::Malformed);
--- a/crates/http/tests/limits.rs
+++ b/crates/http/tests/limits.rs
@@ -1,6 +1,6 @@
-//! The server keeps to its limits, whatever its clients do.
+//! Tests that the server enforces its limits, whatever its clients do.
 
-// The helpers of these tests unwrap as the tests do.
+// Test helpers unwrap, like the tests themselves.
 #![allow(clippy::unwrap_used)]
 
 use http::connections::ConnectionPriority;
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Long enough that no result depends on it.
+/// Timeout that never expires during a test.
 const LONG_TIMEOUT: Duration = Duration::from_secs(600);
 
 /// Path whose responses have the priority of workers.
@@ -21,14 +21,14 @@
 /// Path whose responses have the priority of users.
 const USER_PATH: &str = "/";
 
-/// Largest body of a request, in bytes.
+/// Maximum size of a request body, in bytes.
 const MAX_BODY_BYTES: usize = 65_536;
 
-/// Memory for requests that is never exhausted, in bytes.
+/// Memory limit for partial requests that no test reaches, in bytes.
 const AMPLE_BYTES: usize = 1 << 20;
 
-/// Runs a test against a server with these limits; the test gets its address and the number of
-/// requests that were passed to the handler.
+/// Runs a test against a server with these limits. The test gets the server's address and the
+/// number of requests that were passed to the handler.
 fn with_server<F: Future<Output = ()>>(
     max_connections: usize,
     max_buffered_bytes: usize,
@@ -67,7 +67,7 @@
     TcpStream::connect(addr).await.unwrap()
 }
 
-/// Sends a request and returns the response; `None` if the connection ends instead.
+/// Sends a request and returns the response, or `None` if the connection ends instead.
 async fn get(stream: &mut TcpStream, path: &str) -> Option<String> {
     let request = format!("GET {path} HTTP/1.1\r\n\r\n");
     stream.write_all(request.as_bytes()).await.ok()?;
@@ -82,7 +82,7 @@
     }
 }
 
-/// Whether the response to a request announces the end of its connection.
+/// Returns whether the response to a request announces that the connection is closed.
 async fn response_closes(stream: &mut TcpStream, path: &str) -> bool {
     let response = get(stream, path).await.unwrap();
     response.contains("Connection: close")
@@ -92,8 +92,9 @@
     !matches!(stream.read(&mut [0u8; 64]).await, Ok(count) if count > 0)
 }
 
-/// When a rack is back after a loss of power, its old connections look idle for ever. A server that
-/// rejects the newest connections would lock out these very machines.
+/// When a rack is back after a power failure, its old connections look idle forever. A full server
+/// that rejects new connections would lock out these very machines. It has to close idle
+/// connections instead: those of users first, then unclassified ones, then those of workers.
 #[test]
 fn a_full_server_evicts_idle_connections_by_priority() {
     with_server(20, AMPLE_BYTES, |addr, _| async move {
@@ -104,7 +105,7 @@
             assert!(response.starts_with("HTTP/1.1 200"));
             open.push(stream);
         }
-        // Connections without any request fill the table.
+        // Fills the table with connections that have sent no request.
         for _ in 0..14 {
             open.push(connect(addr).await);
         }
@@ -137,7 +138,7 @@
         assert!(response_closes(&mut user, USER_PATH).await);
         assert!(is_closed(&mut user).await);
         assert!(!response_closes(&mut open[0], WORKER_PATH).await);
-        // Above the workers' share, they take turns on what is left.
+        // Above the threshold of workers, their connections are closed as well.
         let mut last = Vec::new();
         for _ in 0..2 {
             last.push(connect(addr).await);
@@ -147,7 +148,8 @@
     });
 }
 
-/// Bodies that arrive in part hold memory, whatever lengths they declare together.
+/// Bodies that have arrived in part hold memory only up to the limit, whatever total length they
+/// declare.
 #[test]
 fn partial_bodies_share_bounded_memory() {
     const BODY_BYTES: usize = 60_000;
@@ -166,7 +168,7 @@
             rejection.starts_with("HTTP/1.1 503") && rejection.contains("Retry-After"),
             "{rejection}"
         );
-        // The memory is free again once the first body is complete.
+        // The memory is released once the first body is complete.
         first.write_all(&rest).await.unwrap();
         assert!(read_response(&mut first).await.is_some());
         let mut third = connect(addr).await;
--- a/crates/http/tests/parse.rs
+++ b/crates/http/tests/parse.rs
@@ -1,20 +1,20 @@
-//! Heads of requests and responses: complete, incomplete and malformed ones.
+//! Tests the parser with complete, incomplete and malformed heads of requests and responses.
 
-// The helpers of these tests unwrap as the tests do.
+// Test helpers unwrap, like the tests themselves.
 #![allow(clippy::unwrap_used)]
 
 use http::parse::{
     parse_request, parse_response, HeadError, RequestHead, MAX_HEADERS, MAX_HEAD_BYTES,
 };
 
-/// Largest body that the requests of these tests may declare, in bytes.
+/// Maximum body size that the requests of these tests may declare, in bytes.
 const MAX_BODY_BYTES: usize = 100;
 
 fn parse(received: &[u8]) -> Result<Option<RequestHead>, HeadError> {
     parse_request(received, MAX_BODY_BYTES)
 }
 
-/// The error for a request with these headers, with its status.
+/// Returns the error for a request with these headers, and its status code.
 fn rejection(headers: &str) -> (HeadError, u16) {
     let request = format!("POST / HTTP/1.1\r\n{headers}\r\n\r\n");
     let error = parse(request.as_bytes()).unwrap_err();
--- a/crates/wire/src/store.rs
+++ b/crates/wire/src/store.rs
@@ -56,8 +56,7 @@
         /// Its new value.
         #[serde(rename = "v")]
         value: Value,
-        /// Lease to which the key is attached, so that both end together; none if the key stays
-        /// until it is deleted.
+        /// Lease at whose end the key is deleted; none if the key is not attached to a lease.
         #[serde(rename = "permit", skip_serializing_if = "Option::is_none", default)]
         lease: Option<u64>,
     },
