--- a/crates/wire/tests/encodings.rs
+++ b/crates/wire/tests/encodings.rs
@@ -1,11 +1,11 @@
-//! Every encoding, byte for byte: a change of names or types in the program fails here if it changes
-//! what is sent or stored.
+//! Compares every encoding byte by byte with recorded ones, so that a change of names or types in
+//! the program fails here if it changes what is sent or stored.
 //!
-//! `encodings/written.txt` holds each sample and its bytes in hexadecimal as commit 3b89ddc wrote
-//! them; `encodings/changed.txt` holds what that commit decoded from each sample with one field
-//! changed. The bytes of the version in production are apart, in `production/`.
+//! `encodings/written.txt` holds the name and the bytes, in hexadecimal, of each sample, as written
+//! by commit 3b89ddc. `encodings/changed.txt` holds what that commit decoded from each sample with
+//! one field changed. The bytes written by the version in production are in `production/`.
 
-// The helpers of these tests unwrap as the tests do.
+// Test helpers unwrap, like the tests themselves.
 #![allow(clippy::unwrap_used)]
 
 #[path = "encodings/cloud.rs"]
@@ -39,15 +39,19 @@
     groups.into_iter().flatten().collect()
 }
 
-/// The lines of a fixture, by the part before the separator.
+/// Returns the lines of a fixture, keyed by the part before the separator.
 fn parse_fixture(text: &'static str, separator: &str) -> BTreeMap<&'static str, &'static str> {
     let parts = text.lines().map(|line| line.split_once(separator).unwrap());
     let lines: BTreeMap<&str, &str> = parts.collect();
-    assert_eq!(lines.len(), text.lines().count(), "a name occurs twice");
+    assert_eq!(
+        lines.len(),
+        text.lines().count(),
+        "a name occurs twice in the fixture"
+    );
     lines
 }
 
-/// Compares current results with a fixture, and names each difference.
+/// Asserts that the results equal those in a fixture, and reports each mismatch.
 fn compare(actual: &[(String, String)], fixture: &BTreeMap<&str, &str>) {
     let mut mismatches = Vec::new();
     for (name, value) in actual {
@@ -59,7 +63,7 @@
     assert!(mismatches.is_empty(), "\n{}", mismatches.join("\n"));
     let names: Vec<&String> = actual.iter().map(|(name, _)| name).collect();
     let missing = fixture.keys().find(|key| !names.iter().any(|n| n == *key));
-    assert_eq!(missing, None, "has no sample");
+    assert_eq!(missing, None, "a line of the fixture has no sample");
     assert_eq!(actual.len(), fixture.len(), "a sample occurs twice");
 }
 
@@ -81,7 +85,8 @@
     }
 }
 
-/// A sample with one field absent, null, or of another type, and with an unknown field.
+/// Returns the encodings of a sample with one field absent, null or of another type, and with an
+/// unknown field added.
 fn mutations(sample: &Sample) -> Vec<(String, Vec<u8>)> {
     let Ok(Value::Map(fields)) = decode::<Value>(&sample.bytes) else {
         return Vec::new();
@@ -113,7 +118,7 @@
     mutations
 }
 
-/// Which fields may be absent or null and their defaults, and the errors for all others.
+/// Covers which fields may be absent or null, their defaults, and the errors for all other fields.
 #[test]
 fn changed_samples_are_decoded_or_rejected_as_before() {
     let mut actual = Vec::new();
@@ -121,7 +126,7 @@
         for (name, bytes) in mutations(sample) {
             let result = match (sample.decode)(&bytes) {
                 Ok((_, reencoded)) => to_hex(&reencoded),
-                // The only message with the name of a Rust type, which no user sees.
+                // The only error text that contains the name of a Rust type; no user sees it.
                 Err(error) => error.replace("untagged enum Write", "an untagged enum"),
             };
             actual.push((name, result));
--- a/crates/wire/tests/encodings/cloud.rs
+++ b/crates/wire/tests/encodings/cloud.rs
@@ -1,11 +1,11 @@
-//! Samples of the cloud's interface.
+//! Samples of the cloud's messages.
 
 use crate::sample::{body, body_with_mutations, Sample};
 use wire::cloud::{
     Catalog, Listed, ListedMachine, MachineList, MachineType, Names, ProvisionRequest,
 };
 
-/// A machine type in which no two fields are the same.
+/// Returns a machine type in which no two fields have the same value.
 pub fn machine_type() -> MachineType {
     MachineType {
         name: "g8".into(),
--- a/crates/wire/tests/encodings/store.rs
+++ b/crates/wire/tests/encodings/store.rs
@@ -1,4 +1,4 @@
-//! Samples of the state service's interface and of the records there.
+//! Samples of the state service's messages and of the records stored there.
 
 use crate::sample::{body, body_with_mutations, Sample};
 use crate::users::{bare_job, job};
--- a/crates/wire/tests/encodings/users.rs
+++ b/crates/wire/tests/encodings/users.rs
@@ -1,9 +1,9 @@
-//! Samples of users' requests and their responses.
+//! Samples of submissions and of responses to users.
 
 use crate::sample::{body, body_with_mutations, Sample};
 use wire::users::{Accepted, Job, JobState, Priority, Progress, Refusal, Shape};
 
-/// A job with every field; fields of the same type differ in their values.
+/// Returns a job with all fields, where no two numbers or texts are the same.
 pub fn job() -> Job {
     Job {
         id: "wk-000412".into(),
@@ -30,7 +30,7 @@
     }
 }
 
-/// A job without the optional fields.
+/// Returns a job without the optional fields.
 pub fn bare_job() -> Job {
     Job {
         types: None,
--- a/crates/wire/tests/examples.rs
+++ b/crates/wire/tests/examples.rs
@@ -1,6 +1,6 @@
-//! The formats against examples taken from the protocol.
+//! Tests the formats against examples from the protocol.
 
-// The helpers of these tests unwrap as the tests do.
+// Test helpers unwrap, like the tests themselves.
 #![allow(clippy::unwrap_used)]
 
 use ciborium::{cbor, Value};
@@ -17,7 +17,7 @@
     .unwrap()
 }
 
-/// Encodes a map with one of its fields replaced, or removed if there is no new value.
+/// Returns the encoding of a map with one field replaced, or removed if there is no new value.
 fn with_field(map: &Value, key: &str, new: Option<Value>) -> Vec<u8> {
     let Value::Map(mut fields) = map.clone() else {
         panic!("not a map: {map:?}")
@@ -39,7 +39,7 @@
     assert_eq!(job.types, Some(vec!["g8".to_string()]));
     assert_eq!((job.zone.as_deref(), job.deadline_s), (None, Some(900.0)));
     job.check().unwrap();
-    // A field that may be null may be absent; an amount may be an integer.
+    // A nullable field may be absent, and an amount may be an integer.
     let bare: Job = decode(&with_field(&example_job(), "due_s", None)).unwrap();
     assert_eq!(bare.deadline_s, None);
     let whole: Job = decode(&with_field(&example_job(), "vcpus", Some(8.into()))).unwrap();
@@ -71,7 +71,7 @@
     assert!(decode::<Job>(&with_field(&job, "vcpus", Some(f64::NAN.into()))).is_err());
     assert!(decode::<Job>(b"not cbor at all").is_err());
     assert!(decode::<Job>(&encode(&cbor!([1, 2]).unwrap())).is_err());
-    // Deep nesting ends in an error before it exhausts the stack.
+    // Deep nesting is an error before it exhausts the stack.
     let deep = [vec![0x81u8; 60_000], vec![0]].concat();
     assert!(decode::<Job>(&deep).is_err());
 }
@@ -214,7 +214,7 @@
     assert_eq!(decode_frame::<ToLeader>(&other), None, "another version");
     let mut accepted = 0;
     for seed in 0..2000u64 {
-        // Xorshift: whatever the bytes are, decoding must not panic.
+        // Xorshift generator. Decoding must not panic, whatever the bytes are.
         let mut random = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
         let noise: Vec<u8> = (0..seed % 60)
             .map(|_| {
--- a/crates/wire/tests/production.rs
+++ b/crates/wire/tests/production.rs
@@ -1,10 +1,10 @@
-//! The formats against bytes that the version in production has written.
+//! Tests the formats against bytes written by the version in production.
 //!
-//! `production/written.txt` holds each sample of `production/samples.rs`, name and bytes in
-//! hexadecimal, as commit d2cfe12 wrote it: that file was included by an example of the `wire`
-//! package of that commit, which printed every sample.
+//! `production/written.txt` holds the name and the bytes, in hexadecimal, of each sample in
+//! `production/samples.rs`, as written by commit d2cfe12: an example in that commit's `wire`
+//! package included the file of samples and printed each sample.
 
-// The helpers of these tests unwrap as the tests do.
+// Test helpers unwrap, like the tests themselves.
 #![allow(clippy::unwrap_used)]
 
 include!("production/samples.rs");
@@ -16,7 +16,7 @@
 use wire::peers::{decode_frame, LENGTH_BYTES};
 use wire::store::{from_value, Value};
 
-/// The samples as production wrote them, by name.
+/// Returns the samples as production wrote them, by name.
 fn production_bytes() -> BTreeMap<&'static str, Vec<u8>> {
     include_str!("production/written.txt")
         .lines()
@@ -25,14 +25,14 @@
         .collect()
 }
 
-/// Reads a record that production wrote.
+/// Decodes a record that production wrote.
 fn read_record<T: serde::de::DeserializeOwned>(name: &str) -> T {
     let value: Value = decode(&production_bytes()[name]).unwrap();
     from_value(&value).unwrap()
 }
 
-/// Without the fields that production does not know, this version writes what production writes,
-/// byte for byte; so production can read it.
+/// Without the fields that production does not know, this version writes the same bytes as
+/// production, so that production can read them.
 #[test]
 fn encodings_equal_those_of_production() {
     let written = production_bytes();
@@ -82,7 +82,7 @@
     }
 }
 
-/// The fields of a job that production requires in a record, by their names in the store.
+/// Fields of a job that production requires in a record, by their stored names.
 const PRODUCTION_JOB_FIELDS: [&str; 20] = [
     "name_id",
     "docket",
@@ -106,7 +106,7 @@
     "due_s",
 ];
 
-/// The record of a terminal job is reduced, but keeps everything that production requires.
+/// The record of a terminal job lacks some fields, but none that production requires.
 #[test]
 fn terminal_records_keep_fields_production_requires() {
     let mut job = job_record(Recorded::Open).job;
@@ -126,7 +126,7 @@
     assert_eq!(field(&value, "state"), Some(Value::Text("done".into())));
 }
 
-/// Production requires `chunks` in each page of progress, also if it is empty.
+/// Production requires `chunks` in each progress page, even if it is empty.
 #[test]
 fn progress_pages_always_have_the_field_chunks() {
     let page = ProgressPage {
--- a/crates/wire/tests/production/samples.rs
+++ b/crates/wire/tests/production/samples.rs
@@ -11,10 +11,10 @@
 use wire::users::Job;
 use wire::workers::{TaskState, Why};
 
-/// A sample's name and its bytes.
+/// Name and bytes of a sample.
 type Sample = (&'static str, Vec<u8>);
 
-/// A job as a user sends it, without any field that the production version does not know.
+/// Returns a job as a user submits it, without fields that the version in production does not know.
 fn submitted() -> Vec<u8> {
     let value = cbor!({"name_id" => "wk-000412", "docket" => "train", "crew" => "vision", "shape" => "ensemble",
         "urgency" => "high", "tickets" => 16, "vcpus" => 8.0, "gpus" => 1.0, "mem_gb" => 64.0, "kit" => "img-07",
@@ -39,7 +39,7 @@
             ("wk-000412".into(), 0, "ff01".into()),
             ("wk-000500".into(), 1, "0500".into()),
         ],
-        // Fields that one of the versions lacks are left at their defaults.
+        // Fields that only one of the versions has keep their defaults.
         ..ProgressPage::default()
     }
 }
@@ -153,7 +153,7 @@
     samples
 }
 
-/// Epochs, grants, and what owners know of the cluster.
+/// Samples on epochs and grants, and on the cluster's state as sent to owners.
 fn to_owner_on_epochs() -> Vec<(&'static str, ToOwner)> {
     vec![
         (
@@ -214,7 +214,7 @@
     ]
 }
 
-/// Tasks of arrays.
+/// Samples on tasks of arrays.
 fn to_owner_on_tasks() -> Vec<(&'static str, ToOwner)> {
     vec![
         (
@@ -239,7 +239,7 @@
     ]
 }
 
-/// Tasks of gangs.
+/// Samples on tasks of gangs.
 fn to_owner_on_gangs() -> Vec<(&'static str, ToOwner)> {
     let places = || vec![("host-000001".to_string(), 0, 12)];
     vec![
@@ -258,7 +258,7 @@
     ]
 }
 
-/// Tasks on machines.
+/// Samples on tasks that are on machines.
 fn to_owner_on_running_tasks() -> Vec<(&'static str, ToOwner)> {
     vec![
         (
--- a/crates/wire/tests/support/mod.rs
+++ b/crates/wire/tests/support/mod.rs
@@ -1,9 +1,9 @@
-//! Fixtures hold bytes in hexadecimal.
+//! Helpers for fixtures, which hold bytes in hexadecimal.
 
-// The helpers of these tests unwrap as the tests do.
+// Test helpers unwrap, like the tests themselves.
 #![allow(clippy::unwrap_used)]
 
-/// Parses bytes in hexadecimal.
+/// Decodes hexadecimal digits to bytes.
 pub fn from_hex(text: &str) -> Vec<u8> {
     let bytes = text.len() / 2;
     (0..bytes)
