--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,4 +1,4 @@
-//! The client: requests to one address over a small pool of connections that are kept alive.
+//! HTTP client for one address, with a small pool of keep-alive connections.
 
 use crate::parse::{self, HeadError, ResponseHead};
 use crate::with_timeout;
@@ -9,26 +9,26 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// How long an idle connection may be reused.
+/// Time for which an idle connection may be reused.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Capacity that is reserved for the head of a request, in bytes.
+/// Initial capacity of the buffer for the head of a request, in bytes.
 const TYPICAL_HEAD_BYTES: usize = 160;
 
-/// Initial capacity for a response, in bytes.
+/// Initial capacity of the buffer for a response, in bytes.
 const TYPICAL_RESPONSE_BYTES: usize = 1024;
 
-/// Largest number of bytes taken from the socket by one read.
-const READ_BYTES: usize = 8192;
+/// Maximum number of bytes taken from the socket by one read.
+const READ_BUFFER_BYTES: usize = 8192;
 
-/// Why a request has no response.
+/// Reason why a request has no response.
 #[derive(Debug, thiserror::Error)]
 pub enum RequestError {
     /// The request certainly did not reach the server.
     #[error(transparent)]
     NotSent(ConnectError),
-    /// The response has so many bytes, more than this client accepts. The server has executed the
-    /// request.
+    /// The response is larger than the client accepts. Holds the declared size of the body, or the
+    /// number of bytes received so far if none was declared. The server has executed the request.
     #[error("the response of {0} bytes is too large")]
     ResponseTooLarge(usize),
     /// The server may have executed the request, or may still do so.
@@ -36,7 +36,7 @@
     OutcomeUnknown(ExchangeError),
 }
 
-/// There is no connection to the server.
+/// Error for a connection that could not be made.
 #[derive(Debug, thiserror::Error)]
 #[error("can't connect to {addr}: {cause}")]
 pub struct ConnectError {
@@ -46,10 +46,10 @@
     pub cause: ConnectFault,
 }
 
-/// Why no connection could be made.
+/// Reason why no connection could be made.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectFault {
-    /// It took longer than the time allowed for the request.
+    /// Connecting took longer than the timeout of the request.
     #[error("connecting took too long")]
     TimedOut,
     /// The connection was refused or failed.
@@ -57,7 +57,7 @@
     Io(#[from] io::Error),
 }
 
-/// The request was sent, at least in part, and there is no whole response.
+/// Error for a request that may have been sent, at least in part, without a complete response.
 #[derive(Debug, thiserror::Error)]
 #[error("no response from {addr}: {cause}")]
 pub struct ExchangeError {
@@ -70,7 +70,7 @@
 /// What failed on a connection after a request may have been sent.
 #[derive(Debug, thiserror::Error)]
 pub enum ExchangeFault {
-    /// There was no whole response within the time allowed for the request.
+    /// There was no complete response within the timeout of the request.
     #[error("time-out")]
     TimedOut,
     /// The server closed the connection before the response was complete.
@@ -79,7 +79,7 @@
     /// The head of the response is invalid.
     #[error("malformed response")]
     Malformed(#[source] HeadError),
-    /// The response is in chunked encoding, which no server of these protocols uses.
+    /// The response has a chunked body, which no server of these protocols sends.
     #[error("a chunked response is not expected here")]
     Chunked,
     /// The connection failed.
@@ -87,24 +87,24 @@
     Io(#[from] io::Error),
 }
 
-/// A response of the server.
+/// Response of the server.
 #[derive(Debug)]
 pub struct Response {
     /// Status code.
     pub status: u16,
     /// The whole body.
     pub body: Vec<u8>,
-    /// `Retry-After`, if the server gave it in seconds.
+    /// Value of `Retry-After`, if the server sent it in seconds.
     pub retry_after_s: Option<f64>,
 }
 
-/// An idle connection in the pool.
+/// Idle connection in the pool.
 struct IdleConnection {
     stream: TcpStream,
-    since: Instant,
+    idle_since: Instant,
 }
 
-/// A client of one server.
+/// Client of one server.
 pub struct Client {
     addr: SocketAddr,
     pool: RefCell<Vec<IdleConnection>>,
@@ -113,8 +113,8 @@
 }
 
 impl Client {
-    /// A client that keeps at most `max_idle` idle connections alive, and accepts responses whose
-    /// bodies have at most `max_body_bytes`.
+    /// Returns a client that keeps at most `max_idle` idle connections alive, and accepts responses
+    /// with bodies of at most `max_body_bytes`.
     pub fn new(addr: SocketAddr, max_idle: usize, max_body_bytes: usize) -> Client {
         Client {
             addr,
@@ -129,28 +129,30 @@
         self.pool.borrow_mut().clear();
     }
 
-    /// Sends a request and waits for the response, for at most `limit` in all.
+    /// Sends a request and waits for the response. The timeout covers both, including the time to
+    /// connect.
     pub async fn request(
         &self,
         method: &str,
         path: &str,
         body: &[u8],
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<Response, RequestError> {
         let started_at = Instant::now();
         let pooled = self.take_idle();
         let is_pooled = pooled.is_some();
         let stream = match pooled {
             Some(stream) => stream,
-            None => self.connect(limit).await?,
+            None => self.connect(timeout).await?,
         };
-        let remaining = limit.saturating_sub(started_at.elapsed());
+        let remaining = timeout.saturating_sub(started_at.elapsed());
         let exchange = self.exchange(stream, method, path, body);
         match with_timeout(remaining, exchange).await {
             Some(Ok(response)) => Ok(response),
             Some(Err(error)) => {
                 if is_pooled {
-                    // Most likely the server has closed it; the others are at least as old.
+                    // Most likely the server has closed the pooled connection; the other ones have
+                    // been idle at least as long.
                     self.close_idle();
                 }
                 Err(error)
@@ -162,20 +164,20 @@
         }
     }
 
-    /// Takes an idle connection that the server has probably not closed yet.
+    /// Takes an idle connection from the pool that the server has probably not closed yet.
     fn take_idle(&self) -> Option<TcpStream> {
         let mut pool = self.pool.borrow_mut();
         while let Some(connection) = pool.pop() {
-            if connection.since.elapsed() < IDLE_TIMEOUT {
+            if connection.idle_since.elapsed() < IDLE_TIMEOUT {
                 return Some(connection.stream);
             }
         }
         None
     }
 
-    async fn connect(&self, limit: Duration) -> Result<TcpStream, RequestError> {
+    async fn connect(&self, timeout: Duration) -> Result<TcpStream, RequestError> {
         let addr = self.addr;
-        let cause = match with_timeout(limit, TcpStream::connect(addr)).await {
+        let cause = match with_timeout(timeout, TcpStream::connect(addr)).await {
             Some(Ok(stream)) => {
                 let _ = stream.set_nodelay(true);
                 return Ok(stream);
@@ -201,15 +203,15 @@
         if head.chunked {
             return Err(outcome_unknown(self.addr, ExchangeFault::Chunked));
         }
-        let ended = reader.read_body(&head, self.max_body_bytes).await?;
+        let ends_connection = reader.read_body(&head, self.max_body_bytes).await?;
         let ResponseReader {
             stream,
             mut received,
             ..
         } = reader;
         received.drain(..head.head_len);
-        if !head.close && !ended {
-            self.keep_alive(stream);
+        if !head.close && !ends_connection {
+            self.return_to_pool(stream);
         }
         Ok(Response {
             status: head.status,
@@ -234,21 +236,21 @@
     }
 
     /// Returns a connection to the pool, or closes it if the pool is full.
-    fn keep_alive(&self, stream: TcpStream) {
+    fn return_to_pool(&self, stream: TcpStream) {
         let mut pool = self.pool.borrow_mut();
         if pool.len() < self.max_idle {
-            let since = Instant::now();
-            pool.push(IdleConnection { stream, since });
+            let idle_since = Instant::now();
+            pool.push(IdleConnection { stream, idle_since });
         }
     }
 }
 
-/// Reads one response from a connection.
+/// Reader of one response from a connection.
 struct ResponseReader {
     addr: SocketAddr,
     stream: TcpStream,
     received: Vec<u8>,
-    chunk: [u8; READ_BYTES],
+    read_buffer: [u8; READ_BUFFER_BYTES],
 }
 
 impl ResponseReader {
@@ -257,11 +259,11 @@
             addr,
             stream,
             received: Vec::with_capacity(TYPICAL_RESPONSE_BYTES),
-            chunk: [0; READ_BYTES],
+            read_buffer: [0; READ_BUFFER_BYTES],
         }
     }
 
-    /// Reads the final response's head; interim responses (`100 Continue`) are skipped.
+    /// Reads the head of the final response, skipping interim responses (`100 Continue`).
     async fn read_head(&mut self) -> Result<ResponseHead, RequestError> {
         loop {
             let parsed = parse::parse_response(&self.received);
@@ -277,8 +279,8 @@
         }
     }
 
-    /// Reads the body into `received`, behind the head. Returns whether the body's end is that of
-    /// the connection, so that it can't be used again.
+    /// Reads the body into `received`, after the head. Returns whether the body ended with the
+    /// connection, which then can't be reused.
     async fn read_body(
         &mut self,
         head: &ResponseHead,
@@ -314,11 +316,11 @@
         }
     }
 
-    /// Reads what is available; 0 at the end of the connection.
+    /// Reads the available bytes and returns their number; 0 at the end of the connection.
     async fn read(&mut self) -> Result<usize, RequestError> {
-        let result = self.stream.read(&mut self.chunk).await;
+        let result = self.stream.read(&mut self.read_buffer).await;
         let count = result.map_err(|error| outcome_unknown(self.addr, error.into()))?;
-        self.received.extend_from_slice(&self.chunk[..count]);
+        self.received.extend_from_slice(&self.read_buffer[..count]);
         Ok(count)
     }
 }
--- a/crates/wire/tests/production.rs
+++ b/crates/wire/tests/production.rs
@@ -1,10 +1,10 @@
-//! The formats against bytes that the version in production has written.
+//! Tests the formats against bytes written by the version in production.
 //!
-//! `production/written.txt` holds each sample of `production/samples.rs`, name and bytes in
-//! hexadecimal, as commit d2cfe12 wrote it: that file was included by an example of the `wire`
-//! package of that commit, which printed every sample.
+//! `production/written.txt` holds the name and the bytes, in hexadecimal, of each sample in
+//! `production/samples.rs`, as written by commit d2cfe12: an example in that commit's `wire`
+//! package included the file of samples and printed each sample.
 
-// The helpers of these tests unwrap as the tests do.
+// Test helpers unwrap, like the tests themselves.
 #![allow(clippy::unwrap_used)]
 
 include!("production/samples.rs");
@@ -16,8 +16,8 @@
 use wire::peers::{decode_frame, LENGTH_BYTES};
 use wire::store::{from_value, Value};
 
-/// The samples as production wrote them, by name.
-fn written() -> BTreeMap<&'static str, Vec<u8>> {
+/// Returns the samples as production wrote them, by name.
+fn production_bytes() -> BTreeMap<&'static str, Vec<u8>> {
     include_str!("production/written.txt")
         .lines()
         .map(|line| line.split_once(' ').unwrap())
@@ -25,17 +25,17 @@
         .collect()
 }
 
-/// Reads a record that production wrote.
-fn read<T: serde::de::DeserializeOwned>(name: &str) -> T {
-    let value: Value = decode(&written()[name]).unwrap();
+/// Decodes a record that production wrote.
+fn read_record<T: serde::de::DeserializeOwned>(name: &str) -> T {
+    let value: Value = decode(&production_bytes()[name]).unwrap();
     from_value(&value).unwrap()
 }
 
-/// Without the fields that production does not know, this version writes what production writes,
-/// byte for byte; so production can read it.
+/// Without the fields that production does not know, this version writes the same bytes as
+/// production, so that production can read them.
 #[test]
-fn records_and_frames_without_new_fields_equal_those_of_production() {
-    let written = written();
+fn encodings_equal_those_of_production() {
+    let written = production_bytes();
     let samples: Vec<Sample> = records().into_iter().chain(frames()).collect();
     assert_eq!(samples.len(), written.len());
     for (name, bytes) in samples {
@@ -50,36 +50,39 @@
         ("job_done", Recorded::Done),
         ("job_cancelled", Recorded::Cancelled),
     ] {
-        let record: JobRecord = read(name);
+        let record: JobRecord = read_record(name);
         assert_eq!(record.state, state);
         assert_eq!(record.job, job_record(state).job);
         assert!(record.job.dependencies.is_empty());
     }
-    assert_eq!(read::<ProgressPage>("progress_page"), progress_page());
-    assert_eq!(read::<RosterPage>("roster_page"), roster_page());
-    assert_eq!(read::<BindingRecord>("binding"), binding_record());
     assert_eq!(
-        read::<StartedArraysRecord>("begun"),
+        read_record::<ProgressPage>("progress_page"),
+        progress_page()
+    );
+    assert_eq!(read_record::<RosterPage>("roster_page"), roster_page());
+    assert_eq!(read_record::<BindingRecord>("binding"), binding_record());
+    assert_eq!(
+        read_record::<StartedArraysRecord>("begun"),
         started_arrays_record()
     );
-    assert_eq!(read::<LeaderRecord>("leader").token, 41);
-    assert_eq!(read::<TermRecord>("term").term, 41);
+    assert_eq!(read_record::<LeaderRecord>("leader").token, 41);
+    assert_eq!(read_record::<TermRecord>("term").term, 41);
 }
 
 #[test]
 fn frames_of_production_are_decoded() {
-    let written = written();
+    let written = production_bytes();
     for (name, message) in to_owner() {
-        let inside = &written[name][LENGTH_BYTES..];
-        assert_eq!(decode_frame::<ToOwner>(inside), Some(message), "{name}");
+        let payload = &written[name][LENGTH_BYTES..];
+        assert_eq!(decode_frame::<ToOwner>(payload), Some(message), "{name}");
     }
     for (name, message) in to_leader() {
-        let inside = &written[name][LENGTH_BYTES..];
-        assert_eq!(decode_frame::<ToLeader>(inside), Some(message), "{name}");
+        let payload = &written[name][LENGTH_BYTES..];
+        assert_eq!(decode_frame::<ToLeader>(payload), Some(message), "{name}");
     }
 }
 
-/// The fields of a job that production requires in a record, by their names in the store.
+/// Fields of a job that production requires in a record, by their stored names.
 const PRODUCTION_JOB_FIELDS: [&str; 20] = [
     "name_id",
     "docket",
@@ -103,9 +106,9 @@
     "due_s",
 ];
 
-/// The record of a terminal job is reduced, but keeps everything that production requires.
+/// The record of a terminal job lacks some fields, but none that production requires.
 #[test]
-fn a_terminal_record_has_all_fields_that_production_requires() {
+fn terminal_records_keep_fields_production_requires() {
     let mut job = job_record(Recorded::Open).job;
     job.dependencies = vec!["wk-000001".into()];
     let record = JobRecord::terminal(Recorded::Done, 5, &job);
@@ -123,9 +126,9 @@
     assert_eq!(field(&value, "state"), Some(Value::Text("done".into())));
 }
 
-/// Production requires `chunks` in each page of progress, also if it is empty.
+/// Production requires `chunks` in each progress page, even if it is empty.
 #[test]
-fn a_progress_page_with_only_sections_still_has_the_field_chunks() {
+fn progress_pages_always_have_the_field_chunks() {
     let page = ProgressPage {
         chunks: Vec::new(),
         sections: vec![("wk-000500".into(), 4096, "05".into())],
