--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,4 +1,4 @@
-//! Message and record formats of ladderroute: CBOR for users, workers, the cloud and the state
+//! All message and record formats of ladderroute: CBOR for users, workers, the cloud and the state
 //! service, and bitcode between controllers.
 //!
 //! The crate does no I/O, so that clients can use it as well. The Rust names are the usual terms of
--- a/crates/wire/src/peers.rs
+++ b/crates/wire/src/peers.rs
@@ -132,7 +132,8 @@
         /// Fencing token of the epoch.
         token: u64,
         /// Token of the previous epoch, or 0 if the owner has to start with empty state. An owner
-        /// that was not in that epoch also starts with empty state.
+        /// that was not in that epoch also starts with empty state. Any other owner keeps the
+        /// records of the machines that it still owns.
         previous_token: u64,
         /// Owners of the epoch; they determine the shards.
         members: Vec<String>,
@@ -280,7 +281,7 @@
     ReserveResult {
         /// Attempt of the reservation.
         attempt: u64,
-        /// Whether capacity is reserved for all tasks.
+        /// Whether all of the requested capacity is reserved.
         reserved: bool,
     },
     /// The sender has confirmed a cancellation, which the leader may not have read from the store
--- a/crates/wire/src/workers.rs
+++ b/crates/wire/src/workers.rs
@@ -32,7 +32,7 @@
     Done,
     /// It was ordered to stop.
     Stopped,
-    /// Another task of its gang is no longer running.
+    /// Another task of its gang is gone.
     Peers,
     /// Its gang was not complete in time.
     Incomplete,
