--- a/crates/ladderroute/tests/api.rs
+++ b/crates/ladderroute/tests/api.rs
@@ -7,8 +7,8 @@
 
 const KIB: f64 = 1024.0;
 
-/// A site, and how many machines it may have.
-struct Site {
+/// A deployment, and how many machines it may have.
+struct Deployment {
     memory_mb: f64,
     max_sockets: usize,
     others: usize,
@@ -17,29 +17,29 @@
 }
 
 /// All workers may be at one controller, at one and a half times what was announced.
-const SITES: [Site; 4] = [
-    Site {
+const DEPLOYMENTS: [Deployment; 4] = [
+    Deployment {
         memory_mb: 188.0,
         max_sockets: 2829,
         others: 4,
         store_rps: 70.0,
         machines: 2750,
     },
-    Site {
+    Deployment {
         memory_mb: 188.0,
         max_sockets: 2057,
         others: 2,
         store_rps: 250.0,
         machines: 890,
     },
-    Site {
+    Deployment {
         memory_mb: 56.0,
         max_sockets: 600,
         others: 2,
         store_rps: 60.0,
         machines: 260,
     },
-    Site {
+    Deployment {
         memory_mb: 200.0,
         max_sockets: 3500,
         others: 0,
@@ -48,7 +48,7 @@
     },
 ];
 
-impl Site {
+impl Deployment {
     fn limits(&self) -> Limits {
         let quota = Quota {
             memory_mb: self.memory_mb,
@@ -59,33 +59,33 @@
 }
 
 #[test]
-fn the_port_takes_what_the_settings_allow_and_leaves_what_the_controller_needs_itself() {
-    for site in SITES {
-        let limits = site.limits();
-        let own = reserved_sockets(site.others, site.store_rps);
-        assert!(limits.max_connections + own <= site.max_sockets);
+fn server_limits_fit_the_quota_and_reserve_sockets() {
+    for deployment in DEPLOYMENTS {
+        let limits = deployment.limits();
+        let reserved = reserved_sockets(deployment.others, deployment.store_rps);
+        assert!(limits.max_connections + reserved <= deployment.max_sockets);
         // Each worker may lack a connection for a moment, so that nearly all is enough.
         assert!(
-            limits.max_connections as f64 > f64::from(site.machines) * 0.97,
+            limits.max_connections as f64 > f64::from(deployment.machines) * 0.97,
             "{} for {}",
             limits.max_connections,
-            site.machines
+            deployment.machines
         );
         let connections_mb = limits.max_connections as f64 * CONNECTION_KIB / KIB;
         let bytes_mb = limits.max_buffered_bytes as f64 / (KIB * KIB);
-        assert!(connections_mb + bytes_mb < site.memory_mb * 0.6);
+        assert!(connections_mb + bytes_mb < deployment.memory_mb * 0.6);
     }
-    let tiny = Quota {
+    let small_quota = Quota {
         memory_mb: 16.0,
         max_sockets: 40,
     };
-    assert!(server_limits(&tiny, 2, 60.0, 1.0).max_connections >= 16);
+    assert!(server_limits(&small_quota, 2, 60.0, 1.0).max_connections >= 16);
 }
 
 /// A leader that lost the store and the others, but not its users, answered them "not now" at
 /// once and so drew ever more of them from the balancer, which prefers idle nodes.
 #[test]
-fn a_leader_that_is_alone_leaves_the_balancer_but_not_in_an_outage_for_all() {
+fn isolated_leader_leaves_the_load_balancer() {
     let leader = |owners, others| Role::Leader { owners, others };
     assert!(
         others_serve_better(StoreHealth::Failing, leader(0, 2)),
--- a/crates/ladderroute/tests/batches.rs
+++ b/crates/ladderroute/tests/batches.rs
@@ -18,25 +18,25 @@
     value_kb: 4.0,
 };
 
-struct Scene {
-    waiting: VecDeque<Action>,
+struct WriterFixture {
+    pending: VecDeque<Action>,
     records: RecordPages,
     replica: Replica,
     leader: Leader,
     limits: TxnLimits,
 }
 
-impl Scene {
+impl WriterFixture {
     /// A leader that takes over what the store holds, with limits that have become smaller.
-    fn taking_over(stored: Replica, limits: TxnLimits) -> Scene {
-        let mut scene = Scene::new([]);
-        scene.records = RecordPages::load(&stored, limits.value_kb);
-        scene.replica = stored;
-        scene.limits = limits;
-        scene
+    fn after_takeover(stored: Replica, limits: TxnLimits) -> WriterFixture {
+        let mut fixture = WriterFixture::new([]);
+        fixture.records = RecordPages::load(&stored, limits.value_kb);
+        fixture.replica = stored;
+        fixture.limits = limits;
+        fixture
     }
 
-    fn new(waiting: impl IntoIterator<Item = Action>) -> Scene {
+    fn new(pending: impl IntoIterator<Item = Action>) -> WriterFixture {
         let config = SchedulerConfig {
             teams: BTreeMap::new(),
             heartbeat_s: 1.0,
@@ -52,8 +52,8 @@
         };
         let replica = Replica::default();
         let roster = BTreeMap::new();
-        Scene {
-            waiting: waiting.into_iter().collect(),
+        WriterFixture {
+            pending: pending.into_iter().collect(),
             records: RecordPages::load(&replica, LIMITS.value_kb),
             leader: Leader::new(
                 "rung-0",
@@ -71,7 +71,7 @@
         }
     }
 
-    fn accept(&mut self, id: &str) {
+    fn add_job(&mut self, id: &str) {
         let job = Job {
             id: id.into(),
             class: "any".into(),
@@ -104,9 +104,9 @@
         self.replica.put_job(id, record, 5);
     }
 
-    fn next(&mut self) -> Batch {
+    fn next_batch(&mut self) -> Batch {
         next_batch(
-            &mut self.waiting,
+            &mut self.pending,
             &mut self.records,
             &self.replica,
             &mut self.leader,
@@ -115,7 +115,7 @@
     }
 }
 
-fn machine(name: &str) -> Action {
+fn add_machine(name: &str) -> Action {
     let (kind, zone) = ("small".to_string(), "a".to_string());
     let record = RosterRecord {
         kind,
@@ -125,7 +125,7 @@
     Action::UpdateRoster(name.into(), Some(record))
 }
 
-fn progress(job: &str) -> Action {
+fn record_progress(job: &str) -> Action {
     let (job, bits) = (job.to_string(), "80".to_string());
     Action::RecordProgress {
         job,
@@ -158,88 +158,88 @@
 
 /// A new token is durable before anything that is decided under it.
 #[test]
-fn a_new_token_goes_alone_and_before_all_else() {
-    let mut scene = Scene::new([
-        machine("host-1"),
+fn new_token_is_written_alone_and_first() {
+    let mut fixture = WriterFixture::new([
+        add_machine("host-1"),
         Action::IssueToken,
         binding("wk-000001", 1),
     ]);
-    let batch = scene.next();
+    let batch = fixture.next_batch();
     assert!(batch.issues_token());
     assert_eq!((batch.actions.len(), batch.writes.len()), (1, 0));
-    assert_eq!(scene.waiting.len(), 2);
+    assert_eq!(fixture.pending.len(), 2);
 }
 
 /// Bindings go before the roster, both before progress; machines share a page.
 #[test]
-fn the_most_urgent_go_first_and_entries_share_pages() {
-    let mut scene = Scene::new([
-        progress("wk-000002"),
-        machine("host-1"),
-        machine("host-2"),
+fn urgent_writes_go_first_and_entries_share_pages() {
+    let mut fixture = WriterFixture::new([
+        record_progress("wk-000002"),
+        add_machine("host-1"),
+        add_machine("host-2"),
         started_arrays(),
         binding("wk-000001", 1),
     ]);
-    let batch = scene.next();
+    let batch = fixture.next_batch();
     assert_eq!(batch.actions[0], binding("wk-000001", 1));
-    assert_eq!(batch.actions.last(), Some(&progress("wk-000002")));
+    assert_eq!(batch.actions.last(), Some(&record_progress("wk-000002")));
     // The binding, what has begun, one page of machines and one of progress, each on a condition.
     assert_eq!((batch.writes.len(), batch.conditions.len()), (4, 4));
-    assert!(scene.waiting.is_empty());
+    assert!(fixture.pending.is_empty());
     assert_eq!(
-        scene.next().roster_pages,
+        fixture.next_batch().roster_pages,
         batch.roster_pages,
         "a page is due until it is known to be written"
     );
-    scene
+    fixture
         .records
         .mark_written(&batch.roster_pages, &batch.progress_pages);
-    assert!(scene.next().is_empty());
+    assert!(fixture.next_batch().is_empty());
 }
 
 /// What does not fit waits, and nothing less urgent overtakes it.
 #[test]
-fn a_binding_that_does_not_fit_waits_whole() {
+fn binding_that_does_not_fit_is_deferred_whole() {
     let long = 3 * 64;
-    let mut scene = Scene::new([
+    let mut fixture = WriterFixture::new([
         binding("wk-000001", long),
         binding("wk-000002", long),
         started_arrays(),
     ]);
-    let batch = scene.next();
+    let batch = fixture.next_batch();
     assert_eq!(batch.actions, [binding("wk-000001", long)]);
     assert_eq!(batch.writes.len(), 3, "three records of 64 places each");
     assert_eq!(
-        scene.waiting,
+        fixture.pending,
         [binding("wk-000002", long), started_arrays()]
     );
 }
 
 /// The ends of jobs have conditions that may fail, so that they share no transaction with the rest.
 #[test]
-fn ends_of_jobs_go_among_themselves() {
-    let mut scene = Scene::new([
+fn job_ends_are_written_in_their_own_transaction() {
+    let mut fixture = WriterFixture::new([
         finish("wk-000001"),
         finish("wk-000009"),
-        progress("wk-000003"),
+        record_progress("wk-000003"),
         finish("wk-000002"),
     ]);
-    scene.accept("wk-000001");
-    scene.accept("wk-000002");
-    let batch = scene.next();
+    fixture.add_job("wk-000001");
+    fixture.add_job("wk-000002");
+    let batch = fixture.next_batch();
     // The job that is not known any more has nothing to write.
     assert_eq!(batch.actions, [finish("wk-000001"), finish("wk-000002")]);
     assert!(batch.conditions.iter().all(|c| c.version == 5));
-    assert_eq!(scene.waiting, [progress("wk-000003")]);
-    assert_eq!(scene.next().actions, [progress("wk-000003")]);
+    assert_eq!(fixture.pending, [record_progress("wk-000003")]);
+    assert_eq!(fixture.next_batch().actions, [record_progress("wk-000003")]);
 }
 
-const LOWER: TxnLimits = TxnLimits {
+const LOWER_LIMITS: TxnLimits = TxnLimits {
     max_writes: 4,
     value_kb: 2.0,
 };
 
-fn put(key: &str, value: Value) -> Change {
+fn put_change(key: &str, value: Value) -> Change {
     Change {
         written_key: Some(key.into()),
         deleted_key: None,
@@ -261,7 +261,7 @@
     }
 }
 
-fn machines_on(write: &Write) -> Vec<String> {
+fn machines_in(write: &Write) -> Vec<String> {
     let Write::Put { value, .. } = write else {
         return Vec::new();
     };
@@ -272,7 +272,7 @@
         .collect()
 }
 
-fn assert_within(batch: &Batch, limits: TxnLimits) {
+fn assert_within_limits(batch: &Batch, limits: TxnLimits) {
     assert!(batch.writes.len() <= limits.max_writes);
     assert!(batch.conditions.len() < limits.max_writes * 4);
     for write in &batch.writes {
@@ -286,20 +286,23 @@
 /// A page that was filled up to a larger limit is split in one transaction, so that no machine is off
 /// the roster at any time; and it is left alone until it has to be written.
 #[test]
-fn a_page_filled_to_a_larger_limit_is_split_in_one_transaction() {
+fn oversized_page_is_split_in_one_transaction() {
     let mut stored = Replica::new(8192);
     stored.apply(&Changes {
         revision: 1,
-        changes: vec![put("lr/roster/0", to_value(&full_roster()))],
+        changes: vec![put_change("lr/roster/0", to_value(&full_roster()))],
     });
-    let mut scene = Scene::taking_over(stored, LOWER);
-    assert!(scene.next().is_empty(), "taking over writes nothing");
-    scene
-        .waiting
+    let mut fixture = WriterFixture::after_takeover(stored, LOWER_LIMITS);
+    assert!(
+        fixture.next_batch().is_empty(),
+        "taking over writes nothing"
+    );
+    fixture
+        .pending
         .push_back(Action::UpdateRoster("host-000007".into(), None));
-    let batch = scene.next();
-    assert_within(&batch, LOWER);
-    let mut machines: Vec<String> = batch.writes.iter().flat_map(machines_on).collect();
+    let batch = fixture.next_batch();
+    assert_within_limits(&batch, LOWER_LIMITS);
+    let mut machines: Vec<String> = batch.writes.iter().flat_map(machines_in).collect();
     machines.sort();
     assert_eq!(machines.len(), 54);
     assert!(!machines.contains(&"host-000007".to_string()));
@@ -308,55 +311,55 @@
         .conditions
         .iter()
         .any(|c| c.key == "lr/roster/0" && c.version == 1));
-    scene
+    fixture
         .records
         .mark_written(&batch.roster_pages, &batch.progress_pages);
-    assert!(scene.next().is_empty());
+    assert!(fixture.next_batch().is_empty());
 }
 
 /// Where a transaction is too small for all pages of a split, copies go first and the page that held
 /// them last: each step leaves every machine on the roster.
 #[test]
-fn a_split_that_takes_several_transactions_never_lacks_a_machine() {
-    let tiny = TxnLimits {
+fn multi_transaction_split_keeps_every_machine() {
+    let tiny_limits = TxnLimits {
         max_writes: 1,
         value_kb: 1.0,
     };
     let mut stored = Replica::new(8192);
-    let page = put("lr/roster/0", to_value(&full_roster()));
+    let page = put_change("lr/roster/0", to_value(&full_roster()));
     stored.apply(&Changes {
         revision: 1,
         changes: vec![page],
     });
-    let mut scene = Scene::taking_over(stored, tiny);
-    scene.waiting.push_back(machine("host-000003"));
+    let mut fixture = WriterFixture::after_takeover(stored, tiny_limits);
+    fixture.pending.push_back(add_machine("host-000003"));
     for step in 2..12 {
-        let batch = scene.next();
+        let batch = fixture.next_batch();
         if batch.is_empty() {
             break;
         }
-        assert_within(&batch, tiny);
+        assert_within_limits(&batch, tiny_limits);
         let changes = batch.writes.iter().map(|write| match write {
-            Write::Put { key, value, .. } => put(key, value.clone()),
+            Write::Put { key, value, .. } => put_change(key, value.clone()),
             Write::Delete { .. } => panic!("nothing is dropped"),
         });
-        scene.replica.apply(&Changes {
+        fixture.replica.apply(&Changes {
             revision: step,
             changes: changes.map(|c| Change { version: step, ..c }).collect(),
         });
-        assert_eq!(scene.replica.roster.machines().len(), 55, "step {step}");
-        scene
+        assert_eq!(fixture.replica.roster.machines().len(), 55, "step {step}");
+        fixture
             .records
             .mark_written(&batch.roster_pages, &batch.progress_pages);
     }
-    assert!(scene.waiting.is_empty() && scene.next().is_empty());
-    assert!(scene.replica.roster.pages().len() > 3);
+    assert!(fixture.pending.is_empty() && fixture.next_batch().is_empty());
+    assert!(fixture.replica.roster.pages().len() > 3);
 }
 
 /// Chunks of version 0.1 begin at their number times a size that depended on its settings. They are laid
 /// out anew, as bitmaps that say where they begin, below the smaller limit.
 #[test]
-fn progress_of_another_layout_is_laid_out_anew() {
+fn progress_of_the_old_layout_is_rewritten() {
     let mut stored = Replica::new(8192);
     let full = "ff".repeat(1024);
     let page = ProgressPage {
@@ -365,20 +368,20 @@
     };
     stored.apply(&Changes {
         revision: 1,
-        changes: vec![put("lr/progress/0", to_value(&page))],
+        changes: vec![put_change("lr/progress/0", to_value(&page))],
     });
-    let mut scene = Scene::taking_over(stored, LOWER);
-    scene.accept("wk-000001");
+    let mut fixture = WriterFixture::after_takeover(stored, LOWER_LIMITS);
+    fixture.add_job("wk-000001");
     let records = [8192, 12_288].map(|first_task| Action::RecordProgress {
         job: "wk-000001".into(),
         first_task,
         bits: "ff".repeat(512),
     });
-    scene.waiting.extend(records);
+    fixture.pending.extend(records);
     let mut sections = Vec::new();
     for _ in 0..3 {
-        let batch = scene.next();
-        assert_within(&batch, LOWER);
+        let batch = fixture.next_batch();
+        assert_within_limits(&batch, LOWER_LIMITS);
         for write in &batch.writes {
             if let Write::Put { value, .. } = write {
                 let page: ProgressPage = wire::store::from_value(value).unwrap();
@@ -390,7 +393,7 @@
                 );
             }
         }
-        scene
+        fixture
             .records
             .mark_written(&batch.roster_pages, &batch.progress_pages);
     }
@@ -400,26 +403,26 @@
 
 /// A gang on more machines than one transaction can name is bound in several; it starts after the last.
 #[test]
-fn a_binding_longer_than_a_transaction_is_written_in_parts() {
+fn long_binding_is_written_in_parts() {
     let machines = 400;
-    let mut scene = Scene::new([binding("wk-000001", machines), started_arrays()]);
-    scene.limits = LOWER;
+    let mut fixture = WriterFixture::new([binding("wk-000001", machines), started_arrays()]);
+    fixture.limits = LOWER_LIMITS;
     let mut places = 0;
     for _ in 0..3 {
-        let batch = scene.next();
-        assert_within(&batch, LOWER);
+        let batch = fixture.next_batch();
+        assert_within_limits(&batch, LOWER_LIMITS);
         assert!(batch.actions.is_empty(), "not bound yet");
         let part = batch.partial_binding.expect("a part of the binding");
         assert!(part.places > places);
         // An outcome that is not known: the same part again.
-        assert_eq!(scene.next().partial_binding, Some(part));
+        assert_eq!(fixture.next_batch().partial_binding, Some(part));
         places = part.places;
-        scene
+        fixture
             .records
             .set_bound_places(part.attempt, Some(part.places));
     }
-    let batch = scene.next();
-    assert_within(&batch, LOWER);
+    let batch = fixture.next_batch();
+    assert_within_limits(&batch, LOWER_LIMITS);
     assert_eq!(batch.actions[0], binding("wk-000001", machines));
     let last = batch.writes.iter().filter_map(|write| match write {
         Write::Put { value, .. } => wire::store::from_value::<BindingRecord>(value),
@@ -434,21 +437,21 @@
 /// The store refuses what it was said to take. Transactions become smaller until what is too large stands
 /// alone, then pages do; whatever else waits is written meanwhile.
 #[test]
-fn a_refusal_for_size_leads_to_smaller_writes_and_blocks_no_others() {
+fn size_refusal_shrinks_writes_and_blocks_no_others() {
     let mut limits = TxnLimits {
         max_writes: 12,
         value_kb: 4.0,
     };
-    let mut scene = Scene::new([]);
-    scene
-        .waiting
-        .extend((0..150).map(|n| machine(&format!("host-{n:06}"))));
-    const TRUE_BYTES: usize = 512;
-    let truth = LOWER;
+    let mut fixture = WriterFixture::new([]);
+    fixture
+        .pending
+        .extend((0..150).map(|n| add_machine(&format!("host-{n:06}"))));
+    const ACTUAL_VALUE_BYTES: usize = 512;
+    let actual_limits = LOWER_LIMITS;
     let mut refusals = 0;
     for _ in 0..150 {
-        scene.limits = limits;
-        let batch = scene.next();
+        fixture.limits = limits;
+        let batch = fixture.next_batch();
         if batch.is_empty() {
             break;
         }
@@ -457,21 +460,21 @@
             Write::Delete { .. } => 0,
         });
         let largest = sizes.max().unwrap_or(0);
-        let fits = batch.writes.len() <= truth.max_writes && largest <= TRUE_BYTES;
+        let fits = batch.writes.len() <= actual_limits.max_writes && largest <= ACTUAL_VALUE_BYTES;
         if fits {
-            scene
+            fixture
                 .records
                 .mark_written(&batch.roster_pages, &batch.progress_pages);
         } else {
             refusals += 1;
             limits = limits.lowered(batch.writes.len(), largest);
-            scene.records.lower_value_limit(limits.value_kb);
-            scene.waiting.extend(batch.actions);
+            fixture.records.lower_value_limit(limits.value_kb);
+            fixture.pending.extend(batch.actions);
         }
     }
     assert!((1..8).contains(&refusals), "{refusals} refusals");
     assert!(
-        scene.next().is_empty() && scene.waiting.is_empty(),
+        fixture.next_batch().is_empty() && fixture.pending.is_empty(),
         "all is written"
     );
     assert!(limits.max_writes >= 1 && limits.value_kb >= 0.5);
--- a/crates/ladderroute/tests/cluster_view.rs
+++ b/crates/ladderroute/tests/cluster_view.rs
@@ -1,5 +1,5 @@
 //! The cluster view, checked against a plain store with all its history: the store keeps few changes, pages are
-//! read at several revisions, answers are late, out of order or lost, and own writes and direct reads come in
+//! read at several revisions, responses are late, out of order or lost, and own writes and direct reads come in
 //! between.
 
 // The helper functions of these tests unwrap as the tests do.
@@ -16,23 +16,23 @@
 use wire::users::{Job, Priority, Shape};
 
 const STEPS: u32 = 400;
-const PAGE_ITEMS: usize = 3;
-const KEPT_CHANGES: usize = 6;
+const ITEMS_PER_PAGE: usize = 3;
+const RETAINED_CHANGES: usize = 6;
 const ROSTER_PAGES: u32 = 3;
 const CHUNK_BITS: u32 = 8;
 
 /// What the view under test does with a reload.
 #[derive(Clone, Copy, PartialEq)]
-enum Reloads {
+enum ReloadMode {
     /// As in production.
-    Merged,
+    Merge,
     /// Planted fault: the pages replace the view, whatever was applied meanwhile.
-    Replaced,
+    ReplaceView,
     /// Planted fault: the view claims to be complete as of the reload's end, not of its first page.
-    StampedAtItsEnd,
+    StampAtEnd,
 }
 
-struct PlainStore {
+struct ReferenceStore {
     now: f64,
     revision: u64,
     keys: BTreeMap<String, (Value, u64)>,
@@ -42,7 +42,7 @@
     records: BTreeMap<String, JobRecord>,
 }
 
-impl PlainStore {
+impl ReferenceStore {
     fn put(&mut self, key: String, value: Value) -> u64 {
         self.revision += 1;
         self.keys
@@ -73,24 +73,24 @@
 
     /// Whether a job or one that it needs, directly or through others, was cancelled at an instant.
     fn is_cancelled_at(&self, id: &str, at: f64) -> bool {
-        let requirements = || self.records[id].job.dependencies.iter();
+        let dependencies = || self.records[id].job.dependencies.iter();
         self.state_at(id, at) == Some(Recorded::Cancelled)
-            || requirements().any(|needed| self.is_cancelled_at(needed, at))
+            || dependencies().any(|dependency| self.is_cancelled_at(dependency, at))
     }
 
     fn may_start(&self, id: &str) -> bool {
-        let requirements = &self.records[id].job.dependencies;
+        let dependencies = &self.records[id].job.dependencies;
         let is_done = |id: &String| self.state_at(id, self.now) == Some(Recorded::Done);
-        requirements.iter().all(is_done)
+        dependencies.iter().all(is_done)
     }
 
     fn changes(&self, since: u64) -> Option<Changes> {
-        let kept = &self.log[self.log.len().saturating_sub(KEPT_CHANGES)..];
-        let first_kept = kept.first().map_or(1, |change| change.version);
-        if since + 1 < first_kept {
+        let retained = &self.log[self.log.len().saturating_sub(RETAINED_CHANGES)..];
+        let first_retained = retained.first().map_or(1, |change| change.version);
+        if since + 1 < first_retained {
             return None;
         }
-        let newer = kept.iter().filter(|change| change.version > since);
+        let newer = retained.iter().filter(|change| change.version > since);
         Some(Changes {
             revision: self.revision,
             changes: newer.cloned().collect(),
@@ -102,7 +102,7 @@
             .keys
             .iter()
             .filter(|(key, _)| Some(key.as_str()) > after);
-        let items = rest.by_ref().take(PAGE_ITEMS);
+        let items = rest.by_ref().take(ITEMS_PER_PAGE);
         let items = items.map(|(key, (value, version))| Item {
             key: key.clone(),
             value: value.clone(),
@@ -116,46 +116,46 @@
     }
 }
 
-/// An answer in transit to the controller.
-enum Answer {
+/// A response in transit to the controller.
+enum Response {
     Changes(ChangesRead, Changes),
-    TooOld(ChangesRead),
+    RevisionTooOld(ChangesRead),
     Job(Box<JobRecord>, u64),
-    OwnEnd(String, u64),
+    OwnJobDone(String, u64),
     OwnWrite(Vec<Write>, u64),
 }
 
-struct Controller {
+struct SimulatedController {
     view: ClusterView,
-    reloads: Reloads,
+    reload_mode: ReloadMode,
     reload: Option<ViewReload>,
     /// The pages that the reload in progress has read.
     pages: Vec<Page>,
-    answers: Vec<Answer>,
+    responses: Vec<Response>,
     /// The versions that the view held at the last check.
     versions: BTreeMap<String, u64>,
     finished_reloads: u32,
 }
 
-impl Controller {
-    fn receive(&mut self, answer: Answer) {
-        match answer {
-            Answer::Changes(read, changes) => {
+impl SimulatedController {
+    fn receive(&mut self, response: Response) {
+        match response {
+            Response::Changes(read, changes) => {
                 self.view.apply(read, &changes);
             }
-            Answer::TooOld(read) => self.view.on_revision_too_old(read),
-            Answer::Job(record, version) => {
+            Response::RevisionTooOld(read) => self.view.on_revision_too_old(read),
+            Response::Job(record, version) => {
                 let id = record.job.id.clone();
                 self.view.apply_job_record(&id, *record, version);
             }
-            Answer::OwnEnd(id, version) => {
+            Response::OwnJobDone(id, version) => {
                 self.view.mark_job_done(&id, version);
             }
-            Answer::OwnWrite(writes, revision) => self.view.record_writes(&writes, revision),
+            Response::OwnWrite(writes, revision) => self.view.record_writes(&writes, revision),
         }
     }
 
-    fn read_page(&mut self, store: &PlainStore) {
+    fn read_page(&mut self, store: &ReferenceStore) {
         let mut reload = match self.reload.take() {
             Some(reload) => reload,
             None => self.view.begin_reload(store.now),
@@ -169,10 +169,10 @@
         }
         self.finished_reloads += 1;
         let pages = std::mem::take(&mut self.pages);
-        if self.reloads == Reloads::Replaced {
+        if self.reload_mode == ReloadMode::ReplaceView {
             self.view = ClusterView::new(CHUNK_BITS);
         }
-        if self.reloads == Reloads::StampedAtItsEnd {
+        if self.reload_mode == ReloadMode::StampAtEnd {
             reload = self.view.begin_reload(store.now);
             for page in &pages {
                 reload.add_page(page);
@@ -182,23 +182,23 @@
     }
 
     /// The first violated property of the view, if any.
-    fn fault(&mut self, store: &PlainStore) -> Option<String> {
+    fn find_violation(&mut self, store: &ReferenceStore) -> Option<String> {
         let read_at = self.view.read_at();
         let replica = self.view.replica();
         for id in store.jobs.keys() {
             let entry = replica.jobs.get(id);
-            let holds = entry.map(|entry| entry.state);
-            let was = store.state_at(id, read_at);
-            if was.is_some() && holds.is_none() {
+            let held = entry.map(|entry| entry.state);
+            let recorded = store.state_at(id, read_at);
+            if recorded.is_some() && held.is_none() {
                 return Some(format!("{id} is missing, read at {read_at}"));
             }
-            let is_open = holds == Some(Recorded::Open);
-            if is_open && (was != Some(Recorded::Open) && was.is_some()) {
+            let is_open = held == Some(Recorded::Open);
+            if is_open && (recorded != Some(Recorded::Open) && recorded.is_some()) {
                 return Some(format!(
                     "{id} is open, though it had ended when it was read"
                 ));
             }
-            if is_open && store.is_cancelled_at(id, read_at) && was.is_some() {
+            if is_open && store.is_cancelled_at(id, read_at) && recorded.is_some() {
                 return Some(format!("{id} is open, though an ancestor was cancelled"));
             }
             let is_blocked = self.view.dependencies().is_blocked(id);
@@ -209,29 +209,29 @@
             }
         }
         let jobs = replica.jobs.iter();
-        let mut known: BTreeMap<String, u64> = jobs
+        let mut versions: BTreeMap<String, u64> = jobs
             .map(|(id, entry)| (id.clone(), entry.version))
             .collect();
         let ended = replica.jobs.iter();
         let ended = ended.filter(|(_, entry)| entry.state != Recorded::Open);
-        known.extend(ended.map(|(id, _)| (format!("{id} terminal"), 1)));
+        versions.extend(ended.map(|(id, _)| (format!("{id} terminal"), 1)));
         for page in 0..ROSTER_PAGES {
             let key = keys::roster(page);
-            known.insert(key.clone(), replica.versions.condition(&key).version);
+            versions.insert(key.clone(), replica.versions.condition(&key).version);
         }
         for (key, before) in &self.versions {
-            if known.get(key) < Some(before) {
-                return Some(format!("{key} went back"));
+            if versions.get(key) < Some(before) {
+                return Some(format!("{key} regressed"));
             }
         }
-        self.versions = known;
+        self.versions = versions;
         None
     }
 }
 
 fn job(rng: &mut fastrand::Rng, n: u32, ids: &[String]) -> JobRecord {
-    let needed = (0..rng.usize(0..3)).filter_map(|_| rng.choice(ids).cloned());
-    let mut dependencies: Vec<String> = needed.collect();
+    let chosen = (0..rng.usize(0..3)).filter_map(|_| rng.choice(ids).cloned());
+    let mut dependencies: Vec<String> = chosen.collect();
     dependencies.sort();
     dependencies.dedup();
     JobRecord {
@@ -275,21 +275,25 @@
     })
 }
 
-/// Makes a random change to the store, by this controller or another one; returns the answer to this
+/// Makes a random change to the store, by this controller or another one; returns the response to this
 /// controller if the change is its own.
-fn change_store(store: &mut PlainStore, rng: &mut fastrand::Rng, step: u32) -> Option<Answer> {
+fn change_store(
+    store: &mut ReferenceStore,
+    rng: &mut fastrand::Rng,
+    step: u32,
+) -> Option<Response> {
     let ids: Vec<String> = store.jobs.keys().cloned().collect();
     let is_own = rng.bool();
     if rng.u32(0..3) == 0 || ids.is_empty() {
         let (record, version) = store.put_job(job(rng, step, &ids));
-        return is_own.then_some(Answer::Job(Box::new(record), version));
+        return is_own.then_some(Response::Job(Box::new(record), version));
     }
     if rng.u32(0..3) == 0 {
         let key = keys::roster(rng.u32(0..ROSTER_PAGES));
         let value = roster(step);
         let revision = store.put(key.clone(), value.clone());
         let lease = None;
-        return Some(Answer::OwnWrite(
+        return Some(Response::OwnWrite(
             vec![Write::Put { key, value, lease }],
             revision,
         ));
@@ -312,15 +316,15 @@
     };
     let (record, version) = store.put_job(record);
     is_own.then_some(match state {
-        Recorded::Done => Answer::OwnEnd(id, version),
-        _ => Answer::Job(Box::new(record), version),
+        Recorded::Done => Response::OwnJobDone(id, version),
+        _ => Response::Job(Box::new(record), version),
     })
 }
 
 /// Runs a random history; returns the first fault, and the number of finished reloads.
-fn run_history(seed: u64, reloads: Reloads) -> (Option<String>, u32) {
+fn run_history(seed: u64, reload_mode: ReloadMode) -> (Option<String>, u32) {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let mut store = PlainStore {
+    let mut store = ReferenceStore {
         now: 0.0,
         revision: 0,
         keys: BTreeMap::new(),
@@ -328,12 +332,12 @@
         jobs: BTreeMap::new(),
         records: BTreeMap::new(),
     };
-    let mut controller = Controller {
+    let mut controller = SimulatedController {
         view: ClusterView::new(CHUNK_BITS),
-        reloads,
+        reload_mode,
         reload: None,
         pages: Vec::new(),
-        answers: Vec::new(),
+        responses: Vec::new(),
         versions: BTreeMap::new(),
         finished_reloads: 0,
     };
@@ -341,50 +345,52 @@
         store.now += 1.0;
         if rng.u32(0..3) == 0 {
             controller
-                .answers
+                .responses
                 .extend(change_store(&mut store, &mut rng, step));
         }
-        // Another controller's direct read of a record, or this one's after a lost answer.
+        // Another controller's direct read of a record, or this one's after a lost response.
         if rng.u32(0..12) == 0 {
             let ids: Vec<&String> = store.records.keys().collect();
             if let Some(id) = rng.choice(ids) {
                 let version = store.keys[&keys::job(id)].1;
                 let record = store.records[id].clone();
                 controller
-                    .answers
-                    .push(Answer::Job(Box::new(record), version));
+                    .responses
+                    .push(Response::Job(Box::new(record), version));
             }
         }
         match controller.view.begin_read(store.now) {
-            Some(read) if rng.u32(0..8) == 0 => controller.answers.push(
+            Some(read) if rng.u32(0..8) == 0 => controller.responses.push(
                 store
                     .changes(read.since)
-                    .map_or(Answer::TooOld(read), |c| Answer::Changes(read, c)),
+                    .map_or(Response::RevisionTooOld(read), |c| {
+                        Response::Changes(read, c)
+                    }),
             ),
             None if rng.u32(0..3) == 0 => controller.read_page(&store),
             _ => {}
         }
         // Answers arrive late and out of order, or are lost.
-        if !controller.answers.is_empty() && rng.u32(0..3) == 0 {
-            let at = rng.usize(0..controller.answers.len());
-            let answer = controller.answers.swap_remove(at);
+        if !controller.responses.is_empty() && rng.u32(0..3) == 0 {
+            let at = rng.usize(0..controller.responses.len());
+            let response = controller.responses.swap_remove(at);
             if rng.u32(0..20) > 0 {
-                controller.receive(answer);
+                controller.receive(response);
             }
         }
-        if let Some(fault) = controller.fault(&store) {
-            return (Some(format!("seed {seed}, step {step}: {fault}")), 0);
+        if let Some(violation) = controller.find_violation(&store) {
+            return (Some(format!("seed {seed}, step {step}: {violation}")), 0);
         }
     }
     (None, controller.finished_reloads)
 }
 
 #[test]
-fn the_view_never_goes_back_and_is_complete_at_read_at() {
+fn view_never_regresses_and_is_complete_at_read_at() {
     let mut reloads = 0;
     for seed in 0..400 {
-        let (fault, finished) = run_history(seed, Reloads::Merged);
-        assert_eq!(fault, None);
+        let (violation, finished) = run_history(seed, ReloadMode::Merge);
+        assert_eq!(violation, None);
         reloads += finished;
     }
     assert!(reloads > 1000, "reloads: {reloads}");
@@ -392,15 +398,19 @@
 
 /// The check detects a view that a reload takes back, and a `read_at` that a reload does not prove.
 #[test]
-fn planted_reload_faults_are_detected() {
-    let faults_with = |reloads| {
-        let faults = (0..400).filter_map(|seed| run_history(seed, reloads).0);
-        faults.collect::<Vec<_>>()
+fn injected_reload_faults_are_detected() {
+    let violations_with = |mode| {
+        let violations = (0..400).filter_map(|seed| run_history(seed, mode).0);
+        violations.collect::<Vec<_>>()
     };
-    let replaced = faults_with(Reloads::Replaced);
+    let replaced = violations_with(ReloadMode::ReplaceView);
     assert!(replaced.len() > 20, "{}", replaced.len());
-    assert!(replaced.iter().any(|fault| fault.ends_with("went back")));
-    let stamped = faults_with(Reloads::StampedAtItsEnd);
+    assert!(replaced
+        .iter()
+        .any(|violation| violation.ends_with("regressed")));
+    let stamped = violations_with(ReloadMode::StampAtEnd);
     assert!(stamped.len() > 20, "{}", stamped.len());
-    assert!(!stamped.iter().any(|fault| fault.ends_with("went back")));
+    assert!(!stamped
+        .iter()
+        .any(|violation| violation.ends_with("regressed")));
 }
--- a/crates/ladderroute/tests/command.rs
+++ b/crates/ladderroute/tests/command.rs
@@ -12,7 +12,7 @@
 const OPERATOR: &str = "hold_s: 4.5\nleader_lease_share: 0.1\nkeep_boots: 3.25\npatience: 0.75\n";
 
 /// A file of this test alone.
-fn file(test: &str, name: &str, text: &str) -> PathBuf {
+fn write_file(test: &str, name: &str, text: &str) -> PathBuf {
     let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(test);
     std::fs::create_dir_all(&directory).unwrap();
     let path = directory.join(name);
@@ -21,9 +21,9 @@
 }
 
 /// The exit code of a check of the settings, and what it prints on both channels.
-fn check(test: &str, settings: &str, operator: &str) -> (Option<i32>, String, String) {
-    let settings = file(test, "settings.toml", settings);
-    let operator = file(test, "operator.textproto", operator);
+fn check_config(test: &str, settings: &str, operator: &str) -> (Option<i32>, String, String) {
+    let settings = write_file(test, "settings.toml", settings);
+    let operator = write_file(test, "operator.textproto", operator);
     let output = Command::new(env!("CARGO_BIN_EXE_ladderroute"))
         .args(["--config", settings.to_str().unwrap()])
         .args(["--operator", operator.to_str().unwrap()])
@@ -40,38 +40,41 @@
 }
 
 #[test]
-fn a_file_with_every_field_gives_these_values() {
-    let s = Settings::parse(FULL, "f").unwrap();
-    assert_eq!(s.member, "rung-0");
-    assert_eq!(s.api_addr.to_string(), "127.0.0.1:8080");
-    assert_eq!(s.link_addr.to_string(), "127.0.0.1:8081");
-    let known = s.peers.iter().map(|p| (p.member.as_str(), p.addr.port()));
+fn every_settings_field_is_parsed() {
+    let settings = Settings::parse(FULL, "f").unwrap();
+    assert_eq!(settings.member, "rung-0");
+    assert_eq!(settings.api_addr.to_string(), "127.0.0.1:8080");
+    assert_eq!(settings.link_addr.to_string(), "127.0.0.1:8081");
+    let peers = settings
+        .peers
+        .iter()
+        .map(|p| (p.member.as_str(), p.addr.port()));
     let expected = [("rung-1", 8082), ("rung-2", 8083)];
-    assert_eq!(known.collect::<Vec<_>>(), expected);
-    assert_eq!(s.services.cloud.to_string(), "127.0.0.9:8443");
-    assert_eq!(s.services.state.to_string(), "127.0.0.9:2379");
-    let quota = &s.params.quota;
+    assert_eq!(peers.collect::<Vec<_>>(), expected);
+    assert_eq!(settings.services.cloud.to_string(), "127.0.0.9:8443");
+    assert_eq!(settings.services.state.to_string(), "127.0.0.9:2379");
+    let quota = &settings.params.quota;
     assert_eq!((quota.memory_mb, quota.max_sockets), (64.5, 500));
-    let cloud = &s.params.cloud;
+    let cloud = &settings.params.cloud;
     assert_eq!((cloud.rps, cloud.list_lag_s), (4.5, 8.5));
-    let workers = &s.params.workers;
+    let workers = &settings.params.workers;
     assert_eq!((workers.gang_wait_s, workers.gang_peer_s), (31.5, 5.5));
-    let state = &s.params.state;
-    let present = (state.rps, state.write_rps, state.value_kb, state.txn_ops);
-    assert_eq!(present, (50.5, 20.5, 4.5, 12));
+    let state = &settings.params.state;
+    let current = (state.rps, state.write_rps, state.value_kb, state.txn_ops);
+    assert_eq!(current, (50.5, 20.5, 4.5, 12));
     let limits = state.limits();
-    let to_come = (
+    let upcoming = (
         limits.rps,
         limits.write_rps,
         limits.value_kb,
         limits.txn_ops,
     );
-    assert_eq!(to_come, (40.5, 15.5, 2.5, 6));
+    assert_eq!(upcoming, (40.5, 15.5, 2.5, 6));
     assert_eq!(limits.value_bytes(), 2560);
 }
 
 #[test]
-fn a_file_with_every_field_decides_by_these_values() {
+fn scheduler_config_uses_every_field() {
     let tuning = Tuning::parse(OPERATOR, "f").unwrap();
     assert_eq!(
         (tuning.reservation_s, tuning.leader_lease_share),
@@ -85,12 +88,12 @@
         .unwrap()
         .scheduler_config(&tuning);
     let teams = config.teams.iter().map(|(name, t)| {
-        let figures = [t.cpus, t.cpus_max, t.gpus, t.gpus_max];
-        (name.as_str(), figures)
+        let limits = [t.cpus, t.cpus_max, t.gpus, t.gpus_max];
+        (name.as_str(), limits)
     });
-    let none = f64::INFINITY;
+    let unlimited = f64::INFINITY;
     let expected = [
-        ("blue", [1.5, none, 0.0, none]),
+        ("blue", [1.5, unlimited, 0.0, unlimited]),
         ("red", [10.5, 20.5, 2.5, 4.5]),
     ];
     assert_eq!(teams.collect::<Vec<_>>(), expected);
@@ -105,11 +108,14 @@
 }
 
 #[test]
-fn what_is_right_ends_well() {
+fn valid_settings_pass_the_check() {
     let valid = "ladderroute: settings are valid\n".to_string();
-    let answer = check("right", FULL, OPERATOR);
-    assert_eq!(answer, (Some(0), valid.clone(), String::new()));
-    assert_eq!(check("right", FULL, ""), (Some(0), valid, String::new()));
+    let result = check_config("valid", FULL, OPERATOR);
+    assert_eq!(result, (Some(0), valid.clone(), String::new()));
+    assert_eq!(
+        check_config("valid", FULL, ""),
+        (Some(0), valid, String::new())
+    );
 }
 
 /// The lines of a fixture: a change, what it becomes, and the message.
@@ -121,35 +127,35 @@
 }
 
 #[test]
-fn errors_in_the_settings_are_reported_word_for_word() {
-    let mut wrong = Vec::new();
+fn settings_errors_match_expected_texts() {
+    let mut mismatches = Vec::new();
     for [from, to, message] in cases(include_str!("command/wrong_settings.txt")) {
         assert!(FULL.contains(from), "{from}");
-        let (code, out, err) = check("settings", &FULL.replacen(from, to, 1), "");
+        let (code, out, err) = check_config("settings", &FULL.replacen(from, to, 1), "");
         assert_eq!((code, out.as_str()), (Some(2), ""), "{from} -> {to}");
         if err != format!("ladderroute: {message}\n") {
-            wrong.push(format!("{from} | {to} | {err}"));
+            mismatches.push(format!("{from} | {to} | {err}"));
         }
     }
-    assert!(wrong.is_empty(), "\n{}", wrong.join(""));
+    assert!(mismatches.is_empty(), "\n{}", mismatches.join(""));
 }
 
 #[test]
-fn errors_in_the_operators_file_are_reported_word_for_word() {
-    let mut wrong = Vec::new();
+fn operator_file_errors_match_expected_texts() {
+    let mut mismatches = Vec::new();
     for [from, to, message] in cases(include_str!("command/wrong_operator.txt")) {
         assert!(OPERATOR.contains(from), "{from}");
-        let (code, out, err) = check("operator", FULL, &OPERATOR.replacen(from, to, 1));
+        let (code, out, err) = check_config("operator", FULL, &OPERATOR.replacen(from, to, 1));
         assert_eq!((code, out.as_str()), (Some(2), ""), "{from} -> {to}");
         if err != format!("ladderroute: {message}\n") {
-            wrong.push(format!("{from} | {to} | {err}"));
+            mismatches.push(format!("{from} | {to} | {err}"));
         }
     }
-    assert!(wrong.is_empty(), "\n{}", wrong.join(""));
+    assert!(mismatches.is_empty(), "\n{}", mismatches.join(""));
 }
 
 #[test]
-fn a_file_that_is_missing_is_named() {
+fn missing_settings_file_is_named() {
     let output = Command::new(env!("CARGO_BIN_EXE_ladderroute"))
         .args(["--config", "/nowhere/settings.toml", "--check-config"])
         .output()
@@ -157,13 +163,13 @@
     let message = "ladderroute: /nowhere/settings.toml: No such file or directory (os error 2)\n";
     assert_eq!(String::from_utf8_lossy(&output.stderr), message);
     assert_eq!(output.status.code(), Some(2));
-    let none = Command::new(env!("CARGO_BIN_EXE_ladderroute")).output();
-    assert_eq!(none.unwrap().status.code(), Some(2));
+    let without_arguments = Command::new(env!("CARGO_BIN_EXE_ladderroute")).output();
+    assert_eq!(without_arguments.unwrap().status.code(), Some(2));
 }
 
 /// The file by which this service is built and run elsewhere.
 #[test]
-fn the_file_for_deployment_has_its_fields() {
+fn deployment_file_has_required_fields() {
     let text = include_str!("../../../deploy/service.toml");
     let fields = text.lines().map(|line| line.split_once(" = ").unwrap());
     let fields: Vec<(&str, &str)> = fields.collect();
--- a/crates/ladderroute/tests/dependencies.rs
+++ b/crates/ladderroute/tests/dependencies.rs
@@ -7,86 +7,92 @@
 
 use ladderroute::api::users::{cancel, query, submit};
 use ladderroute::controller::Controller;
-use stand_in::requests::{accept, accepted, answered, body_after, body_awaiting, finish, with};
-use stand_in::{is_loaded, job_entry, Fate};
+use stand_in::requests::{
+    accepted_state, progress_state, record_job_done, submission_with_dependencies,
+    submission_with_raw_dependencies, submit_new, with_controllers,
+};
+use stand_in::{is_loaded, job_entry, TxnFault};
 use wire::store::{JobRecord, Recorded, Value};
 use wire::users::{Job, JobState};
 
-fn is_blocked(node: &Controller, id: &str) -> bool {
-    node.lock().shared.view.dependencies().is_blocked(id)
+fn is_blocked(controller: &Controller, id: &str) -> bool {
+    controller.lock().shared.view.dependencies().is_blocked(id)
 }
 
 #[test]
-fn a_cancellation_goes_down_the_chain_at_every_controller() {
-    with(|_, [a, b]| async move {
-        accept(&a, "wk-1", &[]).await;
-        accept(&b, "wk-2", &["wk-1"]).await;
-        accept(&a, "wk-3", &["wk-2"]).await;
-        accept(&b, "wk-4", &["wk-1", "wk-3"]).await;
-        accept(&a, "wk-5", &[]).await;
+fn cancellation_propagates_to_dependents_everywhere() {
+    with_controllers(|_, [a, b]| async move {
+        submit_new(&a, "wk-1", &[]).await;
+        submit_new(&b, "wk-2", &["wk-1"]).await;
+        submit_new(&a, "wk-3", &["wk-2"]).await;
+        submit_new(&b, "wk-4", &["wk-1", "wk-3"]).await;
+        submit_new(&a, "wk-5", &[]).await;
         assert_eq!(
-            accepted(&cancel(&b, "wk-2").await),
+            accepted_state(&cancel(&b, "wk-2").await),
             (200, JobState::Cancelled)
         );
-        for node in [&a, &b] {
+        for controller in [&a, &b] {
             for id in ["wk-2", "wk-3", "wk-4"] {
                 assert_eq!(
-                    answered(&query(node, id).await),
+                    progress_state(&query(controller, id).await),
                     (200, JobState::Cancelled),
                     "{id}"
                 );
                 assert_eq!(
-                    accepted(&cancel(node, id).await),
+                    accepted_state(&cancel(controller, id).await),
                     (200, JobState::Cancelled),
                     "{id}"
                 );
             }
             for id in ["wk-1", "wk-5"] {
                 assert_eq!(
-                    answered(&query(node, id).await),
+                    progress_state(&query(controller, id).await),
                     (200, JobState::Queued),
                     "{id}"
                 );
             }
             // A job that names a cancelled one is accepted all the same.
-            let id = format!("wk-late-{}", node.settings.member);
-            let late = body_after(&id, &["wk-4", "wk-1"]);
+            let id = format!("wk-late-{}", controller.settings.member);
+            let late = submission_with_dependencies(&id, &["wk-4", "wk-1"]);
             assert_eq!(
-                accepted(&submit(node, &late).await),
+                accepted_state(&submit(controller, &late).await),
                 (201, JobState::Cancelled)
             );
             assert_eq!(
-                accepted(&submit(node, &late).await),
+                accepted_state(&submit(controller, &late).await),
                 (200, JobState::Cancelled)
             );
         }
-        for node in [&a, &b] {
-            let answer = query(node, "wk-late-rung-0").await;
-            assert_eq!(answered(&answer), (200, JobState::Cancelled));
+        for controller in [&a, &b] {
+            let response = query(controller, "wk-late-rung-0").await;
+            assert_eq!(progress_state(&response), (200, JobState::Cancelled));
         }
     });
 }
 
 #[test]
-fn what_follows_a_job_that_is_done_goes_on() {
-    with(|store, [a, b]| async move {
-        accept(&a, "wk-1", &[]).await;
-        accept(&a, "wk-2", &["wk-1"]).await;
+fn completed_dependency_unblocks_dependents() {
+    with_controllers(|store, [a, b]| async move {
+        submit_new(&a, "wk-1", &[]).await;
+        submit_new(&a, "wk-2", &["wk-1"]).await;
         assert!(is_blocked(&a, "wk-2"));
         // The end and a cancellation: the end was written first.
-        assert_eq!(finish(&store, "wk-1"), 200);
-        assert_eq!(accepted(&cancel(&b, "wk-1").await), (200, JobState::Done));
-        for node in [&a, &b] {
+        assert_eq!(record_job_done(&store, "wk-1"), 200);
+        assert_eq!(
+            accepted_state(&cancel(&b, "wk-1").await),
+            (200, JobState::Done)
+        );
+        for controller in [&a, &b] {
             assert_eq!(
-                answered(&query(node, "wk-2").await),
+                progress_state(&query(controller, "wk-2").await),
                 (200, JobState::Queued)
             );
-            assert!(!is_blocked(node, "wk-2"));
+            assert!(!is_blocked(controller, "wk-2"));
         }
         // The same request again, though what it names is over; and a job submitted only now.
-        let again = submit(&b, &body_after("wk-2", &["wk-1"])).await;
-        assert_eq!(accepted(&again), (200, JobState::Queued));
-        accept(&b, "wk-3", &["wk-1"]).await;
+        let repeated = submit(&b, &submission_with_dependencies("wk-2", &["wk-1"])).await;
+        assert_eq!(accepted_state(&repeated), (200, JobState::Queued));
+        submit_new(&b, "wk-3", &["wk-1"]).await;
         assert!(!is_blocked(&b, "wk-3"));
     });
 }
@@ -94,24 +100,24 @@
 /// The controller that confirmed a cancellation, and every other that has learned of it, goes on saying
 /// so of the whole chain while the store is down.
 #[test]
-fn a_cancelled_chain_is_answered_from_memory() {
-    with(|store, [a, b]| async move {
-        accept(&a, "wk-1", &[]).await;
-        accept(&a, "wk-2", &["wk-1"]).await;
-        accept(&a, "wk-3", &["wk-2"]).await;
+fn cancelled_chain_is_reported_during_store_outage() {
+    with_controllers(|store, [a, b]| async move {
+        submit_new(&a, "wk-1", &[]).await;
+        submit_new(&a, "wk-2", &["wk-1"]).await;
+        submit_new(&a, "wk-3", &["wk-2"]).await;
         assert_eq!(
-            accepted(&cancel(&a, "wk-1").await),
+            accepted_state(&cancel(&a, "wk-1").await),
             (200, JobState::Cancelled)
         );
         assert_eq!(
-            answered(&query(&b, "wk-3").await),
+            progress_state(&query(&b, "wk-3").await),
             (200, JobState::Cancelled)
         );
-        store.refuses.set(true);
-        for node in [&a, &b] {
+        store.unavailable.set(true);
+        for controller in [&a, &b] {
             for id in ["wk-1", "wk-2", "wk-3"] {
                 assert_eq!(
-                    answered(&query(node, id).await),
+                    progress_state(&query(controller, id).await),
                     (200, JobState::Cancelled),
                     "{id}"
                 );
@@ -121,46 +127,53 @@
 }
 
 #[test]
-fn jobs_are_named_only_if_they_were_accepted() {
-    with(|store, [a, b]| async move {
-        let status = |answer: http::server::Response| answer.status;
+fn dependencies_must_be_accepted_jobs() {
+    with_controllers(|store, [a, b]| async move {
+        let status = |response: http::server::Response| response.status;
         // Never accepted, itself among them.
         assert_eq!(
-            status(submit(&a, &body_after("wk-1", &["wk-9"])).await),
+            status(submit(&a, &submission_with_dependencies("wk-1", &["wk-9"])).await),
             422
         );
         assert_eq!(
-            status(submit(&a, &body_after("wk-1", &["wk-1"])).await),
+            status(submit(&a, &submission_with_dependencies("wk-1", &["wk-1"])).await),
             422
         );
         assert_eq!(status(query(&a, "wk-1").await), 404);
         // Accepted a moment ago by the other controller; listed twice.
-        accept(&b, "wk-9", &[]).await;
-        accept(&a, "wk-1", &["wk-9", "wk-9"]).await;
+        submit_new(&b, "wk-9", &[]).await;
+        submit_new(&a, "wk-1", &["wk-9", "wk-9"]).await;
         assert_eq!(
             job_entry(&a, "wk-1").unwrap().job.unwrap().dependencies,
             ["wk-9"]
         );
         // Naming itself in a repetition changes nothing.
-        let again = submit(&b, &body_after("wk-1", &["wk-1", "wk-nobody"])).await;
-        assert_eq!(accepted(&again), (200, JobState::Queued));
+        let repeated = submit(
+            &b,
+            &submission_with_dependencies("wk-1", &["wk-1", "wk-nobody"]),
+        )
+        .await;
+        assert_eq!(accepted_state(&repeated), (200, JobState::Queued));
         // It can't be looked up now: that is no refusal for good.
-        store.refuses.set(true);
-        let answer = submit(&a, &body_after("wk-2", &["wk-8"])).await;
-        assert_eq!((answer.status, answer.retry_after_s.is_some()), (503, true));
-        store.refuses.set(false);
+        store.unavailable.set(true);
+        let response = submit(&a, &submission_with_dependencies("wk-2", &["wk-8"])).await;
+        assert_eq!(
+            (response.status, response.retry_after_s.is_some()),
+            (503, true)
+        );
+        store.unavailable.set(false);
         assert_eq!(
-            status(submit(&a, &body_after("wk-2", &["wk-8"])).await),
+            status(submit(&a, &submission_with_dependencies("wk-2", &["wk-8"])).await),
             422
         );
     });
 }
 
 #[test]
-fn malformed_lists_are_refused() {
-    with(|_, [a, _]| async move {
+fn malformed_dependency_lists_are_refused() {
+    with_controllers(|_, [a, _]| async move {
         let text = |id: &str| Value::Text(id.into());
-        for odd in [
+        for invalid in [
             text("wk-9"),
             Value::Integer(3.into()),
             Value::Map(Vec::new()),
@@ -169,12 +182,16 @@
             Value::Array(vec![text("a/b")]),
             Value::Array(vec![Value::Null]),
         ] {
-            let answer = submit(&a, &body_awaiting("wk-1", odd.clone())).await;
-            assert_eq!(answer.status, 400, "{odd:?}");
+            let response = submit(
+                &a,
+                &submission_with_raw_dependencies("wk-1", invalid.clone()),
+            )
+            .await;
+            assert_eq!(response.status, 400, "{invalid:?}");
         }
         for none in [Value::Null, Value::Array(Vec::new())] {
-            let answer = submit(&a, &body_awaiting("wk-2", none)).await;
-            assert!(matches!(answer.status, 200 | 201));
+            let response = submit(&a, &submission_with_raw_dependencies("wk-2", none)).await;
+            assert!(matches!(response.status, 200 | 201));
         }
         assert!(!is_blocked(&a, "wk-2"));
     });
@@ -182,39 +199,39 @@
 
 /// The settings of the stand-in say that values will be half as large.
 #[test]
-fn a_list_that_the_store_can_not_hold_is_refused_naming_the_limit() {
-    with(|store, [a, b]| async move {
+fn oversized_dependency_list_is_refused_with_limit() {
+    with_controllers(|store, [a, b]| async move {
         let ids: Vec<String> = (0..300).map(|n| format!("wk-{n:06}")).collect();
         let names: Vec<&str> = ids.iter().map(String::as_str).collect();
         for id in &names {
-            accept(&a, id, &[]).await;
+            submit_new(&a, id, &[]).await;
         }
-        accept(&a, "wk-fits", &names[..100]).await;
+        submit_new(&a, "wk-fits", &names[..100]).await;
         let written = store.get(&store::keys::job("wk-fits")).unwrap();
         assert!(wire::store::value_bytes(&written.value) <= 2048);
-        let answer = submit(&a, &body_after("wk-long", &names)).await;
-        assert_eq!(answer.status, 422);
-        let refusal: wire::users::Refusal = wire::cbor::decode(&answer.body).unwrap();
+        let response = submit(&a, &submission_with_dependencies("wk-long", &names)).await;
+        assert_eq!(response.status, 422);
+        let refusal: wire::users::Refusal = wire::cbor::decode(&response.body).unwrap();
         assert!(refusal.error.contains("awaits") && refusal.error.contains("2048"));
         // What was accepted is never refused, however its repetition looks.
-        let again = submit(&b, &body_after("wk-fits", &names)).await;
-        assert_eq!(accepted(&again), (200, JobState::Queued));
+        let repeated = submit(&b, &submission_with_dependencies("wk-fits", &names)).await;
+        assert_eq!(accepted_state(&repeated), (200, JobState::Queued));
     });
 }
 
 /// A record that an earlier version wrote up to the larger limit is still ended: what a terminal record
 /// needs fits.
 #[test]
-fn the_end_of_a_job_fits_a_smaller_value() {
+fn terminal_record_fits_a_smaller_value_limit() {
     let long = |n: usize| "x".repeat(n);
-    let sent = body_after("wk-1", &[]);
+    let submitted = submission_with_dependencies("wk-1", &[]);
     let job = Job {
         types: Some((0..20).map(|n| format!("{}{n}", long(150))).collect()),
         dependencies: (0..200).map(|n| format!("wk-{n:06}")).collect(),
         class: long(200),
         team: long(200),
         image: long(200),
-        ..wire::cbor::decode(&sent).unwrap()
+        ..wire::cbor::decode(&submitted).unwrap()
     };
     for state in [Recorded::Done, Recorded::Cancelled] {
         let record = JobRecord::terminal(state, u64::MAX, &job);
@@ -224,40 +241,45 @@
     }
 }
 
-/// The transaction that accepts a job may be carried out without an answer, or late: its dependencies
+/// The transaction that accepts a job may be carried out without a response, or late: its dependencies
 /// are those of the record that the store holds.
 #[test]
-fn a_chain_survives_lost_answers() {
-    with(|store, [a, b]| async move {
-        accept(&a, "wk-1", &[]).await;
-        store.fate.set(Fate::AnswerLost);
-        let answer = submit(&a, &body_after("wk-2", &["wk-1"])).await;
-        assert_eq!(accepted(&answer), (200, JobState::Queued));
+fn dependencies_survive_lost_and_late_responses() {
+    with_controllers(|store, [a, b]| async move {
+        submit_new(&a, "wk-1", &[]).await;
+        store.next_txn_fault.set(TxnFault::ResponseLost);
+        let response = submit(&a, &submission_with_dependencies("wk-2", &["wk-1"])).await;
+        assert_eq!(accepted_state(&response), (200, JobState::Queued));
         assert!(is_blocked(&a, "wk-2"));
-        // The cancellation is carried out, its answer lost: read back, with all that follows.
-        store.fate.set(Fate::AnswerLost);
+        // The cancellation is carried out, its response lost: read back, with all that follows.
+        store.next_txn_fault.set(TxnFault::ResponseLost);
         assert_eq!(
-            accepted(&cancel(&b, "wk-1").await),
+            accepted_state(&cancel(&b, "wk-1").await),
             (200, JobState::Cancelled)
         );
-        for node in [&b, &a] {
+        for controller in [&b, &a] {
             assert_eq!(
-                answered(&query(node, "wk-2").await),
+                progress_state(&query(controller, "wk-2").await),
                 (200, JobState::Cancelled)
             );
         }
         // Carried out late, when what it names has been cancelled meanwhile.
-        accept(&a, "wk-3", &[]).await;
-        store.fate.set(Fate::Kept);
-        assert_eq!(submit(&a, &body_after("wk-4", &["wk-3"])).await.status, 503);
+        submit_new(&a, "wk-3", &[]).await;
+        store.next_txn_fault.set(TxnFault::Delayed);
+        assert_eq!(
+            submit(&a, &submission_with_dependencies("wk-4", &["wk-3"]))
+                .await
+                .status,
+            503
+        );
         assert_eq!(
-            accepted(&cancel(&b, "wk-3").await),
+            accepted_state(&cancel(&b, "wk-3").await),
             (200, JobState::Cancelled)
         );
-        assert_eq!(store.carry_out_kept(), vec![200]);
-        for node in [&b, &a] {
+        assert_eq!(store.apply_delayed_txns(), vec![200]);
+        for controller in [&b, &a] {
             assert_eq!(
-                answered(&query(node, "wk-4").await),
+                progress_state(&query(controller, "wk-4").await),
                 (200, JobState::Cancelled)
             );
         }
@@ -266,20 +288,20 @@
 
 /// A controller that has just started reads all records, dependents before what they need or not.
 #[test]
-fn a_controller_that_starts_rebuilds_the_graph_from_the_store() {
-    with(|store, [a, b]| async move {
-        accept(&a, "wk-9", &[]).await;
-        accept(&a, "wk-5", &["wk-9"]).await;
-        accept(&a, "wk-1", &["wk-5"]).await;
-        accept(&a, "wk-8", &[]).await;
-        accept(&a, "wk-2", &["wk-8"]).await;
-        accept(&a, "wk-7", &[]).await;
-        accept(&a, "wk-3", &["wk-7"]).await;
+fn starting_controller_rebuilds_dependency_graph() {
+    with_controllers(|store, [a, b]| async move {
+        submit_new(&a, "wk-9", &[]).await;
+        submit_new(&a, "wk-5", &["wk-9"]).await;
+        submit_new(&a, "wk-1", &["wk-5"]).await;
+        submit_new(&a, "wk-8", &[]).await;
+        submit_new(&a, "wk-2", &["wk-8"]).await;
+        submit_new(&a, "wk-7", &[]).await;
+        submit_new(&a, "wk-3", &["wk-7"]).await;
         assert_eq!(
-            accepted(&cancel(&a, "wk-9").await),
+            accepted_state(&cancel(&a, "wk-9").await),
             (200, JobState::Cancelled)
         );
-        assert_eq!(finish(&store, "wk-8"), 200);
+        assert_eq!(record_job_done(&store, "wk-8"), 200);
         let reads_all = {
             let view = &mut b.lock().shared.view;
             let read = view.begin_read(b.now()).unwrap();
@@ -296,7 +318,7 @@
             ("wk-2", JobState::Queued, false),
             ("wk-3", JobState::Queued, true),
         ] {
-            assert_eq!(answered(&query(&b, id).await), (200, state), "{id}");
+            assert_eq!(progress_state(&query(&b, id).await), (200, state), "{id}");
             assert_eq!(is_blocked(&b, id), blocked, "{id}");
         }
     });
--- a/crates/ladderroute/tests/links.rs
+++ b/crates/ladderroute/tests/links.rs
@@ -17,18 +17,18 @@
 use std::time::{Duration, Instant};
 use wire::peers::{encode_frame, ToLeader};
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-async fn until(what: &str, mut holds: impl FnMut() -> bool) {
-    let begun_at = Instant::now();
+async fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
+    let started_at = Instant::now();
     while !holds() {
-        assert!(begun_at.elapsed() < PATIENCE, "{what}");
+        assert!(started_at.elapsed() < TIMEOUT, "{what}");
         smol::Timer::after(Duration::from_millis(5)).await;
     }
 }
 
 /// A controller that keeps its view current; the other one's link port is at `peer`.
-fn start(
+fn start_controller(
     executor: &Rc<LocalExecutor<'static>>,
     i: usize,
     store: SocketAddr,
@@ -41,8 +41,8 @@
         .replace("127.0.0.9:2379", &store.to_string());
     let settings = ladderroute::settings::Settings::parse(&text, "settings").unwrap();
     let controller = startup::build_controller(settings, &Default::default(), executor.clone());
-    let follow = freshness::watch_store(controller.clone());
-    executor.spawn(follow).detach();
+    let watch = freshness::watch_store(controller.clone());
+    executor.spawn(watch).detach();
     controller
 }
 
@@ -50,17 +50,17 @@
 fn with_link<F: Future<Output = ()>>(test: impl FnOnce([Rc<Controller>; 2], SocketAddr) -> F) {
     let executor = Rc::new(LocalExecutor::new());
     smol::block_on(executor.clone().run(async move {
-        let store = stand_in::Store::new();
-        let (_front, store_addr) = store.open(&executor).await;
+        let store = stand_in::FakeStore::new();
+        let (_endpoint, store_addr) = store.open_endpoint(&executor).await;
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let port = listener.local_addr().unwrap();
-        let leader = start(&executor, 0, store_addr, port);
+        let leader = start_controller(&executor, 0, store_addr, port);
         let serve = controller_links::serve(leader.clone(), listener);
         executor.spawn(serve).detach();
         let campaign = leadership::campaign(leader.clone());
         executor.spawn(campaign).detach();
-        until("leads", || leader.lock().shared.leadership.is_some()).await;
-        let owner = start(&executor, 1, store_addr, port);
+        wait_until("leads", || leader.lock().shared.leadership.is_some()).await;
+        let owner = start_controller(&executor, 1, store_addr, port);
         let join = controller_links::join_leader(owner.clone());
         executor.spawn(join).detach();
         test([leader, owner], port).await;
@@ -68,7 +68,7 @@
 }
 
 /// Which connection of the owner the leader has.
-fn link_of_owner(leader: &Controller) -> Option<ConnectionId> {
+fn owner_connection(leader: &Controller) -> Option<ConnectionId> {
     let state = leader.lock();
     let links = &state.shared.leadership.as_ref()?.links;
     links.get("rung-1").map(|link| link.id)
@@ -79,27 +79,27 @@
 }
 
 #[test]
-fn an_owner_that_joins_is_granted_authority_under_the_leaders_token() {
+fn joining_owner_is_granted_authority() {
     with_link(|[leader, owner], _| async move {
-        until("granted", || has_authority(&owner)).await;
+        wait_until("granted", || has_authority(&owner)).await;
         assert!(owner.lock().shared.leader_outbox.is_some());
         assert_eq!(owner.lock().owner.token(), leader.lock().owner.token());
         // It rests on pings: each is answered with authority that lasts longer.
         let first = owner.lock().owner.authority.until();
         let is_renewed = || owner.lock().owner.authority.until() > first;
-        until("renewed", is_renewed).await;
+        wait_until("renewed", is_renewed).await;
     });
 }
 
 #[test]
-fn an_owner_joins_anew_on_a_newer_connection_when_its_link_ends() {
+fn owner_reconnects_when_its_link_ends() {
     with_link(|[leader, owner], _| async move {
-        until("granted", || has_authority(&owner)).await;
-        let first = link_of_owner(&leader).unwrap();
+        wait_until("granted", || has_authority(&owner)).await;
+        let first = owner_connection(&leader).unwrap();
         owner.lock().shared.leader_outbox.as_ref().unwrap().close();
-        let newer = || link_of_owner(&leader).is_some_and(|id| id.replaces(first));
-        until("joined anew", newer).await;
-        let second = link_of_owner(&leader).unwrap();
+        let newer = || owner_connection(&leader).is_some_and(|id| id.replaces(first));
+        wait_until("joined anew", newer).await;
+        let second = owner_connection(&leader).unwrap();
         assert_eq!(second.process, first.process);
         assert!(second.sequence > first.sequence);
     });
@@ -108,11 +108,11 @@
 /// A connection that comes late, older than the one in use, must not take its place; nor is anyone let in
 /// who is not in the settings.
 #[test]
-fn older_connections_and_strangers_are_turned_away() {
+fn stale_and_unknown_connections_are_rejected() {
     with_link(|[leader, owner], port| async move {
-        until("granted", || has_authority(&owner)).await;
-        let current = link_of_owner(&leader).unwrap();
-        for (member, start, count) in [
+        wait_until("granted", || has_authority(&owner)).await;
+        let current = owner_connection(&leader).unwrap();
+        for (member, process, sequence) in [
             ("rung-1", current.process, current.sequence),
             ("rung-1", current.process, current.sequence - 1),
             ("rung-7", current.process.wrapping_add(1), 1),
@@ -121,19 +121,19 @@
             let mut stream = TcpStream::connect(port).await.unwrap();
             let hello = encode_frame(&ToLeader::Hello {
                 member,
-                process: start,
-                sequence: count,
+                process,
+                sequence,
             });
             stream.write_all(&hello).await.unwrap();
-            let end = stream.read(&mut [0; 64]).await;
-            assert!(matches!(end, Ok(0) | Err(_)), "{end:?}");
-            assert_eq!(link_of_owner(&leader), Some(current));
+            let read = stream.read(&mut [0; 64]).await;
+            assert!(matches!(read, Ok(0) | Err(_)), "{read:?}");
+            assert_eq!(owner_connection(&leader), Some(current));
         }
     });
 }
 
 #[test]
-fn a_connection_replaces_older_ones_of_its_process_and_those_of_other_processes() {
+fn connection_replaces_older_and_other_processes() {
     let id = |process, sequence| ConnectionId { process, sequence };
     assert!(id(1, 2).replaces(id(1, 1)));
     assert!(id(2, 1).replaces(id(1, 5)));
--- a/crates/ladderroute/tests/module_order.rs
+++ b/crates/ladderroute/tests/module_order.rs
@@ -1,4 +1,4 @@
-//! The modules form layers: none imports one that imports it, directly or round a circle.
+//! The modules form layers: none imports one that imports it, directly or round a cycle.
 
 #![allow(clippy::unwrap_used)]
 
@@ -58,7 +58,7 @@
 }
 
 /// The paths that a source names: those of its `use` items, and those that begin with `crate` within code.
-fn named_paths(source: &str) -> Vec<String> {
+fn referenced_paths(source: &str) -> Vec<String> {
     let mut paths = Vec::new();
     for item in source.split(';') {
         let start = item.find("use ").filter(|at| {
@@ -114,7 +114,7 @@
     read_modules(&src, &Module::new(), &mut sources);
     let mut imports = BTreeMap::new();
     for (module, source) in &sources {
-        let paths = named_paths(source);
+        let paths = referenced_paths(source);
         let targets = paths
             .iter()
             .filter_map(|path| resolve(path, module, &sources))
@@ -126,34 +126,34 @@
 }
 
 /// All modules that a module imports, directly or through others.
-fn reached(from: &str, imports: &BTreeMap<String, BTreeSet<String>>) -> BTreeSet<String> {
-    let (mut found, mut left) = (BTreeSet::new(), vec![from.to_string()]);
-    while let Some(module) = left.pop() {
+fn reachable_from(from: &str, imports: &BTreeMap<String, BTreeSet<String>>) -> BTreeSet<String> {
+    let (mut found, mut pending) = (BTreeSet::new(), vec![from.to_string()]);
+    while let Some(module) = pending.pop() {
         for target in &imports[&module] {
             if found.insert(target.clone()) {
-                left.push(target.clone());
+                pending.push(target.clone());
             }
         }
     }
     found
 }
 
-/// The modules that a module is in a circle with, itself among them; none if it is in no circle.
-fn circle_of(module: &str, imports: &BTreeMap<String, BTreeSet<String>>) -> Vec<String> {
-    let imports_it = |other: &String| reached(other, imports).contains(module);
-    let others = reached(module, imports).into_iter();
+/// The modules that a module is in a cycle with, itself among them; none if it is in no cycle.
+fn cycle_of(module: &str, imports: &BTreeMap<String, BTreeSet<String>>) -> Vec<String> {
+    let imports_it = |other: &String| reachable_from(other, imports).contains(module);
+    let others = reachable_from(module, imports).into_iter();
     others.filter(imports_it).collect()
 }
 
 #[test]
-fn no_module_imports_one_that_imports_it() {
+fn module_imports_are_acyclic() {
     let imports = imports();
-    let circles: BTreeSet<Vec<String>> = imports
+    let cycles: BTreeSet<Vec<String>> = imports
         .keys()
-        .map(|module| circle_of(module, &imports))
-        .filter(|circle| !circle.is_empty())
+        .map(|module| cycle_of(module, &imports))
+        .filter(|cycle| !cycle.is_empty())
         .collect();
-    assert!(circles.is_empty(), "{circles:?}, imports: {imports:#?}");
+    assert!(cycles.is_empty(), "{cycles:?}, imports: {imports:#?}");
 }
 
 /// The check itself sees what it is there for.
--- a/crates/ladderroute/tests/refusals.rs
+++ b/crates/ladderroute/tests/refusals.rs
@@ -7,7 +7,7 @@
 
 use http::server::Response;
 use ladderroute::api::users::{cancel, query, submit};
-use stand_in::requests::{body, set, with};
+use stand_in::requests::{set_field, submission, with_controllers};
 use wire::cbor;
 use wire::store::Value;
 
@@ -16,7 +16,7 @@
 }
 
 /// Fields and odd values of them.
-fn odd_values() -> Vec<(&'static str, Value)> {
+fn invalid_values() -> Vec<(&'static str, Value)> {
     vec![
         ("tickets", Value::Integer(0.into())),
         ("tickets", Value::Integer(100_001.into())),
@@ -53,40 +53,43 @@
     ]
 }
 
-fn awaits(ids: &[&str]) -> Vec<u8> {
+fn submission_awaiting(ids: &[&str]) -> Vec<u8> {
     let ids = ids.iter().map(|id| text(id)).collect();
-    body("wk-400", |m| m.push((text("awaits"), Value::Array(ids))))
+    submission("wk-400", |m| m.push((text("awaits"), Value::Array(ids))))
 }
 
 /// Bodies of submissions that are refused, by their names.
-fn submissions() -> Vec<(String, Vec<u8>)> {
-    let mut sent = Vec::new();
-    for (i, (name, value)) in odd_values().into_iter().enumerate() {
-        let odd = body("wk-400", |m| set(m, name, value));
-        sent.push((format!("{i} {name}"), odd));
+fn refused_submissions() -> Vec<(String, Vec<u8>)> {
+    let mut requests = Vec::new();
+    for (i, (name, value)) in invalid_values().into_iter().enumerate() {
+        let invalid = submission("wk-400", |m| set_field(m, name, value));
+        requests.push((format!("{i} {name}"), invalid));
     }
-    let fields = cbor::decode::<Value>(&body("wk-400", |_| ())).unwrap();
+    let fields = cbor::decode::<Value>(&submission("wk-400", |_| ())).unwrap();
     for (i, (key, _)) in fields.into_map().unwrap().iter().enumerate() {
         let name = key.as_text().unwrap();
         if ["chassis_list", "yard", "due_s"].contains(&name) {
             continue;
         }
-        let lacks = body("wk-400", |m| drop(m.remove(i)));
-        sent.push((format!("without {name}"), lacks));
+        let incomplete = submission("wk-400", |m| drop(m.remove(i)));
+        requests.push((format!("without {name}"), incomplete));
     }
     let long = "x".repeat(90);
     let many: Vec<String> = (0..60).map(|i| format!("{long}{i}")).collect();
     let many: Vec<&str> = many.iter().map(String::as_str).collect();
-    sent.push(("not cbor".into(), b"\xff\x00".to_vec()));
-    sent.push(("empty".into(), Vec::new()));
-    sent.push(("awaits an odd id".into(), awaits(&["a/b"])));
-    sent.push(("awaits an unknown job".into(), awaits(&["wk-1"])));
-    sent.push(("awaits too many".into(), awaits(&many)));
-    sent
+    requests.push(("not cbor".into(), b"\xff\x00".to_vec()));
+    requests.push(("empty".into(), Vec::new()));
+    requests.push(("awaits an odd id".into(), submission_awaiting(&["a/b"])));
+    requests.push((
+        "awaits an unknown job".into(),
+        submission_awaiting(&["wk-1"]),
+    ));
+    requests.push(("awaits too many".into(), submission_awaiting(&many)));
+    requests
 }
 
 /// A response in one line; the text of the error stands for the body, which holds nothing else.
-fn line(name: &str, response: &Response) -> String {
+fn format_response(name: &str, response: &Response) -> String {
     let body: Value = cbor::decode(&response.body).unwrap();
     let error = body.as_map().unwrap()[0].1.as_text().unwrap().to_string();
     let same = cbor::encode(&Value::Map(vec![(text("error"), text(&error))]));
@@ -97,23 +100,31 @@
 }
 
 #[test]
-fn refusals_are_answered_word_for_word() {
-    with(|store, [a, _]| async move {
-        let mut answered = Vec::new();
-        for (name, sent) in submissions() {
-            answered.push(line(&name, &submit(&a, &sent).await));
+fn refusals_match_expected_responses() {
+    with_controllers(|store, [a, _]| async move {
+        let mut responses = Vec::new();
+        for (name, request) in refused_submissions() {
+            responses.push(format_response(&name, &submit(&a, &request).await));
         }
-        answered.push(line("unknown query", &query(&a, "wk-2").await));
-        answered.push(line("unknown cancel", &cancel(&a, "wk-2").await));
-        store.refuses.set(true);
-        let sent = body("wk-2", |_| ());
-        let later = submit(&a, &sent).await;
-        assert_eq!((later.status, later.retry_after_s.is_some()), (503, true));
+        responses.push(format_response("unknown query", &query(&a, "wk-2").await));
+        responses.push(format_response("unknown cancel", &cancel(&a, "wk-2").await));
+        store.unavailable.set(true);
+        let request = submission("wk-2", |_| ());
+        let response = submit(&a, &request).await;
+        assert_eq!(
+            (response.status, response.retry_after_s.is_some()),
+            (503, true)
+        );
         let expected: Vec<&str> = include_str!("refusals/expected.txt").lines().collect();
-        let answered: Vec<&str> = answered.iter().map(String::as_str).collect();
-        let wrong = answered.iter().zip(&expected).filter(|(is, was)| is != was);
-        let wrong: Vec<String> = wrong.map(|(is, was)| format!("{is}\n{was}")).collect();
-        assert!(wrong.is_empty(), "\n{}", wrong.join("\n"));
-        assert_eq!(answered.len(), expected.len());
+        let responses: Vec<&str> = responses.iter().map(String::as_str).collect();
+        let mismatches = responses
+            .iter()
+            .zip(&expected)
+            .filter(|(actual, expected)| actual != expected);
+        let mismatches: Vec<String> = mismatches
+            .map(|(actual, expected)| format!("{actual}\n{expected}"))
+            .collect();
+        assert!(mismatches.is_empty(), "\n{}", mismatches.join("\n"));
+        assert_eq!(responses.len(), expected.len());
     });
 }
--- a/crates/ladderroute/tests/reload.rs
+++ b/crates/ladderroute/tests/reload.rs
@@ -8,23 +8,26 @@
 
 use ladderroute::api::users::submit;
 use ladderroute::controller::Controller;
-use stand_in::requests::{accepted, body, end, with_fronts};
-use stand_in::{is_loaded, job_entry, Front, Store};
+use stand_in::requests::{accepted_state, record_job_state, submission, with_endpoints};
+use stand_in::{is_loaded, job_entry, FakeStore, StoreEndpoint};
 use std::rc::Rc;
 use std::time::Duration;
 use wire::store::{from_value, JobRecord, Recorded, Txn, Value, Write};
 use wire::users::JobState;
 
-async fn accept(node: &Rc<Controller>, id: &str, needed: &[&str]) {
-    let names = needed.iter().map(|id| Value::Text((*id).into())).collect();
-    let sent = body(id, |fields| {
+async fn submit_new(controller: &Rc<Controller>, id: &str, dependencies: &[&str]) {
+    let names = dependencies
+        .iter()
+        .map(|id| Value::Text((*id).into()))
+        .collect();
+    let submitted = submission(id, |fields| {
         fields.push((Value::Text("awaits".into()), Value::Array(names)))
     });
-    let answer = submit(node, &sent).await;
-    assert_eq!(accepted(&answer), (201, JobState::Queued), "{id}");
+    let response = submit(controller, &submitted).await;
+    assert_eq!(accepted_state(&response), (201, JobState::Queued), "{id}");
 }
 
-async fn until(condition: impl Fn() -> bool) {
+async fn wait_until(condition: impl Fn() -> bool) {
     while !condition() {
         smol::Timer::after(Duration::from_millis(2)).await;
     }
@@ -32,21 +35,25 @@
 
 /// Lets a controller miss changes that the store then discards: the controller's next request finds its view
 /// too old.
-async fn miss_changes(store: &Store, front: &Front, missed: impl std::future::Future<Output = ()>) {
-    front.refuses_changes.set(true);
-    let asked = front.changes_asked.get();
-    until(|| front.changes_asked.get() > asked + 1).await;
+async fn miss_changes(
+    store: &FakeStore,
+    endpoint: &StoreEndpoint,
+    missed: impl std::future::Future<Output = ()>,
+) {
+    endpoint.refuses_changes.set(true);
+    let requests_before = endpoint.change_requests.get();
+    wait_until(|| endpoint.change_requests.get() > requests_before + 1).await;
     missed.await;
-    store.forget_changes();
-    front.refuses_changes.set(false);
+    store.compact();
+    endpoint.refuses_changes.set(false);
 }
 
-fn state(node: &Controller, id: &str) -> Option<Recorded> {
-    job_entry(node, id).map(|entry| entry.state)
+fn recorded_state(controller: &Controller, id: &str) -> Option<Recorded> {
+    job_entry(controller, id).map(|entry| entry.state)
 }
 
-fn leader_knows(node: &Controller, id: &str) -> bool {
-    let state = node.lock();
+fn leader_has_job(controller: &Controller, id: &str) -> bool {
+    let state = controller.lock();
     let leadership = state.shared.leadership.as_ref();
     leadership.is_some_and(|leadership| leadership.leader.has_job(id))
 }
@@ -54,36 +61,40 @@
 /// A job ends during a reload, by a write of this controller that was in flight: the pages still hold it as
 /// open. It stays terminal, and so do the jobs that were cancelled with it; the leader does not get it back.
 #[test]
-fn what_ends_during_a_reload_stays_terminal() {
-    with_fronts(|store, [a, b], [front, _]| async move {
+fn job_ended_during_reload_stays_terminal() {
+    with_endpoints(|store, [a, b], [endpoint, _]| async move {
         a.executor
             .spawn(ladderroute::leadership::campaign(a.clone()))
             .detach();
-        until(|| a.lock().shared.leadership.is_some()).await;
+        wait_until(|| a.lock().shared.leadership.is_some()).await;
         for id in ["wk-1", "wk-2", "wk-3"] {
-            accept(&a, id, &[]).await;
+            submit_new(&a, id, &[]).await;
         }
-        accept(&a, "wk-4", &["wk-1"]).await;
-        accept(&a, "wk-5", &["wk-2"]).await;
-        assert!(leader_knows(&a, "wk-1") && !leader_knows(&a, "wk-4"));
-        front.holds_pages.set(true);
-        miss_changes(&store, &front, accept(&b, "wk-6", &[])).await;
-        let pages = front.pages_asked.get();
-        until(|| front.pages_asked.get() > pages || !is_loaded(&a)).await;
-        until(|| front.pages_asked.get() > pages).await;
+        submit_new(&a, "wk-4", &["wk-1"]).await;
+        submit_new(&a, "wk-5", &["wk-2"]).await;
+        assert!(leader_has_job(&a, "wk-1") && !leader_has_job(&a, "wk-4"));
+        endpoint.delays_pages.set(true);
+        miss_changes(&store, &endpoint, submit_new(&b, "wk-6", &[])).await;
+        let requests_before = endpoint.page_requests.get();
+        wait_until(|| endpoint.page_requests.get() > requests_before || !is_loaded(&a)).await;
+        wait_until(|| endpoint.page_requests.get() > requests_before).await;
         for (id, ended) in [("wk-1", Recorded::Cancelled), ("wk-2", Recorded::Done)] {
-            assert_eq!(end(&store, id, ended), 200);
+            assert_eq!(record_job_state(&store, id, ended), 200);
             let item = store.get(&store::keys::job(id)).unwrap();
             let record: JobRecord = from_value(&item.value).unwrap();
             a.apply_job_record(&mut a.lock(), id, record, item.version);
         }
-        assert!(!leader_knows(&a, "wk-1") && leader_knows(&a, "wk-5"));
+        assert!(!leader_has_job(&a, "wk-1") && leader_has_job(&a, "wk-5"));
         // No changes after the reload may hide a fault.
-        front.refuses_changes.set(true);
-        front.holds_pages.set(false);
-        until(|| is_loaded(&a)).await;
-        assert_eq!(state(&a, "wk-6"), Some(Recorded::Open), "the missed one");
-        for (id, expected, known) in [
+        endpoint.refuses_changes.set(true);
+        endpoint.delays_pages.set(false);
+        wait_until(|| is_loaded(&a)).await;
+        assert_eq!(
+            recorded_state(&a, "wk-6"),
+            Some(Recorded::Open),
+            "the missed one"
+        );
+        for (id, expected, leader_has) in [
             ("wk-1", Recorded::Cancelled, false),
             ("wk-2", Recorded::Done, false),
             ("wk-3", Recorded::Open, true),
@@ -91,36 +102,40 @@
             ("wk-5", Recorded::Open, true),
             ("wk-6", Recorded::Open, true),
         ] {
-            assert_eq!(state(&a, id), Some(expected), "{id}");
-            assert_eq!(leader_knows(&a, id), known, "{id}");
+            assert_eq!(recorded_state(&a, id), Some(expected), "{id}");
+            assert_eq!(leader_has_job(&a, id), leader_has, "{id}");
         }
     });
 }
 
 /// One request in two is refused: a reload that started over each time would never end.
 #[test]
-fn a_reload_resumes_after_a_refused_page() {
-    with_fronts(|store, [a, b], [front, _]| async move {
+fn reload_resumes_after_refused_page() {
+    with_endpoints(|store, [a, b], [endpoint, _]| async move {
         for n in 0..20 {
-            accept(&a, &format!("wk-{n}"), &[]).await;
+            submit_new(&a, &format!("wk-{n}"), &[]).await;
         }
         store.page_items.set(2);
-        front.refuses_every_page.set(2);
-        miss_changes(&store, &front, accept(&b, "wk-missed", &[])).await;
-        until(|| !is_loaded(&a)).await;
-        until(|| is_loaded(&a) || front.pages_asked.get() > 100).await;
-        assert!(is_loaded(&a), "pages asked: {}", front.pages_asked.get());
-        assert_eq!(state(&a, "wk-missed"), Some(Recorded::Open));
+        endpoint.refused_page_interval.set(2);
+        miss_changes(&store, &endpoint, submit_new(&b, "wk-missed", &[])).await;
+        wait_until(|| !is_loaded(&a)).await;
+        wait_until(|| is_loaded(&a) || endpoint.page_requests.get() > 100).await;
+        assert!(
+            is_loaded(&a),
+            "page requests: {}",
+            endpoint.page_requests.get()
+        );
+        assert_eq!(recorded_state(&a, "wk-missed"), Some(Recorded::Open));
     });
 }
 
-/// The store does not limit the size of an answer with changes; a controller that accepts no answer of such size
+/// The store does not limit the size of a response with changes; a controller that accepts no response of such size
 /// would never get beyond it.
 #[test]
-fn an_answer_too_large_leads_to_a_reload_in_pages() {
-    with_fronts(|store, [a, b], [front, _]| async move {
-        front.refuses_changes.set(true);
-        accept(&b, "wk-missed", &[]).await;
+fn oversized_response_triggers_paged_reload() {
+    with_endpoints(|store, [a, b], [endpoint, _]| async move {
+        endpoint.refuses_changes.set(true);
+        submit_new(&b, "wk-missed", &[]).await;
         let put = |key: &str| Write::Put {
             key: key.into(),
             value: Value::Text("x".repeat(4096)),
@@ -131,9 +146,13 @@
             let conditions = Vec::new();
             assert_eq!(store.apply(&Txn { conditions, writes }).status, 200);
         }
-        front.refuses_changes.set(false);
-        let asked = front.changes_asked.get();
-        until(|| state(&a, "wk-missed").is_some() || front.changes_asked.get() > asked + 10).await;
-        assert_eq!(state(&a, "wk-missed"), Some(Recorded::Open));
+        endpoint.refuses_changes.set(false);
+        let requests_before = endpoint.change_requests.get();
+        wait_until(|| {
+            recorded_state(&a, "wk-missed").is_some()
+                || endpoint.change_requests.get() > requests_before + 10
+        })
+        .await;
+        assert_eq!(recorded_state(&a, "wk-missed"), Some(Recorded::Open));
     });
 }
--- a/crates/ladderroute/tests/settings.rs
+++ b/crates/ladderroute/tests/settings.rs
@@ -3,7 +3,7 @@
 use ladderroute::settings::{Settings, Tuning};
 
 /// A settings file that is right, with a field that is not known.
-const GOOD: &str = r#"
+const VALID_SETTINGS: &str = r#"
 member = "rung-0"
 domain = "a"
 api_addr = "127.0.0.1:8080"
@@ -57,9 +57,9 @@
 
 /// What the state service will allow may be missing, partial, or more than it allows now.
 #[test]
-fn the_smaller_of_present_limits_and_those_to_come_hold() {
+fn smaller_of_current_and_upcoming_limits_applies() {
     let next = |text: &str| {
-        let with_next = GOOD.replace("txn_ops = 12", &format!("txn_ops = 12\n{text}"));
+        let with_next = VALID_SETTINGS.replace("txn_ops = 12", &format!("txn_ops = 12\n{text}"));
         Settings::parse(&with_next, "f")
     };
     let limits = |text: &str| {
@@ -79,8 +79,8 @@
     let larger = "next = { rps = 400.0, write_rps = 150, value_kb = 64, txn_ops = 100 }";
     assert_eq!(limits(larger), (50.0, 20.0, 4.0, 12));
     for name in ["rps", "write_rps", "value_kb", "txn_ops"] {
-        for odd in ["0", "-1", "-0.5", "nan", "inf", "\"4\"", "true"] {
-            let refused = next(&format!("next = {{ {name} = {odd} }}")).unwrap_err();
+        for invalid in ["0", "-1", "-0.5", "nan", "inf", "\"4\"", "true"] {
+            let refused = next(&format!("next = {{ {name} = {invalid} }}")).unwrap_err();
             let field = format!("settings.state.next.{name}");
             assert!(refused.to_string().contains(&field), "{refused}");
         }
@@ -90,24 +90,27 @@
 
 /// The last one listed counted, so that gangs due in 100 s waited as if due in 250 s.
 #[test]
-fn of_several_start_objectives_of_a_class_the_shortest_counts() {
+fn shortest_start_objective_of_a_class_applies() {
     let text = format!(
-            "{GOOD}\n[[settings.objectives]]\nkind = \"wait\"\nclass = \"x\"\nwithin_s = 100.0\nshare = 0.8\n\n[[settings.objectives]]\nkind = \"wait\"\nclass = \"x\"\nwithin_s = 250.0\nshare = 0.9\n"
+            "{VALID_SETTINGS}\n[[settings.objectives]]\nkind = \"wait\"\nclass = \"x\"\nwithin_s = 100.0\nshare = 0.8\n\n[[settings.objectives]]\nkind = \"wait\"\nclass = \"x\"\nwithin_s = 250.0\nshare = 0.9\n"
         );
-    let s = Settings::parse(&text, "f").unwrap();
+    let settings = Settings::parse(&text, "f").unwrap();
     assert_eq!(
-        s.scheduler_config(&Tuning::default()).wait_s.get("x"),
+        settings
+            .scheduler_config(&Tuning::default())
+            .wait_s
+            .get("x"),
         Some(&100.0)
     );
 }
 
 #[test]
 fn unknown_fields_are_skipped_and_known_ones_used() {
-    let s = Settings::parse(GOOD, "f").unwrap();
-    let config = s.scheduler_config(&Tuning::default());
+    let settings = Settings::parse(VALID_SETTINGS, "f").unwrap();
+    let config = settings.scheduler_config(&Tuning::default());
     assert_eq!(
         (
-            s.peers.len(),
+            settings.peers.len(),
             config.guarantee_s,
             config.teams["red"].cpus_max
         ),
@@ -116,8 +119,8 @@
 }
 
 #[test]
-fn what_is_wrong_is_refused_by_name() {
-    for (from, to, says) in [
+fn invalid_fields_are_named_in_errors() {
+    for (from, to, field) in [
         ("member = \"rung-0\"", "", "member"),
         (
             "lease_s = 10.0",
@@ -133,39 +136,42 @@
         ("member = \"rung-1\"", "member = \"rung-0\"", "known.member"),
         ("127.0.0.9:2379", "somewhere", "state"),
     ] {
-        let error = Settings::parse(&GOOD.replacen(from, to, 1), "f")
+        let error = Settings::parse(&VALID_SETTINGS.replacen(from, to, 1), "f")
             .unwrap_err()
             .to_string();
-        assert!(error.contains(says), "{error} does not name {says}");
+        assert!(error.contains(field), "{error} does not name {field}");
     }
 }
 
 /// A guest team has neither a guarantee nor a limit: "a value of 0 means none" was taken as a limit
 /// of nothing, so that each of its jobs was refused as one that can never run.
 #[test]
-fn a_limit_of_none_is_no_limit() {
+fn zero_team_limit_means_unlimited() {
     let guest = "cpus = 0.0\ncpus_max = 0.0";
-    let s = Settings::parse(
-        &GOOD.replacen("cpus = 10.0\ncpus_max = 20.0", guest, 1),
+    let settings = Settings::parse(
+        &VALID_SETTINGS.replacen("cpus = 10.0\ncpus_max = 20.0", guest, 1),
         "f",
     )
     .unwrap();
-    let team = s.scheduler_config(&Tuning::default()).teams["red"].clone();
+    let team = settings.scheduler_config(&Tuning::default()).teams["red"].clone();
     assert_eq!((team.cpus, team.gpus), (0.0, 0.0));
     assert_eq!(
         (team.cpus_max, team.gpus_max),
         (f64::INFINITY, f64::INFINITY)
     );
     // With a limit on CPUs, none for GPUs means that the team has none.
-    let team = Settings::parse(GOOD, "f")
+    let team = Settings::parse(VALID_SETTINGS, "f")
         .unwrap()
         .scheduler_config(&Tuning::default())
         .teams["red"]
         .clone();
     assert_eq!((team.cpus_max, team.gpus_max), (20.0, 0.0));
-    let negative = Settings::parse(&GOOD.replacen("cpus_max = 20.0", "cpus_max = -1.0", 1), "f")
-        .unwrap_err()
-        .to_string();
+    let negative = Settings::parse(
+        &VALID_SETTINGS.replacen("cpus_max = 20.0", "cpus_max = -1.0", 1),
+        "f",
+    )
+    .unwrap_err()
+    .to_string();
     assert!(
         negative.contains("settings.teams.cpus_max of red"),
         "{negative}"
--- a/crates/ladderroute/tests/stand_in/mod.rs
+++ b/crates/ladderroute/tests/stand_in/mod.rs
@@ -18,49 +18,49 @@
 // Not every test uses all of them.
 #[allow(dead_code)]
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Fate {
+pub enum TxnFault {
     /// Carried out and answered.
-    Served,
-    /// Carried out; the answer is lost.
-    AnswerLost,
-    /// No answer; it is kept, to be carried out when the test says so.
-    Kept,
+    None,
+    /// Carried out; the response is lost.
+    ResponseLost,
+    /// No response; it is kept, to be carried out when the test says so.
+    Delayed,
 }
 
 /// The state service, in memory.
-pub struct Store {
+pub struct FakeStore {
     /// Values and their versions.
     keys: RefCell<BTreeMap<String, (Value, u64)>>,
-    log: RefCell<Vec<Change>>,
+    change_log: RefCell<Vec<Change>>,
     revision: Cell<u64>,
     /// Changes up to this revision are not kept any more.
-    forgotten: Cell<u64>,
-    leases: Cell<u64>,
+    compacted_revision: Cell<u64>,
+    leases_granted: Cell<u64>,
     /// Most items of a page.
     pub page_items: Cell<usize>,
     /// What becomes of the next transaction.
-    pub fate: Cell<Fate>,
+    pub next_txn_fault: Cell<TxnFault>,
     /// All requests are refused.
-    pub refuses: Cell<bool>,
+    pub unavailable: Cell<bool>,
     /// Transactions that were not carried out yet.
-    kept: RefCell<Vec<Txn>>,
+    delayed_txns: RefCell<Vec<Txn>>,
 }
 
 /// One controller's way to the store, with faults that only this controller has.
 // Not every test uses all of them.
 #[allow(dead_code)]
 #[derive(Default)]
-pub struct Front {
+pub struct StoreEndpoint {
     /// Requests for changes are refused.
     pub refuses_changes: Cell<bool>,
     /// Requests for changes that were answered or refused.
-    pub changes_asked: Cell<u32>,
+    pub change_requests: Cell<u32>,
     /// Pages are read, and their answers wait.
-    pub holds_pages: Cell<bool>,
+    pub delays_pages: Cell<bool>,
     /// Of so many pages that are asked for, the last is refused; none if 0.
-    pub refuses_every_page: Cell<u32>,
+    pub refused_page_interval: Cell<u32>,
     /// Pages that were asked for.
-    pub pages_asked: Cell<u32>,
+    pub page_requests: Cell<u32>,
 }
 
 /// The status of a request that the store does not serve now.
@@ -68,28 +68,28 @@
 /// The status of a request for changes that are not kept any more.
 const TOO_OLD: u16 = 410;
 
-impl Store {
+impl FakeStore {
     /// An empty store that serves all requests.
-    pub fn new() -> Rc<Store> {
-        Rc::new(Store {
+    pub fn new() -> Rc<FakeStore> {
+        Rc::new(FakeStore {
             keys: RefCell::default(),
-            log: RefCell::default(),
+            change_log: RefCell::default(),
             revision: Cell::new(0),
-            forgotten: Cell::new(0),
-            leases: Cell::new(0),
+            compacted_revision: Cell::new(0),
+            leases_granted: Cell::new(0),
             page_items: Cell::new(usize::MAX),
-            fate: Cell::new(Fate::Served),
-            refuses: Cell::new(false),
-            kept: RefCell::default(),
+            next_txn_fault: Cell::new(TxnFault::None),
+            unavailable: Cell::new(false),
+            delayed_txns: RefCell::default(),
         })
     }
 
     /// Opens a way to the store.
-    pub async fn open(
-        self: &Rc<Store>,
+    pub async fn open_endpoint(
+        self: &Rc<FakeStore>,
         executor: &Rc<smol::LocalExecutor<'static>>,
-    ) -> (Rc<Front>, SocketAddr) {
-        let front = Rc::new(Front::default());
+    ) -> (Rc<StoreEndpoint>, SocketAddr) {
+        let endpoint = Rc::new(StoreEndpoint::default());
         let listener = smol::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let addr = listener.local_addr().unwrap();
         let minute = Duration::from_secs(60);
@@ -100,10 +100,10 @@
             request_timeout: minute,
             idle_timeout: minute,
         };
-        let (store, served) = (self.clone(), front.clone());
+        let (store, served) = (self.clone(), endpoint.clone());
         let handler = Rc::new(move |request: Request| {
-            let (store, front) = (store.clone(), served.clone());
-            async move { store.handle(&front, request).await }
+            let (store, endpoint) = (store.clone(), served.clone());
+            async move { store.handle(&endpoint, request).await }
         });
         executor
             .spawn(http::server::serve(
@@ -113,11 +113,11 @@
                 handler,
             ))
             .detach();
-        (front, addr)
+        (endpoint, addr)
     }
 
-    async fn handle(&self, front: &Front, request: Request) -> Response {
-        if self.refuses.get() {
+    async fn handle(&self, endpoint: &StoreEndpoint, request: Request) -> Response {
+        if self.unavailable.get() {
             return Response::new(REFUSED, Vec::new());
         }
         let (path, query) = request.path.split_once('?').unwrap_or((&request.path, ""));
@@ -128,15 +128,16 @@
                 .unwrap_or("")
         };
         match path {
-            "/txn" => self.take(cbor::decode(&request.body).unwrap()).await,
+            "/txn" => self.handle_txn(cbor::decode(&request.body).unwrap()).await,
             "/follow" => {
                 let since = field("since").parse().unwrap();
-                self.changes(front, since, field("wait_ms") != "0").await
+                self.handle_changes(endpoint, since, field("wait_ms") != "0")
+                    .await
             }
-            "/store" => self.page(front, field("since")).await,
+            "/store" => self.handle_page(endpoint, field("since")).await,
             "/grants" => {
-                self.leases.set(self.leases.get() + 1);
-                let lease = self.leases.get();
+                self.leases_granted.set(self.leases_granted.get() + 1);
+                let lease = self.leases_granted.get();
                 Response::new(200, cbor::encode(&LeaseId { lease }))
             }
             _ if path.starts_with("/grants/") => Response::new(200, Vec::new()),
@@ -152,18 +153,25 @@
         }
     }
 
-    async fn changes(&self, front: &Front, since: u64, may_wait: bool) -> Response {
-        front.changes_asked.set(front.changes_asked.get() + 1);
-        if front.refuses_changes.get() {
+    async fn handle_changes(
+        &self,
+        endpoint: &StoreEndpoint,
+        since: u64,
+        may_wait: bool,
+    ) -> Response {
+        endpoint
+            .change_requests
+            .set(endpoint.change_requests.get() + 1);
+        if endpoint.refuses_changes.get() {
             return Response::new(REFUSED, Vec::new());
         }
         if may_wait && since >= self.revision.get() {
             smol::Timer::after(Duration::from_millis(20)).await;
         }
-        if since < self.forgotten.get() {
+        if since < self.compacted_revision.get() {
             return Response::new(TOO_OLD, Vec::new());
         }
-        let log = self.log.borrow();
+        let log = self.change_log.borrow();
         let newer = log.iter().filter(|change| change.version > since);
         let changes = Changes {
             revision: self.revision.get(),
@@ -172,21 +180,21 @@
         Response::new(200, cbor::encode(&changes))
     }
 
-    async fn page(&self, front: &Front, since: &str) -> Response {
-        front.pages_asked.set(front.pages_asked.get() + 1);
-        let every = front.refuses_every_page.get();
-        if every > 0 && front.pages_asked.get().is_multiple_of(every) {
+    async fn handle_page(&self, endpoint: &StoreEndpoint, since: &str) -> Response {
+        endpoint.page_requests.set(endpoint.page_requests.get() + 1);
+        let every = endpoint.refused_page_interval.get();
+        if every > 0 && endpoint.page_requests.get().is_multiple_of(every) {
             return Response::new(REFUSED, Vec::new());
         }
-        let page = self.items_after(since);
-        while front.holds_pages.get() {
+        let page = self.page_after(since);
+        while endpoint.delays_pages.get() {
             smol::Timer::after(Duration::from_millis(2)).await;
         }
         Response::new(200, cbor::encode(&page))
     }
 
     /// A page of the items after a key.
-    pub fn items_after(&self, since: &str) -> Page {
+    pub fn page_after(&self, since: &str) -> Page {
         let keys = self.keys.borrow();
         let mut rest = keys.iter().filter(|(key, _)| key.as_str() > since);
         let items = rest.by_ref().take(self.page_items.get());
@@ -205,8 +213,8 @@
     /// Forgets all changes so far: who does not know them has to read the keys again.
     // Not every test uses it.
     #[allow(dead_code)]
-    pub fn forget_changes(&self) {
-        self.forgotten.set(self.revision.get());
+    pub fn compact(&self) {
+        self.compacted_revision.set(self.revision.get());
     }
 
     /// What the store holds at a key.
@@ -218,15 +226,15 @@
         })
     }
 
-    async fn take(&self, txn: Txn) -> Response {
-        match self.fate.replace(Fate::Served) {
-            Fate::Served => self.apply(&txn),
-            Fate::AnswerLost => {
+    async fn handle_txn(&self, txn: Txn) -> Response {
+        match self.next_txn_fault.replace(TxnFault::None) {
+            TxnFault::None => self.apply(&txn),
+            TxnFault::ResponseLost => {
                 self.apply(&txn);
                 std::future::pending().await
             }
-            Fate::Kept => {
-                self.kept.borrow_mut().push(txn);
+            TxnFault::Delayed => {
+                self.delayed_txns.borrow_mut().push(txn);
                 std::future::pending().await
             }
         }
@@ -235,9 +243,9 @@
     /// Carries out what was kept; says with which status.
     // Not every test uses it.
     #[allow(dead_code)]
-    pub fn carry_out_kept(&self) -> Vec<u16> {
-        let kept = self.kept.take();
-        kept.iter().map(|t| self.apply(t).status).collect()
+    pub fn apply_delayed_txns(&self) -> Vec<u16> {
+        let delayed = self.delayed_txns.take();
+        delayed.iter().map(|t| self.apply(t).status).collect()
     }
 
     /// Carries out a transaction if its conditions hold.
@@ -255,14 +263,14 @@
         let revision = self.revision.get() + 1;
         self.revision.set(revision);
         for write in &txn.writes {
-            let change = self.carry_out(write, revision);
-            self.log.borrow_mut().push(change);
+            let change = self.apply_write(write, revision);
+            self.change_log.borrow_mut().push(change);
         }
         Response::new(200, cbor::encode(&Revision { revision }))
     }
 
     /// Carries out one write; returns it as a change.
-    fn carry_out(&self, write: &Write, version: u64) -> Change {
+    fn apply_write(&self, write: &Write, version: u64) -> Change {
         let mut keys = self.keys.borrow_mut();
         match write {
             Write::Put { key, value, .. } => {
@@ -288,7 +296,7 @@
 }
 
 /// A controller with a replica that is loaded and kept current; nothing else of it runs.
-pub async fn controller(
+pub async fn start_controller(
     executor: &Rc<smol::LocalExecutor<'static>>,
     i: usize,
     store: SocketAddr,
@@ -301,9 +309,9 @@
         "settings",
     )
     .unwrap();
-    let node =
+    let controller =
         ladderroute::startup::build_controller(settings, &Tuning::default(), executor.clone());
-    node.lock().shared.catalog = Some(vec![wire::cloud::MachineType {
+    controller.lock().shared.catalog = Some(vec![wire::cloud::MachineType {
         name: "g8".into(),
         cpus: 96.0,
         gpus: 8.0,
@@ -316,22 +324,29 @@
         zones: vec!["a".into(), "b".into()],
     }]);
     executor
-        .spawn(ladderroute::freshness::watch_store(node.clone()))
+        .spawn(ladderroute::freshness::watch_store(controller.clone()))
         .detach();
-    while !is_loaded(&node) {
+    while !is_loaded(&controller) {
         smol::Timer::after(Duration::from_millis(5)).await;
     }
-    node
+    controller
 }
 
 /// Whether a controller has read all keys.
-pub fn is_loaded(node: &Controller) -> bool {
-    node.lock().shared.view.is_complete()
+pub fn is_loaded(controller: &Controller) -> bool {
+    controller.lock().shared.view.is_complete()
 }
 
 /// What a controller's view holds of a job.
 // Not every test uses it.
 #[allow(dead_code)]
-pub fn job_entry(node: &Controller, id: &str) -> Option<JobEntry> {
-    node.lock().shared.view.replica().jobs.get(id).cloned()
+pub fn job_entry(controller: &Controller, id: &str) -> Option<JobEntry> {
+    controller
+        .lock()
+        .shared
+        .view
+        .replica()
+        .jobs
+        .get(id)
+        .cloned()
 }
--- a/crates/ladderroute/tests/stand_in/requests.rs
+++ b/crates/ladderroute/tests/stand_in/requests.rs
@@ -3,7 +3,7 @@
 // Not every test uses all of them.
 #![allow(dead_code)]
 
-use super::{controller, Front, Store};
+use super::{start_controller, FakeStore, StoreEndpoint};
 use http::server::Response;
 use ladderroute::api::users::{cancel, submit};
 use ladderroute::controller::Controller;
@@ -14,29 +14,31 @@
 use wire::users::{Accepted, JobState, Progress};
 
 /// Runs a test with a store and two controllers.
-pub fn with<F: Future<Output = ()>>(test: impl FnOnce(Rc<Store>, [Rc<Controller>; 2]) -> F) {
-    with_fronts(|store, nodes, _| test(store, nodes));
+pub fn with_controllers<F: Future<Output = ()>>(
+    test: impl FnOnce(Rc<FakeStore>, [Rc<Controller>; 2]) -> F,
+) {
+    with_endpoints(|store, controllers, _| test(store, controllers));
 }
 
 /// Runs a test with a store, two controllers, and the way of each to the store.
-pub fn with_fronts<F: Future<Output = ()>>(
-    test: impl FnOnce(Rc<Store>, [Rc<Controller>; 2], [Rc<Front>; 2]) -> F,
+pub fn with_endpoints<F: Future<Output = ()>>(
+    test: impl FnOnce(Rc<FakeStore>, [Rc<Controller>; 2], [Rc<StoreEndpoint>; 2]) -> F,
 ) {
     let executor = Rc::new(smol::LocalExecutor::new());
     smol::block_on(executor.clone().run(async move {
-        let store = Store::new();
-        let (front_a, addr_a) = store.open(&executor).await;
-        let (front_b, addr_b) = store.open(&executor).await;
-        let nodes = [
-            controller(&executor, 0, addr_a).await,
-            controller(&executor, 1, addr_b).await,
+        let store = FakeStore::new();
+        let (endpoint_a, addr_a) = store.open_endpoint(&executor).await;
+        let (endpoint_b, addr_b) = store.open_endpoint(&executor).await;
+        let controllers = [
+            start_controller(&executor, 0, addr_a).await,
+            start_controller(&executor, 1, addr_b).await,
         ];
-        test(store, nodes, [front_a, front_b]).await;
+        test(store, controllers, [endpoint_a, endpoint_b]).await;
     }));
 }
 
 /// The protocol page's example of a submission, changed as the test wants.
-pub fn body(id: &str, change: impl FnOnce(&mut Vec<(Value, Value)>)) -> Vec<u8> {
+pub fn submission(id: &str, change: impl FnOnce(&mut Vec<(Value, Value)>)) -> Vec<u8> {
     let text = |s: &str| Value::Text(s.into());
     let mut map: Vec<(Value, Value)> = vec![
         (text("name_id"), text(id)),
@@ -65,37 +67,44 @@
 }
 
 /// A submission that names jobs that have to be done before.
-pub fn body_after(id: &str, needed: &[&str]) -> Vec<u8> {
-    let names = needed.iter().map(|id| Value::Text((*id).into())).collect();
-    body_awaiting(id, Value::Array(names))
+pub fn submission_with_dependencies(id: &str, dependencies: &[&str]) -> Vec<u8> {
+    let names = dependencies
+        .iter()
+        .map(|id| Value::Text((*id).into()))
+        .collect();
+    submission_with_raw_dependencies(id, Value::Array(names))
 }
 
 /// A submission with any value in the place of the jobs that have to be done before.
-pub fn body_awaiting(id: &str, names: Value) -> Vec<u8> {
-    body(id, |fields| {
+pub fn submission_with_raw_dependencies(id: &str, names: Value) -> Vec<u8> {
+    submission(id, |fields| {
         fields.push((Value::Text("awaits".into()), names))
     })
 }
 
 /// Submits a job that is created and queued.
-pub async fn accept(node: &Rc<Controller>, id: &str, needed: &[&str]) {
-    let answer = submit(node, &body_after(id, needed)).await;
-    assert_eq!(accepted(&answer), (201, JobState::Queued), "{id}");
+pub async fn submit_new(controller: &Rc<Controller>, id: &str, dependencies: &[&str]) {
+    let response = submit(controller, &submission_with_dependencies(id, dependencies)).await;
+    assert_eq!(accepted_state(&response), (201, JobState::Queued), "{id}");
 }
 
 /// Cancels a job, which is confirmed.
-pub async fn cancel_confirmed(node: &Rc<Controller>, id: &str) {
-    let answer = cancel(node, id).await;
-    assert_eq!(accepted(&answer), (200, JobState::Cancelled), "{id}");
+pub async fn cancel_confirmed(controller: &Rc<Controller>, id: &str) {
+    let response = cancel(controller, id).await;
+    assert_eq!(
+        accepted_state(&response),
+        (200, JobState::Cancelled),
+        "{id}"
+    );
 }
 
 /// Whether a response says "not now", with when to come back.
-pub fn is_retry_later(answer: &Response) -> bool {
-    answer.status == 503 && answer.retry_after_s.is_some()
+pub fn is_retry_later(response: &Response) -> bool {
+    response.status == 503 && response.retry_after_s.is_some()
 }
 
 /// Replaces the value of a field of a submission.
-pub fn set(map: &mut [(Value, Value)], name: &str, value: Value) {
+pub fn set_field(map: &mut [(Value, Value)], name: &str, value: Value) {
     let field = map
         .iter_mut()
         .find(|(k, _)| *k == Value::Text(name.into()))
@@ -104,24 +113,24 @@
 }
 
 /// The status and the state in the response to a submission or a cancellation.
-pub fn accepted(response: &Response) -> (u16, JobState) {
+pub fn accepted_state(response: &Response) -> (u16, JobState) {
     let Accepted { state, .. } = cbor::decode(&response.body).unwrap();
     (response.status, state)
 }
 
 /// The status and the state in the response to a query.
-pub fn answered(response: &Response) -> (u16, JobState) {
+pub fn progress_state(response: &Response) -> (u16, JobState) {
     let Progress { state, .. } = cbor::decode(&response.body).unwrap();
     (response.status, state)
 }
 
 /// Writes the end of a job as a leader does.
-pub fn finish(store: &Store, id: &str) -> u16 {
-    end(store, id, Recorded::Done)
+pub fn record_job_done(store: &FakeStore, id: &str) -> u16 {
+    record_job_state(store, id, Recorded::Done)
 }
 
 /// Writes the end of a job.
-pub fn end(store: &Store, id: &str, state: Recorded) -> u16 {
+pub fn record_job_state(store: &FakeStore, id: &str, state: Recorded) -> u16 {
     let item = store.get(&store::keys::job(id)).unwrap();
     let record: JobRecord = from_value(&item.value).unwrap();
     let put = Write::Put {
--- a/crates/ladderroute/tests/user_requests.rs
+++ b/crates/ladderroute/tests/user_requests.rs
@@ -8,41 +8,52 @@
 mod stand_in;
 
 use ladderroute::api::users::{cancel, query, submit};
-use stand_in::requests::{accepted, answered, body, finish, set, with};
-use stand_in::Fate;
+use stand_in::requests::{
+    accepted_state, progress_state, record_job_done, set_field, submission, with_controllers,
+};
+use stand_in::TxnFault;
 use wire::cbor;
 use wire::store::Value;
 use wire::users::JobState;
 
 #[test]
-fn every_route_says_the_same_of_a_job() {
-    with(|_, [a, b]| async move {
-        let sent = body("wk-1", |_| ());
+fn all_controllers_report_the_same_job_state() {
+    with_controllers(|_, [a, b]| async move {
+        let submitted = submission("wk-1", |_| ());
         assert_eq!(query(&a, "wk-1").await.status, 404);
-        assert_eq!(accepted(&submit(&a, &sent).await), (201, JobState::Queued));
-        assert_eq!(answered(&query(&b, "wk-1").await), (200, JobState::Queued));
-        assert_eq!(accepted(&submit(&b, &sent).await), (200, JobState::Queued));
         assert_eq!(
-            accepted(&cancel(&b, "wk-1").await),
+            accepted_state(&submit(&a, &submitted).await),
+            (201, JobState::Queued)
+        );
+        assert_eq!(
+            progress_state(&query(&b, "wk-1").await),
+            (200, JobState::Queued)
+        );
+        assert_eq!(
+            accepted_state(&submit(&b, &submitted).await),
+            (200, JobState::Queued)
+        );
+        assert_eq!(
+            accepted_state(&cancel(&b, "wk-1").await),
             (200, JobState::Cancelled)
         );
-        for n in [&a, &b] {
+        for controller in [&a, &b] {
             assert_eq!(
-                answered(&query(n, "wk-1").await),
+                progress_state(&query(controller, "wk-1").await),
                 (200, JobState::Cancelled)
             );
             assert_eq!(
-                accepted(&cancel(n, "wk-1").await),
+                accepted_state(&cancel(controller, "wk-1").await),
                 (200, JobState::Cancelled)
             );
             assert_eq!(
-                accepted(&submit(n, &sent).await),
+                accepted_state(&submit(controller, &submitted).await),
                 (200, JobState::Cancelled)
             );
             assert_eq!(
                 (
-                    query(n, "wk-2").await.status,
-                    cancel(n, "wk-2").await.status
+                    query(controller, "wk-2").await.status,
+                    cancel(controller, "wk-2").await.status
                 ),
                 (404, 404)
             );
@@ -51,95 +62,112 @@
 }
 
 #[test]
-fn a_submission_without_an_answer_is_read_back_and_never_undoes_anything() {
-    with(|store, [a, b]| async move {
-        store.fate.set(Fate::AnswerLost);
+fn lost_or_late_submissions_undo_nothing() {
+    with_controllers(|store, [a, b]| async move {
+        store.next_txn_fault.set(TxnFault::ResponseLost);
         assert_eq!(
-            accepted(&submit(&a, &body("wk-1", |_| ())).await),
+            accepted_state(&submit(&a, &submission("wk-1", |_| ())).await),
             (200, JobState::Queued)
         );
         // Not carried out so far: neither accepted nor refused for good.
-        store.fate.set(Fate::Kept);
-        let r = submit(&a, &body("wk-2", |_| ())).await;
-        assert_eq!((r.status, r.retry_after_s.is_some()), (503, true));
+        store.next_txn_fault.set(TxnFault::Delayed);
+        let response = submit(&a, &submission("wk-2", |_| ())).await;
         assert_eq!(
-            accepted(&submit(&b, &body("wk-2", |_| ())).await),
+            (response.status, response.retry_after_s.is_some()),
+            (503, true)
+        );
+        assert_eq!(
+            accepted_state(&submit(&b, &submission("wk-2", |_| ())).await),
             (201, JobState::Queued)
         );
         assert_eq!(
-            accepted(&cancel(&b, "wk-2").await),
+            accepted_state(&cancel(&b, "wk-2").await),
             (200, JobState::Cancelled)
         );
-        assert_eq!(store.carry_out_kept(), vec![409]);
-        for n in [&a, &b] {
+        assert_eq!(store.apply_delayed_txns(), vec![409]);
+        for controller in [&a, &b] {
             assert_eq!(
-                answered(&query(n, "wk-2").await),
+                progress_state(&query(controller, "wk-2").await),
                 (200, JobState::Cancelled)
             );
         }
         // It alone, late: the job is known by every route from then on.
-        store.fate.set(Fate::Kept);
-        assert_eq!(submit(&a, &body("wk-3", |_| ())).await.status, 503);
+        store.next_txn_fault.set(TxnFault::Delayed);
+        assert_eq!(submit(&a, &submission("wk-3", |_| ())).await.status, 503);
         assert_eq!(query(&b, "wk-3").await.status, 404);
-        assert_eq!(store.carry_out_kept(), vec![200]);
-        assert_eq!(answered(&query(&b, "wk-3").await), (200, JobState::Queued));
+        assert_eq!(store.apply_delayed_txns(), vec![200]);
+        assert_eq!(
+            progress_state(&query(&b, "wk-3").await),
+            (200, JobState::Queued)
+        );
         assert_eq!(
-            accepted(&submit(&a, &body("wk-3", |_| ())).await),
+            accepted_state(&submit(&a, &submission("wk-3", |_| ())).await),
             (200, JobState::Queued)
         );
     });
 }
 
 #[test]
-fn a_cancellation_and_the_end_of_a_job_have_one_winner() {
-    with(|store, [a, b]| async move {
+fn cancellation_and_completion_have_one_winner() {
+    with_controllers(|store, [a, b]| async move {
         for id in ["wk-1", "wk-2", "wk-3", "wk-4"] {
-            assert_eq!(submit(&a, &body(id, |_| ())).await.status, 201);
+            assert_eq!(submit(&a, &submission(id, |_| ())).await.status, 201);
             assert_eq!(query(&b, id).await.status, 200);
         }
         // The end was written first, and the controller does not know.
-        assert_eq!(finish(&store, "wk-1"), 200);
-        assert_eq!(accepted(&cancel(&b, "wk-1").await), (200, JobState::Done));
-        // The cancellation is carried out without an answer: read back.
-        store.fate.set(Fate::AnswerLost);
+        assert_eq!(record_job_done(&store, "wk-1"), 200);
         assert_eq!(
-            accepted(&cancel(&b, "wk-2").await),
+            accepted_state(&cancel(&b, "wk-1").await),
+            (200, JobState::Done)
+        );
+        // The cancellation is carried out without a response: read back.
+        store.next_txn_fault.set(TxnFault::ResponseLost);
+        assert_eq!(
+            accepted_state(&cancel(&b, "wk-2").await),
             (200, JobState::Cancelled)
         );
         // It is kept and the job ends meanwhile: too late.
-        store.fate.set(Fate::Kept);
-        let (r, _) = smol::future::zip(cancel(&b, "wk-3"), async {
-            while store.fate.get() == Fate::Kept {
+        store.next_txn_fault.set(TxnFault::Delayed);
+        let (response, _) = smol::future::zip(cancel(&b, "wk-3"), async {
+            while store.next_txn_fault.get() == TxnFault::Delayed {
                 smol::Timer::after(std::time::Duration::from_millis(5)).await;
             }
-            assert_eq!(finish(&store, "wk-3"), 200);
+            assert_eq!(record_job_done(&store, "wk-3"), 200);
         })
         .await;
-        assert_eq!(accepted(&r), (200, JobState::Done));
-        assert_eq!(store.carry_out_kept(), vec![409]);
+        assert_eq!(accepted_state(&response), (200, JobState::Done));
+        assert_eq!(store.apply_delayed_txns(), vec![409]);
         // It is kept, tried again and confirmed: the late one changes nothing, nor does the end.
-        store.fate.set(Fate::Kept);
+        store.next_txn_fault.set(TxnFault::Delayed);
         assert_eq!(
-            accepted(&cancel(&b, "wk-4").await),
+            accepted_state(&cancel(&b, "wk-4").await),
             (200, JobState::Cancelled)
         );
-        let before = store.get(&store::keys::job("wk-4")).unwrap().version;
-        assert_eq!(store.carry_out_kept(), vec![409]);
+        let version_before = store.get(&store::keys::job("wk-4")).unwrap().version;
+        assert_eq!(store.apply_delayed_txns(), vec![409]);
         assert_eq!(
             store.get(&store::keys::job("wk-4")).unwrap().version,
-            before
+            version_before
         );
-        for n in [&a, &b] {
+        for controller in [&a, &b] {
             for (id, state) in [
                 ("wk-1", JobState::Done),
                 ("wk-2", JobState::Cancelled),
                 ("wk-3", JobState::Done),
                 ("wk-4", JobState::Cancelled),
             ] {
-                assert_eq!(answered(&query(n, id).await), (200, state), "{id}");
-                assert_eq!(accepted(&cancel(n, id).await), (200, state), "{id}");
                 assert_eq!(
-                    accepted(&submit(n, &body(id, |_| ())).await),
+                    progress_state(&query(controller, id).await),
+                    (200, state),
+                    "{id}"
+                );
+                assert_eq!(
+                    accepted_state(&cancel(controller, id).await),
+                    (200, state),
+                    "{id}"
+                );
+                assert_eq!(
+                    accepted_state(&submit(controller, &submission(id, |_| ())).await),
                     (200, state),
                     "{id}"
                 );
@@ -149,43 +177,51 @@
 }
 
 #[test]
-fn while_the_store_refuses_only_terminal_states_are_answered() {
-    with(|store, [a, _]| async move {
+fn store_outage_allows_only_terminal_responses() {
+    with_controllers(|store, [a, _]| async move {
         for id in ["wk-1", "wk-2"] {
-            assert_eq!(submit(&a, &body(id, |_| ())).await.status, 201);
+            assert_eq!(submit(&a, &submission(id, |_| ())).await.status, 201);
         }
         assert_eq!(cancel(&a, "wk-1").await.status, 200);
-        store.refuses.set(true);
+        store.unavailable.set(true);
         assert_eq!(
-            answered(&query(&a, "wk-1").await),
+            progress_state(&query(&a, "wk-1").await),
             (200, JobState::Cancelled)
         );
         assert_eq!(
-            accepted(&cancel(&a, "wk-1").await),
+            accepted_state(&cancel(&a, "wk-1").await),
             (200, JobState::Cancelled)
         );
         assert_eq!(
-            accepted(&submit(&a, &body("wk-1", |_| ())).await),
+            accepted_state(&submit(&a, &submission("wk-1", |_| ())).await),
             (200, JobState::Cancelled)
         );
-        for r in [
+        for response in [
             query(&a, "wk-2").await,
             query(&a, "wk-3").await,
             cancel(&a, "wk-2").await,
             cancel(&a, "wk-3").await,
-            submit(&a, &body("wk-2", |_| ())).await,
-            submit(&a, &body("wk-3", |_| ())).await,
+            submit(&a, &submission("wk-2", |_| ())).await,
+            submit(&a, &submission("wk-3", |_| ())).await,
             // What can never run may be known already, through another controller.
             submit(
                 &a,
-                &body("wk-4", |m| set(m, "crew", Value::Text("nobody".into()))),
+                &submission("wk-4", |m| {
+                    set_field(m, "crew", Value::Text("nobody".into()))
+                }),
             )
             .await,
         ] {
-            assert_eq!((r.status, r.retry_after_s.is_some()), (503, true));
+            assert_eq!(
+                (response.status, response.retry_after_s.is_some()),
+                (503, true)
+            );
         }
-        store.refuses.set(false);
-        assert_eq!(answered(&query(&a, "wk-2").await), (200, JobState::Queued));
+        store.unavailable.set(false);
+        assert_eq!(
+            progress_state(&query(&a, "wk-2").await),
+            (200, JobState::Queued)
+        );
         assert_eq!(query(&a, "wk-3").await.status, 404);
     });
 }
@@ -198,30 +234,34 @@
 }
 
 #[test]
-fn a_submission_that_lacks_a_field_or_has_one_of_the_wrong_kind_is_malformed() {
-    with(|_, [a, _]| async move {
-        let fields = cbor::decode::<Value>(&body("wk-9", |_| ())).unwrap();
+fn missing_or_mistyped_fields_are_malformed() {
+    with_controllers(|_, [a, _]| async move {
+        let fields = cbor::decode::<Value>(&submission("wk-9", |_| ())).unwrap();
         for (i, (key, _)) in fields.into_map().unwrap().iter().enumerate() {
             let name = key.as_text().unwrap();
-            let without = if OPTIONAL_FIELDS.contains(&name) {
+            let expected = if OPTIONAL_FIELDS.contains(&name) {
                 201
             } else {
                 400
             };
-            let lacks = body(&format!("wk-{i}"), |m| drop(m.remove(i)));
-            assert_eq!(submit(&a, &lacks).await.status, without, "without {name}");
-            let odd = body(&format!("wk-odd{i}"), |m| m[i].1 = Value::Map(vec![]));
-            let status = submit(&a, &odd).await.status;
+            let incomplete = submission(&format!("wk-{i}"), |m| drop(m.remove(i)));
+            assert_eq!(
+                submit(&a, &incomplete).await.status,
+                expected,
+                "without {name}"
+            );
+            let invalid = submission(&format!("wk-invalid{i}"), |m| m[i].1 = Value::Map(vec![]));
+            let status = submit(&a, &invalid).await.status;
             assert_eq!(status, 400, "{name} of the wrong kind");
-            let null = body(&format!("wk-null{i}"), |m| m[i].1 = Value::Null);
-            assert_eq!(submit(&a, &null).await.status, without, "{name} null");
+            let null = submission(&format!("wk-null{i}"), |m| m[i].1 = Value::Null);
+            assert_eq!(submit(&a, &null).await.status, expected, "{name} null");
         }
     });
 }
 
 #[test]
-fn a_submission_with_a_value_out_of_range_is_malformed() {
-    with(|store, [a, _]| async move {
+fn out_of_range_values_are_malformed() {
+    with_controllers(|store, [a, _]| async move {
         for (name, value) in [
             ("tickets", Value::Integer(0.into())),
             ("tickets", Value::Integer(100_001.into())),
@@ -235,8 +275,12 @@
             ("name_id", text("")),
             ("name_id", text("a/b")),
         ] {
-            let r = submit(&a, &body("wk-400", |m| set(m, name, value.clone()))).await;
-            assert_eq!(r.status, 400, "{name} {value:?}");
+            let response = submit(
+                &a,
+                &submission("wk-400", |m| set_field(m, name, value.clone())),
+            )
+            .await;
+            assert_eq!(response.status, 400, "{name} {value:?}");
         }
         assert_eq!(submit(&a, b"\xff\x00").await.status, 400);
         assert!(store.get(&store::keys::job("wk-400")).is_none());
@@ -245,8 +289,8 @@
 }
 
 #[test]
-fn a_job_that_can_never_run_is_refused() {
-    with(|store, [a, b]| async move {
+fn jobs_that_can_never_run_are_refused() {
+    with_controllers(|store, [a, b]| async move {
         for (name, value) in [
             ("crew", text("nobody")),
             ("chassis_list", Value::Array(vec![text("g9")])),
@@ -257,8 +301,12 @@
             // A gang of all its tasks: 16 x 13 CPUs are more than the limit of 200.
             ("vcpus", Value::Float(13.0)),
         ] {
-            let r = submit(&a, &body("wk-422", |m| set(m, name, value.clone()))).await;
-            assert_eq!(r.status, 422, "{name} {value:?}");
+            let response = submit(
+                &a,
+                &submission("wk-422", |m| set_field(m, name, value.clone())),
+            )
+            .await;
+            assert_eq!(response.status, 422, "{name} {value:?}");
         }
         assert!(store.get(&store::keys::job("wk-422")).is_none());
         assert_eq!(query(&b, "wk-422").await.status, 404);
@@ -266,27 +314,31 @@
 }
 
 #[test]
-fn a_team_without_a_limit_may_have_any_job_that_fits_the_machines() {
-    with(|_, [a, _]| async move {
+fn team_without_limit_may_submit_any_job_that_fits() {
+    with_controllers(|_, [a, _]| async move {
         let guest = |m: &mut Vec<(Value, Value)>| {
-            set(m, "crew", text("guest"));
-            set(m, "vcpus", Value::Float(96.0));
+            set_field(m, "crew", text("guest"));
+            set_field(m, "vcpus", Value::Float(96.0));
         };
-        assert_eq!(submit(&a, &body("wk-guest", guest)).await.status, 201);
+        assert_eq!(submit(&a, &submission("wk-guest", guest)).await.status, 201);
     });
 }
 
 #[test]
-fn of_an_array_one_task_has_to_fit_and_its_repeat_may_be_odd() {
-    with(|_, [a, b]| async move {
+fn array_fits_by_task_and_repeats_are_not_validated() {
+    with_controllers(|_, [a, b]| async move {
         let array = |m: &mut Vec<(Value, Value)>| {
-            set(m, "shape", text("array"));
-            set(m, "vcpus", Value::Float(13.0));
+            set_field(m, "shape", text("array"));
+            set_field(m, "vcpus", Value::Float(13.0));
         };
-        assert_eq!(submit(&a, &body("wk-array", array)).await.status, 201);
-        let again = submit(&b, &body("wk-array", |m| set(m, "crew", text("nobody")))).await;
-        assert_eq!(accepted(&again), (200, JobState::Queued));
-        let lacks = body("wk-array", |m| drop(m.remove(5)));
-        assert_eq!(submit(&a, &lacks).await.status, 200);
+        assert_eq!(submit(&a, &submission("wk-array", array)).await.status, 201);
+        let repeated = submit(
+            &b,
+            &submission("wk-array", |m| set_field(m, "crew", text("nobody"))),
+        )
+        .await;
+        assert_eq!(accepted_state(&repeated), (200, JobState::Queued));
+        let incomplete = submission("wk-array", |m| drop(m.remove(5)));
+        assert_eq!(submit(&a, &incomplete).await.status, 200);
     });
 }
--- a/crates/sched/tests/ranges.rs
+++ b/crates/sched/tests/ranges.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 
 #[test]
-fn behaves_like_an_ordinary_set() {
+fn range_set_behaves_like_btree_set() {
     let mut rng = fastrand::Rng::with_seed(7);
     let (mut ranges, mut expected) = (RangeSet::full(40), (0..40).collect::<BTreeSet<u32>>());
     for _ in 0..5000 {
