--- a/crates/ladderroute/tests/dependencies.rs
+++ b/crates/ladderroute/tests/dependencies.rs
@@ -1,6 +1,6 @@
-//! What users are told of jobs that need others, by any controller.
+//! Responses of every controller about jobs that depend on other jobs.
 
-// The helpers of these tests unwrap as the tests do.
+// Clippy allows `unwrap` in test functions, but not in their helpers.
 #![allow(clippy::unwrap_used)]
 
 mod stand_in;
@@ -51,7 +51,7 @@
                     "{id}"
                 );
             }
-            // A job that names a cancelled one is accepted all the same.
+            // A job that depends on a cancelled one is accepted, and is cancelled at once.
             let id = format!("wk-late-{}", controller.settings.member);
             let late = submission_with_dependencies(&id, &["wk-4", "wk-1"]);
             assert_eq!(
@@ -76,7 +76,7 @@
         submit_new(&a, "wk-1", &[]).await;
         submit_new(&a, "wk-2", &["wk-1"]).await;
         assert!(is_blocked(&a, "wk-2"));
-        // The end and a cancellation: the end was written first.
+        // The completion is written before the cancellation arrives.
         assert_eq!(record_job_done(&store, "wk-1"), 200);
         assert_eq!(
             accepted_state(&cancel(&b, "wk-1").await),
@@ -89,7 +89,7 @@
             );
             assert!(!is_blocked(controller, "wk-2"));
         }
-        // The same request again, though what it names is over; and a job submitted only now.
+        // A repeated submission whose dependency has completed, and a new one.
         let repeated = submit(&b, &submission_with_dependencies("wk-2", &["wk-1"])).await;
         assert_eq!(accepted_state(&repeated), (200, JobState::Queued));
         submit_new(&b, "wk-3", &["wk-1"]).await;
@@ -97,8 +97,8 @@
     });
 }
 
-/// The controller that confirmed a cancellation, and every other that has learned of it, goes on saying
-/// so of the whole chain while the store is down.
+/// The controller that confirmed a cancellation, and every other that has learned of it, keeps reporting
+/// the whole chain as cancelled while the store is down.
 #[test]
 fn cancelled_chain_is_reported_during_store_outage() {
     with_controllers(|store, [a, b]| async move {
@@ -130,7 +130,7 @@
 fn dependencies_must_be_accepted_jobs() {
     with_controllers(|store, [a, b]| async move {
         let status = |response: http::server::Response| response.status;
-        // Never accepted, itself among them.
+        // A job that was never accepted, and the job itself.
         assert_eq!(
             status(submit(&a, &submission_with_dependencies("wk-1", &["wk-9"])).await),
             422
@@ -140,21 +140,21 @@
             422
         );
         assert_eq!(status(query(&a, "wk-1").await), 404);
-        // Accepted a moment ago by the other controller; listed twice.
+        // Just accepted by the other controller; listed twice.
         submit_new(&b, "wk-9", &[]).await;
         submit_new(&a, "wk-1", &["wk-9", "wk-9"]).await;
         assert_eq!(
             job_entry(&a, "wk-1").unwrap().job.unwrap().dependencies,
             ["wk-9"]
         );
-        // Naming itself in a repetition changes nothing.
+        // A repeated submission that names itself or an unknown job changes nothing.
         let repeated = submit(
             &b,
             &submission_with_dependencies("wk-1", &["wk-1", "wk-nobody"]),
         )
         .await;
         assert_eq!(accepted_state(&repeated), (200, JobState::Queued));
-        // It can't be looked up now: that is no refusal for good.
+        // The dependency can't be looked up now, so the refusal is temporary.
         store.unavailable.set(true);
         let response = submit(&a, &submission_with_dependencies("wk-2", &["wk-8"])).await;
         assert_eq!(
@@ -197,7 +197,7 @@
     });
 }
 
-/// The settings of the stand-in say that values will be half as large.
+/// The test settings announce that the store's value limit will be halved, to 2 KiB.
 #[test]
 fn oversized_dependency_list_is_refused_with_limit() {
     with_controllers(|store, [a, b]| async move {
@@ -213,14 +213,14 @@
         assert_eq!(response.status, 422);
         let refusal: wire::users::Refusal = wire::cbor::decode(&response.body).unwrap();
         assert!(refusal.error.contains("awaits") && refusal.error.contains("2048"));
-        // What was accepted is never refused, however its repetition looks.
+        // An accepted job is never refused, whatever a repeated submission contains.
         let repeated = submit(&b, &submission_with_dependencies("wk-fits", &names)).await;
         assert_eq!(accepted_state(&repeated), (200, JobState::Queued));
     });
 }
 
-/// A record that an earlier version wrote up to the larger limit is still ended: what a terminal record
-/// needs fits.
+/// A job whose open record was written up to a larger value limit by an earlier version can still end: its
+/// terminal record omits what is not needed and fits the smaller limit.
 #[test]
 fn terminal_record_fits_a_smaller_value_limit() {
     let long = |n: usize| "x".repeat(n);
@@ -241,8 +241,8 @@
     }
 }
 
-/// The transaction that accepts a job may be carried out without a response, or late: its dependencies
-/// are those of the record that the store holds.
+/// The response to the transaction that accepts a job may be lost, or the transaction may be applied late:
+/// the dependencies of the job are those in the record that the store holds.
 #[test]
 fn dependencies_survive_lost_and_late_responses() {
     with_controllers(|store, [a, b]| async move {
@@ -251,7 +251,8 @@
         let response = submit(&a, &submission_with_dependencies("wk-2", &["wk-1"])).await;
         assert_eq!(accepted_state(&response), (200, JobState::Queued));
         assert!(is_blocked(&a, "wk-2"));
-        // The cancellation is carried out, its response lost: read back, with all that follows.
+        // The cancellation is applied, but its response is lost: the controller reads the record back, and
+        // the dependents are cancelled, too.
         store.next_txn_fault.set(TxnFault::ResponseLost);
         assert_eq!(
             accepted_state(&cancel(&b, "wk-1").await),
@@ -263,7 +264,7 @@
                 (200, JobState::Cancelled)
             );
         }
-        // Carried out late, when what it names has been cancelled meanwhile.
+        // The submission is applied late, after its dependency has been cancelled.
         submit_new(&a, "wk-3", &[]).await;
         store.next_txn_fault.set(TxnFault::Delayed);
         assert_eq!(
@@ -286,7 +287,8 @@
     });
 }
 
-/// A controller that has just started reads all records, dependents before what they need or not.
+/// A controller that has just started reads all records, in an order that may put dependents before their
+/// dependencies.
 #[test]
 fn starting_controller_rebuilds_dependency_graph() {
     with_controllers(|store, [a, b]| async move {
--- a/crates/ladderroute/tests/refusals.rs
+++ b/crates/ladderroute/tests/refusals.rs
@@ -1,6 +1,6 @@
-//! What users are told of requests that can't be served: status and body, byte for byte.
+//! Responses to requests that can't be served: status and body, compared byte for byte.
 
-// The helpers of these tests unwrap as the tests do.
+// Clippy allows `unwrap` in test functions, but not in their helpers.
 #![allow(clippy::unwrap_used)]
 
 mod stand_in;
@@ -15,7 +15,7 @@
     Value::Text(s.into())
 }
 
-/// Fields and odd values of them.
+/// Returns fields with invalid values for them.
 fn invalid_values() -> Vec<(&'static str, Value)> {
     vec![
         ("tickets", Value::Integer(0.into())),
@@ -58,7 +58,7 @@
     submission("wk-400", |m| m.push((text("awaits"), Value::Array(ids))))
 }
 
-/// Bodies of submissions that are refused, by their names.
+/// Returns names and bodies of submissions that are refused.
 fn refused_submissions() -> Vec<(String, Vec<u8>)> {
     let mut requests = Vec::new();
     for (i, (name, value)) in invalid_values().into_iter().enumerate() {
@@ -88,7 +88,7 @@
     requests
 }
 
-/// A response in one line; the text of the error stands for the body, which holds nothing else.
+/// Formats a response as one line; the error text represents the body, which holds nothing else.
 fn format_response(name: &str, response: &Response) -> String {
     let body: Value = cbor::decode(&response.body).unwrap();
     let error = body.as_map().unwrap()[0].1.as_text().unwrap().to_string();
--- a/crates/ladderroute/tests/reload.rs
+++ b/crates/ladderroute/tests/reload.rs
@@ -1,7 +1,7 @@
-//! A controller whose view is older than the changes that the store keeps reloads all keys in pages, while
+//! A controller whose view is older than the changes that the store retains reloads all keys in pages, while
 //! records keep arriving by other means.
 
-// The helper functions of these tests unwrap as the tests do.
+// Clippy allows `unwrap` in test functions, but not in their helpers.
 #![allow(clippy::unwrap_used)]
 
 mod stand_in;
@@ -33,8 +33,8 @@
     }
 }
 
-/// Lets a controller miss changes that the store then discards: the controller's next request finds its view
-/// too old.
+/// Lets a controller miss changes that the store then discards, so that its next request for changes is
+/// refused because the view is too old.
 async fn miss_changes(
     store: &FakeStore,
     endpoint: &StoreEndpoint,
@@ -58,8 +58,9 @@
     leadership.is_some_and(|leadership| leadership.leader.has_job(id))
 }
 
-/// A job ends during a reload, by a write of this controller that was in flight: the pages still hold it as
-/// open. It stays terminal, and so do the jobs that were cancelled with it; the leader does not get it back.
+/// A job ends during a reload, by a write of this controller that was in flight, while the pages still hold
+/// it as open. It stays terminal, and so do the jobs that were cancelled with it; the leader does not get
+/// the job back.
 #[test]
 fn job_ended_during_reload_stays_terminal() {
     with_endpoints(|store, [a, b], [endpoint, _]| async move {
@@ -85,14 +86,14 @@
             a.apply_job_record(&mut a.lock(), id, record, item.version);
         }
         assert!(!leader_has_job(&a, "wk-1") && leader_has_job(&a, "wk-5"));
-        // No changes after the reload may hide a fault.
+        // Changes read after the reload must not hide a fault.
         endpoint.refuses_changes.set(true);
         endpoint.delays_pages.set(false);
         wait_until(|| is_loaded(&a)).await;
         assert_eq!(
             recorded_state(&a, "wk-6"),
             Some(Recorded::Open),
-            "the missed one"
+            "wk-6, missed before the reload"
         );
         for (id, expected, leader_has) in [
             ("wk-1", Recorded::Cancelled, false),
@@ -108,7 +109,7 @@
     });
 }
 
-/// One request in two is refused: a reload that started over each time would never end.
+/// Every second request for a page is refused: a reload that restarted after each refusal would never end.
 #[test]
 fn reload_resumes_after_refused_page() {
     with_endpoints(|store, [a, b], [endpoint, _]| async move {
@@ -129,8 +130,8 @@
     });
 }
 
-/// The store does not limit the size of a response with changes; a controller that accepts no response of such size
-/// would never get beyond it.
+/// The store does not limit the size of a response with changes; a controller that rejects the oversized
+/// response and only retries would never catch up.
 #[test]
 fn oversized_response_triggers_paged_reload() {
     with_endpoints(|store, [a, b], [endpoint, _]| async move {
--- a/crates/ladderroute/tests/stale_view.rs
+++ b/crates/ladderroute/tests/stale_view.rs
@@ -1,8 +1,8 @@
-//! What users are told by a controller whose view of the store has stayed behind: never an older state
-//! than another controller has told. The record of a job that is read directly says nothing of the jobs
-//! that it needs.
+//! Responses of a controller whose view of the store is stale: it must never report an older state than
+//! another controller has reported. A job record that is read directly does not contain the state of the
+//! job's dependencies.
 
-// The helpers of these tests unwrap as the tests do.
+// Clippy allows `unwrap` in test functions, but not in their helpers.
 #![allow(clippy::unwrap_used)]
 
 mod stand_in;
@@ -18,18 +18,18 @@
 use std::time::Duration;
 use wire::users::JobState;
 
-/// The changes of the store do not reach a controller any more, once it has seen those so far.
+/// Brings the view of a controller up to date and then keeps further changes from it.
 async fn fall_behind(controller: &Rc<Controller>, endpoint: &StoreEndpoint) {
     assert!(ladderroute::freshness::refresh_view(controller).await);
     endpoint.refuses_changes.set(true);
-    // A request that was under way is refused, too, once one sent later was.
+    // When a later request has been refused, the one that was in flight has ended, too.
     let requests_before = endpoint.change_requests.get();
     while endpoint.change_requests.get() < requests_before + 2 {
         smol::Timer::after(Duration::from_millis(2)).await;
     }
 }
 
-/// The view of a controller is from so long ago that it proves nothing any more.
+/// Dates the view of a controller back by the maximum staleness, so that it proves nothing any more.
 fn make_view_stale(controller: &Controller, store: &FakeStore) {
     let view = &mut controller.lock().shared.view;
     let mut reload =
@@ -41,7 +41,8 @@
     view.finish_reload(reload);
 }
 
-/// Seen on a day at production size: `went_back`, cancelled and then queued.
+/// Observed as `went_back` in a day-long run at production size: a job was reported as cancelled and later
+/// as queued.
 #[test]
 fn repeated_submission_never_reports_older_state() {
     with_endpoints(|_, [a, b], [_, endpoint_b]| async move {
@@ -53,7 +54,7 @@
             progress_state(&query(&a, "wk-2").await),
             (200, JobState::Cancelled)
         );
-        // The record of wk-2 is open, and so is wk-1 as far as this controller knows.
+        // The record of wk-2 is open, and so is wk-1 in the view of this controller.
         let repeated = submission_with_dependencies("wk-2", &["wk-1"]);
         assert!(is_retry_later(&submit(&b, &repeated).await));
         endpoint_b.refuses_changes.set(false);
@@ -62,7 +63,7 @@
     });
 }
 
-/// The same by the way of a transaction whose response was lost.
+/// The same fault through a submission whose transaction response is lost, so that it is read back.
 #[test]
 fn read_back_submission_never_reports_older_state() {
     with_endpoints(|store, [a, b], [_, endpoint_b]| async move {
@@ -84,8 +85,8 @@
     });
 }
 
-/// `orphaned`: a controller whose writes are carried out, while the changes do not reach it, would go on
-/// calling new dependents of a cancelled job queued.
+/// Guards against `orphaned`: a controller whose writes succeed while it receives no changes would keep
+/// reporting new dependents of a cancelled job as queued.
 #[test]
 fn stale_view_never_reports_new_dependents_queued() {
     with_endpoints(|store, [a, b], [_, endpoint_b]| async move {
@@ -95,7 +96,7 @@
         cancel_confirmed(&a, "wk-1").await;
         let late = submission_with_dependencies("wk-2", &["wk-1"]);
         assert!(is_retry_later(&submit(&b, &late).await));
-        // One that needs no other is accepted all the same: its own record says all.
+        // A job without dependencies is accepted all the same: its own record is sufficient.
         submit_new(&b, "wk-3", &[]).await;
         endpoint_b.refuses_changes.set(false);
         assert_eq!(
@@ -105,8 +106,8 @@
     });
 }
 
-/// What is terminal is told from memory, also by the ways above; what a repetition names counts for
-/// nothing.
+/// Terminal states are reported from memory, also on the paths above; the dependencies that a repeated
+/// submission names are ignored.
 #[test]
 fn terminal_records_are_reported_from_a_stale_view() {
     with_endpoints(|store, [a, b], [_, endpoint_b]| async move {
--- a/crates/ladderroute/tests/stand_in/mod.rs
+++ b/crates/ladderroute/tests/stand_in/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the state service on loopback, and controllers that use it.
+//! An in-memory fake of the state service, served over loopback, and controllers that use it.
 
 pub mod requests;
 
@@ -14,62 +14,62 @@
 use wire::cbor;
 use wire::store::{Change, Changes, Conflict, Item, LeaseId, Page, Revision, Txn, Value, Write};
 
-/// What becomes of the next transaction.
-// Not every test uses all of them.
+/// A fault injected into the next transaction.
+// Each test file compiles this module and uses only a part of it.
 #[allow(dead_code)]
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum TxnFault {
-    /// Carried out and answered.
+    /// Applied and answered.
     None,
-    /// Carried out; the response is lost.
+    /// Applied; the response is lost.
     ResponseLost,
-    /// No response; it is kept, to be carried out when the test says so.
+    /// Not answered; held until [`FakeStore::apply_delayed_txns`].
     Delayed,
 }
 
-/// The state service, in memory.
+/// An in-memory state service.
 pub struct FakeStore {
-    /// Values and their versions.
+    /// Values with their versions, by key.
     keys: RefCell<BTreeMap<String, (Value, u64)>>,
     change_log: RefCell<Vec<Change>>,
     revision: Cell<u64>,
-    /// Changes up to this revision are not kept any more.
+    /// The last revision whose changes have been discarded.
     compacted_revision: Cell<u64>,
     leases_granted: Cell<u64>,
-    /// Most items of a page.
+    /// The maximum number of items in a page.
     pub page_items: Cell<usize>,
-    /// What becomes of the next transaction.
+    /// The fault injected into the next transaction; reset to `None` when it arrives.
     pub next_txn_fault: Cell<TxnFault>,
-    /// All requests are refused.
+    /// Whether all requests are refused.
     pub unavailable: Cell<bool>,
-    /// Transactions that were not carried out yet.
+    /// Transactions held by [`TxnFault::Delayed`], not applied yet.
     delayed_txns: RefCell<Vec<Txn>>,
 }
 
-/// One controller's way to the store, with faults that only this controller has.
-// Not every test uses all of them.
+/// The address at which one controller reaches the store, with faults that affect only this controller.
+// Each test file compiles this module and uses only a part of it.
 #[allow(dead_code)]
 #[derive(Default)]
 pub struct StoreEndpoint {
-    /// Requests for changes are refused.
+    /// Whether requests for changes are refused.
     pub refuses_changes: Cell<bool>,
-    /// Requests for changes that were answered or refused.
+    /// The number of requests for changes, answered or refused.
     pub change_requests: Cell<u32>,
-    /// Pages are read, and their answers wait.
+    /// Whether responses with pages are held back after the page has been read.
     pub delays_pages: Cell<bool>,
-    /// Of so many pages that are asked for, the last is refused; none if 0.
+    /// Every n-th request for a page is refused; none if 0.
     pub refused_page_interval: Cell<u32>,
-    /// Pages that were asked for.
+    /// The number of requests for pages.
     pub page_requests: Cell<u32>,
 }
 
-/// The status of a request that the store does not serve now.
+/// The status of a request that the store refuses for now.
 const REFUSED: u16 = 503;
-/// The status of a request for changes that are not kept any more.
+/// The status of a request for changes that have been discarded.
 const TOO_OLD: u16 = 410;
 
 impl FakeStore {
-    /// An empty store that serves all requests.
+    /// Returns an empty store that serves all requests.
     pub fn new() -> Rc<FakeStore> {
         Rc::new(FakeStore {
             keys: RefCell::default(),
@@ -84,7 +84,7 @@
         })
     }
 
-    /// Opens a way to the store.
+    /// Serves the store at a new loopback address; returns the faults of this endpoint and its address.
     pub async fn open_endpoint(
         self: &Rc<FakeStore>,
         executor: &Rc<smol::LocalExecutor<'static>>,
@@ -193,7 +193,7 @@
         Response::new(200, cbor::encode(&page))
     }
 
-    /// A page of the items after a key.
+    /// Returns the page of items after a key.
     pub fn page_after(&self, since: &str) -> Page {
         let keys = self.keys.borrow();
         let mut rest = keys.iter().filter(|(key, _)| key.as_str() > since);
@@ -210,14 +210,14 @@
         }
     }
 
-    /// Forgets all changes so far: who does not know them has to read the keys again.
-    // Not every test uses it.
+    /// Discards all changes so far: a client that has not seen them has to read all keys again.
+    // Each test file compiles this module and uses only a part of it.
     #[allow(dead_code)]
     pub fn compact(&self) {
         self.compacted_revision.set(self.revision.get());
     }
 
-    /// What the store holds at a key.
+    /// Returns the item at a key.
     pub fn get(&self, key: &str) -> Option<Item> {
         self.keys.borrow().get(key).map(|(v, n)| Item {
             key: key.into(),
@@ -240,15 +240,15 @@
         }
     }
 
-    /// Carries out what was kept; says with which status.
-    // Not every test uses it.
+    /// Applies the delayed transactions; returns their statuses.
+    // Each test file compiles this module and uses only a part of it.
     #[allow(dead_code)]
     pub fn apply_delayed_txns(&self) -> Vec<u16> {
         let delayed = self.delayed_txns.take();
         delayed.iter().map(|t| self.apply(t).status).collect()
     }
 
-    /// Carries out a transaction if its conditions hold.
+    /// Applies a transaction if its conditions hold.
     pub fn apply(&self, txn: &Txn) -> Response {
         let version = |k: &str| self.keys.borrow().get(k).map_or(0, |(_, n)| *n);
         let failed: Vec<String> = txn
@@ -269,7 +269,7 @@
         Response::new(200, cbor::encode(&Revision { revision }))
     }
 
-    /// Carries out one write; returns it as a change.
+    /// Applies one write; returns it as a change.
     fn apply_write(&self, write: &Write, version: u64) -> Change {
         let mut keys = self.keys.borrow_mut();
         match write {
@@ -295,7 +295,7 @@
     }
 }
 
-/// A controller with a replica that is loaded and kept current; nothing else of it runs.
+/// Starts a controller that watches the store and runs no other task; returns it once its view is loaded.
 pub async fn start_controller(
     executor: &Rc<smol::LocalExecutor<'static>>,
     i: usize,
@@ -332,13 +332,13 @@
     controller
 }
 
-/// Whether a controller has read all keys.
+/// Returns whether a controller has read all keys.
 pub fn is_loaded(controller: &Controller) -> bool {
     controller.lock().shared.view.is_complete()
 }
 
-/// What a controller's view holds of a job.
-// Not every test uses it.
+/// Returns the entry of a job in a controller's view.
+// Each test file compiles this module and uses only a part of it.
 #[allow(dead_code)]
 pub fn job_entry(controller: &Controller, id: &str) -> Option<JobEntry> {
     controller
--- a/crates/ladderroute/tests/stand_in/requests.rs
+++ b/crates/ladderroute/tests/stand_in/requests.rs
@@ -1,6 +1,6 @@
-//! Users' requests, what they are answered, and the end of a job as a leader writes it.
+//! Users' requests, checks of their responses, and the end of a job as a leader writes it.
 
-// Not every test uses all of them.
+// Each test file compiles this module and uses only a part of it.
 #![allow(dead_code)]
 
 use super::{start_controller, FakeStore, StoreEndpoint};
@@ -20,7 +20,7 @@
     with_endpoints(|store, controllers, _| test(store, controllers));
 }
 
-/// Runs a test with a store, two controllers, and the way of each to the store.
+/// Runs a test with a store, two controllers, and the store endpoint of each.
 pub fn with_endpoints<F: Future<Output = ()>>(
     test: impl FnOnce(Rc<FakeStore>, [Rc<Controller>; 2], [Rc<StoreEndpoint>; 2]) -> F,
 ) {
@@ -37,7 +37,7 @@
     }));
 }
 
-/// The protocol page's example of a submission, changed as the test wants.
+/// Encodes the example submission of the protocol documentation after `change` has edited its fields.
 pub fn submission(id: &str, change: impl FnOnce(&mut Vec<(Value, Value)>)) -> Vec<u8> {
     let text = |s: &str| Value::Text(s.into());
     let mut map: Vec<(Value, Value)> = vec![
@@ -66,7 +66,7 @@
     cbor::encode(&Value::Map(map))
 }
 
-/// A submission that names jobs that have to be done before.
+/// Encodes a submission that depends on the given jobs.
 pub fn submission_with_dependencies(id: &str, dependencies: &[&str]) -> Vec<u8> {
     let names = dependencies
         .iter()
@@ -75,20 +75,20 @@
     submission_with_raw_dependencies(id, Value::Array(names))
 }
 
-/// A submission with any value in the place of the jobs that have to be done before.
+/// Encodes a submission with an arbitrary value in the field for dependencies.
 pub fn submission_with_raw_dependencies(id: &str, names: Value) -> Vec<u8> {
     submission(id, |fields| {
         fields.push((Value::Text("awaits".into()), names))
     })
 }
 
-/// Submits a job that is created and queued.
+/// Submits a new job and checks that it is created and queued.
 pub async fn submit_new(controller: &Rc<Controller>, id: &str, dependencies: &[&str]) {
     let response = submit(controller, &submission_with_dependencies(id, dependencies)).await;
     assert_eq!(accepted_state(&response), (201, JobState::Queued), "{id}");
 }
 
-/// Cancels a job, which is confirmed.
+/// Cancels a job and checks that the cancellation is confirmed.
 pub async fn cancel_confirmed(controller: &Rc<Controller>, id: &str) {
     let response = cancel(controller, id).await;
     assert_eq!(
@@ -98,12 +98,12 @@
     );
 }
 
-/// Whether a response says "not now", with when to come back.
+/// Returns whether a response is a 503 with a `retry-after` header.
 pub fn is_retry_later(response: &Response) -> bool {
     response.status == 503 && response.retry_after_s.is_some()
 }
 
-/// Replaces the value of a field of a submission.
+/// Replaces the value of a field in a submission.
 pub fn set_field(map: &mut [(Value, Value)], name: &str, value: Value) {
     let field = map
         .iter_mut()
@@ -112,24 +112,24 @@
     field.1 = value;
 }
 
-/// The status and the state in the response to a submission or a cancellation.
+/// Returns the HTTP status and the job state in the response to a submission or a cancellation.
 pub fn accepted_state(response: &Response) -> (u16, JobState) {
     let Accepted { state, .. } = cbor::decode(&response.body).unwrap();
     (response.status, state)
 }
 
-/// The status and the state in the response to a query.
+/// Returns the HTTP status and the job state in the response to a query.
 pub fn progress_state(response: &Response) -> (u16, JobState) {
     let Progress { state, .. } = cbor::decode(&response.body).unwrap();
     (response.status, state)
 }
 
-/// Writes the end of a job as a leader does.
+/// Records a job as done, as a leader does; returns the status of the transaction.
 pub fn record_job_done(store: &FakeStore, id: &str) -> u16 {
     record_job_state(store, id, Recorded::Done)
 }
 
-/// Writes the end of a job.
+/// Records the terminal state of a job; returns the status of the transaction.
 pub fn record_job_state(store: &FakeStore, id: &str, state: Recorded) -> u16 {
     let item = store.get(&store::keys::job(id)).unwrap();
     let record: JobRecord = from_value(&item.value).unwrap();
--- a/crates/ladderroute/tests/user_requests.rs
+++ b/crates/ladderroute/tests/user_requests.rs
@@ -1,8 +1,8 @@
-//! What users are told, by any route, while the state service refuses, loses answers and carries
-//! transactions out late. The figures of a few real milliseconds decide nothing: only requests that
-//! are never answered run into a time-out.
+//! Responses to users at every controller while the state service refuses requests, loses responses or
+//! applies transactions late. No result depends on timing of a few milliseconds: only requests that are
+//! never answered time out.
 
-// The helpers of these tests unwrap as the tests do.
+// Clippy allows `unwrap` in test functions, but not in their helpers.
 #![allow(clippy::unwrap_used)]
 
 mod stand_in;
@@ -69,7 +69,7 @@
             accepted_state(&submit(&a, &submission("wk-1", |_| ())).await),
             (200, JobState::Queued)
         );
-        // Not carried out so far: neither accepted nor refused for good.
+        // Not applied so far: neither accepted nor permanently refused.
         store.next_txn_fault.set(TxnFault::Delayed);
         let response = submit(&a, &submission("wk-2", |_| ())).await;
         assert_eq!(
@@ -91,7 +91,7 @@
                 (200, JobState::Cancelled)
             );
         }
-        // It alone, late: the job is known by every route from then on.
+        // Only the delayed transaction, applied late: every controller knows the job from then on.
         store.next_txn_fault.set(TxnFault::Delayed);
         assert_eq!(submit(&a, &submission("wk-3", |_| ())).await.status, 503);
         assert_eq!(query(&b, "wk-3").await.status, 404);
@@ -114,19 +114,19 @@
             assert_eq!(submit(&a, &submission(id, |_| ())).await.status, 201);
             assert_eq!(query(&b, id).await.status, 200);
         }
-        // The end was written first, and the controller does not know.
+        // The completion was written first, and the controller has not seen it.
         assert_eq!(record_job_done(&store, "wk-1"), 200);
         assert_eq!(
             accepted_state(&cancel(&b, "wk-1").await),
             (200, JobState::Done)
         );
-        // The cancellation is carried out without a response: read back.
+        // The cancellation is applied, but its response is lost: the controller reads the record back.
         store.next_txn_fault.set(TxnFault::ResponseLost);
         assert_eq!(
             accepted_state(&cancel(&b, "wk-2").await),
             (200, JobState::Cancelled)
         );
-        // It is kept and the job ends meanwhile: too late.
+        // The cancellation is delayed, and the job completes meanwhile: it comes too late.
         store.next_txn_fault.set(TxnFault::Delayed);
         let (response, _) = smol::future::zip(cancel(&b, "wk-3"), async {
             while store.next_txn_fault.get() == TxnFault::Delayed {
@@ -137,7 +137,7 @@
         .await;
         assert_eq!(accepted_state(&response), (200, JobState::Done));
         assert_eq!(store.apply_delayed_txns(), vec![409]);
-        // It is kept, tried again and confirmed: the late one changes nothing, nor does the end.
+        // The cancellation is delayed, retried and confirmed: the delayed one changes nothing.
         store.next_txn_fault.set(TxnFault::Delayed);
         assert_eq!(
             accepted_state(&cancel(&b, "wk-4").await),
@@ -203,7 +203,7 @@
             cancel(&a, "wk-3").await,
             submit(&a, &submission("wk-2", |_| ())).await,
             submit(&a, &submission("wk-3", |_| ())).await,
-            // What can never run may be known already, through another controller.
+            // A job that can never run may have been accepted already, through another controller.
             submit(
                 &a,
                 &submission("wk-4", |m| {
@@ -226,7 +226,7 @@
     });
 }
 
-/// Fields that a submission may lack.
+/// Fields that a submission may omit.
 const OPTIONAL_FIELDS: [&str; 3] = ["chassis_list", "yard", "due_s"];
 
 fn text(s: &str) -> Value {
@@ -252,7 +252,7 @@
             );
             let invalid = submission(&format!("wk-invalid{i}"), |m| m[i].1 = Value::Map(vec![]));
             let status = submit(&a, &invalid).await.status;
-            assert_eq!(status, 400, "{name} of the wrong kind");
+            assert_eq!(status, 400, "{name} of the wrong type");
             let null = submission(&format!("wk-null{i}"), |m| m[i].1 = Value::Null);
             assert_eq!(submit(&a, &null).await.status, expected, "{name} null");
         }
@@ -298,7 +298,7 @@
             ("vcpus", Value::Float(97.0)),
             ("gpus", Value::Float(9.0)),
             ("mem_gb", Value::Float(769.0)),
-            // A gang of all its tasks: 16 x 13 CPUs are more than the limit of 200.
+            // All tasks of a gang run at once: 16 x 13 CPUs exceed the team's limit of 200.
             ("vcpus", Value::Float(13.0)),
         ] {
             let response = submit(
