--- a/crates/ladderroute/tests/api.rs
+++ b/crates/ladderroute/tests/api.rs
@@ -1,4 +1,4 @@
-//! The port for users, workers and health checks: how much it takes in, and whether it is ready.
+//! The port for users, workers and health checks: its limits and its readiness.
 
 use http::server::Limits;
 use ladderroute::api::limits::{reserved_sockets, server_limits, CONNECTION_KIB};
@@ -7,7 +7,7 @@
 
 const KIB: f64 = 1024.0;
 
-/// A deployment, and how many machines it may have.
+/// A deployment, and the number of machines that it may have.
 struct Deployment {
     memory_mb: f64,
     max_sockets: usize,
@@ -16,7 +16,7 @@
     machines: u32,
 }
 
-/// All workers may be at one controller, at one and a half times what was announced.
+/// The numbers of machines are one and a half times those announced; all workers may connect to one controller.
 const DEPLOYMENTS: [Deployment; 4] = [
     Deployment {
         memory_mb: 188.0,
@@ -64,10 +64,10 @@
         let limits = deployment.limits();
         let reserved = reserved_sockets(deployment.others, deployment.store_rps);
         assert!(limits.max_connections + reserved <= deployment.max_sockets);
-        // Each worker may lack a connection for a moment, so that nearly all is enough.
+        // A worker can be without a connection for a moment, so 97% of the machines are enough.
         assert!(
             limits.max_connections as f64 > f64::from(deployment.machines) * 0.97,
-            "{} for {}",
+            "{} connections for {} machines",
             limits.max_connections,
             deployment.machines
         );
@@ -82,33 +82,34 @@
     assert!(server_limits(&small_quota, 2, 60.0, 1.0).max_connections >= 16);
 }
 
-/// A leader that lost the store and the others, but not its users, answered them "not now" at
-/// once and so drew ever more of them from the balancer, which prefers idle nodes.
+/// A leader that had lost the store and the other controllers, but not its users, refused their
+/// requests at once, and so drew more and more of them from the load balancer, which prefers idle
+/// controllers. In an outage that affects all controllers, the leader stays ready.
 #[test]
 fn isolated_leader_leaves_the_load_balancer() {
     let leader = |owners, others| Role::Leader { owners, others };
     assert!(
         others_serve_better(StoreHealth::Failing, leader(0, 2)),
-        "cut off, or refused by the store alone"
+        "isolated, or the only one that the store refuses"
     );
     assert!(
         !others_serve_better(StoreHealth::Failing, leader(2, 2)),
-        "an outage of the store for all"
+        "the store is down for all controllers"
     );
     assert!(
         !others_serve_better(StoreHealth::Failing, leader(0, 0)),
-        "there are no others"
+        "there are no other controllers"
     );
     assert!(
         !others_serve_better(StoreHealth::Healthy, leader(0, 2)),
-        "the store answers"
+        "the store is healthy"
     );
     assert!(
         others_serve_better(StoreHealth::Failing, Role::OwnerWithAuthority),
-        "another one leads"
+        "another controller leads"
     );
     assert!(
         !others_serve_better(StoreHealth::Failing, Role::OwnerWithoutAuthority),
-        "nobody leads, as far as is known"
+        "no leader is known"
     );
 }
--- a/crates/ladderroute/tests/batches.rs
+++ b/crates/ladderroute/tests/batches.rs
@@ -1,4 +1,4 @@
-//! What the leader writes together, and in which order.
+//! Batches of the leader's writes: which share a transaction, and in which order they are written.
 
 use ladderroute::writer::batch::{next_batch, Batch};
 use ladderroute::writer::limits::TxnLimits;
@@ -27,7 +27,7 @@
 }
 
 impl WriterFixture {
-    /// A leader that takes over what the store holds, with limits that have become smaller.
+    /// Returns a leader that takes over the stored records, with the given limits.
     fn after_takeover(stored: Replica, limits: TxnLimits) -> WriterFixture {
         let mut fixture = WriterFixture::new([]);
         fixture.records = RecordPages::load(&stored, limits.value_kb);
@@ -156,7 +156,7 @@
     })
 }
 
-/// A new token is durable before anything that is decided under it.
+/// A new fencing token is durable before any decision made under it.
 #[test]
 fn new_token_is_written_alone_and_first() {
     let mut fixture = WriterFixture::new([
@@ -170,7 +170,7 @@
     assert_eq!(fixture.pending.len(), 2);
 }
 
-/// Bindings go before the roster, both before progress; machines share a page.
+/// Bindings precede the roster, and both precede progress; machines share a page.
 #[test]
 fn urgent_writes_go_first_and_entries_share_pages() {
     let mut fixture = WriterFixture::new([
@@ -183,13 +183,13 @@
     let batch = fixture.next_batch();
     assert_eq!(batch.actions[0], binding("wk-000001", 1));
     assert_eq!(batch.actions.last(), Some(&record_progress("wk-000002")));
-    // The binding, what has begun, one page of machines and one of progress, each on a condition.
+    // The binding, the started arrays, a roster page and a progress page, each with a condition.
     assert_eq!((batch.writes.len(), batch.conditions.len()), (4, 4));
     assert!(fixture.pending.is_empty());
     assert_eq!(
         fixture.next_batch().roster_pages,
         batch.roster_pages,
-        "a page is due until it is known to be written"
+        "a page stays dirty until its write is confirmed"
     );
     fixture
         .records
@@ -197,7 +197,7 @@
     assert!(fixture.next_batch().is_empty());
 }
 
-/// What does not fit waits, and nothing less urgent overtakes it.
+/// A binding that does not fit into the transaction waits, and nothing less urgent overtakes it.
 #[test]
 fn binding_that_does_not_fit_is_deferred_whole() {
     let long = 3 * 64;
@@ -215,7 +215,7 @@
     );
 }
 
-/// The ends of jobs have conditions that may fail, so that they share no transaction with the rest.
+/// Ends of jobs have conditions that may fail, so they share no transaction with other writes.
 #[test]
 fn job_ends_are_written_in_their_own_transaction() {
     let mut fixture = WriterFixture::new([
@@ -227,7 +227,7 @@
     fixture.add_job("wk-000001");
     fixture.add_job("wk-000002");
     let batch = fixture.next_batch();
-    // The job that is not known any more has nothing to write.
+    // There is nothing to write for wk-000009, which is unknown.
     assert_eq!(batch.actions, [finish("wk-000001"), finish("wk-000002")]);
     assert!(batch.conditions.iter().all(|c| c.version == 5));
     assert_eq!(fixture.pending, [record_progress("wk-000003")]);
@@ -248,7 +248,7 @@
     }
 }
 
-/// A roster page that an earlier leader filled up to the larger limit.
+/// Returns a roster page that an earlier leader filled up to a larger value limit.
 fn full_roster() -> RosterPage {
     let record = RosterRecord {
         kind: "small".into(),
@@ -283,8 +283,8 @@
     }
 }
 
-/// A page that was filled up to a larger limit is split in one transaction, so that no machine is off
-/// the roster at any time; and it is left alone until it has to be written.
+/// A page that was filled up to a larger limit is split in one transaction, so that no machine is ever
+/// missing from the roster. It is not split before it has to be written.
 #[test]
 fn oversized_page_is_split_in_one_transaction() {
     let mut stored = Replica::new(8192);
@@ -317,8 +317,8 @@
     assert!(fixture.next_batch().is_empty());
 }
 
-/// Where a transaction is too small for all pages of a split, copies go first and the page that held
-/// them last: each step leaves every machine on the roster.
+/// When a transaction is too small for all pages of a split, the copies are written first and the original
+/// page last, so that every machine stays on the roster at each step.
 #[test]
 fn multi_transaction_split_keeps_every_machine() {
     let tiny_limits = TxnLimits {
@@ -341,7 +341,7 @@
         assert_within_limits(&batch, tiny_limits);
         let changes = batch.writes.iter().map(|write| match write {
             Write::Put { key, value, .. } => put_change(key, value.clone()),
-            Write::Delete { .. } => panic!("nothing is dropped"),
+            Write::Delete { .. } => panic!("a split deletes no keys"),
         });
         fixture.replica.apply(&Changes {
             revision: step,
@@ -356,8 +356,8 @@
     assert!(fixture.replica.roster.pages().len() > 3);
 }
 
-/// Chunks of version 0.1 begin at their number times a size that depended on its settings. They are laid
-/// out anew, as bitmaps that say where they begin, below the smaller limit.
+/// Progress chunks of version 0.1 start at their number times a size that depended on its settings. They
+/// are rewritten as bitmaps that contain their first task, within the smaller limit.
 #[test]
 fn progress_of_the_old_layout_is_rewritten() {
     let mut stored = Replica::new(8192);
@@ -401,7 +401,7 @@
     assert_eq!(sections, [(8192, 1024), (12_288, 1024)]);
 }
 
-/// A gang on more machines than one transaction can name is bound in several; it starts after the last.
+/// A gang on more machines than fit into one transaction is bound in several; it starts after the last one.
 #[test]
 fn long_binding_is_written_in_parts() {
     let machines = 400;
@@ -411,10 +411,12 @@
     for _ in 0..3 {
         let batch = fixture.next_batch();
         assert_within_limits(&batch, LOWER_LIMITS);
-        assert!(batch.actions.is_empty(), "not bound yet");
-        let part = batch.partial_binding.expect("a part of the binding");
+        assert!(batch.actions.is_empty(), "the binding is incomplete");
+        let part = batch
+            .partial_binding
+            .expect("the batch has no part of the binding");
         assert!(part.places > places);
-        // An outcome that is not known: the same part again.
+        // While the outcome of a write is unknown, the same part is written again.
         assert_eq!(fixture.next_batch().partial_binding, Some(part));
         places = part.places;
         fixture
@@ -434,8 +436,8 @@
     );
 }
 
-/// The store refuses what it was said to take. Transactions become smaller until what is too large stands
-/// alone, then pages do; whatever else waits is written meanwhile.
+/// The store refuses sizes that its announced limits allow. Transactions shrink until the oversized write is
+/// alone, then pages shrink; all other pending writes proceed meanwhile.
 #[test]
 fn size_refusal_shrinks_writes_and_blocks_no_others() {
     let mut limits = TxnLimits {
@@ -475,7 +477,7 @@
     assert!((1..8).contains(&refusals), "{refusals} refusals");
     assert!(
         fixture.next_batch().is_empty() && fixture.pending.is_empty(),
-        "all is written"
+        "writes are left"
     );
     assert!(limits.max_writes >= 1 && limits.value_kb >= 0.5);
 }
--- a/crates/ladderroute/tests/cluster_view.rs
+++ b/crates/ladderroute/tests/cluster_view.rs
@@ -1,8 +1,8 @@
-//! The cluster view, checked against a plain store with all its history: the store keeps few changes, pages are
-//! read at several revisions, responses are late, out of order or lost, and own writes and direct reads come in
-//! between.
+//! The cluster view, checked against a reference store with its full history: the store retains few changes,
+//! pages are read at several revisions, responses are late, out of order or lost, and own writes and direct
+//! reads are interleaved.
 
-// The helper functions of these tests unwrap as the tests do.
+// Clippy allows `unwrap` in test functions, but not in their helpers.
 #![allow(clippy::unwrap_used)]
 
 use ladderroute::cluster_view::{ChangesRead, ClusterView, ViewReload};
@@ -21,14 +21,14 @@
 const ROSTER_PAGES: u32 = 3;
 const CHUNK_BITS: u32 = 8;
 
-/// What the view under test does with a reload.
+/// How the view under test applies a reload.
 #[derive(Clone, Copy, PartialEq)]
 enum ReloadMode {
     /// As in production.
     Merge,
-    /// Planted fault: the pages replace the view, whatever was applied meanwhile.
+    /// Injected fault: the pages replace the view and discard what was applied meanwhile.
     ReplaceView,
-    /// Planted fault: the view claims to be complete as of the reload's end, not of its first page.
+    /// Injected fault: the view claims to be complete as of the end of the reload, not of its first page.
     StampAtEnd,
 }
 
@@ -65,13 +65,13 @@
         (record, version)
     }
 
-    /// The state of a job as it was at an instant.
+    /// Returns the state of a job at the given time.
     fn state_at(&self, id: &str, at: f64) -> Option<Recorded> {
         let mut states = self.jobs.get(id)?.iter().rev();
         states.find(|(since, _)| *since <= at).map(|(_, s)| *s)
     }
 
-    /// Whether a job or one that it needs, directly or through others, was cancelled at an instant.
+    /// Returns whether a job or one of its direct or indirect dependencies was cancelled at the given time.
     fn is_cancelled_at(&self, id: &str, at: f64) -> bool {
         let dependencies = || self.records[id].job.dependencies.iter();
         self.state_at(id, at) == Some(Recorded::Cancelled)
@@ -181,7 +181,7 @@
         self.view.finish_reload(reload);
     }
 
-    /// The first violated property of the view, if any.
+    /// Returns the first violated property of the view, if any.
     fn find_violation(&mut self, store: &ReferenceStore) -> Option<String> {
         let read_at = self.view.read_at();
         let replica = self.view.replica();
@@ -204,7 +204,7 @@
             let is_blocked = self.view.dependencies().is_blocked(id);
             if is_open && !is_blocked && !store.may_start(id) {
                 return Some(format!(
-                    "{id} may start, though one that it needs is not done"
+                    "{id} may start, though one of its dependencies is not done"
                 ));
             }
         }
@@ -321,7 +321,7 @@
     })
 }
 
-/// Runs a random history; returns the first fault, and the number of finished reloads.
+/// Runs a random history; returns the first violation, if any, and the number of finished reloads.
 fn run_history(seed: u64, reload_mode: ReloadMode) -> (Option<String>, u32) {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut store = ReferenceStore {
@@ -348,7 +348,7 @@
                 .responses
                 .extend(change_store(&mut store, &mut rng, step));
         }
-        // Another controller's direct read of a record, or this one's after a lost response.
+        // A direct read of a record, by another controller, or by this one after a lost response.
         if rng.u32(0..12) == 0 {
             let ids: Vec<&String> = store.records.keys().collect();
             if let Some(id) = rng.choice(ids) {
@@ -370,7 +370,7 @@
             None if rng.u32(0..3) == 0 => controller.read_page(&store),
             _ => {}
         }
-        // Answers arrive late and out of order, or are lost.
+        // Responses arrive late and out of order, or are lost.
         if !controller.responses.is_empty() && rng.u32(0..3) == 0 {
             let at = rng.usize(0..controller.responses.len());
             let response = controller.responses.swap_remove(at);
@@ -396,7 +396,7 @@
     assert!(reloads > 1000, "reloads: {reloads}");
 }
 
-/// The check detects a view that a reload takes back, and a `read_at` that a reload does not prove.
+/// The check detects a view that a reload moves back, and a `read_at` that is later than the reload proves.
 #[test]
 fn injected_reload_faults_are_detected() {
     let violations_with = |mode| {
@@ -404,12 +404,12 @@
         violations.collect::<Vec<_>>()
     };
     let replaced = violations_with(ReloadMode::ReplaceView);
-    assert!(replaced.len() > 20, "{}", replaced.len());
+    assert!(replaced.len() > 20, "violations: {}", replaced.len());
     assert!(replaced
         .iter()
         .any(|violation| violation.ends_with("regressed")));
     let stamped = violations_with(ReloadMode::StampAtEnd);
-    assert!(stamped.len() > 20, "{}", stamped.len());
+    assert!(stamped.len() > 20, "violations: {}", stamped.len());
     assert!(!stamped
         .iter()
         .any(|violation| violation.ends_with("regressed")));
--- a/crates/ladderroute/tests/command.rs
+++ b/crates/ladderroute/tests/command.rs
@@ -1,17 +1,17 @@
-//! The command line: what each settings file, right or wrong, is answered, word for word.
+//! The command line: the exact output for valid and invalid settings files.
 
-// The helpers of these tests unwrap as the tests do.
+// Clippy allows `unwrap` in test functions, but not in their helpers.
 #![allow(clippy::unwrap_used)]
 
 use ladderroute::settings::{Settings, Tuning};
 use std::path::PathBuf;
 use std::process::Command;
 
-/// A file with every field, in which no two fields of a kind are the same.
+/// A settings file with every field, in which no two fields of the same type have the same value.
 const FULL: &str = include_str!("command/full.toml");
 const OPERATOR: &str = "hold_s: 4.5\nleader_lease_share: 0.1\nkeep_boots: 3.25\npatience: 0.75\n";
 
-/// A file of this test alone.
+/// Writes a file to a directory that only this test uses; returns its path.
 fn write_file(test: &str, name: &str, text: &str) -> PathBuf {
     let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(test);
     std::fs::create_dir_all(&directory).unwrap();
@@ -20,7 +20,8 @@
     path
 }
 
-/// The exit code of a check of the settings, and what it prints on both channels.
+/// Checks a settings file and an operators' file; returns the exit code, the standard output and the
+/// standard error.
 fn check_config(test: &str, settings: &str, operator: &str) -> (Option<i32>, String, String) {
     let settings = write_file(test, "settings.toml", settings);
     let operator = write_file(test, "operator.textproto", operator);
@@ -118,7 +119,7 @@
     );
 }
 
-/// The lines of a fixture: a change, what it becomes, and the message.
+/// Returns the lines of a fixture: the text to replace, its replacement, and the expected message.
 fn cases(text: &'static str) -> impl Iterator<Item = [&'static str; 3]> {
     text.lines().map(|line| {
         let parts: Vec<&str> = line.splitn(3, " | ").collect();
@@ -167,7 +168,7 @@
     assert_eq!(without_arguments.unwrap().status.code(), Some(2));
 }
 
-/// The file by which this service is built and run elsewhere.
+/// `deploy/service.toml` tells other systems how to build and run this service.
 #[test]
 fn deployment_file_has_required_fields() {
     let text = include_str!("../../../deploy/service.toml");
--- a/crates/ladderroute/tests/links.rs
+++ b/crates/ladderroute/tests/links.rs
@@ -1,6 +1,6 @@
-//! Links between controllers: an owner joins the leader over loopback and is granted authority there.
+//! Links between controllers: an owner connects to the leader over loopback and is granted authority.
 
-// A test that unwraps fails where it should.
+// Clippy allows `unwrap` in test functions, but not in their helpers.
 #![allow(clippy::unwrap_used)]
 
 #[allow(dead_code)]
@@ -22,12 +22,12 @@
 async fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let started_at = Instant::now();
     while !holds() {
-        assert!(started_at.elapsed() < TIMEOUT, "{what}");
+        assert!(started_at.elapsed() < TIMEOUT, "timed out: {what}");
         smol::Timer::after(Duration::from_millis(5)).await;
     }
 }
 
-/// A controller that keeps its view current; the other one's link port is at `peer`.
+/// Starts a controller that watches the store; the other controller's link port is at `peer`.
 fn start_controller(
     executor: &Rc<LocalExecutor<'static>>,
     i: usize,
@@ -46,7 +46,7 @@
     controller
 }
 
-/// Runs a test with a leader, an owner that joins it, and the address of the leader's link port.
+/// Runs a test with a leader, an owner that connects to it, and the address of the leader's link port.
 fn with_link<F: Future<Output = ()>>(test: impl FnOnce([Rc<Controller>; 2], SocketAddr) -> F) {
     let executor = Rc::new(LocalExecutor::new());
     smol::block_on(executor.clone().run(async move {
@@ -59,7 +59,10 @@
         executor.spawn(serve).detach();
         let campaign = leadership::campaign(leader.clone());
         executor.spawn(campaign).detach();
-        wait_until("leads", || leader.lock().shared.leadership.is_some()).await;
+        wait_until("the controller becomes leader", || {
+            leader.lock().shared.leadership.is_some()
+        })
+        .await;
         let owner = start_controller(&executor, 1, store_addr, port);
         let join = controller_links::join_leader(owner.clone());
         executor.spawn(join).detach();
@@ -67,7 +70,7 @@
     }));
 }
 
-/// Which connection of the owner the leader has.
+/// Returns the id of the owner's connection that the leader uses.
 fn owner_connection(leader: &Controller) -> Option<ConnectionId> {
     let state = leader.lock();
     let links = &state.shared.leadership.as_ref()?.links;
@@ -81,36 +84,36 @@
 #[test]
 fn joining_owner_is_granted_authority() {
     with_link(|[leader, owner], _| async move {
-        wait_until("granted", || has_authority(&owner)).await;
+        wait_until("the owner is granted authority", || has_authority(&owner)).await;
         assert!(owner.lock().shared.leader_outbox.is_some());
         assert_eq!(owner.lock().owner.token(), leader.lock().owner.token());
-        // It rests on pings: each is answered with authority that lasts longer.
+        // Each ping is answered with authority that lasts longer.
         let first = owner.lock().owner.authority.until();
         let is_renewed = || owner.lock().owner.authority.until() > first;
-        wait_until("renewed", is_renewed).await;
+        wait_until("the authority is renewed", is_renewed).await;
     });
 }
 
 #[test]
 fn owner_reconnects_when_its_link_ends() {
     with_link(|[leader, owner], _| async move {
-        wait_until("granted", || has_authority(&owner)).await;
+        wait_until("the owner is granted authority", || has_authority(&owner)).await;
         let first = owner_connection(&leader).unwrap();
         owner.lock().shared.leader_outbox.as_ref().unwrap().close();
         let newer = || owner_connection(&leader).is_some_and(|id| id.replaces(first));
-        wait_until("joined anew", newer).await;
+        wait_until("the owner reconnects", newer).await;
         let second = owner_connection(&leader).unwrap();
         assert_eq!(second.process, first.process);
         assert!(second.sequence > first.sequence);
     });
 }
 
-/// A connection that comes late, older than the one in use, must not take its place; nor is anyone let in
-/// who is not in the settings.
+/// A delayed connection that is older than the one in use must not replace it, and controllers that are not
+/// in the settings are rejected.
 #[test]
 fn stale_and_unknown_connections_are_rejected() {
     with_link(|[leader, owner], port| async move {
-        wait_until("granted", || has_authority(&owner)).await;
+        wait_until("the owner is granted authority", || has_authority(&owner)).await;
         let current = owner_connection(&leader).unwrap();
         for (member, process, sequence) in [
             ("rung-1", current.process, current.sequence),
--- a/crates/ladderroute/tests/module_order.rs
+++ b/crates/ladderroute/tests/module_order.rs
@@ -1,14 +1,14 @@
-//! The modules form layers: none imports one that imports it, directly or round a cycle.
+//! The modules form layers: no module imports itself, directly or through others.
 
 #![allow(clippy::unwrap_used)]
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 
-/// A module's path below the crate, such as `["controller", "shared_state"]`; the root's is empty.
+/// A module's path within the crate, such as `["controller", "shared_state"]`; that of the root is empty.
 type Module = Vec<String>;
 
-/// All modules below a directory, with their sources as far as their own unit tests.
+/// Reads all modules below a directory, each up to its unit tests and without comment lines.
 fn read_modules(directory: &Path, parent: &Module, sources: &mut BTreeMap<Module, String>) {
     for file in std::fs::read_dir(directory).unwrap() {
         let path = file.unwrap().path();
@@ -29,7 +29,7 @@
     }
 }
 
-/// The paths of a `use` tree: `a::{b, c::d}` names `a::b` and `a::c::d`.
+/// Returns the paths of a `use` tree: `a::{b, c::d}` gives `a::b` and `a::c::d`.
 fn expand(tree: &str) -> Vec<String> {
     let Some((prefix, rest)) = tree.split_once('{') else {
         let path = tree.split(" as ").next().unwrap();
@@ -57,7 +57,8 @@
         .collect()
 }
 
-/// The paths that a source names: those of its `use` items, and those that begin with `crate` within code.
+/// Returns the paths that a source references: those of its `use` items, and those in code that begin with
+/// `crate`.
 fn referenced_paths(source: &str) -> Vec<String> {
     let mut paths = Vec::new();
     for item in source.split(';') {
@@ -76,7 +77,7 @@
     paths
 }
 
-/// The module that a path named in another one leads to; none if it leads out of the crate.
+/// Returns the module that a path in module `from` resolves to, or `None` if it is outside of the crate.
 fn resolve(path: &str, from: &Module, sources: &BTreeMap<Module, String>) -> Option<Module> {
     let mut segments = path.split("::").filter(|s| !s.is_empty()).peekable();
     let mut at = match *segments.peek()? {
@@ -107,7 +108,7 @@
     Some(at)
 }
 
-/// For each module those that it imports.
+/// Returns the imported modules of each module.
 fn imports() -> BTreeMap<String, BTreeSet<String>> {
     let mut sources = BTreeMap::new();
     let src = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
@@ -125,7 +126,7 @@
     imports
 }
 
-/// All modules that a module imports, directly or through others.
+/// Returns all modules that a module imports, directly or through others.
 fn reachable_from(from: &str, imports: &BTreeMap<String, BTreeSet<String>>) -> BTreeSet<String> {
     let (mut found, mut pending) = (BTreeSet::new(), vec![from.to_string()]);
     while let Some(module) = pending.pop() {
@@ -138,7 +139,7 @@
     found
 }
 
-/// The modules that a module is in a cycle with, itself among them; none if it is in no cycle.
+/// Returns the modules that are in an import cycle with a module, including itself; empty if there is none.
 fn cycle_of(module: &str, imports: &BTreeMap<String, BTreeSet<String>>) -> Vec<String> {
     let imports_it = |other: &String| reachable_from(other, imports).contains(module);
     let others = reachable_from(module, imports).into_iter();
@@ -156,7 +157,7 @@
     assert!(cycles.is_empty(), "{cycles:?}, imports: {imports:#?}");
 }
 
-/// The check itself sees what it is there for.
+/// Guards the acyclicity check itself: an import that it overlooks would hide a cycle.
 #[test]
 fn imports_are_read_from_the_sources() {
     let imports = imports();
@@ -166,7 +167,7 @@
     assert!(imports["controller::shared_state"].contains("writer::limits"));
     assert!(
         imports["startup"].contains("leadership"),
-        "paths within code"
+        "paths in code count as imports"
     );
     assert_eq!(
         expand("crate::a::{b, c::{d, e as f}}"),
--- a/crates/ladderroute/tests/operator.rs
+++ b/crates/ladderroute/tests/operator.rs
@@ -1,4 +1,4 @@
-//! Operators' own settings.
+//! The operators' tuning file.
 
 use ladderroute::settings::Tuning;
 
--- a/crates/ladderroute/tests/outbox.rs
+++ b/crates/ladderroute/tests/outbox.rs
@@ -1,9 +1,10 @@
-//! Messages that wait for a connection between controllers.
+//! The outbox: messages queued for a connection between controllers.
 
 use ladderroute::outbox::{Outbox, MAX_WRITE_BYTES};
 
-/// After an outage of the store thousands of finished tasks are cleared at once: the count of
-/// frames was bounded, so that the queue overflowed, and the owner was lost for no reason.
+/// After an outage of the store thousands of finished tasks are cleared at once. When the number of
+/// frames was bounded, the queue overflowed, and the owner was disconnected for no reason. Urgent
+/// frames, such as grants of authority, overtake the queue.
 #[test]
 fn many_small_frames_fit_and_urgent_ones_go_first() {
     let outbox = Outbox::new(1 << 20);
--- a/crates/ladderroute/tests/settings.rs
+++ b/crates/ladderroute/tests/settings.rs
@@ -1,8 +1,8 @@
-//! The platform's settings: what is taken, and what is refused by name.
+//! The platform's settings: which are accepted, and which errors name the field.
 
 use ladderroute::settings::{Settings, Tuning};
 
-/// A settings file that is right, with a field that is not known.
+/// A valid settings file that contains unknown fields.
 const VALID_SETTINGS: &str = r#"
 member = "rung-0"
 domain = "a"
@@ -55,7 +55,7 @@
 max_sockets = 500
 "#;
 
-/// What the state service will allow may be missing, partial, or more than it allows now.
+/// The upcoming limits of the state service may be missing, partial, or higher than the current ones.
 #[test]
 fn smaller_of_current_and_upcoming_limits_applies() {
     let next = |text: &str| {
@@ -88,7 +88,7 @@
     assert!(next("next = 3").is_err());
 }
 
-/// The last one listed counted, so that gangs due in 100 s waited as if due in 250 s.
+/// When the last objective listed applied, gangs with an objective of 100 s waited as if it were 250 s.
 #[test]
 fn shortest_start_objective_of_a_class_applies() {
     let text = format!(
@@ -143,8 +143,8 @@
     }
 }
 
-/// A guest team has neither a guarantee nor a limit: "a value of 0 means none" was taken as a limit
-/// of nothing, so that each of its jobs was refused as one that can never run.
+/// A guest team has neither a guarantee nor a limit: limits of 0 mean unlimited. They were once read as
+/// a quota of zero, so that each job of the team was refused as one that can never run.
 #[test]
 fn zero_team_limit_means_unlimited() {
     let guest = "cpus = 0.0\ncpus_max = 0.0";
@@ -159,7 +159,7 @@
         (team.cpus_max, team.gpus_max),
         (f64::INFINITY, f64::INFINITY)
     );
-    // With a limit on CPUs, none for GPUs means that the team has none.
+    // With a limit on CPUs, a GPU limit of 0 means that the team may use no GPUs.
     let team = Settings::parse(VALID_SETTINGS, "f")
         .unwrap()
         .scheduler_config(&Tuning::default())
--- a/crates/sched/tests/ranges.rs
+++ b/crates/sched/tests/ranges.rs
@@ -1,4 +1,4 @@
-//! Compares `RangeSet` with an ordinary set under random operations.
+//! Compares `RangeSet` with a `BTreeSet` under random operations.
 
 use sched::ranges::{to_runs, RangeSet};
 use std::collections::BTreeSet;
