--- a/crates/ladderroute/tests/module_order.rs
+++ b/crates/ladderroute/tests/module_order.rs
@@ -1,14 +1,14 @@
-//! The modules form layers: none imports one that imports it, directly or round a circle.
+//! The modules form layers: no module imports itself, directly or through others.
 
 #![allow(clippy::unwrap_used)]
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 
-/// A module's path below the crate, such as `["controller", "shared_state"]`; the root's is empty.
+/// A module's path within the crate, such as `["controller", "shared_state"]`; that of the root is empty.
 type Module = Vec<String>;
 
-/// All modules below a directory, with their sources as far as their own unit tests.
+/// Reads all modules below a directory, each up to its unit tests and without comment lines.
 fn read_modules(directory: &Path, parent: &Module, sources: &mut BTreeMap<Module, String>) {
     for file in std::fs::read_dir(directory).unwrap() {
         let path = file.unwrap().path();
@@ -29,7 +29,7 @@
     }
 }
 
-/// The paths of a `use` tree: `a::{b, c::d}` names `a::b` and `a::c::d`.
+/// Returns the paths of a `use` tree: `a::{b, c::d}` gives `a::b` and `a::c::d`.
 fn expand(tree: &str) -> Vec<String> {
     let Some((prefix, rest)) = tree.split_once('{') else {
         let path = tree.split(" as ").next().unwrap();
@@ -57,8 +57,9 @@
         .collect()
 }
 
-/// The paths that a source names: those of its `use` items, and those that begin with `crate` within code.
-fn named_paths(source: &str) -> Vec<String> {
+/// Returns the paths that a source references: those of its `use` items, and those in code that begin with
+/// `crate`.
+fn referenced_paths(source: &str) -> Vec<String> {
     let mut paths = Vec::new();
     for item in source.split(';') {
         let start = item.find("use ").filter(|at| {
@@ -76,7 +77,7 @@
     paths
 }
 
-/// The module that a path named in another one leads to; none if it leads out of the crate.
+/// Returns the module that a path in module `from` resolves to, or `None` if it is outside of the crate.
 fn resolve(path: &str, from: &Module, sources: &BTreeMap<Module, String>) -> Option<Module> {
     let mut segments = path.split("::").filter(|s| !s.is_empty()).peekable();
     let mut at = match *segments.peek()? {
@@ -107,14 +108,14 @@
     Some(at)
 }
 
-/// For each module those that it imports.
+/// Returns the imported modules of each module.
 fn imports() -> BTreeMap<String, BTreeSet<String>> {
     let mut sources = BTreeMap::new();
     let src = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
     read_modules(&src, &Module::new(), &mut sources);
     let mut imports = BTreeMap::new();
     for (module, source) in &sources {
-        let paths = named_paths(source);
+        let paths = referenced_paths(source);
         let targets = paths
             .iter()
             .filter_map(|path| resolve(path, module, &sources))
@@ -125,38 +126,38 @@
     imports
 }
 
-/// All modules that a module imports, directly or through others.
-fn reached(from: &str, imports: &BTreeMap<String, BTreeSet<String>>) -> BTreeSet<String> {
-    let (mut found, mut left) = (BTreeSet::new(), vec![from.to_string()]);
-    while let Some(module) = left.pop() {
+/// Returns all modules that a module imports, directly or through others.
+fn reachable_from(from: &str, imports: &BTreeMap<String, BTreeSet<String>>) -> BTreeSet<String> {
+    let (mut found, mut pending) = (BTreeSet::new(), vec![from.to_string()]);
+    while let Some(module) = pending.pop() {
         for target in &imports[&module] {
             if found.insert(target.clone()) {
-                left.push(target.clone());
+                pending.push(target.clone());
             }
         }
     }
     found
 }
 
-/// The modules that a module is in a circle with, itself among them; none if it is in no circle.
-fn circle_of(module: &str, imports: &BTreeMap<String, BTreeSet<String>>) -> Vec<String> {
-    let imports_it = |other: &String| reached(other, imports).contains(module);
-    let others = reached(module, imports).into_iter();
+/// Returns the modules that are in an import cycle with a module, including itself; empty if there is none.
+fn cycle_of(module: &str, imports: &BTreeMap<String, BTreeSet<String>>) -> Vec<String> {
+    let imports_it = |other: &String| reachable_from(other, imports).contains(module);
+    let others = reachable_from(module, imports).into_iter();
     others.filter(imports_it).collect()
 }
 
 #[test]
-fn no_module_imports_one_that_imports_it() {
+fn module_imports_are_acyclic() {
     let imports = imports();
-    let circles: BTreeSet<Vec<String>> = imports
+    let cycles: BTreeSet<Vec<String>> = imports
         .keys()
-        .map(|module| circle_of(module, &imports))
-        .filter(|circle| !circle.is_empty())
+        .map(|module| cycle_of(module, &imports))
+        .filter(|cycle| !cycle.is_empty())
         .collect();
-    assert!(circles.is_empty(), "{circles:?}, imports: {imports:#?}");
+    assert!(cycles.is_empty(), "{cycles:?}, imports: {imports:#?}");
 }
 
-/// The check itself sees what it is there for.
+/// Guards the acyclicity check itself: an import that it overlooks would hide a cycle.
 #[test]
 fn imports_are_read_from_the_sources() {
     let imports = imports();
@@ -166,7 +167,7 @@
     assert!(imports["controller::shared_state"].contains("writer::limits"));
     assert!(
         imports["startup"].contains("leadership"),
-        "paths within code"
+        "paths in code count as imports"
     );
     assert_eq!(
         expand("crate::a::{b, c::{d, e as f}}"),
