--- a/crates/model/tests/common/mod.rs
+++ b/crates/model/tests/common/mod.rs
@@ -20,7 +20,8 @@
     world
 }
 
-/// Runs a world in which controllers reload all records repeatedly, the leader in every round.
+/// Runs a world in which controllers reload all records repeatedly: in every round the leader, or
+/// controller 0 if there is no leader, and one other controller.
 pub fn reload_scenario(seed: u64, defect: Defect) -> World {
     let mut world = World::new(seed, defect);
     world.dependent_percent = 50;
--- a/crates/model/tests/leader_and_owner.rs
+++ b/crates/model/tests/leader_and_owner.rs
@@ -1,4 +1,4 @@
-//! Regression tests of single cases of the leader and of owners.
+//! Tests of single cases of the leader and of owners.
 
 use model::world::{
     job, lone_leader, machine_type, owner_of_one_machine, roster, roster_record, task_requirements,
--- a/crates/model/tests/overlapping_faults.rs
+++ b/crates/model/tests/overlapping_faults.rs
@@ -465,7 +465,8 @@
 }
 
 /// The leader freezes while its clock runs on, right before it sends a response, and jobs are
-/// cancelled through the others; then it resumes. Then another controller freezes.
+/// cancelled through the others; then it resumes. The response was decided before the freeze and is
+/// sent after it. Then another controller freezes.
 fn freeze_controllers(world: &mut World) {
     world.cancel_hints = false;
     let lease = config().lease_s;
--- a/crates/model/tests/staleness.rs
+++ b/crates/model/tests/staleness.rs
@@ -174,7 +174,8 @@
             vec![stop_order()]
         );
     }
-    // An epoch that continues the previous token, and one that does not.
+    // An epoch that continues the previous token, and one that does not. The owner keeps its records
+    // of the machines in the first case only, and starts without records in the second.
     for (token, previous_token) in [(6, 5), (7, 0)] {
         owner.on_leader_message(
             ToOwner::Epoch {
