--- a/crates/ladderroute/tests/batches.rs
+++ b/crates/ladderroute/tests/batches.rs
@@ -357,7 +357,7 @@
 }
 
 /// Progress chunks of version 0.1 start at their number times a size that depended on its settings. They
-/// are rewritten as bitmaps that contain their first task, within the smaller limit.
+/// are rewritten as bitmaps that each state the number of their first task, within the smaller limit.
 #[test]
 fn progress_of_the_old_layout_is_rewritten() {
     let mut stored = Replica::new(8192);
--- a/crates/ladderroute/tests/links.rs
+++ b/crates/ladderroute/tests/links.rs
@@ -1,6 +1,7 @@
 //! Links between controllers: an owner connects to the leader over loopback and is granted authority.
 
-// Clippy allows `unwrap` in test functions, but not in their helpers.
+// Clippy allows `unwrap` in test functions, but not in their helpers. An `unwrap` that panics makes the test
+// fail at the right place.
 #![allow(clippy::unwrap_used)]
 
 #[allow(dead_code)]
@@ -87,7 +88,7 @@
         wait_until("the owner is granted authority", || has_authority(&owner)).await;
         assert!(owner.lock().shared.leader_outbox.is_some());
         assert_eq!(owner.lock().owner.token(), leader.lock().owner.token());
-        // Each ping is answered with authority that lasts longer.
+        // Authority depends on pings: each ping is answered with authority that lasts longer.
         let first = owner.lock().owner.authority.until();
         let is_renewed = || owner.lock().owner.authority.until() > first;
         wait_until("the authority is renewed", is_renewed).await;
--- a/crates/ladderroute/tests/settings.rs
+++ b/crates/ladderroute/tests/settings.rs
@@ -144,7 +144,8 @@
 }
 
 /// A guest team has neither a guarantee nor a limit: limits of 0 mean unlimited. They were once read as
-/// a quota of zero, so that each job of the team was refused as one that can never run.
+/// a quota of zero, so that each job of the team was refused as one that can never run. The cause was the
+/// sentence "a value of 0 means none", which was taken to mean that the team may use nothing.
 #[test]
 fn zero_team_limit_means_unlimited() {
     let guest = "cpus = 0.0\ncpus_max = 0.0";
