--- a/crates/ladderroute/tests/batches.rs
+++ b/crates/ladderroute/tests/batches.rs
@@ -249,7 +249,7 @@
 }
 
 /// Returns a roster page that an earlier leader filled up to a larger value limit.
-fn full_roster() -> RosterPage {
+fn full_roster_page() -> RosterPage {
     let record = RosterRecord {
         kind: "small".into(),
         zone: "a".into(),
@@ -290,7 +290,7 @@
     let mut stored = Replica::new(8192);
     stored.apply(&Changes {
         revision: 1,
-        changes: vec![put_change("lr/roster/0", to_value(&full_roster()))],
+        changes: vec![put_change("lr/roster/0", to_value(&full_roster_page()))],
     });
     let mut fixture = WriterFixture::after_takeover(stored, LOWER_LIMITS);
     assert!(
@@ -326,7 +326,7 @@
         value_kb: 1.0,
     };
     let mut stored = Replica::new(8192);
-    let page = put_change("lr/roster/0", to_value(&full_roster()));
+    let page = put_change("lr/roster/0", to_value(&full_roster_page()));
     stored.apply(&Changes {
         revision: 1,
         changes: vec![page],
--- a/crates/ladderroute/tests/cluster_view.rs
+++ b/crates/ladderroute/tests/cluster_view.rs
@@ -229,7 +229,7 @@
     }
 }
 
-fn job(rng: &mut fastrand::Rng, n: u32, ids: &[String]) -> JobRecord {
+fn random_job(rng: &mut fastrand::Rng, n: u32, ids: &[String]) -> JobRecord {
     let chosen = (0..rng.usize(0..3)).filter_map(|_| rng.choice(ids).cloned());
     let mut dependencies: Vec<String> = chosen.collect();
     dependencies.sort();
@@ -264,7 +264,7 @@
     }
 }
 
-fn roster(n: u32) -> Value {
+fn roster_page(n: u32) -> Value {
     let record = RosterRecord {
         kind: "small".into(),
         zone: "a".into(),
@@ -285,12 +285,12 @@
     let ids: Vec<String> = store.jobs.keys().cloned().collect();
     let is_own = rng.bool();
     if rng.u32(0..3) == 0 || ids.is_empty() {
-        let (record, version) = store.put_job(job(rng, step, &ids));
+        let (record, version) = store.put_job(random_job(rng, step, &ids));
         return is_own.then_some(Response::Job(Box::new(record), version));
     }
     if rng.u32(0..3) == 0 {
         let key = keys::roster(rng.u32(0..ROSTER_PAGES));
-        let value = roster(step);
+        let value = roster_page(step);
         let revision = store.put(key.clone(), value.clone());
         let lease = None;
         return Some(Response::OwnWrite(
--- a/crates/ladderroute/tests/links.rs
+++ b/crates/ladderroute/tests/links.rs
@@ -27,18 +27,18 @@
     }
 }
 
-/// Starts a controller that watches the store; the other controller's link port is at `peer`.
+/// Starts a controller that watches the store; the other controller's link port is at `peer_addr`.
 fn start_controller(
     executor: &Rc<LocalExecutor<'static>>,
     i: usize,
-    store: SocketAddr,
-    peer: SocketAddr,
+    store_addr: SocketAddr,
+    peer_addr: SocketAddr,
 ) -> Rc<Controller> {
     let text = include_str!("stand_in/settings.toml")
         .replace("MEMBER", &format!("rung-{i}"))
         .replace("OTHER", &format!("rung-{}", 1 - i))
-        .replace("127.0.0.2:8081", &peer.to_string())
-        .replace("127.0.0.9:2379", &store.to_string());
+        .replace("127.0.0.2:8081", &peer_addr.to_string())
+        .replace("127.0.0.9:2379", &store_addr.to_string());
     let settings = ladderroute::settings::Settings::parse(&text, "settings").unwrap();
     let controller = startup::build_controller(settings, &Default::default(), executor.clone());
     let watch = freshness::watch_store(controller.clone());
@@ -53,8 +53,8 @@
         let store = stand_in::FakeStore::new();
         let (_endpoint, store_addr) = store.open_endpoint(&executor).await;
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let port = listener.local_addr().unwrap();
-        let leader = start_controller(&executor, 0, store_addr, port);
+        let link_addr = listener.local_addr().unwrap();
+        let leader = start_controller(&executor, 0, store_addr, link_addr);
         let serve = controller_links::serve(leader.clone(), listener);
         executor.spawn(serve).detach();
         let campaign = leadership::campaign(leader.clone());
@@ -63,10 +63,10 @@
             leader.lock().shared.leadership.is_some()
         })
         .await;
-        let owner = start_controller(&executor, 1, store_addr, port);
+        let owner = start_controller(&executor, 1, store_addr, link_addr);
         let join = controller_links::join_leader(owner.clone());
         executor.spawn(join).detach();
-        test([leader, owner], port).await;
+        test([leader, owner], link_addr).await;
     }));
 }
 
@@ -112,7 +112,7 @@
 /// in the settings are rejected.
 #[test]
 fn stale_and_unknown_connections_are_rejected() {
-    with_link(|[leader, owner], port| async move {
+    with_link(|[leader, owner], link_addr| async move {
         wait_until("the owner is granted authority", || has_authority(&owner)).await;
         let current = owner_connection(&leader).unwrap();
         for (member, process, sequence) in [
@@ -121,7 +121,7 @@
             ("rung-7", current.process.wrapping_add(1), 1),
         ] {
             let member = member.to_string();
-            let mut stream = TcpStream::connect(port).await.unwrap();
+            let mut stream = TcpStream::connect(link_addr).await.unwrap();
             let hello = encode_frame(&ToLeader::Hello {
                 member,
                 process,
--- a/crates/ladderroute/tests/user_requests.rs
+++ b/crates/ladderroute/tests/user_requests.rs
@@ -37,23 +37,23 @@
             accepted_state(&cancel(&b, "wk-1").await),
             (200, JobState::Cancelled)
         );
-        for controller in [&a, &b] {
+        for node in [&a, &b] {
             assert_eq!(
-                progress_state(&query(controller, "wk-1").await),
+                progress_state(&query(node, "wk-1").await),
                 (200, JobState::Cancelled)
             );
             assert_eq!(
-                accepted_state(&cancel(controller, "wk-1").await),
+                accepted_state(&cancel(node, "wk-1").await),
                 (200, JobState::Cancelled)
             );
             assert_eq!(
-                accepted_state(&submit(controller, &submitted).await),
+                accepted_state(&submit(node, &submitted).await),
                 (200, JobState::Cancelled)
             );
             assert_eq!(
                 (
-                    query(controller, "wk-2").await.status,
-                    cancel(controller, "wk-2").await.status
+                    query(node, "wk-2").await.status,
+                    cancel(node, "wk-2").await.status
                 ),
                 (404, 404)
             );
@@ -85,9 +85,9 @@
             (200, JobState::Cancelled)
         );
         assert_eq!(store.apply_delayed_txns(), vec![409]);
-        for controller in [&a, &b] {
+        for node in [&a, &b] {
             assert_eq!(
-                progress_state(&query(controller, "wk-2").await),
+                progress_state(&query(node, "wk-2").await),
                 (200, JobState::Cancelled)
             );
         }
@@ -149,25 +149,21 @@
             store.get(&store::keys::job("wk-4")).unwrap().version,
             version_before
         );
-        for controller in [&a, &b] {
+        for node in [&a, &b] {
             for (id, state) in [
                 ("wk-1", JobState::Done),
                 ("wk-2", JobState::Cancelled),
                 ("wk-3", JobState::Done),
                 ("wk-4", JobState::Cancelled),
             ] {
+                assert_eq!(progress_state(&query(node, id).await), (200, state), "{id}");
                 assert_eq!(
-                    progress_state(&query(controller, id).await),
+                    accepted_state(&cancel(node, id).await),
                     (200, state),
                     "{id}"
                 );
                 assert_eq!(
-                    accepted_state(&cancel(controller, id).await),
-                    (200, state),
-                    "{id}"
-                );
-                assert_eq!(
-                    accepted_state(&submit(controller, &submission(id, |_| ())).await),
+                    accepted_state(&submit(node, &submission(id, |_| ())).await),
                     (200, state),
                     "{id}"
                 );
