--- a/crates/ladderroute/tests/links.rs
+++ b/crates/ladderroute/tests/links.rs
@@ -1,6 +1,6 @@
 //! Links between controllers: an owner connects to the leader over loopback and is granted authority.
 
-// Clippy allows `unwrap` in test functions, but not in their helpers.
+// A failed `unwrap` fails the test, as intended; Clippy allows it in test functions, but not in helpers.
 #![allow(clippy::unwrap_used)]
 
 #[allow(dead_code)]
@@ -81,13 +81,14 @@
     controller.lock().owner.has_authority(controller.now())
 }
 
+/// An owner that connects to the leader is granted authority under the fencing token of the leader.
 #[test]
 fn joining_owner_is_granted_authority() {
     with_link(|[leader, owner], _| async move {
         wait_until("the owner is granted authority", || has_authority(&owner)).await;
         assert!(owner.lock().shared.leader_outbox.is_some());
         assert_eq!(owner.lock().owner.token(), leader.lock().owner.token());
-        // Each ping is answered with authority that lasts longer.
+        // Authority is kept up by pings: each is answered with authority that lasts longer.
         let first = owner.lock().owner.authority.until();
         let is_renewed = || owner.lock().owner.authority.until() > first;
         wait_until("the authority is renewed", is_renewed).await;
--- a/crates/ladderroute/tests/settings.rs
+++ b/crates/ladderroute/tests/settings.rs
@@ -143,8 +143,8 @@
     }
 }
 
-/// A guest team has neither a guarantee nor a limit: limits of 0 mean unlimited. They were once read as
-/// a quota of zero, so that each job of the team was refused as one that can never run.
+/// A guest team has neither a guarantee nor a limit: a value of 0 means "none", that is, unlimited. It
+/// was once read as a quota of zero, so that each job of the team was refused as one that can never run.
 #[test]
 fn zero_team_limit_means_unlimited() {
     let guest = "cpus = 0.0\ncpus_max = 0.0";
--- a/crates/ladderroute/tests/user_requests.rs
+++ b/crates/ladderroute/tests/user_requests.rs
@@ -64,6 +64,7 @@
 #[test]
 fn lost_or_late_submissions_undo_nothing() {
     with_controllers(|store, [a, b]| async move {
+        // The submission is applied, but its response is lost: the controller reads the record back.
         store.next_txn_fault.set(TxnFault::ResponseLost);
         assert_eq!(
             accepted_state(&submit(&a, &submission("wk-1", |_| ())).await),
@@ -137,7 +138,8 @@
         .await;
         assert_eq!(accepted_state(&response), (200, JobState::Done));
         assert_eq!(store.apply_delayed_txns(), vec![409]);
-        // The cancellation is delayed, retried and confirmed: the delayed one changes nothing.
+        // The cancellation is delayed, retried and confirmed: the delayed one changes nothing,
+        // and the job stays cancelled.
         store.next_txn_fault.set(TxnFault::Delayed);
         assert_eq!(
             accepted_state(&cancel(&b, "wk-4").await),
