--- a/crates/http/src/parse.rs
+++ b/crates/http/src/parse.rs
@@ -116,7 +116,7 @@
     for header in headers {
         if header.name.eq_ignore_ascii_case("content-length") {
             let body_len = parse_length(header.value).ok_or(HeadError::Malformed)?;
-            // A proxy that uses the other one of two lengths would see another message boundary
+            // A proxy that picks the other one of two lengths would see another message boundary
             // (request smuggling).
             if declared_len.is_some_and(|declared| declared != body_len) {
                 return Err(HeadError::Malformed);
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -154,7 +154,7 @@
 }
 
 impl ReceiveError {
-    /// Returns the response that tells the client, or `None` if the client can't be reached.
+    /// Returns the response that reports the error, or `None` if the client can't be reached.
     fn response(&self) -> Option<Response> {
         let status = match self {
             ReceiveError::Closed => return None,
@@ -368,7 +368,7 @@
         let request_len = head.head_len + head.body_len;
         let missing = request_len.saturating_sub(self.received.len());
         if missing > 0 {
-            // Many bodies that are sent slowly must not exhaust the memory between them.
+            // Many bodies that are sent slowly must not exhaust the memory in total.
             if !self.server.connections.reserve_bytes(request_len) {
                 return Err(ReceiveError::Overloaded { bytes: request_len });
             }
--- a/crates/wire/src/peers.rs
+++ b/crates/wire/src/peers.rs
@@ -23,7 +23,7 @@
 /// Size of the version that precedes the message, in bytes.
 const VERSION_BYTES: usize = 1;
 
-/// Identifies one attempt of a task.
+/// Reference to one attempt of a task.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct TaskRef {
     /// Id of the job.
@@ -58,7 +58,7 @@
 pub struct AllowedMachineType {
     /// Name of the machine type.
     pub kind: String,
-    /// Whether spot machines of the type are meant, or on-demand ones.
+    /// Whether this is about the type's spot machines; otherwise about its on-demand ones.
     pub spot: bool,
     /// Preference tier; a lower tier is preferred.
     pub tier: u8,
--- a/crates/wire/src/store.rs
+++ b/crates/wire/src/store.rs
@@ -179,7 +179,7 @@
 }
 
 /// Page of progress records: which tasks of some jobs are done, as bitmaps in hexadecimal. If a job
-/// has several bitmaps, their union is valid.
+/// has several bitmaps, the union applies.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ProgressPage {
     /// Job id, chunk number and bitmap. Up to version 0.1, a chunk began at its number multiplied
