--- a/crates/sched/src/autoscaler/mod.rs
+++ b/crates/sched/src/autoscaler/mod.rs
@@ -48,7 +48,7 @@
     /// Requests to send to the cloud.
     pub provision: Vec<ProvisionRequest>,
     /// Machines on which nothing may be placed any more; their owners must be notified.
-    pub cordon: Vec<String>,
+    pub drain: Vec<String>,
     /// Machines to release, in batches that each fit one release request.
     pub deprovision: Vec<Vec<String>>,
 }
@@ -143,7 +143,7 @@
         let scale_in = self.scale_in(cluster, &scarce, epoch, now);
         ScalingDecision {
             provision,
-            cordon: scale_in.cordon,
+            drain: scale_in.drain,
             deprovision: self.begin_release(scale_in.release),
         }
     }
--- a/crates/sched/src/autoscaler/scale_in.rs
+++ b/crates/sched/src/autoscaler/scale_in.rs
@@ -36,7 +36,7 @@
 pub(super) struct ScaleInPlan {
     /// Machines on which nothing may be placed any more, in the order in which their owners are
     /// notified.
-    pub cordon: Vec<String>,
+    pub drain: Vec<String>,
     /// Machines to release.
     pub release: Vec<String>,
 }
@@ -99,7 +99,7 @@
             let unknown = release_unknown(cluster);
             // A silent machine may send heartbeats again before its release; nothing may be placed
             // on it.
-            plan.cordon.extend_from_slice(&unknown);
+            plan.drain.extend_from_slice(&unknown);
             plan.release.extend(unknown);
         }
         plan.release.extend(self.boot_timeouts(cluster, now));
@@ -135,7 +135,7 @@
                 MachineAction::Keep => {}
                 MachineAction::Drain => {
                     machine.draining = true;
-                    plan.cordon.push(name.clone());
+                    plan.drain.push(name.clone());
                 }
                 MachineAction::Release => {
                     machine.releasing = true;
@@ -189,8 +189,8 @@
     }
     // Even for a lost machine, its owner must first confirm that it places nothing there: the
     // machine may have come back meanwhile, and tasks placed on a released machine are lost.
-    let is_cordoned = machine.draining && machine.confirmed_unusable && machine.reconciled;
-    if is_cordoned && !is_in_use(machine) {
+    let drain_confirmed = machine.draining && machine.confirmed_unusable && machine.reconciled;
+    if drain_confirmed && !is_in_use(machine) {
         MachineAction::Release
     } else {
         MachineAction::Keep
--- a/crates/sched/src/leader/scaling.rs
+++ b/crates/sched/src/leader/scaling.rs
@@ -25,7 +25,7 @@
     fn apply_scaling_decision(&mut self, decision: ScalingDecision) {
         let requests = decision.provision.into_iter();
         self.actions.extend(requests.map(Action::Provision));
-        for machine in &decision.cordon {
+        for machine in &decision.drain {
             self.send_usable(machine);
         }
         let releases = decision.deprovision.into_iter();
