--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -291,7 +291,7 @@
     }
 
     /// Returns a description of the state of the leader, the owners and the workers.
-    pub fn explain(&self) -> String {
+    pub fn describe_state(&self) -> String {
         let Some(LeadingController {
             controller, leader, ..
         }) = &self.leading
@@ -311,7 +311,7 @@
                 .keys()
                 .map(|machine| self.explain_worker(machine)),
         );
-        lines.push(leader.explain());
+        lines.push(leader.describe_state());
         lines.join("\n")
     }
 
@@ -324,7 +324,7 @@
             controller.owner.has_authority(self.now),
             controller.joined,
             controller.has_epoch,
-            controller.owner.explain()
+            controller.owner.describe_state()
         )
     }
 
--- a/crates/model/tests/dependency_chains.rs
+++ b/crates/model/tests/dependency_chains.rs
@@ -37,7 +37,7 @@
         assert!(
             world.now < end,
             "the condition was not met within 200 s\n{}",
-            world.explain()
+            world.describe_state()
         );
         world.advance(0.1);
     }
@@ -60,7 +60,7 @@
         outcomes(&world),
         expected.map(Some),
         "seed {seed}\n{}",
-        world.explain()
+        world.describe_state()
     );
 }
 
--- a/crates/model/tests/invariants.rs
+++ b/crates/model/tests/invariants.rs
@@ -26,7 +26,7 @@
             world.open_jobs(),
             Vec::<String>::new(),
             "seed {seed}\n{}",
-            world.explain()
+            world.describe_state()
         );
         starts += world.tasks_started;
         cancelled_by_dependency += world.cancelled_by_dependency;
@@ -96,7 +96,7 @@
             world.open_jobs(),
             Vec::<String>::new(),
             "seed {seed}\n{}",
-            world.explain()
+            world.describe_state()
         );
         assert!(
             world.violations.is_empty(),
@@ -161,7 +161,7 @@
             world.open_jobs(),
             Vec::<String>::new(),
             "seed {seed}\n{}",
-            world.explain()
+            world.describe_state()
         );
         assert!(world.violations.is_empty(), "{:?}", world.violations);
     }
@@ -333,7 +333,7 @@
             world.open_jobs(),
             Vec::<String>::new(),
             "seed {seed}\n{}",
-            world.explain()
+            world.describe_state()
         );
     }
 }
--- a/crates/model/tests/overlapping_faults.rs
+++ b/crates/model/tests/overlapping_faults.rs
@@ -48,13 +48,13 @@
             world.violations.is_empty(),
             "seed {seed}: {:?}\n{}",
             world.violations,
-            world.explain()
+            world.describe_state()
         );
         assert_eq!(
             world.open_jobs(),
             Vec::<String>::new(),
             "seed {seed}\n{}",
-            world.explain()
+            world.describe_state()
         );
     }
 }
--- a/crates/model/tests/waits.rs
+++ b/crates/model/tests/waits.rs
@@ -89,7 +89,7 @@
             world.open_jobs(),
             ["wk-000001"],
             "seed {seed}\n{}",
-            world.explain()
+            world.describe_state()
         );
         assert!(world.cancel("wk-000001"));
         world.run_until_done(30.0);
--- a/crates/sched/src/leader/summary.rs
+++ b/crates/sched/src/leader/summary.rs
@@ -90,7 +90,7 @@
     }
 
     /// Describes every job and machine in one line each, for test failures.
-    pub fn explain(&self) -> String {
+    pub fn describe_state(&self) -> String {
         let describe_job = |(id, job): (&String, &Job)| {
             let locations: Vec<String> = job
                 .active
--- a/crates/sched/src/owner/mod.rs
+++ b/crates/sched/src/owner/mod.rs
@@ -111,7 +111,7 @@
     }
 
     /// Describes each machine in one line, for logs and failed tests.
-    pub fn explain(&self) -> String {
+    pub fn describe_state(&self) -> String {
         let lines = self.machines.iter();
         let lines: Vec<String> = lines.map(|(name, machine)| machine.explain(name)).collect();
         lines.join("\n")
