--- a/crates/ladderroute/src/controller/message_exchange.rs
+++ b/crates/ladderroute/src/controller/message_exchange.rs
@@ -27,7 +27,7 @@
     fn route_owner_messages(&self, state: &mut State, now: Secs) -> bool {
         let State { owner, shared } = state;
         let mut any = false;
-        for message in owner.drain() {
+        for message in owner.take_messages() {
             any = true;
             match (&mut shared.leadership, &shared.leader_outbox) {
                 (Some(leadership), _) => {
--- a/crates/model/src/world/controllers.rs
+++ b/crates/model/src/world/controllers.rs
@@ -137,7 +137,7 @@
         }
         controller.receive_from_leader(now, &JobReplica::new(&self.jobs, terminal_read_at));
         let mut arrives_at = controller.to_leader.arrival(now + delay);
-        for message in controller.owner.drain() {
+        for message in controller.owner.take_messages() {
             arrives_at += 0.001;
             self.trace.sent_to_leader(now, i, arrives_at, &message);
             controller.to_leader.send(arrives_at, message);
--- a/crates/model/src/world/leadership.rs
+++ b/crates/model/src/world/leadership.rs
@@ -117,7 +117,7 @@
     /// any left, and sends the leader's requests.
     fn run_actions(&mut self, leading: &mut LeadingController) {
         loop {
-            let messages = self.controllers[leading.controller].owner.drain();
+            let messages = self.controllers[leading.controller].owner.take_messages();
             let mut is_idle = messages.is_empty();
             for message in messages {
                 self.trace
--- a/crates/model/tests/leader_and_owner.rs
+++ b/crates/model/tests/leader_and_owner.rs
@@ -62,7 +62,7 @@
         matches!(owner.on_heartbeat(&heartbeat(2, 57, 4), 10.5, &EmptyJobLookup), HeartbeatResponse::Orders(o) if o.token == 5 && o.orders.is_empty())
     );
     owner.tick(10.5 + config().lease_expiry_s() + 0.1);
-    owner.drain();
+    owner.take_messages();
     assert_eq!(
         owner.on_heartbeat(&heartbeat(2, 58, 5), 25.0, &EmptyJobLookup),
         HeartbeatResponse::Unavailable
@@ -82,7 +82,7 @@
     ));
     owner.tick(28.0);
     let back = |m: &ToLeader| matches!(m, ToLeader::MachineStatuses(v) if v.iter().any(|v| v.incarnation == 3 && !v.lease_expired));
-    assert!(owner.drain().iter().any(back));
+    assert!(owner.take_messages().iter().any(back));
 }
 
 fn machine_status(name: &str, tasks: Vec<TaskStatus>) -> MachineStatus {
@@ -377,9 +377,9 @@
         1,
         "one backlog task takes the place of the task that ended"
     );
-    owner.drain();
+    owner.take_messages();
     owner.tick(15.5);
-    let back: Vec<_> = owner.drain();
+    let back: Vec<_> = owner.take_messages();
     let is_handed_back = |job: &str, tasks: &[(u32, u32)]| {
         back.iter().any(|m| matches!(m, ToLeader::HandBack { job: j, attempt: 7, tasks: t } if j == job && t == tasks))
     };
--- a/crates/model/tests/staleness.rs
+++ b/crates/model/tests/staleness.rs
@@ -115,12 +115,15 @@
         places: vec![("host-1".into(), 0, 1)],
         wait_ms: 60_000,
     };
-    owner.drain();
+    owner.take_messages();
     owner.on_leader_message(reserve, now, &EmptyJobLookup);
-    let result = owner.drain().into_iter().find_map(|message| match message {
-        ToLeader::ReserveResult { reserved, .. } => Some(reserved),
-        _ => None,
-    });
+    let result = owner
+        .take_messages()
+        .into_iter()
+        .find_map(|message| match message {
+            ToLeader::ReserveResult { reserved, .. } => Some(reserved),
+            _ => None,
+        });
     result.expect("the owner sent no result of the reservation")
 }
 
@@ -232,10 +235,14 @@
             vec![]
         );
         owner.tick(12.0);
-        let last = owner.drain().into_iter().rev().find_map(|m| match m {
-            ToLeader::MachineStatuses(v) => Some(v),
-            _ => None,
-        });
+        let last = owner
+            .take_messages()
+            .into_iter()
+            .rev()
+            .find_map(|m| match m {
+                ToLeader::MachineStatuses(v) => Some(v),
+                _ => None,
+            });
         assert!(
             last.is_some_and(|v| v.iter().all(|v| v.pending.is_empty())),
             "is_notified={is_notified}"
@@ -449,7 +456,7 @@
     let mut owner = owner_with_fresh_replica();
     owner.on_heartbeat(&heartbeat(1, 5, None), 10.5, &OPEN_JOB);
     owner.tick(11.0);
-    owner.drain();
+    owner.take_messages();
     let ToOwner::Assign {
         job,
         attempt,
@@ -470,7 +477,7 @@
         11.0,
         &OPEN_JOB,
     );
-    owner.drain();
+    owner.take_messages();
     assert_eq!(
         orders(owner.on_heartbeat(&heartbeat(2, 5, None), 11.01, &OPEN_JOB)).len(),
         1
@@ -488,5 +495,5 @@
         vec![]
     );
     let handed_back = |m: &ToLeader| matches!(m, ToLeader::HandBack { job, attempt: 3, tasks } if job == "wk-1" && *tasks == [(0, 1)]);
-    assert!(owner.drain().iter().any(handed_back));
+    assert!(owner.take_messages().iter().any(handed_back));
 }
