--- a/crates/sched/src/leader/epoch.rs
+++ b/crates/sched/src/leader/epoch.rs
@@ -45,11 +45,8 @@
     /// Starts a new epoch, or requests its token, if the shard owners have to change.
     /// `other_controllers` is the number of other controllers in the settings.
     pub(super) fn review_epoch(&mut self, now: Secs, other_controllers: usize) {
-        let silence_timeout_s = self.cluster.config.owner_timeout_s();
-        match self
-            .epochs
-            .review(now, other_controllers, silence_timeout_s)
-        {
+        let owner_timeout_s = self.cluster.config.owner_timeout_s();
+        match self.epochs.review(now, other_controllers, owner_timeout_s) {
             EpochReview::Unchanged => {}
             EpochReview::NeedsToken => self.actions.push(Action::IssueToken),
             EpochReview::Begin => self.begin_epoch(now),
--- a/crates/sched/src/leader/shard_epochs.rs
+++ b/crates/sched/src/leader/shard_epochs.rs
@@ -9,10 +9,10 @@
 use crate::Secs;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Number of settling periods in the silence timeout, after which an owner counts as lost.
+/// Number of settling periods in the owner timeout, after which an owner counts as lost.
 const SETTLING_PERIODS_PER_TIMEOUT: f64 = 8.0;
 
-/// Number of silence timeouts for which a leader waits for controllers that start together with it.
+/// Number of owner timeouts for which a leader waits for controllers that start together with it.
 const STARTUP_WAIT_TIMEOUTS: f64 = 2.0;
 
 /// The connection of another controller to this leader.
@@ -184,15 +184,15 @@
     }
 
     /// Disconnects silent controllers and returns whether the owners have to change.
-    /// `silence_timeout_s` is the time without messages after which an owner counts as lost, and
+    /// `owner_timeout_s` is the time without messages after which an owner counts as lost, and
     /// `other_controllers` the number of other controllers in the settings.
     pub(crate) fn review(
         &mut self,
         now: Secs,
         other_controllers: usize,
-        silence_timeout_s: Secs,
+        owner_timeout_s: Secs,
     ) -> EpochReview {
-        self.disconnect_silent_members(now, silence_timeout_s);
+        self.disconnect_silent_members(now, owner_timeout_s);
         let wanted = self.wanted_members();
         let is_current = self.has_begun && !self.member_disconnected && wanted == self.members;
         if self.token_requested || is_current {
@@ -200,7 +200,7 @@
         }
         let lacks_member = self.members.iter().any(|member| !wanted.contains(member));
         let has_lost_member = self.member_disconnected || self.has_begun && lacks_member;
-        let settling_s = self.settling_s(now, silence_timeout_s);
+        let settling_s = self.settling_s(now, owner_timeout_s);
         if !has_lost_member
             && self.connections.len() < other_controllers
             && now - self.last_connected_at() < settling_s
@@ -214,10 +214,9 @@
         EpochReview::NeedsToken
     }
 
-    fn disconnect_silent_members(&mut self, now: Secs, silence_timeout_s: Secs) {
+    fn disconnect_silent_members(&mut self, now: Secs, owner_timeout_s: Secs) {
         let silent = self.connections.iter();
-        let silent =
-            silent.filter(|(_, connection)| now - connection.last_heard > silence_timeout_s);
+        let silent = silent.filter(|(_, connection)| now - connection.last_heard > owner_timeout_s);
         let silent: Vec<String> = silent.map(|(member, _)| member.clone()).collect();
         for member in silent {
             log::info!("event=owner_silent member={member}");
@@ -236,14 +235,14 @@
     }
 
     /// Returns how long the leader waits for further controllers after the last one connected, in seconds.
-    fn settling_s(&self, now: Secs, silence_timeout_s: Secs) -> Secs {
+    fn settling_s(&self, now: Secs, owner_timeout_s: Secs) -> Secs {
         let waits_for_startup = self.expects_other_controllers
             && !self.has_begun
-            && now - self.started_at < silence_timeout_s * STARTUP_WAIT_TIMEOUTS;
+            && now - self.started_at < owner_timeout_s * STARTUP_WAIT_TIMEOUTS;
         if waits_for_startup {
-            silence_timeout_s
+            owner_timeout_s
         } else {
-            silence_timeout_s / SETTLING_PERIODS_PER_TIMEOUT
+            owner_timeout_s / SETTLING_PERIODS_PER_TIMEOUT
         }
     }
 
