--- a/crates/sched/src/leader/summary.rs
+++ b/crates/sched/src/leader/summary.rs
@@ -2,7 +2,7 @@
 
 use super::{Job, Leader, Machine};
 
-/// CPU usage of the spot machines or of the ordinary machines.
+/// CPU usage of the spot machines or of the on-demand machines.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CpuUsage {
     /// CPUs of all known machines.
@@ -24,8 +24,8 @@
     pub booting: usize,
     /// Machines whose owner has not reported their tasks in this epoch.
     pub unreconciled: usize,
-    /// CPU usage of the ordinary machines.
-    pub ordinary: CpuUsage,
+    /// CPU usage of the on-demand machines.
+    pub on_demand: CpuUsage,
     /// CPU usage of the spot machines.
     pub spot: CpuUsage,
     /// CPUs of tasks that are known to run.
@@ -44,8 +44,8 @@
             self.machines,
             self.booting,
             self.unreconciled,
-            self.ordinary.total,
-            self.ordinary.used,
+            self.on_demand.total,
+            self.on_demand.used,
             self.spot.total,
             self.spot.used,
             self.running_cpus,
@@ -69,7 +69,7 @@
             machines: self.cluster.machines.len(),
             booting: self.autoscaler.booting_count(),
             unreconciled: machines.filter(|machine| !machine.reconciled).count(),
-            ordinary: self.cpu_usage(false),
+            on_demand: self.cpu_usage(false),
             spot: self.cpu_usage(true),
             running_cpus: running_cpus.sum::<f64>() as u32,
             backlog_cpus: self.cluster.backlogs.total() as u32,
--- a/crates/sched/src/placement.rs
+++ b/crates/sched/src/placement.rs
@@ -130,7 +130,7 @@
 /// one that has the image. The last criterion is best-fit bin packing: the fewest CPUs remain free,
 /// so that other machines become empty and can be deprovisioned.
 ///
-/// A lower tier is cheaper: spot machines come before ordinary ones, except those of scarce types.
+/// A lower tier is cheaper: spot machines come before on-demand ones, except those of scarce types.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rank {
     /// Whether the image is missing and fetching it would take a large part of the time allowed for
