--- a/crates/ladderroute/src/leadership/begin.rs
+++ b/crates/ladderroute/src/leadership/begin.rs
@@ -40,7 +40,7 @@
         leader,
         lease: lease.clone(),
         records: RecordPages::load(state.shared.view.replica(), value_kb),
-        limits: TxnLimits {
+        txn_limits: TxnLimits {
             max_writes: controller.limits.txn_ops,
             value_kb,
         },
--- a/crates/ladderroute/src/writer/mod.rs
+++ b/crates/ladderroute/src/writer/mod.rs
@@ -109,7 +109,7 @@
         &mut leadership.records,
         shared.view.replica(),
         &mut leadership.leader,
-        leadership.limits,
+        leadership.txn_limits,
     );
     (!batch.is_empty()).then(|| (batch, leadership.lease.clone()))
 }
--- a/crates/ladderroute/src/writer/outcome.rs
+++ b/crates/ladderroute/src/writer/outcome.rs
@@ -195,10 +195,10 @@
     };
     let writes = batch.writes.len();
     log::error!("event=write_refused key={key} bytes={bytes} writes={writes}");
-    leadership.limits = leadership.limits.lowered(writes, bytes);
+    leadership.txn_limits = leadership.txn_limits.lowered(writes, bytes);
     leadership
         .records
-        .lower_value_limit(leadership.limits.value_kb);
+        .lower_value_limit(leadership.txn_limits.value_kb);
 }
 
 /// Revokes the store lease, so that the next renewal fails and another leader can be elected.
