--- a/crates/ladderroute/src/provisioning.rs
+++ b/crates/ladderroute/src/provisioning.rs
@@ -159,7 +159,7 @@
         log::info!("event=provisioned name={name} machines={names}");
     }
     with_leader(controller, |leader, now| {
-        leader.provision_result(&request.name, machines, now)
+        leader.on_provision_result(&request.name, machines, now)
     });
 }
 
@@ -219,7 +219,7 @@
     let ok = response.is_ok_and(|response| response.status == 200);
     log::info!("event=deprovision ok={ok} machines={names}");
     with_leader(controller, |leader, _| {
-        leader.deprovision_result(&request.machines, ok)
+        leader.on_deprovision_result(&request.machines, ok)
     });
 }
 
--- a/crates/ladderroute/src/writer/batch.rs
+++ b/crates/ladderroute/src/writer/batch.rs
@@ -253,7 +253,7 @@
         let replica = self.replica;
         let entry = replica.jobs.get(job);
         let Some((entry, spec)) = entry.and_then(|entry| Some((entry, entry.job.as_ref()?))) else {
-            self.leader.finish_result(job, false);
+            self.leader.on_finish_result(job, false);
             return AddResult::NothingToWrite;
         };
         let chunks = self.stored_binding_chunks(job);
--- a/crates/ladderroute/src/writer/outcome.rs
+++ b/crates/ladderroute/src/writer/outcome.rs
@@ -229,19 +229,19 @@
                 Ok(Outcome::Token { token, .. }) => Some(*token),
                 _ => None,
             };
-            leadership.leader.token_result(token, controller.now());
+            leadership.leader.on_token_result(token, controller.now());
         }
         Action::Bind { job, attempt, .. } => {
             leadership.records.set_bound_places(attempt, None);
             leadership
                 .leader
-                .bind_result(&job, attempt, written, controller.now());
+                .on_bind_result(&job, attempt, written, controller.now());
         }
         Action::FinishJob { job } => apply_finish(controller, leadership, job, result),
         Action::RecordStartedArrays(record) => {
-            leadership.leader.start_record_result(&record, written)
+            leadership.leader.on_start_record_result(&record, written)
         }
-        Action::UpdateRoster(name, _) => leadership.leader.roster_result(&name, true, written),
+        Action::UpdateRoster(name, _) => leadership.leader.on_roster_result(&name, true, written),
         Action::RecordProgress {
             job,
             first_task,
@@ -255,7 +255,7 @@
             );
             leadership
                 .leader
-                .progress_result(&job, first_task, written.then_some(&done));
+                .on_progress_result(&job, first_task, written.then_some(&done));
         }
         Action::Send(..) | Action::Provision(_) | Action::Deprovision(_) => {}
     }
@@ -272,14 +272,16 @@
     match result {
         Ok(Outcome::Written(_)) => {
             log::info!("event=done job={job}");
-            leadership.leader.finish_result(&job, true);
+            leadership.leader.on_finish_result(&job, true);
         }
         Ok(Outcome::Conflict(failed)) if failed.contains(&keys::job(&job)) => {
-            leadership.leader.finish_result(&job, false);
+            leadership.leader.on_finish_result(&job, false);
         }
         // Not retried immediately: the leader decides it again later, and other pending decisions
         // are written first.
-        Err(StoreError::Refused(MALFORMED_STATUS)) => leadership.leader.finish_result(&job, false),
+        Err(StoreError::Refused(MALFORMED_STATUS)) => {
+            leadership.leader.on_finish_result(&job, false)
+        }
         _ => {
             leadership
                 .pending_writes
--- a/crates/model/src/world/outcomes.rs
+++ b/crates/model/src/world/outcomes.rs
@@ -41,12 +41,12 @@
         match action {
             Action::IssueToken => {
                 self.term += u64::from(outcome.took_effect());
-                leader.token_result(outcome.is_confirmed().then_some(self.term), now);
+                leader.on_token_result(outcome.is_confirmed().then_some(self.term), now);
             }
             Action::UpdateRoster(machine, record) => {
                 let is_put = record.is_some();
                 self.write_roster(&machine, record, outcome);
-                leader.roster_result(&machine, is_put, outcome.is_confirmed());
+                leader.on_roster_result(&machine, is_put, outcome.is_confirmed());
             }
             Action::RecordProgress {
                 job,
@@ -56,15 +56,15 @@
                 let written = decode_progress_page(first_task, &bits);
                 self.write_progress(&job, &written, outcome);
                 let written = outcome.is_confirmed().then_some(&written);
-                leader.progress_result(&job, first_task, written);
+                leader.on_progress_result(&job, first_task, written);
             }
             Action::FinishJob { job } => {
                 let is_written = self.write_job_done(&job, outcome);
-                leader.finish_result(&job, is_written);
+                leader.on_finish_result(&job, is_written);
             }
             Action::RecordStartedArrays(record) => {
                 self.write_started_arrays(&record, outcome);
-                leader.start_record_result(&record, outcome.is_confirmed());
+                leader.on_start_record_result(&record, outcome.is_confirmed());
             }
             Action::Bind {
                 job,
@@ -72,18 +72,18 @@
                 places,
             } => {
                 self.write_binding(&job, places, outcome);
-                leader.bind_result(&job, attempt, outcome.is_confirmed(), now);
+                leader.on_bind_result(&job, attempt, outcome.is_confirmed(), now);
             }
             Action::Provision(request) => {
                 let machines = outcome.took_effect().then(|| self.provision(&request));
                 let machines = machines.filter(|_| outcome.is_confirmed());
-                leader.provision_result(&request.name, machines, now);
+                leader.on_provision_result(&request.name, machines, now);
             }
             Action::Deprovision(machines) => {
                 if outcome.took_effect() {
                     self.deprovision(&machines);
                 }
-                leader.deprovision_result(&machines, outcome.is_confirmed());
+                leader.on_deprovision_result(&machines, outcome.is_confirmed());
             }
             Action::Send(..) => {}
         }
--- a/crates/model/tests/leader_and_owner.rs
+++ b/crates/model/tests/leader_and_owner.rs
@@ -157,7 +157,7 @@
     leader.on_job_terminal("wk-1");
     leader.add_job(open_job("wk-2", 2, PriorRuns::None));
     leader.add_job(open_job("wk-3", 3, PriorRuns::None));
-    leader.start_record_result(
+    leader.on_start_record_result(
         &StartedArraysRecord {
             upto: 3,
             waiting: Vec::new(),
@@ -207,7 +207,7 @@
             leader.tick(now, 3);
             for action in leader.take_actions() {
                 match action {
-                    Action::IssueToken => leader.token_result(Some(leader.token() + 1), now),
+                    Action::IssueToken => leader.on_token_result(Some(leader.token() + 1), now),
                     Action::Send(to, ToOwner::Epoch { members, .. }) if to == "rung-0" => {
                         epoch_sizes.push(members.len())
                     }
@@ -300,7 +300,7 @@
         [true, true, false, false, false]
     );
     // The outcome of the write is unknown, so the leader requests it again.
-    leader.start_record_result(&record, false);
+    leader.on_start_record_result(&record, false);
     leader.tick(2.0, 0);
     assert!(leader
         .take_actions()
--- a/crates/model/tests/reference_placement.rs
+++ b/crates/model/tests/reference_placement.rs
@@ -40,7 +40,7 @@
             ..machine_status(name, kind, Vec::new())
         };
         leader.on_owner_message("rung-0", ToLeader::MachineStatuses(vec![status]), 5.0);
-        leader.roster_result(name, true, true);
+        leader.on_roster_result(name, true, true);
     }
     leader.take_actions();
     leader
@@ -139,7 +139,7 @@
             let spec = Rc::new(spec.clone());
             leader.add_job(OpenJob::new(spec, revision, PriorRuns::None));
         }
-        leader.start_record_result(&started_arrays(jobs.len() as u64), true);
+        leader.on_start_record_result(&started_arrays(jobs.len() as u64), true);
         leader.tick(5.1, 0);
         // A class with a task that fits only the large type reserves it, which the model does not
         // know.
@@ -181,7 +181,7 @@
         let spec = Rc::new(job(i, &format!("team-{team}"), Shape::Array, tasks, 1.0));
         leader.add_job(OpenJob::new(spec, u64::from(i) + 1, PriorRuns::None));
     }
-    leader.start_record_result(&started_arrays(13), true);
+    leader.on_start_record_result(&started_arrays(13), true);
     leader.tick(5.1, 0);
     let actual = placed_tasks(&leader.take_actions());
     for i in 4..13 {
@@ -235,14 +235,14 @@
         ToLeader::MachineStatuses(vec![machine_status("host-1", "small", tasks)])
     };
     leader.on_owner_message("rung-0", status_with(Vec::new()), 5.0);
-    leader.roster_result("host-1", true, true);
+    leader.on_roster_result("host-1", true, true);
     let add = |leader: &mut Leader, spec: Job, revision: u64| {
         let id = spec.id.clone();
         leader.add_job(OpenJob::new(Rc::new(spec), revision, PriorRuns::None));
         if let Some(priority) = inherited.get(id.as_str()) {
             leader.set_priority(&id, *priority);
         }
-        leader.start_record_result(&started_arrays(revision), true);
+        leader.on_start_record_result(&started_arrays(revision), true);
     };
     add(&mut leader, job(1, "blue", Shape::Array, 4, 1.0), 1);
     leader.tick(6.0, 0);
--- a/crates/model/tests/scale_out.rs
+++ b/crates/model/tests/scale_out.rs
@@ -76,11 +76,11 @@
                     Action::Provision(request) => {
                         self.requests.push((self.now, request.clone()));
                         self.leader
-                            .provision_result(&request.name, Some(Vec::new()), self.now);
+                            .on_provision_result(&request.name, Some(Vec::new()), self.now);
                     }
-                    Action::IssueToken => self.leader.token_result(Some(2), self.now),
+                    Action::IssueToken => self.leader.on_token_result(Some(2), self.now),
                     Action::RecordStartedArrays(record) => {
-                        self.leader.start_record_result(&record, true)
+                        self.leader.on_start_record_result(&record, true)
                     }
                     _ => {}
                 }
--- a/crates/model/tests/staleness.rs
+++ b/crates/model/tests/staleness.rs
@@ -442,7 +442,7 @@
     leader.on_owner_disconnected("rung-1");
     leader.on_owner_contact("rung-1", 2.0);
     leader.tick(2.5, 1);
-    leader.token_result(Some(2), 2.6);
+    leader.on_token_result(Some(2), 2.6);
     assert_eq!(
         notified(&mut leader),
         vec![vec!["wk-000001".to_string(), "wk-000009".to_string()]]
--- a/crates/model/tests/waits.rs
+++ b/crates/model/tests/waits.rs
@@ -145,7 +145,7 @@
                 for member in &members {
                     leader.on_owner_message(member, reserve_result(attempt, true), now);
                 }
-                leader.bind_result("wk-000001", attempt, true, now);
+                leader.on_bind_result("wk-000001", attempt, true, now);
                 for member in &members {
                     leader.on_owner_message(member, reserve_result(attempt, false), now);
                 }
--- a/crates/sched/src/leader/epoch.rs
+++ b/crates/sched/src/leader/epoch.rs
@@ -36,7 +36,7 @@
     /// Handles the outcome of [`Action::IssueToken`]: the durable token, or `None` if none was
     /// confirmed. In that case, the next review requests a token again if the owners still have to
     /// change.
-    pub fn token_result(&mut self, token: Option<u64>, now: Secs) {
+    pub fn on_token_result(&mut self, token: Option<u64>, now: Secs) {
         if self.epochs.token_result(token) {
             self.begin_epoch(now);
         }
--- a/crates/sched/src/leader/jobs.rs
+++ b/crates/sched/src/leader/jobs.rs
@@ -127,7 +127,7 @@
     }
 
     /// Handles the outcome of [`Action::FinishJob`]; a failed write is retried later.
-    pub fn finish_result(&mut self, id: &str, written: bool) {
+    pub fn on_finish_result(&mut self, id: &str, written: bool) {
         if written {
             self.on_job_terminal(id);
         } else if let Some(job) = self.cluster.jobs.get_mut(id) {
--- a/crates/sched/src/leader/machines.rs
+++ b/crates/sched/src/leader/machines.rs
@@ -11,7 +11,7 @@
 
     /// Handles the outcome of [`Action::UpdateRoster`]. `is_put` is false for a
     /// deletion, and `written` tells whether the change is durable.
-    pub fn roster_result(&mut self, machine: &str, is_put: bool, written: bool) {
+    pub fn on_roster_result(&mut self, machine: &str, is_put: bool, written: bool) {
         let Some(known) = self.cluster.machines.get_mut(machine) else {
             return;
         };
--- a/crates/sched/src/leader/mod.rs
+++ b/crates/sched/src/leader/mod.rs
@@ -55,14 +55,14 @@
 pub enum Action {
     /// Send a message to an owner.
     Send(String, ToOwner),
-    /// Write the next fencing token to the store; answered by [`Leader::token_result`].
+    /// Write the next fencing token to the store; answered by [`Leader::on_token_result`].
     IssueToken,
     /// Write a machine's record to the roster, or delete it if `None`; answered by
-    /// [`Leader::roster_result`].
+    /// [`Leader::on_roster_result`].
     UpdateRoster(String, Option<RosterRecord>),
-    /// Record which arrays may have started tasks; answered by [`Leader::start_record_result`].
+    /// Record which arrays may have started tasks; answered by [`Leader::on_start_record_result`].
     RecordStartedArrays(StartedArraysRecord),
-    /// Record which tasks of a job are done; answered by [`Leader::progress_result`].
+    /// Record which tasks of a job are done; answered by [`Leader::on_progress_result`].
     RecordProgress {
         /// The job.
         job: String,
@@ -71,12 +71,12 @@
         /// A bitmap in hexadecimal with one bit per task, set for tasks that are done.
         bits: String,
     },
-    /// Record that a job is done; answered by [`Leader::finish_result`].
+    /// Record that a job is done; answered by [`Leader::on_finish_result`].
     FinishJob {
         /// The job.
         job: String,
     },
-    /// Record the machines to which a gang is bound; answered by [`Leader::bind_result`].
+    /// Record the machines to which a gang is bound; answered by [`Leader::on_bind_result`].
     Bind {
         /// The job.
         job: String,
@@ -85,9 +85,9 @@
         /// Machine, first task and number of tasks of each place.
         places: Vec<(String, u32, u32)>,
     },
-    /// Ask the cloud for machines; answered by [`Leader::provision_result`].
+    /// Ask the cloud for machines; answered by [`Leader::on_provision_result`].
     Provision(ProvisionRequest),
-    /// Return machines to the cloud; answered by [`Leader::deprovision_result`].
+    /// Return machines to the cloud; answered by [`Leader::on_deprovision_result`].
     Deprovision(Vec<String>),
 }
 
--- a/crates/sched/src/leader/progress.rs
+++ b/crates/sched/src/leader/progress.rs
@@ -22,7 +22,7 @@
 
     /// Handles the outcome of [`Action::RecordProgress`]: the tasks that are durable in the chunk,
     /// or `None` if the write failed. Lets workers forget tasks whose completion is now durable.
-    pub fn progress_result(&mut self, id: &str, first_task: u32, written: Option<&RangeSet>) {
+    pub fn on_progress_result(&mut self, id: &str, first_task: u32, written: Option<&RangeSet>) {
         let chunk_tasks = self.tasks_per_chunk;
         let chunk = first_task / chunk_tasks;
         let Some(job) = self.cluster.jobs.get_mut(id) else {
--- a/crates/sched/src/leader/queue/reservations.rs
+++ b/crates/sched/src/leader/queue/reservations.rs
@@ -115,7 +115,7 @@
 
     /// Handles the outcome of a binding's write: starts the gang if the binding is durable and its
     /// reservation still stands, and cancels the reservation otherwise.
-    pub fn bind_result(&mut self, id: &str, attempt: u64, written: bool, now: Secs) {
+    pub fn on_bind_result(&mut self, id: &str, attempt: u64, written: bool, now: Secs) {
         let Some(job) = self.cluster.jobs.get(id) else {
             return;
         };
--- a/crates/sched/src/leader/scaling.rs
+++ b/crates/sched/src/leader/scaling.rs
@@ -35,13 +35,13 @@
     /// Handles the cloud's answer to a provision request: the machines, or an empty list if there
     /// is no capacity. `None` means that the request failed or its outcome is unknown; machines
     /// that were provisioned anyway are discovered from the cloud's list or from their heartbeats.
-    pub fn provision_result(&mut self, name: &str, machines: Option<Vec<String>>, now: Secs) {
+    pub fn on_provision_result(&mut self, name: &str, machines: Option<Vec<String>>, now: Secs) {
         self.autoscaler
             .provision_answered(&self.cluster, name, machines, &mut self.rng, now);
     }
 
     /// Handles the outcome of a release request; a failed request has to be repeated.
-    pub fn deprovision_result(&mut self, names: &[String], ok: bool) {
+    pub fn on_deprovision_result(&mut self, names: &[String], ok: bool) {
         for name in names {
             if ok {
                 self.autoscaler.release_confirmed(name);
--- a/crates/sched/src/leader/started_arrays.rs
+++ b/crates/sched/src/leader/started_arrays.rs
@@ -58,7 +58,7 @@
 
     /// Handles the outcome of [`Action::RecordStartedArrays`]. If the write failed or its outcome
     /// is unknown, the next pass requests a record again.
-    pub fn start_record_result(&mut self, record: &StartedArraysRecord, written: bool) {
+    pub fn on_start_record_result(&mut self, record: &StartedArraysRecord, written: bool) {
         self.started_arrays.write_pending = false;
         if written {
             self.started_arrays.upto = self.started_arrays.upto.max(record.upto);
