--- a/crates/model/tests/leader_and_owner.rs
+++ b/crates/model/tests/leader_and_owner.rs
@@ -129,7 +129,7 @@
         ToLeader::MachineStatuses(vec![machine_status("host-1", vec![running])]),
         1.0,
     );
-    assert_eq!(leader.used_by("red").cpus, 4.0);
+    assert_eq!(leader.team_usage("red").cpus, 4.0);
     leader.take_actions();
     let done = wk1_status(0, 7, TaskState::Exited, Some(Why::Done));
     leader.on_owner_message(
@@ -137,7 +137,7 @@
         ToLeader::MachineStatuses(vec![machine_status("host-2", vec![done])]),
         1.1,
     );
-    assert_eq!(leader.used_by("red").cpus, 4.0);
+    assert_eq!(leader.team_usage("red").cpus, 4.0);
     assert!(leader.done_tasks("wk-1").contains(0));
     let stop = |action: &Action| matches!(action, Action::Send(_, ToOwner::Stop { machine, task, .. }) if machine == "host-1" && task.attempt == 9);
     assert!(leader.take_actions().iter().any(stop));
--- a/crates/sched/src/cluster/quota.rs
+++ b/crates/sched/src/cluster/quota.rs
@@ -109,7 +109,7 @@
                     self.possible_unobserved_usage(name, unobserved),
                 ));
             }
-            free.sub(without_memory(self.usage.used_by(name)));
+            free.sub(without_memory(self.usage.team_usage(name)));
             limits.insert(name.clone(), free);
         }
         let has_reservation = |job: &&Job| {
--- a/crates/sched/src/cluster/usage.rs
+++ b/crates/sched/src/cluster/usage.rs
@@ -30,7 +30,7 @@
     }
 
     /// Returns the usage of a team's active tasks.
-    pub(crate) fn used_by(&self, team: &str) -> Resources {
+    pub(crate) fn team_usage(&self, team: &str) -> Resources {
         self.active.get(team).copied().unwrap_or_default()
     }
 
--- a/crates/sched/src/leader/mod.rs
+++ b/crates/sched/src/leader/mod.rs
@@ -170,8 +170,8 @@
     }
 
     /// Returns the total resources charged to a team's quota for tasks that may be running.
-    pub fn used_by(&self, team: &str) -> Resources {
-        self.cluster.usage.used_by(team)
+    pub fn team_usage(&self, team: &str) -> Resources {
+        self.cluster.usage.team_usage(team)
     }
 
     /// Returns whether the index of free resources equals a full rebuild; for tests.
