--- a/crates/model/tests/waits.rs
+++ b/crates/model/tests/waits.rs
@@ -89,7 +89,7 @@
             world.open_jobs(),
             ["wk-000001"],
             "seed {seed}\n{}",
-            world.explain()
+            world.describe_state()
         );
         assert!(world.cancel("wk-000001"));
         world.run_until_done(30.0);
@@ -145,7 +145,7 @@
                 for member in &members {
                     leader.on_owner_message(member, reserve_result(attempt, true), now);
                 }
-                leader.bind_result("wk-000001", attempt, true, now);
+                leader.on_bind_result("wk-000001", attempt, true, now);
                 for member in &members {
                     leader.on_owner_message(member, reserve_result(attempt, false), now);
                 }
--- a/crates/sched/src/leader/jobs.rs
+++ b/crates/sched/src/leader/jobs.rs
@@ -89,7 +89,7 @@
     /// Marks a task as done after this leader first learns of its completion.
     pub(super) fn complete_task(&mut self, task: &TaskRef, now: Secs) {
         let (id, index) = (task.job.as_str(), task.index);
-        let chunk_tasks = self.chunk_bits;
+        let chunk_tasks = self.tasks_per_chunk;
         let Some(job) = self.cluster.jobs.get_mut(id) else {
             return;
         };
@@ -127,7 +127,7 @@
     }
 
     /// Handles the outcome of [`Action::FinishJob`]; a failed write is retried later.
-    pub fn finish_result(&mut self, id: &str, written: bool) {
+    pub fn on_finish_result(&mut self, id: &str, written: bool) {
         if written {
             self.on_job_terminal(id);
         } else if let Some(job) = self.cluster.jobs.get_mut(id) {
--- a/crates/sched/src/leader/mod.rs
+++ b/crates/sched/src/leader/mod.rs
@@ -33,7 +33,7 @@
     ActiveTask, Cluster, GangPhase, Job, Machine, Rostered, StartRecord, TaskLocation,
 };
 pub use crate::cluster::{OpenJob, PriorRuns};
-pub use progress::chunk_bits;
+pub use progress::tasks_per_chunk;
 pub use summary::{CpuUsage, Summary};
 pub(crate) use task_status::MAX_BACKOFF_S;
 
@@ -55,14 +55,14 @@
 pub enum Action {
     /// Send a message to an owner.
     Send(String, ToOwner),
-    /// Write the next fencing token to the store; answered by [`Leader::token_result`].
+    /// Write the next fencing token to the store; answered by [`Leader::on_token_result`].
     IssueToken,
     /// Write a machine's record to the roster, or delete it if `None`; answered by
-    /// [`Leader::roster_result`].
+    /// [`Leader::on_roster_result`].
     UpdateRoster(String, Option<RosterRecord>),
-    /// Record which arrays may have started tasks; answered by [`Leader::start_record_result`].
+    /// Record which arrays may have started tasks; answered by [`Leader::on_start_record_result`].
     RecordStartedArrays(StartedArraysRecord),
-    /// Record which tasks of a job are done; answered by [`Leader::progress_result`].
+    /// Record which tasks of a job are done; answered by [`Leader::on_progress_result`].
     RecordProgress {
         /// The job.
         job: String,
@@ -71,12 +71,12 @@
         /// A bitmap in hexadecimal with one bit per task, set for tasks that are done.
         bits: String,
     },
-    /// Record that a job is done; answered by [`Leader::finish_result`].
+    /// Record that a job is done; answered by [`Leader::on_finish_result`].
     FinishJob {
         /// The job.
         job: String,
     },
-    /// Record the machines to which a gang is bound; answered by [`Leader::bind_result`].
+    /// Record the machines to which a gang is bound; answered by [`Leader::on_bind_result`].
     Bind {
         /// The job.
         job: String,
@@ -85,9 +85,9 @@
         /// Machine, first task and number of tasks of each place.
         places: Vec<(String, u32, u32)>,
     },
-    /// Ask the cloud for machines; answered by [`Leader::provision_result`].
+    /// Ask the cloud for machines; answered by [`Leader::on_provision_result`].
     Provision(ProvisionRequest),
-    /// Return machines to the cloud; answered by [`Leader::deprovision_result`].
+    /// Return machines to the cloud; answered by [`Leader::on_deprovision_result`].
     Deprovision(Vec<String>),
 }
 
@@ -111,8 +111,8 @@
     pub(crate) actions: Vec<Action>,
     /// Whether a change calls for a scheduling pass at the next tick.
     pass_requested: bool,
-    /// Tasks per progress record; see [`chunk_bits`].
-    chunk_bits: u32,
+    /// Tasks per progress record; see [`tasks_per_chunk`].
+    tasks_per_chunk: u32,
     progress_flushed_at: Secs,
     last_pass_at: Secs,
     pub(crate) last_preemption_at: Secs,
@@ -152,7 +152,7 @@
             has_unknown_prior_runs: true,
             actions: Vec::new(),
             pass_requested: false,
-            chunk_bits: chunk_bits(value_kb),
+            tasks_per_chunk: tasks_per_chunk(value_kb),
             progress_flushed_at: now,
             last_pass_at: f64::MIN,
             last_preemption_at: f64::MIN,
@@ -170,8 +170,8 @@
     }
 
     /// Returns the total resources charged to a team's quota for tasks that may be running.
-    pub fn used_by(&self, team: &str) -> Resources {
-        self.cluster.usage.used_by(team)
+    pub fn team_usage(&self, team: &str) -> Resources {
+        self.cluster.usage.team_usage(team)
     }
 
     /// Returns whether the index of free resources equals a full rebuild; for tests.
