--- a/crates/sched/src/owner/assigned_jobs.rs
+++ b/crates/sched/src/owner/assigned_jobs.rs
@@ -12,8 +12,8 @@
 
 /// The jobs of which tasks were assigned to this owner.
 ///
-/// Invariant: every job of which an assigned task is on a machine, in a reservation or in the
-/// backlog has an entry, even if this controller's own replica of the store lags behind.
+/// Invariant: every job with an assigned task on a machine, in a reservation or in the backlog has
+/// an entry, even if this controller's own replica of the store lags behind.
 #[derive(Default)]
 pub(super) struct AssignedJobs {
     jobs: BTreeMap<String, AssignedJob>,
@@ -40,8 +40,8 @@
         self.jobs.get(job).map(|assigned| assigned.image.as_str())
     }
 
-    /// Returns whether unused jobs are to be removed now, which is due `interval_s` seconds after
-    /// the last time; if so, `now` counts as the last time.
+    /// Returns whether to remove unused jobs now: if at least `interval_s` seconds have passed
+    /// since this method last returned `true`. In that case, records `now` as the new last time.
     pub(super) fn start_review_if_due(&mut self, now: Secs, interval_s: Secs) -> bool {
         let is_due = now - self.reviewed_at >= interval_s;
         if is_due {
--- a/crates/sched/src/owner/backlog.rs
+++ b/crates/sched/src/owner/backlog.rs
@@ -9,7 +9,7 @@
 use std::collections::VecDeque;
 use wire::peers::TaskRequirements;
 
-/// Tasks of an array that wait until `expires_at`.
+/// Tasks of an array that wait for resources. At `expires_at`, they are handed back to the leader.
 pub(super) struct BacklogEntry {
     pub(super) job: String,
     pub(super) attempt: u64,
@@ -21,7 +21,7 @@
 /// Tasks that start on the first machine whose heartbeat shows enough free resources.
 ///
 /// Invariant: a task is removed only when it is started on a machine or handed back to the leader,
-/// or by a new epoch. Entries keep the order in which the leader sent them.
+/// or when a new epoch begins. Entries keep the order in which the leader sent them.
 #[derive(Default)]
 pub(super) struct Backlog {
     entries: VecDeque<BacklogEntry>,
@@ -66,7 +66,8 @@
         });
     }
 
-    /// Moves as many tasks to a machine as its free resources and the size of one response allow.
+    /// Moves as many tasks from the backlog to the pending starts of a machine as its `free`
+    /// resources and the size of one response allow.
     pub(super) fn start_on(
         &mut self,
         machine: &mut OwnedMachine,
--- a/crates/sched/src/owner/epoch.rs
+++ b/crates/sched/src/owner/epoch.rs
@@ -1,11 +1,12 @@
-//! Epochs: a new fencing token, under which the shards may have other owners.
+//! Epochs: each has its own fencing token, and the owners of machines may differ from those in the
+//! epoch before.
 
 use super::Owner;
 use crate::shard;
 use crate::Secs;
 use wire::peers::MachineDescriptor;
 
-/// The epoch of an owner.
+/// The epoch that an owner is in.
 ///
 /// Invariant: from `sole_owner_from` on, no earlier owner of any machine responds to a heartbeat.
 #[derive(Default)]
@@ -41,8 +42,9 @@
 }
 
 impl Owner {
-    /// Starts an epoch that follows the one with the token `prev`. The machines' records are kept
-    /// only if `prev` is the current epoch. Ignores an epoch older than the current one.
+    /// Starts an epoch that follows the one with the token `prev`. Keeps the records of machines
+    /// only if `prev` is the token of this owner's current epoch; 0 means that there is none.
+    /// Ignores an epoch older than the current one.
     pub(super) fn start_epoch(
         &mut self,
         epoch: OwnerEpoch,
@@ -72,7 +74,8 @@
     fn discard_epoch_state(&mut self) {
         // Reservations end with the epoch; the leader releases the gangs that wait for them.
         self.reservations.clear();
-        // No machine has the tasks of the backlog; the leader reclaims them after reconciliation.
+        // The tasks of the backlog are on no machine; the leader reclaims them after
+        // reconciliation.
         self.backlog.clear();
         self.outbox.clear();
     }
--- a/crates/sched/src/owner/heartbeats.rs
+++ b/crates/sched/src/owner/heartbeats.rs
@@ -6,8 +6,8 @@
 use wire::workers::{Heartbeat, Order, Orders, TaskState};
 
 impl Owner {
-    /// Processes a heartbeat and returns the response. The caller must read `now` immediately
-    /// before.
+    /// Processes a heartbeat and returns the response. The caller must read `now` from the clock
+    /// immediately before the call.
     pub fn on_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
@@ -51,9 +51,9 @@
         }
     }
 
-    /// Starts tasks of the backlog on the resources that a machine's heartbeat shows to be free, in
-    /// the response to this heartbeat. Otherwise the resources would stay idle until the leader
-    /// assigns tasks and the machine sends its next heartbeat.
+    /// Starts tasks of the backlog on the resources that a machine's heartbeat shows to be free.
+    /// The starts are part of the response to this heartbeat; otherwise the resources would stay
+    /// idle until the leader assigns tasks and the machine sends its next heartbeat.
     fn start_from_backlog(&mut self, name: &str, jobs: &dyn JobLookup) {
         if self.backlog.is_empty() {
             return;
@@ -88,8 +88,8 @@
 
 /// Returns the orders for a heartbeat with an old fencing token. The response tells the worker the
 /// new token, so that its next heartbeat is current. But the response also renews the lease, and
-/// epochs may change more often than heartbeats arrive. Tasks of terminal jobs are therefore
-/// stopped even now, which is safe no matter when the heartbeat was sent.
+/// epochs may change more often than heartbeats arrive. The orders therefore stop tasks of terminal
+/// jobs already, which is safe no matter when the heartbeat was sent.
 fn stop_orders_for_terminal_jobs(
     heartbeat: &Heartbeat,
     is_terminal: impl Fn(&str) -> bool,
--- a/crates/sched/src/owner/lease.rs
+++ b/crates/sched/src/owner/lease.rs
@@ -8,8 +8,9 @@
 /// Invariant: no response that renews the worker's lease was sent later than `renewed_at`.
 pub(super) struct WorkerLease {
     renewed_at: Secs,
-    /// The newest incarnation that got a response before the lease expired. A heartbeat of it that
-    /// arrives after the expiry was delayed, even if none of its heartbeats was current before.
+    /// The newest incarnation of the worker that got a response before the lease expired. Any
+    /// heartbeat of this incarnation that arrives after the expiry was delayed, even if none of its
+    /// earlier heartbeats was current.
     last_incarnation: u64,
     has_expired: bool,
 }
@@ -33,7 +34,7 @@
         }
     }
 
-    /// Marks the lease as valid after a current heartbeat.
+    /// Marks the lease as not expired, after a current heartbeat of this incarnation.
     pub(super) fn revive(&mut self, incarnation: u64) {
         self.has_expired = false;
         self.last_incarnation = self.last_incarnation.max(incarnation);
@@ -49,8 +50,8 @@
         self.has_expired = true;
     }
 
-    /// Returns whether the lease was marked as expired and not revived since. Only a heartbeat of a
-    /// later incarnation revives it; all others are stale (see `precedes_expiry`).
+    /// Returns whether the lease was marked as expired and has not been revived since. Only a
+    /// heartbeat of a later incarnation revives it; all others are stale (see `precedes_expiry`).
     pub(super) fn has_expired(&self) -> bool {
         self.has_expired
     }
--- a/crates/sched/src/owner/machine.rs
+++ b/crates/sched/src/owner/machine.rs
@@ -24,8 +24,9 @@
 
 /// A machine of this owner's shard.
 ///
-/// Invariant: `tasks` is the content of the newest current heartbeat, and all earlier orders have
-/// been reconciled with it. `is_dirty` holds while the leader has not been sent a changed status.
+/// Invariant: `tasks` holds the tasks in the newest current heartbeat (defined in the docs of the
+/// `owner` module), and all earlier orders have been reconciled with it. `is_dirty` is true while a
+/// changed status has not been sent to the leader.
 pub(super) struct OwnedMachine {
     identity: MachineIdentity,
     /// Whether the leader allows tasks to be placed here.
@@ -97,7 +98,8 @@
         self.orders.starts()
     }
 
-    /// Returns whether nothing holds resources here, so that the machine may soon be deprovisioned.
+    /// Returns whether no task holds resources here or is about to start, so that the machine may
+    /// soon be deprovisioned.
     pub(super) fn is_empty(&self) -> bool {
         self.pending().is_empty() && self.live_tasks().next().is_none()
     }
@@ -129,8 +131,8 @@
         self.usable = usable;
     }
 
-    /// Returns the status for the leader if it has changed, and clears the mark. Returns `None` if
-    /// nothing is known of the machine yet.
+    /// Returns the status for the leader if the machine is marked dirty, and clears the mark.
+    /// Returns `None` if there has been neither a current heartbeat nor an expiry of the lease yet.
     pub(super) fn take_changed_status(&mut self, token: u64, name: &str) -> Option<MachineStatus> {
         let changed = std::mem::take(&mut self.is_dirty);
         let is_known = self.newest_heartbeat.is_some() || self.lease.has_expired();
@@ -233,8 +235,9 @@
         self.is_dirty = true;
     }
 
-    /// Returns whether the machine is closed, the leader has its latest status, and it got no
-    /// response for `retention_s`. If it sends a heartbeat again, it is added as a new machine.
+    /// Returns whether the machine's lease has expired, the leader allows no tasks here, its latest
+    /// status has been sent to the leader, and it got no response for `retention_s` seconds. If it
+    /// sends a heartbeat again, it is added as a new machine.
     pub(super) fn can_be_removed(&self, now: Secs, retention_s: Secs) -> bool {
         self.lease.has_expired()
             && !self.usable
@@ -308,8 +311,9 @@
         self.orders.reconcile_stops_and_clears(&self.tasks);
     }
 
-    /// Returns the orders for the response to the heartbeat that was just applied; without starts
-    /// while the controller's view of the store is too old for them.
+    /// Returns the orders for the response to the heartbeat that was just applied. Leaves out
+    /// starts if `may_start` is false, because the controller's view of the store is too old for
+    /// them.
     pub(super) fn next_orders(&self, may_start: bool) -> Vec<Order> {
         self.orders.next_orders(may_start)
     }
--- a/crates/sched/src/owner/machines.rs
+++ b/crates/sched/src/owner/machines.rs
@@ -8,8 +8,8 @@
 use wire::peers::{MachineDescriptor, MachineStatus};
 use wire::workers::Heartbeat;
 
-/// How long a closed machine is kept after its last response, in lengths of a lease with all
-/// margins.
+/// How long an unusable machine with an expired lease is kept after the owner last responded to it,
+/// as a multiple of `SchedulerConfig::lease_expiry_s`.
 const RETENTION_LEASES: f64 = 20.0;
 
 /// The machines of the shard, by name.
@@ -84,7 +84,8 @@
         self.by_name.values_mut().for_each(OwnedMachine::mark_dirty);
     }
 
-    /// Returns the changed statuses that the leader has not been sent, and clears their marks.
+    /// Returns the changed statuses that have not been sent to the leader, and clears the marks of
+    /// their machines.
     pub(super) fn changed_statuses(&mut self, token: u64) -> Vec<MachineStatus> {
         self.by_name
             .iter_mut()
@@ -92,7 +93,8 @@
             .collect()
     }
 
-    /// Removes closed machines that got no response for `RETENTION_LEASES` leases.
+    /// Removes unusable machines with an expired lease that got no response for `RETENTION_LEASES`
+    /// times `lease_expiry_s`.
     pub(super) fn remove_expired(&mut self, now: Secs, lease_expiry_s: Secs) {
         let retention_s = lease_expiry_s * RETENTION_LEASES;
         self.by_name
--- a/crates/sched/src/owner/messages.rs
+++ b/crates/sched/src/owner/messages.rs
@@ -10,7 +10,8 @@
 use wire::peers::{ToLeader, ToOwner};
 
 impl Owner {
-    /// Processes a message of the leader. The caller handles grants, view ages and running counts.
+    /// Processes a message of the leader. Ignores grants, view ages and running counts, which the
+    /// caller handles.
     pub fn on_leader_message(&mut self, message: ToOwner, now: Secs, jobs: &dyn JobLookup) {
         self.outbox.mark_statuses_due();
         match message {
--- a/crates/sched/src/owner/mod.rs
+++ b/crates/sched/src/owner/mod.rs
@@ -2,9 +2,9 @@
 //! controller that starts tasks on them.
 //!
 //! A heartbeat is current only if its fencing token is at least the one under which this controller
-//! became the machine's owner. The worker then sent it after it had begun to discard the orders of
-//! all earlier owners. Current heartbeats are ordered by (incarnation, seq). A heartbeat that was
-//! delayed in the network is therefore never taken for the machine's present status.
+//! became the machine's owner. The worker sent such a heartbeat after it had begun to discard the
+//! orders of all earlier owners. Current heartbeats are ordered by (incarnation, seq). A heartbeat
+//! that was delayed in the network is therefore never taken for the machine's present status.
 //!
 //! - Tasks are started by `Owner::on_heartbeat`; the starts are decided by `Owner::assign`,
 //!   `Owner::bind` and `Owner::start_from_backlog`.
@@ -66,8 +66,8 @@
     Unavailable,
 }
 
-/// Status updates to the leader per heartbeat interval; changes from heartbeats are batched in
-/// between.
+/// Number of regular status updates to the leader per heartbeat interval; changes that heartbeats
+/// show are batched in between.
 pub(crate) const STATUS_UPDATES_PER_HEARTBEAT: f64 = 20.0;
 
 /// The owner of a shard of the cluster's machines.
@@ -127,15 +127,15 @@
         now < self.authority.responses_until()
     }
 
-    /// Removes and returns the pending messages to the leader. Status changes from heartbeats are
-    /// batched for a short time. Those from the leader's own messages are included at once, before
-    /// any later heartbeat.
+    /// Removes and returns the pending messages to the leader. Status changes that heartbeats show
+    /// are batched for a short time. Those that the leader's own messages cause are included at
+    /// once, before any later heartbeat.
     pub fn drain(&mut self) -> Vec<ToLeader> {
         self.outbox.drain(self.epoch.token(), &mut self.machines)
     }
 
-    /// Expires waits in the backlog, reservations and leases, and removes records that are no
-    /// longer needed.
+    /// Expires reservations and leases, hands back tasks that waited too long in the backlog, and
+    /// removes records that are no longer needed.
     pub fn tick(&mut self, now: Secs) {
         self.backlog.hand_back_expired(now, &mut self.outbox);
         self.terminal_jobs
--- a/crates/sched/src/owner/orders.rs
+++ b/crates/sched/src/owner/orders.rs
@@ -63,9 +63,9 @@
         self.clears.clear();
     }
 
-    /// Adds stops for all reported tasks of terminal jobs. They are repeated in every response
-    /// until a heartbeat shows the tasks gone. This does not depend on earlier owners of the
-    /// machine or on a stop from the leader.
+    /// Adds stops for all reported tasks of terminal jobs. The stops are repeated in every response
+    /// until a heartbeat shows that the tasks are gone. The tasks are thus stopped whatever earlier
+    /// owners of the machine did, and without a stop from the leader.
     pub(super) fn stop_terminal(
         &mut self,
         reported: &BTreeMap<TaskRef, TaskStatus>,
@@ -77,9 +77,9 @@
             .extend(terminal.map(|status| (status.task.clone(), 0.0)));
     }
 
-    /// Reconciles the starts with a heartbeat. A start that the heartbeat lacks has not taken
-    /// effect and never will by an earlier response, so it can be withdrawn if it has become
-    /// obsolete. Returns whether anything changed.
+    /// Reconciles the starts with a heartbeat. If the heartbeat lacks the task of a start, no
+    /// earlier response has started it or ever will, so the start can be withdrawn if it has become
+    /// obsolete. Returns whether any start was withdrawn or confirmed.
     pub(super) fn reconcile_starts(
         &mut self,
         reported: &BTreeMap<TaskRef, TaskStatus>,
@@ -102,7 +102,7 @@
         self.stops.retain(|task, _| live(task) == Some(true));
     }
 
-    /// Returns the orders for the next response; without starts unless `may_start`.
+    /// Returns the orders for the next response. Leaves out starts if `may_start` is false.
     pub(super) fn next_orders(&self, may_start: bool) -> Vec<Order> {
         let clears = self.clears.iter().map(|task| Order::Clear {
             task: task_name(&task.job, task.index),
--- a/crates/sched/src/owner/outbox.rs
+++ b/crates/sched/src/owner/outbox.rs
@@ -9,8 +9,8 @@
 
 /// Messages to the leader that have not been sent.
 ///
-/// Invariant: messages are sent in the order in which they were pushed, and statuses after all
-/// messages that were pushed before they became due.
+/// Invariant: messages are sent in the order in which they were pushed, and machine statuses after
+/// all messages that were pushed before the statuses became due.
 pub(super) struct Outbox {
     messages: Vec<ToLeader>,
     statuses_due: bool,
@@ -30,7 +30,8 @@
         self.messages.push(message);
     }
 
-    /// Hands back tasks, as (first, count) runs, that will not start on this shard.
+    /// Hands tasks that will not start on this shard back to the leader. `tasks` holds their
+    /// indexes as (first, count) runs.
     pub(super) fn hand_back(&mut self, job: String, attempt: u64, tasks: Vec<(u32, u32)>) {
         self.push(ToLeader::HandBack {
             job,
@@ -49,7 +50,7 @@
         self.statuses_due = true;
     }
 
-    /// Marks the statuses as due if `interval_s` seconds have passed since this was last done here.
+    /// Marks the statuses as due if `interval_s` seconds have passed since this method last did so.
     pub(super) fn mark_statuses_due_every(&mut self, interval_s: Secs, now: Secs) {
         if now - self.last_due_at >= interval_s {
             self.last_due_at = now;
@@ -57,8 +58,8 @@
         }
     }
 
-    /// Removes and returns all messages, followed by the statuses of changed machines if these are
-    /// due.
+    /// Removes and returns all messages, followed by the statuses of changed machines if statuses
+    /// are due (see `mark_statuses_due`).
     pub(super) fn drain(&mut self, token: u64, machines: &mut Machines) -> Vec<ToLeader> {
         if std::mem::take(&mut self.statuses_due) {
             let mut statuses = machines.changed_statuses(token).into_iter().peekable();
--- a/crates/sched/src/owner/pending_starts.rs
+++ b/crates/sched/src/owner/pending_starts.rs
@@ -8,7 +8,8 @@
 /// Maximum number of starts in one response, which keeps it below the protocol's size limit.
 const STARTS_PER_RESPONSE: usize = 400;
 
-/// What tasks of one attempt of a job that are started together have in common.
+/// What the tasks that are started together have in common. They belong to the same attempt of a
+/// job.
 pub(super) struct StartGroup<'a> {
     pub(super) job: &'a str,
     pub(super) attempt: u64,
@@ -42,8 +43,9 @@
     }
 
     /// Withdraws obsolete starts that have certainly not taken effect and never will, and hands
-    /// their tasks back to the leader. A machine status without them would not be enough, since the
-    /// leader may never have received a status with them. Returns whether there were any.
+    /// their tasks back to the leader. A machine status that lacks these starts would not be
+    /// enough, since the leader may never have received a status that contained them. Returns
+    /// whether any start was withdrawn.
     pub(super) fn withdraw(
         &mut self,
         reported: &BTreeMap<TaskRef, TaskStatus>,
--- a/crates/sched/src/owner/placement.rs
+++ b/crates/sched/src/owner/placement.rs
@@ -11,8 +11,8 @@
 use std::cmp::Reverse;
 use wire::peers::{TaskRequirements, ToLeader};
 
-/// Resolution at which the age of the last response breaks ties between machines, in steps per
-/// heartbeat interval.
+/// The time since a machine's last response, which breaks ties between machines, is measured in
+/// steps. This is the number of steps per heartbeat interval.
 const RESPONSE_AGE_STEPS: f64 = 4.0;
 
 impl Owner {
@@ -55,8 +55,8 @@
     }
 
     /// Returns the machines on which a task fits, the best first. A start is sent in the response
-    /// to a heartbeat, so among machines that suit equally well but for the CPUs that remain, the
-    /// one whose next heartbeat is due first is preferred.
+    /// to a heartbeat, so if machines suit equally well apart from the CPUs that would remain free,
+    /// the machine whose next heartbeat is expected first is preferred.
     fn ranked_machines(&self, requirements: &TaskRequirements, now: Secs) -> Vec<MachineFit> {
         let step_s = self.config.heartbeat_s / RESPONSE_AGE_STEPS;
         let response_age = |name: &str| {
@@ -80,7 +80,7 @@
         fits
     }
 
-    /// Reserves all places of a reservation, or none of them. Returns whether it did. A
+    /// Reserves all places of a reservation, or none of them. Returns whether they were reserved. A
     /// reservation covers only the part of its gang that is placed on this shard.
     pub(super) fn reserve(
         &mut self,
--- a/crates/sched/src/owner/reservations.rs
+++ b/crates/sched/src/owner/reservations.rs
@@ -5,14 +5,15 @@
 use std::collections::BTreeMap;
 use wire::peers::TaskRequirements;
 
-/// The place of some tasks of a gang on one machine.
+/// Consecutive tasks of a gang that are placed on one machine.
 pub(super) struct ReservedPlace {
     pub(super) machine: String,
     pub(super) first_index: u32,
     pub(super) count: u32,
 }
 
-/// Resources on machines that are held for a gang until it is bound, or until `expires_at`.
+/// Resources on machines that are held for a gang until `Owner::bind` starts its tasks, or until
+/// `expires_at`.
 pub(super) struct Reservation {
     pub(super) job: String,
     /// Resources that one task takes.
@@ -53,7 +54,8 @@
 
 /// Reservations by the attempt of their gang.
 ///
-/// Invariant: the resources of a reservation are not given to other tasks until it is removed.
+/// Invariant: the resources of a reservation are not given to other tasks until the reservation is
+/// removed.
 #[derive(Default)]
 pub(super) struct Reservations {
     by_attempt: BTreeMap<u64, Reservation>,
--- a/crates/sched/src/owner/responses.rs
+++ b/crates/sched/src/owner/responses.rs
@@ -31,12 +31,12 @@
 
 /// Counts the responses that did not reach a worker.
 ///
-/// A worker that receives a response sends its next heartbeat to this controller too; one that does
-/// not tries another controller first, so this controller sees a gap in the sequence numbers. Such
-/// a machine never starts what the lost responses told it to, as its heartbeat lacks these tasks
-/// and no later response repeats them.
+/// A worker that receives a response sends its next heartbeat to this controller too; a worker that
+/// does not receive it tries another controller first, so this controller sees a gap in the
+/// sequence numbers. The worker never starts the tasks of the lost responses, as its heartbeat
+/// lacks these tasks and no later response repeats their starts.
 ///
-/// Invariant: the last `missed` responses before the one to `last_answered` were lost.
+/// Invariant: the `missed` responses immediately before the response to `last_answered` were lost.
 #[derive(Default)]
 pub(super) struct ResponseTracker {
     /// The last heartbeat that got a response with orders; the default value before the first.
--- a/crates/sched/src/owner/terminal_jobs.rs
+++ b/crates/sched/src/owner/terminal_jobs.rs
@@ -7,7 +7,7 @@
 /// Jobs that the leader reported as done or cancelled, with the time of the report.
 ///
 /// Invariant: a job is kept until its last task is certainly gone. Its tasks are thus stopped and
-/// never started, even if this controller's own replica does not have the job as terminal yet.
+/// never started, even if this controller's own replica does not show the job as terminal yet.
 #[derive(Default)]
 pub(super) struct TerminalJobs {
     notified_at: BTreeMap<String, Secs>,
