--- a/crates/sched/src/authority.rs
+++ b/crates/sched/src/authority.rs
@@ -2,15 +2,15 @@
 //! expires, and only while its view of the store is fresh enough.
 //!
 //! Any controller confirms a cancellation as soon as the store has recorded it, without asking the
-//! others. Cancellations confirmed after this controller sent its last answered read are therefore
-//! unknown here. A response at time `t` renews a worker's lease and so lets its tasks run until
-//! `t` + lease. It is sent only while that ends within `cancel_s` of the read
-//! (`SchedulerConfig::max_response_staleness_s`). Starts require a view no older than the leader's
-//! lease (`SchedulerConfig::max_start_staleness_s`).
+//! others. This controller therefore does not know of cancellations that were confirmed after it
+//! sent the last read of the store that was answered. A response at time `t` renews a worker's
+//! lease and so lets its tasks run until `t` + lease. It is sent only if this time is within
+//! `cancel_s` of the time of that read (`SchedulerConfig::max_response_staleness_s`). Starts
+//! require a view no older than the leader's lease (`SchedulerConfig::max_start_staleness_s`).
 //!
 //! Leases in the store survive an outage of the store, so a leader may resume with a view from
-//! before the outage. After its authority had expired, it is valid again only together with a read
-//! that was sent after the renewal was answered.
+//! before the outage. If its authority has expired, a renewal therefore has no effect until a read
+//! has been answered that was sent after the answer to the renewal.
 
 use crate::config::SchedulerConfig;
 use crate::Secs;
@@ -19,13 +19,14 @@
 /// instants are on the process's monotonic clock.
 ///
 /// Invariant: neither `responses_until` nor `starts_until` is later than `until`, or later than
-/// `read_at` plus the staleness allowed for it.
+/// `read_at` plus the maximum age of the view for a response or a start, respectively.
 #[derive(Clone, Debug)]
 pub struct Authority {
     until: Secs,
     /// When the last answered read of the store was sent, by this controller or by the leader.
     read_at: Secs,
-    /// When expired authority was last renewed; reads sent before do not count.
+    /// When expired authority was last renewed. A read that was sent before then allows neither
+    /// responses nor starts.
     regained_at: Secs,
     /// Maximum age of the view of the store for a response to a heartbeat.
     max_response_staleness_s: Secs,
@@ -45,7 +46,8 @@
         }
     }
 
-    /// Sets the end of the authority; the caller has to guarantee it.
+    /// Sets the end of the authority. The caller must guarantee that the controller has authority
+    /// until then.
     pub fn set_until(&mut self, until: Secs) {
         self.until = until;
     }
@@ -73,18 +75,18 @@
         self.read_at
     }
 
-    /// Returns until when heartbeats may be responded to.
+    /// Returns the instant until which heartbeats may be responded to.
     pub fn responses_until(&self) -> Secs {
         self.limited_by_staleness(self.max_response_staleness_s)
     }
 
-    /// Returns until when tasks may be started.
+    /// Returns the instant until which tasks may be started.
     pub fn starts_until(&self) -> Secs {
         self.limited_by_staleness(self.max_start_staleness_s)
     }
 
-    /// Returns the end of the authority or of a view that may be `staleness_s` old, whichever is
-    /// first.
+    /// Returns when the authority expires or when the view becomes older than `staleness_s`,
+    /// whichever is first.
     fn limited_by_staleness(&self, staleness_s: Secs) -> Secs {
         if self.read_at < self.regained_at {
             return f64::MIN;
--- a/crates/sched/src/autoscaler/arrivals.rs
+++ b/crates/sched/src/autoscaler/arrivals.rs
@@ -20,7 +20,7 @@
     cpus: f64,
 }
 
-/// Arrivals that are recent enough to count.
+/// Recent job arrivals. Older ones are dropped by `forget_before`.
 #[derive(Default)]
 pub(super) struct Arrivals {
     /// In order of arrival.
--- a/crates/sched/src/autoscaler/gang.rs
+++ b/crates/sched/src/autoscaler/gang.rs
@@ -11,7 +11,7 @@
 /// defines the comparison.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct ZoneScore {
-    /// Whether it lacks capacity while the cloud recently refused every offer there.
+    /// Whether the zone lacks capacity while the cloud recently refused every offer there.
     exhausted: bool,
     /// Number of tasks that fit neither free nor incoming capacity.
     missing_slots: u32,
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Plans machines in at least two zones, starting with the zones that have an available offer,
-    /// and among these with the ones that have the most capacity.
+    /// Plans machines in at least two zones. Zones that have an available offer come first;
+    /// otherwise, zones with more capacity come first.
     fn provision_spread(&mut self, requirements: &TaskRequirements, tasks: u32) {
         // No zone may run more than half of the tasks, so more capacity than that is useless.
         let half = tasks.div_ceil(2);
@@ -52,10 +52,10 @@
         }
     }
 
-    /// Returns the zone for a gang's machines: its present zone, unless that is exhausted;
-    /// otherwise the zone that lacks the least, preferring zones that are not exhausted. A gang
-    /// that has waited long keeps its zone even if it is exhausted, since machines are cordoned for
-    /// it there.
+    /// Returns the zone in which machines for a gang are provisioned: the zone chosen for it
+    /// before, unless that is exhausted; otherwise the zone that lacks capacity for the fewest
+    /// tasks, preferring zones that are not exhausted. A gang that has waited long keeps its zone
+    /// even if the zone is exhausted, since machines are cordoned for the gang there.
     fn choose_zone(&self, id: &str, requirements: &TaskRequirements, tasks: u32) -> Option<String> {
         let zones = self.zones(requirements);
         let outlook = |zone: &String| self.score_zone(&in_zone(requirements, zone), tasks);
--- a/crates/sched/src/autoscaler/incoming.rs
+++ b/crates/sched/src/autoscaler/incoming.rs
@@ -1,4 +1,5 @@
-//! Incoming machines, as capacity that waiting work can rely on.
+//! Incoming machines (requested, booting, or not on the roster yet), whose capacity waiting work
+//! can rely on.
 
 use super::{Autoscaler, Offer};
 use crate::cluster::{Cluster, Rostered};
--- a/crates/sched/src/autoscaler/mod.rs
+++ b/crates/sched/src/autoscaler/mod.rs
@@ -35,11 +35,12 @@
 
 /// The properties of the leader's current epoch that the autoscaler depends on.
 pub(crate) struct EpochContext {
-    /// The leader's token; part of every request name, so that no name is used twice.
+    /// Fencing token of the leader's epoch. The name of each provision request contains it, so that
+    /// no name is used twice, even by different leaders.
     pub token: u64,
     /// Time at which the epoch began.
     pub began_at: Secs,
-    /// Whether work is blocked until the content of all machines is known.
+    /// Whether work is blocked until it is known which tasks are on each machine.
     pub waits_for_unknown_machines: bool,
 }
 
@@ -65,7 +66,7 @@
     refused: BTreeMap<Offer, Refusal>,
     /// The zone in which machines for each waiting gang are provisioned, by job id.
     gang_zones: BTreeMap<String, String>,
-    /// Machines held for a gang that still lacks others; they are not released meanwhile.
+    /// Machines kept for a gang that still lacks other machines; they are not released meanwhile.
     retained_for_gangs: BTreeSet<String>,
     /// Machines whose release the cloud has confirmed.
     released: BTreeSet<String>,
@@ -116,9 +117,9 @@
         self.released.contains(name)
     }
 
-    /// Returns whether a review is due: once per heartbeat interval (at most
-    /// `MAX_REVIEW_INTERVAL_S`), and earlier if the cloud has answered all requests and some work
-    /// is still unplaced.
+    /// Returns whether a review is due: once per heartbeat interval, or per `MAX_REVIEW_INTERVAL_S`
+    /// if that is shorter; earlier if the cloud has answered all requests and some work is still
+    /// unplaced; never before the machine types are known.
     pub fn is_due(&self, cluster: &Cluster, now: Secs) -> bool {
         let interval_s = cluster.config.heartbeat_s.min(MAX_REVIEW_INTERVAL_S);
         let since_s = now - self.reviewed_at;
@@ -190,8 +191,8 @@
         self.releasing.remove(name);
     }
 
-    /// Processes a list of the cloud's machines: adopts unknown ones, and returns the failed ones
-    /// in batches to release.
+    /// Processes a list of the cloud's machines: adopts those that the leader does not track yet,
+    /// and returns the failed ones in batches to release.
     pub fn process_machine_list(
         &mut self,
         cluster: &Cluster,
@@ -212,8 +213,8 @@
         self.begin_release(failed)
     }
 
-    /// Adopts a machine that an earlier leader provisioned, or whose grant did not arrive, as
-    /// booting.
+    /// Tracks a machine as booting that an earlier leader provisioned, or whose grant did not reach
+    /// this leader.
     fn adopt(&mut self, cluster: &Cluster, listed: &ListedMachine, now: Secs) {
         log::info!(
             "event=machine_adopted machine={} kind={}",
--- a/crates/sched/src/autoscaler/offer.rs
+++ b/crates/sched/src/autoscaler/offer.rs
@@ -6,8 +6,8 @@
 use wire::cloud::{ListedMachine, ProvisionRequest};
 use wire::peers::TaskRequirements;
 
-/// Backoff after a refusal, as a fraction of the cloud's list lag: about the time until freed
-/// capacity becomes visible.
+/// Backoff after a refusal, as a fraction of the cloud's list lag (`SchedulerConfig::list_lag_s`):
+/// about the time until freed capacity becomes visible.
 const REFUSAL_LAG_SHARE: f64 = 0.5;
 
 /// Fraction of that backoff that applies after a request whose outcome is unknown, since such a
@@ -88,9 +88,9 @@
 }
 
 impl Refusal {
-    /// Returns the record of a refusal that follows `earlier` ones. `answered` distinguishes an
-    /// answer from an unknown outcome. Only an answer consumes a random number: the jitter prevents
-    /// offers that were refused together from being requested together again.
+    /// Returns the record of a refusal that follows `earlier` ones. `answered` is false if the
+    /// outcome of the request is unknown. Only an answered request consumes a random number: the
+    /// jitter prevents offers that were refused together from being requested together again.
     pub fn after(
         earlier: Option<Refusal>,
         answered: bool,
--- a/crates/sched/src/autoscaler/pricing.rs
+++ b/crates/sched/src/autoscaler/pricing.rs
@@ -85,7 +85,7 @@
     }
 
     /// Returns how many more machines of an offer may be requested now. The number is limited
-    /// because refusals only show in the answers, and requests are few.
+    /// because a refusal shows only in the answer to a request, and requests are few.
     pub fn request_limit(&self, offer: &Offer) -> u32 {
         let limit = if self.autoscaler.is_exhausted(offer) {
             MAX_UNANSWERED_PROBES
@@ -146,8 +146,8 @@
         priced
     }
 
-    /// Returns whether an exhausted offer is being probed, in which case it may have no machines at
-    /// any price.
+    /// Returns whether an exhausted offer is being probed for capacity. Until the answer arrives,
+    /// it may have no machines at any price.
     fn is_probe_pending(&self, offer: &Offer) -> bool {
         self.autoscaler.is_exhausted(offer) && self.request_limit(offer) == 0
     }
--- a/crates/sched/src/autoscaler/retention.rs
+++ b/crates/sched/src/autoscaler/retention.rs
@@ -140,8 +140,7 @@
     }
 }
 
-/// Returns the price of an on-demand machine of a type divided by the price of a spot or on-demand
-/// one.
+/// Returns the on-demand price of a type divided by its spot price, or 1 if `spot` is false.
 fn price_advantage(machine_type: &MachineType, spot: bool) -> f64 {
     if spot {
         machine_type.price / machine_type.spot_price.max(MIN_SPOT_PRICE)
@@ -161,8 +160,8 @@
         .sum()
 }
 
-/// Returns the longest retention that demand can lead to, in seconds. Older arrivals have no
-/// effect.
+/// Returns the longest retention that demand can lead to, in seconds. Arrivals that are longer ago
+/// than this have no effect.
 fn longest_retention_s(cluster: &Cluster) -> f64 {
     let types = cluster.machine_types.values();
     let longest = types
@@ -172,8 +171,8 @@
 }
 
 /// Returns how long machines of a scarce type are kept for the next gang of a class that fits the
-/// type, in seconds. Only classes whose gangs could hardly start in time on a machine that must
-/// boot first count; the longest of their target start times is used.
+/// type, in seconds. This is the longest target start time of those classes, leaving out classes
+/// whose gangs can start in time on a machine that must boot first.
 fn gang_retention_s(cluster: &Cluster, machine_type: &MachineType) -> f64 {
     let slow_boot_s = machine_type.boot_s * SLOW_BOOT_FACTOR;
     cluster
--- a/crates/sched/src/autoscaler/scale_in.rs
+++ b/crates/sched/src/autoscaler/scale_in.rs
@@ -6,26 +6,29 @@
 use crate::Secs;
 use std::collections::BTreeSet;
 
-/// Maximum boot time, as a multiple of the nominal boot time, before a machine is given up.
+/// Time after which a machine that is still booting is given up, as a multiple of its nominal boot
+/// time.
 const MAX_BOOT_FACTOR: f64 = 3.5;
 
-/// Number of jobs that failed on a machine, but do not fail everywhere, from which on it is
-/// considered faulty.
+/// A machine is considered faulty once this many jobs that do not fail everywhere have failed on
+/// it.
 const MIN_FAILED_JOBS: usize = 2;
 
-/// Maximum fraction of machines that a new leader releases early if they are the only ones that it
-/// has not heard from.
+/// Maximum fraction of all machines that a new leader has not heard from, for it to release them
+/// early.
 const MAX_UNKNOWN_SHARE: f64 = 0.02;
 
-/// Multiple of `wire::HEARTBEAT_RESPONSE_TIMEOUT_S` (the response timeout of a heartbeat) within
-/// which a worker whose heartbeat was lost has retried.
+/// Time within which a worker whose heartbeat was lost has retried, as a multiple of a heartbeat's
+/// response timeout (`wire::HEARTBEAT_RESPONSE_TIMEOUT_S`).
 const RETRY_TIMEOUT_FACTOR: f64 = 1.25;
 
-/// Multiple of `wire::HEARTBEAT_RESPONSE_TIMEOUT_S`. Within that time and `GIVE_UP_HEARTBEATS`
-/// heartbeat intervals, a worker has twice given up on a controller that does not answer.
+/// Time within which a worker has twice given up on a controller that does not answer, as a
+/// multiple of `wire::HEARTBEAT_RESPONSE_TIMEOUT_S`; `GIVE_UP_HEARTBEATS` heartbeat intervals are
+/// added to it.
 const GIVE_UP_TIMEOUT_FACTOR: f64 = 2.0;
 
-/// Heartbeat intervals that giving up twice takes, in addition to the response timeouts.
+/// Number of heartbeat intervals that a worker needs to give up twice, in addition to the response
+/// timeouts.
 const GIVE_UP_HEARTBEATS: f64 = 1.5;
 
 /// Maximum number of machines in one release request (defined by the cloud's protocol).
@@ -76,8 +79,8 @@
         }
     }
 
-    /// Returns whether the machine must be drained. Idleness and faults count only once it is on
-    /// the roster, since nothing can be placed on it before.
+    /// Returns whether the machine must be drained. Idleness and faults matter only once the
+    /// machine is on the roster, since nothing can be placed on it before.
     fn requires_drain(&self, rostered: Rostered) -> bool {
         self.lost || rostered == Rostered::Yes && (self.idle_too_long || self.faulty)
     }
@@ -97,8 +100,8 @@
         let mut plan = self.review_machines(cluster, &retention, work_is_blocked, now);
         if work_is_blocked && should_release_unknown(cluster, epoch, now) {
             let unknown = release_unknown(cluster);
-            // A silent machine may send heartbeats again before its release; nothing may be placed
-            // on it.
+            // A silent machine may send heartbeats again before its release, but nothing may be
+            // placed on it.
             plan.cordon.extend_from_slice(&unknown);
             plan.release.extend(unknown);
         }
@@ -106,7 +109,7 @@
         plan
     }
 
-    /// Marks machines as being released, drops those that already are, and returns the rest in
+    /// Marks machines as being released. Leaves out those that already are, and returns the rest in
     /// batches that each fit one release request.
     pub(super) fn begin_release(&mut self, mut names: Vec<String>) -> Vec<Vec<String>> {
         names.retain(|name| self.releasing.insert(name.clone()));
@@ -126,8 +129,8 @@
         let mut plan = ScaleInPlan::default();
         let machines = cluster.machines.iter_mut();
         for (name, machine) in machines.filter(|(_, machine)| !machine.releasing) {
-            // While work is blocked until all machines are known, idle machines do not indicate a
-            // lack of work.
+            // While work is blocked until the content of all machines is known, idle machines do
+            // not indicate a lack of work.
             if is_in_use(machine) || work_is_blocked || self.retained_for_gangs.contains(name) {
                 machine.idle_since = now;
             }
@@ -197,11 +200,11 @@
     }
 }
 
-/// Returns whether to give up machines that have not been heard under this leader. This is the case
-/// if the epoch has lasted long enough for a worker to give up twice on a controller that does not
-/// answer. It is also the case if nearly all machines were heard, the last of them long enough ago
-/// for a worker whose heartbeat was lost to have retried: the remaining few are dead, and all work
-/// would wait for them.
+/// Returns whether to give up the machines that have not been heard from since this leader started.
+/// This is the case once the epoch has lasted long enough for a worker to give up twice on a
+/// controller that does not answer. It is also the case if nearly all machines have been heard
+/// from, and the last of these was heard from so long ago that a worker whose heartbeat was lost
+/// would have retried: the remaining few are dead, and all work would wait for them.
 fn should_release_unknown(cluster: &Cluster, epoch: &EpochContext, now: Secs) -> bool {
     let few_left = cluster.machines.unknown().len() as f64
         <= cluster.machines.len() as f64 * MAX_UNKNOWN_SHARE;
@@ -217,8 +220,9 @@
     now - epoch.began_at > give_up_after_s || few_left && !heard_recently
 }
 
-/// Marks the machines that have not been heard under this leader as being released, and returns
-/// their names. Work is blocked until their content is known, and a released machine has none.
+/// Marks the machines that have not been heard from since this leader started as being released,
+/// and returns their names. Work is blocked until the content of each machine is known, and a
+/// released machine has none.
 fn release_unknown(cluster: &mut Cluster) -> Vec<String> {
     let machines = cluster.machines.iter_mut();
     let silent = machines.filter(|(_, machine)| machine.content_unknown && !machine.releasing);
--- a/crates/sched/src/autoscaler/scale_out.rs
+++ b/crates/sched/src/autoscaler/scale_out.rs
@@ -25,9 +25,9 @@
 }
 
 impl ExpectedTurnover {
-    /// Claims freed capacity for up to `tasks` tasks; returns how many will find capacity by the
-    /// time a machine has booted. Jobs that arrive meanwhile use `arriving_cpus_per_s` of the freed
-    /// capacity.
+    /// Claims freed capacity for up to `tasks` tasks of `cpus` CPUs each; returns how many will
+    /// find capacity by the time a machine has booted. Jobs that arrive meanwhile use
+    /// `arriving_cpus_per_s` of the freed capacity.
     fn claim(&mut self, tasks: u32, cpus: f64, boot_s: Secs, arriving_cpus_per_s: f64) -> u32 {
         let net_cpus_per_s = (self.cpus_per_s - arriving_cpus_per_s).max(0.0);
         let served = ((net_cpus_per_s * boot_s - self.claimed_cpus) / cpus.max(MIN_TASK_CPUS))
@@ -45,7 +45,8 @@
     pub autoscaler: &'a mut Autoscaler,
     /// The cluster state.
     pub cluster: &'a Cluster,
-    /// Machine types that are the only ones to fit some class, kept for its jobs.
+    /// Scarce machine types: each is the only one that fits the jobs of some class, and is kept for
+    /// them.
     scarce: &'a BTreeSet<(String, bool)>,
     /// Source of the random noise on prices.
     pub rng: &'a mut fastrand::Rng,
@@ -104,7 +105,7 @@
             let Some(job) = cluster.jobs.get(id) else {
                 continue;
             };
-            // Other tasks are being preempted to make room for it.
+            // Other tasks are being preempted to make room for this job.
             if self.now < job.preempting_until {
                 continue;
             }
@@ -174,7 +175,7 @@
             .claim(tasks, cpus, boot_s, arriving_cpus_per_s)
     }
 
-    /// Plans machines of an offer for `left` tasks: as many as may currently be requested, but at
+    /// Plans machines of an offer for `left` tasks: no more than may currently be requested, but at
     /// least one. Returns the number of tasks that remain, which is always lower than `left`.
     fn provision(&mut self, choice: PricedOffer, resources: Resources, left: u32) -> u32 {
         let PricedOffer {
--- a/crates/sched/src/capacity_index.rs
+++ b/crates/sched/src/capacity_index.rs
@@ -26,7 +26,7 @@
     pub empty: bool,
 }
 
-/// The machines of one type and zone that are either all spot machines or all not.
+/// The machines of one type and zone that are either all spot or all on-demand machines.
 #[derive(Debug)]
 struct Pool {
     kind: String,
@@ -204,14 +204,14 @@
     }
 
     /// Returns the machines on which a task fits, the best first. Placing a task on a machine only
-    /// improves its rank for the job's next task, so a job can fill the machines one after the
-    /// other.
+    /// improves the machine's rank for the job's next task, so a job can fill the machines one
+    /// after the other.
     pub fn fits(&self, requirements: &TaskRequirements) -> Vec<MachineFit> {
         self.fits_outside_cordon(requirements, None)
     }
 
-    /// Like [`CapacityIndex::fits`], without the machines that are reserved for tasks with the
-    /// requirements `cordon`.
+    /// Like [`CapacityIndex::fits`], without the machines on which tasks with the requirements
+    /// `cordon` may run: these machines are reserved for such tasks.
     pub fn fits_outside_cordon(
         &self,
         requirements: &TaskRequirements,
--- a/crates/sched/src/cluster/job.rs
+++ b/crates/sched/src/cluster/job.rs
@@ -83,7 +83,8 @@
     Written,
 }
 
-/// A job that is open, or that is terminal while some of its tasks may still be running.
+/// A job that is open (neither done nor cancelled), or that is terminal while some of its tasks may
+/// still be running.
 pub(crate) struct Job {
     /// The specification submitted by the user.
     pub spec: Rc<JobSpec>,
@@ -116,7 +117,8 @@
     pub start_record: StartRecord,
     /// No task is started before this time.
     pub backoff_until: Secs,
-    /// Number of failures since a task was last done or a gang was last bound.
+    /// Number of failures since one of its tasks was last done or, for a gang, since it was last
+    /// bound.
     pub failures: u32,
     /// Machines on which its tasks failed since one of them was last done; at most a few.
     pub failed_machines: BTreeSet<String>,
--- a/crates/sched/src/cluster/machine.rs
+++ b/crates/sched/src/cluster/machine.rs
@@ -8,7 +8,7 @@
 /// Whether a machine is on the durable roster. No task is started on a machine that is not.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Rostered {
-    /// No record exists, or the store did not take it.
+    /// The store has no record of the machine, or did not accept it.
     No,
     /// The record is being written.
     Writing,
@@ -30,9 +30,11 @@
     pub owner_token: u64,
     /// Whether its owner has reported its content in this epoch.
     pub reconciled: bool,
-    /// Whether its content is unknown because no owner has reported it since this leader started.
+    /// Whether its content (the tasks on it) is unknown because no owner has reported it since this
+    /// leader started.
     pub content_unknown: bool,
-    /// Time since which its worker's lease has certainly expired without a newer heartbeat.
+    /// Time at which its owner first reported that its worker's lease has certainly expired; `None`
+    /// if the worker sent a newer heartbeat since.
     pub lease_expired_at: Option<Secs>,
     /// Time at which the cloud reclaims it, once the cloud has given notice.
     pub notice_expires_at: Option<Secs>,
--- a/crates/sched/src/cluster/quota.rs
+++ b/crates/sched/src/cluster/quota.rs
@@ -25,7 +25,8 @@
     }
 }
 
-/// Returns the total usage of `tasks` tasks, counting no more whole tasks than `limit` allows.
+/// Returns the total usage of `tasks` tasks that use `each`, counting no more whole tasks than
+/// `limit` allows.
 fn capped_usage(tasks: f64, each: f64, limit: f64) -> f64 {
     if each > 0.0 {
         tasks.min((limit / each).floor()) * each
@@ -34,7 +35,7 @@
     }
 }
 
-/// Capacity of machines that may be used by tasks unknown to the leader.
+/// Capacity of the machines on which tasks that the leader does not know of may be running.
 #[derive(Clone, Copy, Default, PartialEq)]
 struct UnobservedCapacity {
     /// Capacity of machines with tasks of unknown jobs.
@@ -127,8 +128,8 @@
         limits
     }
 
-    /// Charges the team of a job that became terminal before it was reconciled for the tasks that
-    /// no owner has reported: they may still be running.
+    /// If a job becomes terminal before it is reconciled, charges its team for the tasks that no
+    /// owner has reported, since they may still be running.
     pub(crate) fn charge_unobserved_tasks(&mut self, id: &str) {
         let job = self.jobs.get(id);
         let Some(job) = job.filter(|job| job.awaits_reconciliation) else {
--- a/crates/sched/src/cluster/unknown_machines.rs
+++ b/crates/sched/src/cluster/unknown_machines.rs
@@ -1,11 +1,13 @@
-//! Roster machines whose content no owner has reported since this leader started.
+//! Roster machines whose content (the tasks on them) no owner has reported since this leader
+//! started.
 //!
 //! Invariant: the set contains a machine exactly while its `Machine::content_unknown` is set.
 
 use crate::Secs;
 use std::collections::BTreeSet;
 
-/// The set of machines of unknown content, and the time at which one last became known.
+/// The set of machines of unknown content, and the time at which the content of one of them last
+/// became known.
 pub(crate) struct UnknownMachines {
     names: BTreeSet<String>,
     last_known_at: Secs,
--- a/crates/sched/src/cluster/wait_estimates.rs
+++ b/crates/sched/src/cluster/wait_estimates.rs
@@ -1,5 +1,5 @@
-//! Run time estimates, and whether work can wait for a busy machine instead of a new one being
-//! provisioned.
+//! Run time estimates, and whether a gang can wait for busy machines, so that no new ones need to
+//! be provisioned for it.
 
 use super::{ActiveTask, Cluster, Job, Machine};
 use crate::placement::tier;
@@ -24,7 +24,7 @@
 /// unbounded turnover estimate.
 const MIN_RUN_S: f64 = 1.0;
 
-/// A machine that is open for tasks, and the time at which it is expected to be empty.
+/// A machine that accepts tasks, and the time at which it is expected to be empty.
 pub(crate) struct BusyMachine {
     /// Time at which it is expected to be empty.
     empty_at: Secs,
@@ -35,7 +35,7 @@
 /// Machines sorted by the time at which they are expected to be empty, earliest first.
 pub(crate) type BusyMachines = Vec<BusyMachine>;
 
-/// Busy machines that a gang may wait for, of one zone if the gang requires one.
+/// Busy machines that a gang may wait for; all in one zone if the gang requires a single zone.
 #[derive(Default)]
 struct CandidateMachines {
     /// Number of the gang's tasks that fit on them together.
@@ -127,8 +127,8 @@
         true
     }
 
-    /// Returns the latest time until which a gang may wait for busy machines, or `None` if its
-    /// class has no objective.
+    /// Returns the time at which a gang must stop waiting for busy machines, or `None` if its class
+    /// has no objective.
     fn latest_start(&self, job: &Job, requirements: &TaskRequirements) -> Option<Secs> {
         let within_s = self.config.wait_s.get(&job.spec.class)?;
         let kinds = requirements.allowed_types.iter();
@@ -142,8 +142,8 @@
         Some(job.first_seen_at + (within_s * self.config.max_wait_share).min(time_to_boot_s))
     }
 
-    /// Returns the positions of busy machines that fit a whole gang and are expected to be empty by
-    /// `latest_start`, all in one zone if the gang requires that.
+    /// Returns the positions of busy machines that together fit a whole gang and are expected to be
+    /// empty by `latest_start`, all in one zone if the gang requires that.
     fn find_busy_machines(
         &self,
         job: &Job,
--- a/crates/sched/src/config.rs
+++ b/crates/sched/src/config.rs
@@ -13,8 +13,9 @@
 /// Time after which a silent owner counts as lost, as a fraction of a worker's lease.
 const OWNER_TIMEOUT_PER_LEASE: f64 = 0.18;
 
-/// The same time, as a fraction of the time after which workers discard a response
-/// ([`wire::HEARTBEAT_RESPONSE_TIMEOUT_S`]). The smaller of both applies.
+/// Time after which a silent owner counts as lost, as a fraction of the time after which workers
+/// discard a response ([`wire::HEARTBEAT_RESPONSE_TIMEOUT_S`]). The smaller of this time and the
+/// one by `OWNER_TIMEOUT_PER_LEASE` applies.
 const OWNER_TIMEOUT_PER_RESPONSE_LIMIT: f64 = 0.5;
 
 /// The guaranteed resources and the limits of a team.
@@ -43,7 +44,8 @@
     pub cancel_s: Secs,
     /// Maximum staleness of the cloud's list of machines.
     pub list_lag_s: Secs,
-    /// How long resources stay reserved while the rest of their gang is reserved.
+    /// How long resources stay reserved for a part of a gang while resources for the rest are being
+    /// reserved.
     pub reservation_s: Secs,
     /// Length of the leader's lease in the store.
     pub leader_lease_s: Secs,
@@ -53,8 +55,8 @@
     pub guarantee_s: Secs,
     /// Time within which a gang should start, by class.
     pub wait_s: BTreeMap<String, Secs>,
-    /// Fraction of that time for which a gang may wait for machines in use before new ones are
-    /// provisioned.
+    /// Fraction of the time in `wait_s` for which a gang may wait for machines in use before new
+    /// ones are provisioned.
     pub max_wait_share: f64,
     /// How long an idle machine is kept, as a multiple of its boot time; at least the cloud's
     /// minimum charge.
@@ -75,9 +77,9 @@
     }
 
     /// Returns the maximum age of the view of the store for a response that renews a worker's
-    /// lease. Within it, tasks of jobs that were cancelled after the read are gone within
-    /// `cancel_s`. If the settings leave less time than `max_start_staleness_s`, that is returned
-    /// instead (see `cancels_in_time`).
+    /// lease. Up to this age, tasks of jobs that were cancelled after the view was read are gone
+    /// within `cancel_s`. If the settings leave less time than `max_start_staleness_s`, returns
+    /// `max_start_staleness_s` instead (see `cancels_in_time`).
     pub fn max_response_staleness_s(&self) -> Secs {
         (self.cancel_s - self.lease_expiry_s()).max(self.max_start_staleness_s())
     }
--- a/crates/sched/src/dependencies.rs
+++ b/crates/sched/src/dependencies.rs
@@ -1,10 +1,11 @@
 //! The graph of dependencies between jobs. It determines which jobs are blocked, which are
-//! cancelled because a job that they depend on is, and the effective priority of each job.
+//! cancelled because a job that they depend on is cancelled, and the effective priority of each
+//! job.
 //!
 //! A job's dependencies are fixed when it is submitted and name only jobs that were accepted
-//! before, so the graph is acyclic. Only open jobs that depend on another job, or on which one
-//! depends, have a node. Every controller builds the graph from its replica of the store, and all
-//! of them derive the same results from the same records:
+//! before, so the graph is acyclic. Only open jobs that depend on another job, or on which another
+//! job depends, have a node. Every controller builds the graph from its replica of the store, and
+//! all of them derive the same results from the same records:
 //!
 //! - A job is *blocked* until the store has recorded each of its dependencies as done. Cancelling
 //!   and finishing a job are both a compare-and-swap on the job's only record, so a job can't be
@@ -37,7 +38,7 @@
 pub enum Effect {
     /// The last dependency of a blocked job is done.
     Unblocked(String),
-    /// A job is cancelled because a job that it depends on is.
+    /// A job is cancelled because a job that it depends on is cancelled.
     Cancelled(String),
     /// The effective priority of a job has changed to this one.
     Reprioritized(String, Priority),
@@ -46,7 +47,7 @@
 /// Number of values of [`Priority`].
 const PRIORITY_COUNT: usize = 4;
 
-/// An open job that depends on another one, or on which one depends.
+/// An open job that depends on another job, or on which another job depends.
 #[derive(Clone, Debug)]
 struct Node {
     /// The job's own priority.
@@ -91,7 +92,8 @@
         std::mem::replace(&mut self.effective, effective)
     }
 
-    /// Returns the changes for its dependencies after its effective priority was `before`.
+    /// Returns one change for each of its dependencies, after its effective priority has changed
+    /// from `before`.
     fn priority_changes(&self, before: Priority) -> Vec<PriorityChange> {
         let change = |dependency: &Rc<str>| PriorityChange {
             dependency: dependency.clone(),
@@ -102,8 +104,8 @@
     }
 }
 
-/// A change of a dependent of the job `dependency`: its effective priority changed, or it was added
-/// (without `before`) or removed (without `after`).
+/// A change of a dependent of the job `dependency`: the dependent's effective priority changed from
+/// `before` to `after`, or the dependent was added (no `before`) or removed (no `after`).
 struct PriorityChange {
     dependency: Rc<str>,
     before: Option<Priority>,
--- a/crates/sched/src/owner/epoch.rs
+++ b/crates/sched/src/owner/epoch.rs
@@ -43,8 +43,8 @@
 
 impl Owner {
     /// Starts an epoch that follows the one with the token `prev`. Keeps the records of machines
-    /// only if `prev` is the token of this owner's current epoch; 0 means that there is none.
-    /// Ignores an epoch older than the current one.
+    /// only if `prev` is the token of this owner's current epoch and not 0, which stands for no
+    /// epoch. Ignores an epoch older than the current one.
     pub(super) fn start_epoch(
         &mut self,
         epoch: OwnerEpoch,
--- a/crates/sched/src/owner/heartbeats.rs
+++ b/crates/sched/src/owner/heartbeats.rs
@@ -88,8 +88,8 @@
 
 /// Returns the orders for a heartbeat with an old fencing token. The response tells the worker the
 /// new token, so that its next heartbeat is current. But the response also renews the lease, and
-/// epochs may change more often than heartbeats arrive. The orders therefore stop tasks of terminal
-/// jobs already, which is safe no matter when the heartbeat was sent.
+/// epochs may change more often than heartbeats arrive. The response therefore already contains
+/// stops for tasks of terminal jobs; these are safe no matter when the heartbeat was sent.
 fn stop_orders_for_terminal_jobs(
     heartbeat: &Heartbeat,
     is_terminal: impl Fn(&str) -> bool,
--- a/crates/sched/src/owner/machine.rs
+++ b/crates/sched/src/owner/machine.rs
@@ -248,8 +248,8 @@
 
 /// Orders to the worker.
 impl OwnedMachine {
-    /// Adds tasks to start with the responses to the machine's heartbeats. Returns how many were
-    /// new.
+    /// Adds tasks to start with the responses to the machine's heartbeats. Returns how many of them
+    /// were not pending yet.
     pub(super) fn add_starts(
         &mut self,
         group: &StartGroup,
--- a/crates/sched/src/owner/orders.rs
+++ b/crates/sched/src/owner/orders.rs
@@ -29,7 +29,7 @@
         self.stops.len()
     }
 
-    /// Adds starts. Returns how many were new.
+    /// Adds starts. Returns how many of them were not pending yet.
     pub(super) fn add_starts(
         &mut self,
         group: &StartGroup,
--- a/crates/sched/src/owner/pending_starts.rs
+++ b/crates/sched/src/owner/pending_starts.rs
@@ -28,7 +28,7 @@
 }
 
 impl PendingStarts {
-    /// Adds tasks of a group. Returns how many were new.
+    /// Adds tasks of a group. Returns how many of them were not pending yet.
     pub(super) fn add(&mut self, group: &StartGroup, indexes: impl Iterator<Item = u32>) -> u32 {
         let before = self.starts.len();
         self.starts.extend(indexes.map(|index| {
--- a/crates/sched/src/owner/placement.rs
+++ b/crates/sched/src/owner/placement.rs
@@ -11,8 +11,8 @@
 use std::cmp::Reverse;
 use wire::peers::{TaskRequirements, ToLeader};
 
-/// The time since a machine's last response, which breaks ties between machines, is measured in
-/// steps. This is the number of steps per heartbeat interval.
+/// Number of steps per heartbeat interval in which the time since the last response to a machine is
+/// measured when it breaks ties between machines.
 const RESPONSE_AGE_STEPS: f64 = 4.0;
 
 impl Owner {
--- a/crates/sched/src/placement.rs
+++ b/crates/sched/src/placement.rs
@@ -25,7 +25,8 @@
 /// Resolution at which machines are ranked by their remaining CPUs.
 const MILLICPUS_PER_CPU: f64 = 1000.0;
 
-/// An image is slow to fetch if this takes more than the time allowed for a start, divided by this.
+/// An image is slow to fetch if the fetch takes longer than the time allowed for a guaranteed start
+/// divided by this number.
 const SLOW_FETCH_DIVISOR: f64 = 2.0;
 
 impl Resources {
@@ -130,7 +131,8 @@
 /// one that has the image. The last criterion is best-fit bin packing: the fewest CPUs remain free,
 /// so that other machines become empty and can be deprovisioned.
 ///
-/// A lower tier is cheaper: spot machines come before ordinary ones, except those of scarce types.
+/// A lower tier is cheaper: spot machines come before on-demand machines, except those of scarce
+/// types.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rank {
     /// Whether the image is missing and fetching it would take a large part of the time allowed for
--- a/crates/sched/src/ranges.rs
+++ b/crates/sched/src/ranges.rs
@@ -33,8 +33,8 @@
         self.0.partition_point(|&(from, _)| from <= number)
     }
 
-    /// Returns whether the range before `position`, which begins no later than `number`, contains
-    /// it.
+    /// Returns whether the range before `position` contains `number`. That range must begin no
+    /// later than `number`.
     fn preceding_range_contains(&self, position: usize, number: u32) -> bool {
         position > 0 && number < self.0[position - 1].1
     }
