--- a/crates/sched/src/authority.rs
+++ b/crates/sched/src/authority.rs
@@ -3,14 +3,14 @@
 //!
 //! Any controller confirms a cancellation as soon as the store has recorded it, without asking the
 //! others. This controller therefore does not know of cancellations that were confirmed after it
-//! sent the last read of the store that was answered. A response at time `t` renews a worker's
-//! lease and so lets its tasks run until `t` + lease. It is sent only if this time is within
-//! `cancel_s` of the time of that read (`SchedulerConfig::max_response_staleness_s`). Starts
-//! require a view no older than the leader's lease (`SchedulerConfig::max_start_staleness_s`).
+//! sent its last answered read of the store. A response at time `t` renews a worker's lease and so
+//! lets its tasks run until `t` + lease. It is sent only if this time is within `cancel_s` of the
+//! time of that read (`SchedulerConfig::max_response_staleness_s`). Starts require a view no older
+//! than the leader's lease (`SchedulerConfig::max_start_staleness_s`).
 //!
 //! Leases in the store survive an outage of the store, so a leader may resume with a view from
-//! before the outage. If its authority has expired, a renewal therefore has no effect until a read
-//! has been answered that was sent after the answer to the renewal.
+//! before the outage. If its authority has expired, a renewal therefore has no effect until there
+//! is an answer to a read that was sent after the renewal was answered.
 
 use crate::config::SchedulerConfig;
 use crate::Secs;
--- a/crates/sched/src/autoscaler/gang.rs
+++ b/crates/sched/src/autoscaler/gang.rs
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Plans machines in at least two zones. Zones that have an available offer come first;
-    /// otherwise, zones with more capacity come first.
+    /// Plans machines in at least two zones. Zones that have an available offer come before those
+    /// that have none; within each of these two groups, zones with more capacity come first.
     fn provision_spread(&mut self, requirements: &TaskRequirements, tasks: u32) {
         // No zone may run more than half of the tasks, so more capacity than that is useless.
         let half = tasks.div_ceil(2);
--- a/crates/sched/src/autoscaler/scale_in.rs
+++ b/crates/sched/src/autoscaler/scale_in.rs
@@ -14,8 +14,8 @@
 /// it.
 const MIN_FAILED_JOBS: usize = 2;
 
-/// Maximum fraction of all machines that a new leader has not heard from, for it to release them
-/// early.
+/// A new leader releases the machines that it has not heard from early if they are at most this
+/// fraction of all machines.
 const MAX_UNKNOWN_SHARE: f64 = 0.02;
 
 /// Time within which a worker whose heartbeat was lost has retried, as a multiple of a heartbeat's
--- a/crates/sched/src/config.rs
+++ b/crates/sched/src/config.rs
@@ -14,8 +14,8 @@
 const OWNER_TIMEOUT_PER_LEASE: f64 = 0.18;
 
 /// Time after which a silent owner counts as lost, as a fraction of the time after which workers
-/// discard a response ([`wire::HEARTBEAT_RESPONSE_TIMEOUT_S`]). The smaller of this time and the
-/// one by `OWNER_TIMEOUT_PER_LEASE` applies.
+/// discard a response ([`wire::HEARTBEAT_RESPONSE_TIMEOUT_S`]). The shorter of this time and the
+/// one given by `OWNER_TIMEOUT_PER_LEASE` applies.
 const OWNER_TIMEOUT_PER_RESPONSE_LIMIT: f64 = 0.5;
 
 /// The guaranteed resources and the limits of a team.
@@ -58,8 +58,8 @@
     /// Fraction of the time in `wait_s` for which a gang may wait for machines in use before new
     /// ones are provisioned.
     pub max_wait_share: f64,
-    /// How long an idle machine is kept, as a multiple of its boot time; at least the cloud's
-    /// minimum charge.
+    /// How long an idle machine is kept, as a multiple of its boot time. The autoscaler adjusts
+    /// this time for price and demand.
     pub idle_retention_boots: f64,
 }
 
--- a/crates/sched/src/dependencies.rs
+++ b/crates/sched/src/dependencies.rs
@@ -128,7 +128,7 @@
             .is_some_and(|node| !node.record_seen || !node.dependencies.is_empty())
     }
 
-    /// Returns the effective priority of a job, given its own one.
+    /// Returns the effective priority of a job, given its own priority.
     pub fn priority(&self, id: &str, own: Priority) -> Priority {
         self.nodes.get(id).map_or(own, |node| node.effective)
     }
--- a/crates/sched/tests/shard.rs
+++ b/crates/sched/tests/shard.rs
@@ -16,11 +16,11 @@
         if before == "rung-1" {
             moved += 1;
         } else {
-            assert_eq!(before, after);
+            assert_eq!(before, after, "{machine} moved although its owner remained");
         }
     }
     assert!(
         (60..140).contains(&moved),
-        "shards are uneven: {moved} of 300 machines"
+        "rung-1 must own at least 60 and fewer than 140 of 300 machines, but owned {moved}"
     );
 }
