--- a/crates/sched/src/autoscaler/gang.rs
+++ b/crates/sched/src/autoscaler/gang.rs
@@ -58,13 +58,13 @@
     /// even if the zone is exhausted, since machines are cordoned for the gang there.
     fn choose_zone(&self, id: &str, requirements: &TaskRequirements, tasks: u32) -> Option<String> {
         let zones = self.zones(requirements);
-        let outlook = |zone: &String| self.score_zone(&in_zone(requirements, zone), tasks);
+        let score = |zone: &String| self.score_zone(&in_zone(requirements, zone), tasks);
         let suits = |zone: &&String| {
             let keeps_zone = || self.cluster.has_waited_long(id, self.now);
-            zones.contains(*zone) && (keeps_zone() || !outlook(zone).exhausted)
+            zones.contains(*zone) && (keeps_zone() || !score(zone).exhausted)
         };
         let kept = self.autoscaler.gang_zones.get(id).filter(suits);
-        kept.or_else(|| zones.iter().min_by_key(|zone| outlook(zone)))
+        kept.or_else(|| zones.iter().min_by_key(|zone| score(zone)))
             .cloned()
     }
 
--- a/crates/sched/src/autoscaler/plan.rs
+++ b/crates/sched/src/autoscaler/plan.rs
@@ -29,23 +29,27 @@
 impl Autoscaler {
     /// Splits a plan into requests of a size that the protocol allows, and records them as
     /// unanswered.
-    pub(super) fn requests(&mut self, plan: Plan, token: u64) -> Vec<ProvisionRequest> {
+    pub(super) fn create_requests(
+        &mut self,
+        plan: Plan,
+        leader_token: u64,
+    ) -> Vec<ProvisionRequest> {
         let mut requests = Vec::new();
         for (offer, mut left) in plan.counts {
             while left > 0 {
                 let count = left.min(MAX_MACHINES_PER_REQUEST);
                 left -= count;
-                requests.push(self.request(&offer, count, token));
+                requests.push(self.create_request(&offer, count, leader_token));
             }
         }
         requests
     }
 
     /// Creates a request with a unique name and records it as unanswered.
-    fn request(&mut self, offer: &Offer, count: u32, token: u64) -> ProvisionRequest {
+    fn create_request(&mut self, offer: &Offer, count: u32, leader_token: u64) -> ProvisionRequest {
         self.last_request_number += 1;
         let request = ProvisionRequest {
-            name: format!("lr-{token}-{}", self.last_request_number),
+            name: format!("lr-{leader_token}-{}", self.last_request_number),
             kind: offer.kind.clone(),
             zone: offer.zone.clone(),
             spot: offer.spot,
--- a/crates/sched/src/autoscaler/retention.rs
+++ b/crates/sched/src/autoscaler/retention.rs
@@ -83,8 +83,8 @@
             now,
         };
         let types = cluster.machine_types.iter();
-        let by_type =
-            types.map(|(kind, of_kind)| (kind.clone(), policy.retention_for(of_kind, scarce)));
+        let by_type = types
+            .map(|(kind, machine_type)| (kind.clone(), policy.retention_for(machine_type, scarce)));
         RetentionByType {
             by_type: by_type.collect(),
             for_unknown_type: policy.retention_for_unknown_type(),
@@ -180,6 +180,6 @@
         .iter()
         .filter(|(_, profile)| profile.gang && profile.fits(machine_type))
         .filter_map(|(class, _)| cluster.config.wait_s.get(class).copied())
-        .filter(|within_s| slow_boot_s > within_s * MAX_BOOT_SHARE)
+        .filter(|target_wait_s| slow_boot_s > target_wait_s * MAX_BOOT_SHARE)
         .fold(0.0, f64::max)
 }
--- a/crates/sched/src/autoscaler/scale_out.rs
+++ b/crates/sched/src/autoscaler/scale_out.rs
@@ -72,7 +72,7 @@
         &mut self,
         cluster: &Cluster,
         scarce: &BTreeSet<(String, bool)>,
-        token: u64,
+        leader_token: u64,
         rng: &mut fastrand::Rng,
         now: Secs,
     ) -> Vec<ProvisionRequest> {
@@ -93,7 +93,7 @@
             busy_machines: None,
         };
         let plan = review.run();
-        self.requests(plan, token)
+        self.create_requests(plan, leader_token)
     }
 }
 
--- a/crates/sched/src/cluster/quota.rs
+++ b/crates/sched/src/cluster/quota.rs
@@ -98,7 +98,7 @@
     /// its active tasks, gang reservations, and possible usage by unknown tasks.
     pub(crate) fn quota_headroom(&self) -> BTreeMap<String, Resources> {
         let unobserved = self.unobserved_capacity();
-        let mut limits: BTreeMap<String, Resources> = BTreeMap::new();
+        let mut headroom: BTreeMap<String, Resources> = BTreeMap::new();
         for (name, team) in &self.config.teams {
             let mut free = Resources {
                 cpus: team.cpus_max,
@@ -111,7 +111,7 @@
                 ));
             }
             free.sub(without_memory(self.usage.used_by(name)));
-            limits.insert(name.clone(), free);
+            headroom.insert(name.clone(), free);
         }
         let has_reservation = |job: &&Job| {
             matches!(
@@ -120,12 +120,12 @@
             )
         };
         for job in self.jobs.values().filter(has_reservation) {
-            if let Some(free) = limits.get_mut(&job.spec.team) {
+            if let Some(free) = headroom.get_mut(&job.spec.team) {
                 let reserved = job.resources().scaled(job.spec.tasks);
                 free.sub(without_memory(reserved));
             }
         }
-        limits
+        headroom
     }
 
     /// If a job becomes terminal before it is reconciled, charges its team for the tasks that no
--- a/crates/sched/src/cluster/wait_estimates.rs
+++ b/crates/sched/src/cluster/wait_estimates.rs
@@ -51,8 +51,8 @@
             return false;
         };
         let objective_s = self.config.wait_s.get(&job.spec.class).copied();
-        let within_s = objective_s.unwrap_or(self.config.guarantee_s * DEFAULT_WAIT_FACTOR);
-        now - job.first_seen_at > within_s * self.config.max_wait_share
+        let target_wait_s = objective_s.unwrap_or(self.config.guarantee_s * DEFAULT_WAIT_FACTOR);
+        now - job.first_seen_at > target_wait_s * self.config.max_wait_share
     }
 
     /// Returns the machines on which the tasks may run, sorted by the time at which they are
@@ -130,7 +130,7 @@
     /// Returns the time at which a gang must stop waiting for busy machines, or `None` if its class
     /// has no objective.
     fn latest_start(&self, job: &Job, requirements: &TaskRequirements) -> Option<Secs> {
-        let within_s = self.config.wait_s.get(&job.spec.class)?;
+        let target_wait_s = self.config.wait_s.get(&job.spec.class)?;
         let kinds = requirements.allowed_types.iter();
         let shortest_boot_s = kinds
             .filter_map(|allowed| self.machine_types.get(&allowed.kind))
@@ -138,8 +138,8 @@
             .fold(f64::MAX, f64::min);
         // Machines that are provisioned when the wait ends must still be up in time, even if they
         // boot slowly.
-        let time_to_boot_s = within_s - shortest_boot_s * SLOW_BOOT_FACTOR;
-        Some(job.first_seen_at + (within_s * self.config.max_wait_share).min(time_to_boot_s))
+        let time_to_boot_s = target_wait_s - shortest_boot_s * SLOW_BOOT_FACTOR;
+        Some(job.first_seen_at + (target_wait_s * self.config.max_wait_share).min(time_to_boot_s))
     }
 
     /// Returns the positions of busy machines that together fit a whole gang and are expected to be
--- a/crates/sched/src/owner/epoch.rs
+++ b/crates/sched/src/owner/epoch.rs
@@ -42,20 +42,20 @@
 }
 
 impl Owner {
-    /// Starts an epoch that follows the one with the token `prev`. Keeps the records of machines
-    /// only if `prev` is the token of this owner's current epoch and not 0, which stands for no
-    /// epoch. Ignores an epoch older than the current one.
+    /// Starts an epoch that follows the one with the token `previous_token`. Keeps the records of
+    /// machines only if `previous_token` is the token of this owner's current epoch and not 0,
+    /// which stands for no epoch. Ignores an epoch older than the current one.
     pub(super) fn start_epoch(
         &mut self,
         epoch: OwnerEpoch,
-        prev: u64,
+        previous_token: u64,
         descriptors: Vec<MachineDescriptor>,
     ) {
         if epoch.token < self.epoch.token {
             return;
         }
         self.discard_epoch_state();
-        if self.epoch.token != prev || prev == 0 {
+        if self.epoch.token != previous_token || previous_token == 0 {
             self.machines.clear();
         }
         self.epoch = epoch;
--- a/crates/sched/src/owner/machine.rs
+++ b/crates/sched/src/owner/machine.rs
@@ -303,11 +303,11 @@
         is_terminal: impl Fn(&str) -> bool,
         outbox: &mut Outbox,
     ) {
-        let is_closed = !self.usable || self.notice_s.is_some();
+        let rejects_starts = !self.usable || self.notice_s.is_some();
         self.orders.stop_terminal(&self.tasks, &is_terminal);
-        self.is_dirty |= self
-            .orders
-            .reconcile_starts(&self.tasks, is_closed, &is_terminal, outbox);
+        self.is_dirty |=
+            self.orders
+                .reconcile_starts(&self.tasks, rejects_starts, &is_terminal, outbox);
         self.orders.reconcile_stops_and_clears(&self.tasks);
     }
 
--- a/crates/sched/src/owner/messages.rs
+++ b/crates/sched/src/owner/messages.rs
@@ -17,13 +17,13 @@
         match message {
             ToOwner::Epoch {
                 token,
-                previous_token: prev,
+                previous_token,
                 members,
                 extra_ms,
                 machines,
             } => {
                 let epoch = OwnerEpoch::new(token, members, after_ms(now, extra_ms));
-                self.start_epoch(epoch, prev, machines);
+                self.start_epoch(epoch, previous_token, machines);
             }
             ToOwner::Catalog { types } => self.set_catalog(types),
             ToOwner::SetUsable { machine, usable } => self.set_usable(machine, usable),
@@ -47,7 +47,7 @@
                 self.remove_reservation(attempt);
             }
             ToOwner::Assign { .. } | ToOwner::AssignBacklog { .. } | ToOwner::Reserve { .. } => {
-                self.on_task_message(message, now, jobs);
+                self.on_placement_message(message, now, jobs);
             }
             ToOwner::Grant { .. } | ToOwner::ViewAge { .. } | ToOwner::RunningCounts { .. } => {}
         }
@@ -55,7 +55,7 @@
 
     /// Processes a message with tasks to assign, to queue in the backlog or to reserve resources
     /// for; ignores all others.
-    fn on_task_message(&mut self, message: ToOwner, now: Secs, jobs: &dyn JobLookup) {
+    fn on_placement_message(&mut self, message: ToOwner, now: Secs, jobs: &dyn JobLookup) {
         match message {
             ToOwner::Assign {
                 job,
--- a/crates/sched/src/owner/orders.rs
+++ b/crates/sched/src/owner/orders.rs
@@ -83,13 +83,13 @@
     pub(super) fn reconcile_starts(
         &mut self,
         reported: &BTreeMap<TaskRef, TaskStatus>,
-        is_closed: bool,
+        rejects_starts: bool,
         is_terminal: impl Fn(&str) -> bool,
         outbox: &mut Outbox,
     ) -> bool {
         let stops = &self.stops;
         let is_obsolete =
-            |task: &TaskRef| is_closed || stops.contains_key(task) || is_terminal(&task.job);
+            |task: &TaskRef| rejects_starts || stops.contains_key(task) || is_terminal(&task.job);
         let withdrawn = self.starts.withdraw(reported, is_obsolete, outbox);
         let started = self.starts.remove_confirmed(reported);
         withdrawn || started
