--- a/crates/sched/src/autoscaler/offer.rs
+++ b/crates/sched/src/autoscaler/offer.rs
@@ -10,8 +10,8 @@
 /// about the time until freed capacity becomes visible.
 const REFUSAL_LAG_SHARE: f64 = 0.5;
 
-/// Fraction of that backoff that applies after a request whose outcome is unknown, since such a
-/// request says nothing about the cloud's capacity.
+/// Backoff after a request whose outcome is unknown, as a fraction of the backoff after a first
+/// refusal. It is shorter because such a request says nothing about the cloud's capacity.
 const UNKNOWN_OUTCOME_SHARE: f64 = 0.25;
 
 /// Maximum number of times that the backoff doubles; it doubles with each consecutive refusal.
@@ -20,7 +20,7 @@
 /// Minimum random factor of a backoff; the maximum is this plus `JITTER_SPAN`.
 const MIN_JITTER_FACTOR: f64 = 0.75;
 
-/// Width of the range of the random factor.
+/// Width of the range of a backoff's random factor.
 const JITTER_SPAN: f64 = 0.5;
 
 /// Spot or on-demand machines of one type in one zone. The order of the fields defines the order in
--- a/crates/sched/src/cluster/job.rs
+++ b/crates/sched/src/cluster/job.rs
@@ -53,7 +53,8 @@
         /// Machine, first task and number of tasks.
         places: Vec<(String, u32, u32)>,
     },
-    /// All resources are reserved, and the binding is being written to the store.
+    /// All resources are reserved, and the binding (the record of the attempt and its places) is
+    /// being written to the store.
     Binding {
         /// The attempt.
         attempt: u64,
@@ -124,7 +125,8 @@
     pub failed_machines: BTreeSet<String>,
     /// For a gang: its state between queueing and running.
     pub phase: GangPhase,
-    /// Done tasks, with their machines, whose workers keep them until the progress is durable.
+    /// Done tasks that workers keep until the progress is durable, each after the name of its
+    /// machine.
     pub pending_clears: Vec<(String, TaskRef)>,
     /// Whether it fits within its team's guaranteed quota together with the team's earlier jobs.
     pub within_guarantee: bool,
--- a/crates/sched/src/cluster/machine.rs
+++ b/crates/sched/src/cluster/machine.rs
@@ -5,8 +5,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use wire::peers::TaskRef;
 
-/// Whether a machine is on the roster, the store's durable list of machines. No task is started on
-/// a machine that is not on it.
+/// Whether a machine is on the roster, the durable record of the machines on which tasks may have
+/// been started. No task is started on a machine that is not on it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Rostered {
     /// The store has no record of the machine, or did not accept it.
--- a/crates/sched/src/cluster/machine_inventory.rs
+++ b/crates/sched/src/cluster/machine_inventory.rs
@@ -131,8 +131,8 @@
         self.mark_all_dirty();
     }
 
-    /// Refreshes the index entries of all dirty machines. Images whose fetch takes longer than a
-    /// fraction of `guarantee_s` count as slow.
+    /// Refreshes the index entries of all dirty machines. An image is treated as slow to fetch if
+    /// the fetch takes longer than a fraction of `guarantee_s`.
     pub(crate) fn refresh_index(&mut self, types: &MachineTypes, guarantee_s: Secs) {
         for name in std::mem::take(&mut self.dirty) {
             let machine = self
--- a/crates/sched/src/cluster/quota.rs
+++ b/crates/sched/src/cluster/quota.rs
@@ -76,8 +76,8 @@
     }
 
     /// Returns the maximum usage by unknown tasks that may count against a team's limit: the full
-    /// capacity of machines with unknown jobs, plus that of machines of unknown content up to what
-    /// the team's jobs that may be running there could use.
+    /// capacity of machines with unknown jobs, plus the capacity of machines of unknown content.
+    /// The latter is limited to what the team's jobs that may be running there could use.
     fn possible_unobserved_usage(&self, team: &str, unobserved: UnobservedCapacity) -> Resources {
         let mut max_usage = self.usage.recently_cancelled(team);
         let jobs = self.jobs.values();
--- a/crates/sched/src/cluster/requirements.rs
+++ b/crates/sched/src/cluster/requirements.rs
@@ -7,7 +7,8 @@
 use wire::cloud::MachineType;
 use wire::peers::{AllowedMachineType, TaskRequirements};
 
-/// Scarce machine types: the type's name, and whether spot (`true`) or on-demand machines of it.
+/// Scarce machine types: the type's name, and whether its spot machines (`true`) or its on-demand
+/// machines (`false`) are scarce.
 pub(crate) type ScarceTypes = BTreeSet<(String, bool)>;
 
 impl Cluster {
--- a/crates/sched/src/dependencies.rs
+++ b/crates/sched/src/dependencies.rs
@@ -40,7 +40,7 @@
     Unblocked(String),
     /// A job is cancelled because a job that it depends on is cancelled.
     Cancelled(String),
-    /// The effective priority of a job has changed to this one.
+    /// The effective priority of a job has changed to the given priority.
     Reprioritized(String, Priority),
 }
 
--- a/crates/sched/src/owner/machine.rs
+++ b/crates/sched/src/owner/machine.rs
@@ -37,6 +37,7 @@
     responses: ResponseTracker,
     /// The newest current heartbeat.
     newest_heartbeat: Option<HeartbeatId>,
+    /// Time until the cloud reclaims the machine, in seconds; `None` until it has given notice.
     notice_s: Option<f64>,
     tasks: BTreeMap<TaskRef, TaskStatus>,
     orders: OutstandingOrders,
--- a/crates/sched/src/owner/orders.rs
+++ b/crates/sched/src/owner/orders.rs
@@ -64,8 +64,8 @@
     }
 
     /// Adds stops for all reported tasks of terminal jobs. The stops are repeated in every response
-    /// until a heartbeat shows that the tasks are gone. The tasks are thus stopped whatever earlier
-    /// owners of the machine did, and without a stop from the leader.
+    /// until a heartbeat shows that the tasks are gone. This works whatever earlier owners of the
+    /// machine did, and without a stop from the leader.
     pub(super) fn stop_terminal(
         &mut self,
         reported: &BTreeMap<TaskRef, TaskStatus>,
--- a/crates/sched/src/owner/outbox.rs
+++ b/crates/sched/src/owner/outbox.rs
@@ -1,4 +1,5 @@
-//! Messages from an owner to the leader, and when the statuses of machines are sent.
+//! Messages from an owner to the leader, including the statuses of machines, which are sent in
+//! batches.
 
 use super::machines::Machines;
 use crate::Secs;
--- a/crates/sched/src/owner/responses.rs
+++ b/crates/sched/src/owner/responses.rs
@@ -2,8 +2,8 @@
 
 use wire::workers::Heartbeat;
 
-/// A machine that missed this many consecutive responses gets no more tasks until it has received
-/// one.
+/// A machine that missed this many consecutive responses gets no more tasks until a response has
+/// reached it.
 const MAX_MISSED_RESPONSES: u32 = 2;
 
 /// Position of a heartbeat in the order in which its worker sent them.
