--- a/crates/sched/src/autoscaler/gang.rs
+++ b/crates/sched/src/autoscaler/gang.rs
@@ -11,7 +11,7 @@
 /// defines the comparison.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct ZoneScore {
-    /// Whether it lacks capacity while the cloud recently refused every offer there.
+    /// Whether the zone lacks capacity while the cloud recently refused every offer there.
     exhausted: bool,
     /// Number of tasks that fit neither free nor incoming capacity.
     missing_slots: u32,
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Plans machines in at least two zones, starting with the zones that have an available offer,
-    /// and among these with the ones that have the most capacity.
+    /// Plans machines in at least two zones. Zones that have an available offer come before those
+    /// that have none; within each of these two groups, zones with more capacity come first.
     fn provision_spread(&mut self, requirements: &TaskRequirements, tasks: u32) {
         // No zone may run more than half of the tasks, so more capacity than that is useless.
         let half = tasks.div_ceil(2);
@@ -52,19 +52,19 @@
         }
     }
 
-    /// Returns the zone for a gang's machines: its present zone, unless that is exhausted;
-    /// otherwise the zone that lacks the least, preferring zones that are not exhausted. A gang
-    /// that has waited long keeps its zone even if it is exhausted, since machines are cordoned for
-    /// it there.
+    /// Returns the zone in which machines for a gang are provisioned: the zone chosen for it
+    /// before, unless that is exhausted; otherwise the zone that lacks capacity for the fewest
+    /// tasks, preferring zones that are not exhausted. A gang that has waited long keeps its zone
+    /// even if the zone is exhausted, since machines are cordoned for the gang there.
     fn choose_zone(&self, id: &str, requirements: &TaskRequirements, tasks: u32) -> Option<String> {
         let zones = self.zones(requirements);
-        let outlook = |zone: &String| self.score_zone(&in_zone(requirements, zone), tasks);
+        let score = |zone: &String| self.score_zone(&in_zone(requirements, zone), tasks);
         let suits = |zone: &&String| {
             let keeps_zone = || self.cluster.has_waited_long(id, self.now);
-            zones.contains(*zone) && (keeps_zone() || !outlook(zone).exhausted)
+            zones.contains(*zone) && (keeps_zone() || !score(zone).exhausted)
         };
         let kept = self.autoscaler.gang_zones.get(id).filter(suits);
-        kept.or_else(|| zones.iter().min_by_key(|zone| outlook(zone)))
+        kept.or_else(|| zones.iter().min_by_key(|zone| score(zone)))
             .cloned()
     }
 
--- a/crates/sched/src/owner/machine.rs
+++ b/crates/sched/src/owner/machine.rs
@@ -24,8 +24,9 @@
 
 /// A machine of this owner's shard.
 ///
-/// Invariant: `tasks` is the content of the newest current heartbeat, and all earlier orders have
-/// been reconciled with it. `is_dirty` holds while the leader has not been sent a changed status.
+/// Invariant: `tasks` holds the tasks in the newest current heartbeat (defined in the docs of the
+/// `owner` module), and all earlier orders have been reconciled with it. `is_dirty` is true while a
+/// changed status has not been sent to the leader.
 pub(super) struct OwnedMachine {
     identity: MachineIdentity,
     /// Whether the leader allows tasks to be placed here.
@@ -36,6 +37,7 @@
     responses: ResponseTracker,
     /// The newest current heartbeat.
     newest_heartbeat: Option<HeartbeatId>,
+    /// Time until the cloud reclaims the machine, in seconds; `None` until it has given notice.
     notice_s: Option<f64>,
     tasks: BTreeMap<TaskRef, TaskStatus>,
     orders: OutstandingOrders,
@@ -97,7 +99,8 @@
         self.orders.starts()
     }
 
-    /// Returns whether nothing holds resources here, so that the machine may soon be deprovisioned.
+    /// Returns whether no task holds resources here or is about to start, so that the machine may
+    /// soon be deprovisioned.
     pub(super) fn is_empty(&self) -> bool {
         self.pending().is_empty() && self.live_tasks().next().is_none()
     }
@@ -129,8 +132,8 @@
         self.usable = usable;
     }
 
-    /// Returns the status for the leader if it has changed, and clears the mark. Returns `None` if
-    /// nothing is known of the machine yet.
+    /// Returns the status for the leader if the machine is marked dirty, and clears the mark.
+    /// Returns `None` if there has been neither a current heartbeat nor an expiry of the lease yet.
     pub(super) fn take_changed_status(&mut self, token: u64, name: &str) -> Option<MachineStatus> {
         let changed = std::mem::take(&mut self.is_dirty);
         let is_known = self.newest_heartbeat.is_some() || self.lease.has_expired();
@@ -233,8 +236,9 @@
         self.is_dirty = true;
     }
 
-    /// Returns whether the machine is closed, the leader has its latest status, and it got no
-    /// response for `retention_s`. If it sends a heartbeat again, it is added as a new machine.
+    /// Returns whether the machine's lease has expired, the leader allows no tasks here, its latest
+    /// status has been sent to the leader, and it got no response for `retention_s` seconds. If it
+    /// sends a heartbeat again, it is added as a new machine.
     pub(super) fn can_be_removed(&self, now: Secs, retention_s: Secs) -> bool {
         self.lease.has_expired()
             && !self.usable
@@ -245,8 +249,8 @@
 
 /// Orders to the worker.
 impl OwnedMachine {
-    /// Adds tasks to start with the responses to the machine's heartbeats. Returns how many were
-    /// new.
+    /// Adds tasks to start with the responses to the machine's heartbeats. Returns how many of them
+    /// were not pending yet.
     pub(super) fn add_starts(
         &mut self,
         group: &StartGroup,
@@ -300,16 +304,17 @@
         is_terminal: impl Fn(&str) -> bool,
         outbox: &mut Outbox,
     ) {
-        let is_closed = !self.usable || self.notice_s.is_some();
+        let rejects_starts = !self.usable || self.notice_s.is_some();
         self.orders.stop_terminal(&self.tasks, &is_terminal);
-        self.is_dirty |= self
-            .orders
-            .reconcile_starts(&self.tasks, is_closed, &is_terminal, outbox);
+        self.is_dirty |=
+            self.orders
+                .reconcile_starts(&self.tasks, rejects_starts, &is_terminal, outbox);
         self.orders.reconcile_stops_and_clears(&self.tasks);
     }
 
-    /// Returns the orders for the response to the heartbeat that was just applied; without starts
-    /// while the controller's view of the store is too old for them.
+    /// Returns the orders for the response to the heartbeat that was just applied. Leaves out
+    /// starts if `may_start` is false, because the controller's view of the store is too old for
+    /// them.
     pub(super) fn next_orders(&self, may_start: bool) -> Vec<Order> {
         self.orders.next_orders(may_start)
     }
--- a/crates/sched/src/owner/orders.rs
+++ b/crates/sched/src/owner/orders.rs
@@ -29,7 +29,7 @@
         self.stops.len()
     }
 
-    /// Adds starts. Returns how many were new.
+    /// Adds starts. Returns how many of them were not pending yet.
     pub(super) fn add_starts(
         &mut self,
         group: &StartGroup,
@@ -63,9 +63,9 @@
         self.clears.clear();
     }
 
-    /// Adds stops for all reported tasks of terminal jobs. They are repeated in every response
-    /// until a heartbeat shows the tasks gone. This does not depend on earlier owners of the
-    /// machine or on a stop from the leader.
+    /// Adds stops for all reported tasks of terminal jobs. The stops are repeated in every response
+    /// until a heartbeat shows that the tasks are gone. This works whatever earlier owners of the
+    /// machine did, and without a stop from the leader.
     pub(super) fn stop_terminal(
         &mut self,
         reported: &BTreeMap<TaskRef, TaskStatus>,
@@ -77,19 +77,19 @@
             .extend(terminal.map(|status| (status.task.clone(), 0.0)));
     }
 
-    /// Reconciles the starts with a heartbeat. A start that the heartbeat lacks has not taken
-    /// effect and never will by an earlier response, so it can be withdrawn if it has become
-    /// obsolete. Returns whether anything changed.
+    /// Reconciles the starts with a heartbeat. If the heartbeat lacks the task of a start, no
+    /// earlier response has started it or ever will, so the start can be withdrawn if it has become
+    /// obsolete. Returns whether any start was withdrawn or confirmed.
     pub(super) fn reconcile_starts(
         &mut self,
         reported: &BTreeMap<TaskRef, TaskStatus>,
-        is_closed: bool,
+        rejects_starts: bool,
         is_terminal: impl Fn(&str) -> bool,
         outbox: &mut Outbox,
     ) -> bool {
         let stops = &self.stops;
         let is_obsolete =
-            |task: &TaskRef| is_closed || stops.contains_key(task) || is_terminal(&task.job);
+            |task: &TaskRef| rejects_starts || stops.contains_key(task) || is_terminal(&task.job);
         let withdrawn = self.starts.withdraw(reported, is_obsolete, outbox);
         let started = self.starts.remove_confirmed(reported);
         withdrawn || started
@@ -102,7 +102,7 @@
         self.stops.retain(|task, _| live(task) == Some(true));
     }
 
-    /// Returns the orders for the next response; without starts unless `may_start`.
+    /// Returns the orders for the next response. Leaves out starts if `may_start` is false.
     pub(super) fn next_orders(&self, may_start: bool) -> Vec<Order> {
         let clears = self.clears.iter().map(|task| Order::Clear {
             task: task_name(&task.job, task.index),
