--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -1,5 +1,8 @@
 //! A simulation of workers, controllers, the store and the cloud that runs the real scheduling code
 //! of `sched`. It advances in fixed steps of simulated time and injects random or scripted faults.
+//!
+//! Each controller owns a shard of the machines: it responds to the heartbeats of their workers.
+//! One of the controllers is also the leader, which places tasks on the machines of all shards.
 
 use sched::config::{SchedulerConfig, Team};
 use sched::leader::{Action, Leader, OpenJob, PriorRuns};
@@ -61,13 +64,15 @@
 const LEADER_LEASE_S: f64 = 2.0;
 /// The share of the lease duration for which a leader relies on its lease.
 const AUTHORITY_SHARE: f64 = 0.95;
-/// The maximum time for which an open job may be unknown to the leader; a job unknown for longer
-/// counts as forgotten. Required by the users.
+/// The maximum time, in seconds, for which the leader may not know an open job. It is checked from
+/// this long after the faults ended; a job that is then unknown violates the rule `forgotten`.
+/// Required by the users.
 const MAX_UNKNOWN_S: f64 = 75.0;
-/// The maximum time for which a job may wait, in the absence of faults, while a machine has
-/// capacity for it. Required by the users.
+/// The maximum time, in seconds, for which a job may wait, in the absence of faults, while a
+/// machine has capacity for it. Required by the users.
 const MAX_WAIT_WITH_CAPACITY_S: f64 = 90.0;
-/// The maximum time until a job starts, even one of the largest. Required by the users.
+/// The maximum time, in seconds, from when a job's dependencies are done until it starts, even for
+/// one of the largest jobs. Required by the users.
 const MAX_START_WAIT_S: f64 = 240.0;
 /// The number of tasks of the largest randomly generated gangs.
 const LARGEST_GANG_TASKS: u32 = 3;
@@ -90,19 +95,21 @@
     /// The earliest time of the next election: until then the previous leader's lease is still
     /// valid.
     no_election_before: f64,
-    /// The last fencing token issued, at an election or for a new epoch.
+    /// The last fencing token issued, at an election or for a new epoch (a new assignment of the
+    /// machines to the controllers).
     term: u64,
     /// The store's current revision.
     revision: u64,
-    /// The revision up to which arrays may have started, according to the record in the store.
+    /// Arrays accepted up to this revision may have started, according to the record in the store.
     started_upto: u64,
+    /// The machines on which tasks may have been started, according to the store.
     roster: BTreeMap<String, RosterRecord>,
     jobs: BTreeMap<String, JobState>,
     messages: Vec<InTransit<Message>>,
     writes: Vec<PendingWrite>,
     /// The versions of the keys that leaders write, as the store has them.
     versions: BTreeMap<String, u64>,
-    /// The same versions as the current leader knows them.
+    /// The versions of these keys that the current leader knows.
     leader_known_versions: BTreeMap<String, u64>,
     machines_provisioned: u64,
     store_down_until: f64,
@@ -110,14 +117,14 @@
     partition: Option<Partition>,
     /// The number of injected faults of each kind.
     pub faults: BTreeMap<Fault, u32>,
-    /// The number of events of each kind that only heterogeneous worlds have.
+    /// The number of cloud events of each kind, which are counted only in heterogeneous worlds.
     pub cloud_events: BTreeMap<CloudEvent, u32>,
     /// The percentage of messages that are lost.
     pub lost_percent: u32,
     /// The percentage of messages that are delayed by 2 to 27 s.
     pub delayed_percent: u32,
-    /// The percentage of heartbeats of which a duplicate arrives late, by up to three worker
-    /// leases.
+    /// The percentage of heartbeats of which a duplicate arrives late, 1 s to 1 s plus three worker
+    /// leases after the heartbeat was sent.
     pub late_copy_percent: u32,
     /// The percentage of writes that get no response and are applied 2 to 12 s later.
     pub late_write_percent: u32,
@@ -125,7 +132,8 @@
     pub extra_read_s: f64,
     /// Whether the controller that confirms a cancellation notifies the leader immediately.
     pub cancel_hints: bool,
-    /// Since when each waiting job has had capacity available.
+    /// The time since which each waiting job has had capacity on the same machine or, if it is a
+    /// gang, on the machines together.
     capacity_since: BTreeMap<rules::WaitingWithCapacity, f64>,
     /// The percentage of random jobs that depend on earlier ones.
     pub dependent_percent: u32,
--- a/crates/model/src/world/controllers.rs
+++ b/crates/model/src/world/controllers.rs
@@ -12,9 +12,10 @@
 /// A controller and its connection to the leader.
 pub(super) struct Controller {
     pub(super) owner: Owner,
-    /// When it runs again after a crash or a rolling restart; it is running if this is in the past.
+    /// When it runs again after a crash or a rolling restart. If this is in the past, it is
+    /// running.
     pub(super) down_until: f64,
-    /// When it can connect to the leader again; it can if this is in the past.
+    /// When it can connect to the leader again. If this is in the past, it can connect now.
     pub(super) reconnects_at: f64,
     /// Whether it is connected to the leader.
     pub(super) joined: bool,
@@ -22,25 +23,27 @@
     pub(super) to_leader: Connection<ToLeader>,
     /// Pings to the leader in transit, each carrying the time at which it was sent.
     pub(super) pings: Connection<f64>,
-    /// Whether it has received an epoch since it connected.
+    /// Whether the leader has assigned machines to it, by an `Epoch` message, since it connected.
     pub(super) has_epoch: bool,
     /// Times of the leader's last read of the store, as carried by its responses to pings. Each
     /// arrives after the messages that the leader sent before it.
     pub(super) leader_reads: Connection<f64>,
-    /// Until when the store refuses this controller's requests. It serves the others meanwhile.
+    /// The store refuses this controller's requests until this time. It serves the others
+    /// meanwhile.
     pub(super) store_refuses_until: f64,
-    /// Until when it is frozen.
+    /// It is frozen until this time.
     pub(super) frozen_until: f64,
-    /// How long it freezes once it has computed its next response to a worker, if it is to freeze.
+    /// The duration of the freeze that begins once it has computed its next response to a worker;
+    /// `None` if it will not freeze then.
     pub(super) freeze_after_response_s: Option<f64>,
-    /// The maximum size of values in the store, by which it partitions its records.
+    /// The maximum size of a value in the store, in kB. It partitions its records by this size.
     pub(super) value_kb: f64,
     /// The dependency state that it has derived from the job records.
     pub(super) dependencies: DependencyView,
     /// When its last completed read of the store was sent.
     pub(super) read_at: f64,
     pub(super) pending_read: Option<StoreRead>,
-    /// A reload of all records in progress.
+    /// The reload of all records that is in progress, if any.
     pub(super) pending_reload: Option<StoreRead>,
 }
 
--- a/crates/model/src/world/defect.rs
+++ b/crates/model/src/world/defect.rs
@@ -7,7 +7,8 @@
     None,
     /// Owners accept every heartbeat, even delayed ones sent before a change of ownership.
     TrustAnyHeartbeat,
-    /// A new leader starts with an empty roster and does not wait for machines to reconcile.
+    /// A new leader starts with an empty roster of machines, and so does not wait until it knows
+    /// which tasks run on them.
     ForgetRoster,
     /// The scheduler uses twice the teams' CPU limits.
     DoubleLimit,
--- a/crates/model/src/world/dependencies.rs
+++ b/crates/model/src/world/dependencies.rs
@@ -30,7 +30,7 @@
         })
     }
 
-    /// Processes a job's record as known from a read sent at `read_at`, and returns the effects on
+    /// Processes a job's record as seen by a read sent at `read_at`, and returns the effects on
     /// this job and on others.
     fn update(&mut self, jobs: &BTreeMap<String, JobState>, id: &str, read_at: f64) -> Vec<Effect> {
         let mut graph = std::mem::take(&mut self.graph);
@@ -71,8 +71,9 @@
 }
 
 impl World {
-    /// Processes the changes to jobs that a controller has read since its last read, in the order
-    /// of the store. If the controller leads, its leader is notified of the effects.
+    /// Processes the changes to jobs between a controller's last read, at `before`, and this one,
+    /// in the order in which they were made. If the controller leads, its leader is notified of the
+    /// effects.
     pub(super) fn read_jobs(&mut self, i: usize, before: f64, read_at: f64) {
         let mut view = std::mem::take(&mut self.controllers[i].dependencies);
         let mut leading = self.leading.take_if(|leading| leading.controller == i);
@@ -200,7 +201,8 @@
         }
     }
 
-    /// Records the time for jobs that may start now that all their dependencies are done.
+    /// Sets `ready_at` to the current time for jobs that may start from now on because all their
+    /// dependencies are done.
     pub(super) fn record_ready_jobs(&mut self) {
         let now = self.now;
         let is_done = |id: &String| {
@@ -226,8 +228,8 @@
         }
     }
 
-    /// Checks that a controller that has read a cancellation does not consider jobs that depend on
-    /// the cancelled one open.
+    /// Checks that a controller that has read a cancellation does not treat the jobs that depend on
+    /// the cancelled job as open.
     fn check_descendants_of_cancelled(&mut self, view: &DependencyView, read_at: f64) {
         let ignores_cancellations = self.defect == Defect::IgnoreCancelledDependencies;
         let is_orphan = |job: &JobState| {
--- a/crates/model/src/world/faults.rs
+++ b/crates/model/src/world/faults.rs
@@ -26,7 +26,7 @@
     /// The store refuses the leader's requests, or those of a random controller if there is no
     /// leader.
     StoreRefusesLeader,
-    /// As `StoreRefusesLeader`, and soon after the store is unavailable to all controllers.
+    /// As `StoreRefusesLeader`; soon afterwards, the store is unavailable to all controllers.
     StoreRefusesThenDown,
     /// A machine hangs and then resumes.
     MachineHang,
@@ -71,7 +71,8 @@
     }
 }
 
-/// The components that a fault affects, and its duration as a share of the maximum.
+/// The machine and the controller that a fault may affect, by index, and the fault's duration as a
+/// share of the maximum.
 #[derive(Clone, Copy)]
 struct FaultTarget {
     machine: usize,
--- a/crates/model/src/world/fixtures.rs
+++ b/crates/model/src/world/fixtures.rs
@@ -93,8 +93,8 @@
         .collect()
 }
 
-/// Returns a leader in its first term that is the only owner. Arrays up to revision `started_upto`
-/// may have been started by an earlier leader.
+/// Returns a leader with token 1 whose own controller, `rung-0`, owns all machines. Arrays accepted
+/// up to revision `started_upto` may have been started by an earlier leader.
 pub fn lone_leader(
     config: SchedulerConfig,
     types: Vec<MachineType>,
--- a/crates/model/src/world/heterogeneous.rs
+++ b/crates/model/src/world/heterogeneous.rs
@@ -145,8 +145,8 @@
         }
     }
 
-    /// Returns until when a task that is ordered to stop saves its state, or `None` if it does not
-    /// save.
+    /// Returns the time at which a task that was ordered to stop will have saved its state, or
+    /// `None` if it does not save.
     pub(super) fn saves_until(&mut self, id: &str, grace_s: f64) -> Option<f64> {
         self.heterogeneous.as_ref()?;
         self.count_cloud_event(CloudEvent::Stop, 1);
@@ -157,8 +157,9 @@
         Some(until)
     }
 
-    /// Draws an offer for a request: the number of machines that the cloud has, and the boot time
-    /// in seconds. Returns `None` in other worlds.
+    /// Draws what the cloud offers for a request: the maximum number of such machines at a time,
+    /// and their boot time in seconds. Returns `None` if the world is not heterogeneous or the
+    /// machine type is unknown.
     pub(super) fn draw_offer(&mut self, request: &ProvisionRequest) -> Option<(usize, f64)> {
         self.heterogeneous.as_ref()?;
         let boot_s = self.types.iter().find(|t| t.name == request.kind)?.boot_s;
@@ -180,7 +181,8 @@
 }
 
 impl SimTask {
-    /// Takes a checkpoint or finishes saving. Returns the run time covered by the saved state.
+    /// Takes a checkpoint, or finishes saving after an order to stop. Returns the run time covered
+    /// by the saved state, or `None` if nothing was saved.
     fn save(&mut self, spec: &Job, now: f64) -> Option<f64> {
         match self.state {
             TaskState::Saving if now >= self.saves_until => {
--- a/crates/model/src/world/jobs.rs
+++ b/crates/model/src/world/jobs.rs
@@ -8,9 +8,12 @@
     pub(super) accepted_at: f64,
     /// When its first task started to run.
     pub(super) started_at: Option<f64>,
+    /// The store's revision at which it was accepted.
     pub(super) revision: u64,
+    /// The tasks that are recorded as done.
     pub(super) done: RangeSet,
-    /// When it ended, by its own record or through the cancellation of a dependency.
+    /// When it became terminal (done or cancelled), by its own record or through the cancellation
+    /// of a dependency.
     pub(super) terminal_at: Option<f64>,
     /// When its own record became terminal.
     pub(super) record_terminal_at: Option<f64>,
@@ -60,8 +63,8 @@
     pub started: Option<f64>,
 }
 
-/// The jobs as in a controller's replica of the store, whose terminal states date from its last
-/// read.
+/// The jobs as a controller's replica of the store shows them: a job is terminal there only if it
+/// became so by the time of the controller's last read, `read_at`.
 pub(super) struct JobReplica<'a> {
     jobs: &'a BTreeMap<String, JobState>,
     read_at: f64,
@@ -97,7 +100,7 @@
 }
 
 impl World {
-    /// Accepts a job; the leader learns of it from its next read of the store.
+    /// Accepts a job. The leader learns of it at its next read of the store.
     pub fn submit(&mut self, spec: Job) {
         self.revision += 1;
         self.trace.submitted(self.now, &spec);
--- a/crates/model/src/world/leadership.rs
+++ b/crates/model/src/world/leadership.rs
@@ -6,7 +6,8 @@
 pub(super) struct LeadingController {
     pub(super) controller: usize,
     pub(super) leader: Leader,
-    /// The store's revision at its election. Its writes are conditional on it.
+    /// The store's revision at its election. The store applies its writes only while it is the
+    /// leader.
     pub(super) elected_revision: u64,
 }
 
@@ -89,7 +90,8 @@
         }
     }
 
-    /// Responds to an owner's ping by granting it authority, if the leader may grant any.
+    /// Responds to an owner's ping by granting it authority to respond to workers, if the leader
+    /// may grant any.
     fn answer_ping(&mut self, leading: &mut LeadingController, from: usize, sent_at: f64) {
         let now = self.now;
         let authority = &self.controllers[leading.controller].owner.authority;
--- a/crates/model/src/world/outcomes.rs
+++ b/crates/model/src/world/outcomes.rs
@@ -2,7 +2,8 @@
 
 use super::*;
 
-/// The outcome of a request, for the store or cloud and for the leader.
+/// Whether a leader's request was applied by the store or the cloud, and whether the leader gets
+/// the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Outcome {
     /// The request was applied, and the leader gets the response.
@@ -23,7 +24,7 @@
     }
 }
 
-/// Decodes a bitmap of progress, in hexadecimal, whose first bit stands for `first_task`.
+/// Decodes a hexadecimal bitmap of completed tasks. Its first bit stands for `first_task`.
 fn decode_progress_page(first_task: u32, bits: &str) -> RangeSet {
     let byte = |i: usize| u8::from_str_radix(&bits[i * 2..i * 2 + 2], 16).ok();
     let bytes: Vec<u8> = (0..bits.len() / 2).filter_map(byte).collect();
@@ -33,8 +34,8 @@
 }
 
 impl World {
-    /// Applies an action if its outcome says so, and passes the result to the leader: confirmed, or
-    /// unknown.
+    /// Applies an action unless its outcome is `NotApplied`, and tells the leader whether the
+    /// action was confirmed or its outcome is unknown.
     pub(super) fn apply_action(&mut self, leader: &mut Leader, action: Action, outcome: Outcome) {
         let now = self.now;
         self.trace.carried_out(now, &action, outcome);
@@ -109,7 +110,8 @@
         }
     }
 
-    /// Records a job as done if it is still open. Returns whether it did.
+    /// Records a job as done if the request is applied and the job is still open. Returns whether
+    /// it was recorded.
     fn write_job_done(&mut self, job: &str, outcome: Outcome) -> bool {
         let is_open = self.jobs.get(job).is_some_and(JobState::is_open);
         let is_written = outcome.took_effect() && is_open;
@@ -142,8 +144,8 @@
         }
     }
 
-    /// Records jobs as done when half of their tasks are, with the defects `FinishAtHalf` and
-    /// `FinishAtHalfUnseen`.
+    /// If the defect `FinishAtHalf` or `FinishAtHalfUnseen` is injected, records every open job as
+    /// done once at least half of its tasks are done.
     fn finish_half_done(&mut self) {
         if !matches!(
             self.defect,
--- a/crates/model/src/world/rules.rs
+++ b/crates/model/src/world/rules.rs
@@ -53,7 +53,7 @@
             job.terminal_at
                 .is_some_and(|at| self.now > may_run_until(at))
         };
-        // If the job is done, no controller knows the task any more.
+        // A task of a done job is orphaned because no controller knows it any more.
         let rule = |job: &JobState| match job.cancelled {
             true => "ran_cancelled",
             false => "orphaned",
@@ -78,7 +78,7 @@
     }
 
     /// Checks that, in the absence of faults, the leader knows every open job whose dependencies
-    /// have been done for longer than the leader takes to read so.
+    /// were done long enough ago for the leader to have read that.
     pub(super) fn check_leader_knows_jobs(&mut self) {
         let Some(leading) = &self.leading else {
             return;
--- a/crates/model/src/world/rules/placement.rs
+++ b/crates/model/src/world/rules/placement.rs
@@ -1,4 +1,4 @@
-//! Invariants of a task start, for the job and the machine.
+//! The invariants that the start of a task on a machine must satisfy.
 
 use super::*;
 
--- a/crates/model/src/world/rules/start_times.rs
+++ b/crates/model/src/world/rules/start_times.rs
@@ -1,4 +1,4 @@
-//! Checks that every group of jobs gets started in time.
+//! Checks that in every group of jobs enough start in time.
 
 use super::*;
 
@@ -25,7 +25,8 @@
 
 impl World {
     /// Checks that at least half of the jobs of each shape, of each shape and team, and of the
-    /// largest gangs started in time. Jobs whose time has not run out yet do not count.
+    /// largest gangs started in time. Cancelled jobs are left out, and so are jobs that still have
+    /// time to start.
     pub(in crate::world) fn check_started_in_time(&mut self) {
         let is_starved = |(_, stats): &(String, StartStats)| stats.started_in_time * 2 < stats.jobs;
         let rule = |(group, _): (String, StartStats)| match group.as_str() {
@@ -40,7 +41,7 @@
     fn start_stats_by_group(&self) -> BTreeMap<String, StartStats> {
         let mut groups: BTreeMap<String, StartStats> = BTreeMap::new();
         for job in self.jobs.values().filter(|job| !job.cancelled) {
-            // For a job with dependencies, the time starts when the last of them is done.
+            // The time of a job with dependencies is counted from when the last of them is done.
             let Some(ready_at) = job.ready_at.filter(|at| self.now - at > MAX_START_WAIT_S) else {
                 continue;
             };
--- a/crates/model/src/world/rules/waiting.rs
+++ b/crates/model/src/world/rules/waiting.rs
@@ -9,8 +9,8 @@
     used: BTreeMap<&'a str, TeamUsage>,
 }
 
-/// A waiting job and the machine that has capacity for it. There is no single machine for a gang,
-/// which may need several.
+/// The id of a waiting job and the machine that has capacity for it, or `None` for a gang, which
+/// may need several machines.
 pub(in crate::world) type WaitingWithCapacity = (String, Option<String>);
 
 /// Returns how many tasks of a job fit into a machine's free resources.
@@ -37,8 +37,8 @@
 
 impl World {
     /// Checks that, in the absence of faults, no job waits long while its team is within its limit
-    /// and the same machine has capacity for one of its tasks, or, for a gang, while the machines
-    /// together have capacity for all of it.
+    /// and there is capacity: for one of its tasks, on the same machine all the time; or for all
+    /// tasks of a gang, on the machines together.
     pub(in crate::world) fn check_waiting(&mut self) {
         let waiting = self.jobs_waiting_with_capacity();
         self.capacity_since
@@ -116,7 +116,8 @@
     }
 }
 
-/// Adds a waiting job once for each machine with capacity, or once if it is a gang that fits.
+/// Adds a waiting job once for each machine with capacity for a task of it. Adds a gang once if the
+/// machines together have capacity for the `needed` tasks.
 fn add_waiting_job(
     waiting: &mut BTreeSet<WaitingWithCapacity>,
     spec: &Job,
--- a/crates/model/src/world/scenario.rs
+++ b/crates/model/src/world/scenario.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl World {
-    /// Runs the world for a time.
+    /// Runs the world for `seconds` of simulated time.
     pub fn advance(&mut self, seconds: f64) {
         let end = self.now + seconds;
         while self.now < end {
@@ -30,7 +30,8 @@
         self.disconnect_controller(i, duration_s);
     }
 
-    /// Starts a reload of all records by a controller whose view is too old; it takes `duration_s`.
+    /// Makes a controller reload all records, as it does when its view of the store is too old. The
+    /// reload takes `duration_s`.
     pub fn reload_records(&mut self, i: usize, duration_s: f64) {
         let now = self.now;
         let controller = &mut self.controllers[i];
@@ -82,9 +83,9 @@
         self.update_workers(names, Worker::die);
     }
 
-    /// Partitions a zone for `duration_s`. If a controller is in the zone, it is partitioned from
-    /// the store and the other controllers but keeps its workers. Without one, the heartbeats of
-    /// all machines in the zone are lost.
+    /// Partitions a zone for `duration_s`. If `controller` is given, that controller is in the
+    /// zone: it is partitioned from the store and the other controllers but keeps its workers.
+    /// Otherwise, the heartbeats of all machines in the zone are lost.
     pub fn partition_zone(&mut self, zone: &str, controller: Option<usize>, duration_s: f64) {
         let in_zone = self
             .workers
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Cancels at most `max` running jobs. Returns those of which the cancellation was confirmed.
+    /// Cancels at most `max` running jobs. Returns those whose cancellation was confirmed.
     pub fn cancel_running(&mut self, max: usize) -> Vec<String> {
         let open = self.open_jobs().into_iter();
         let running = open.filter(|id| self.live_tasks(id) > 0);
--- a/crates/model/src/world/store.rs
+++ b/crates/model/src/world/store.rs
@@ -5,7 +5,7 @@
 /// A leader's request in transit to the store or the cloud.
 pub(super) struct PendingWrite {
     pub(super) arrives_at: f64,
-    /// The revision of the election of the leader that sent it.
+    /// The store's revision at the election of the leader that sent it.
     pub(super) elected_revision: u64,
     pub(super) action: Action,
     /// The version that its key must have for the write to be applied.
@@ -14,8 +14,8 @@
     pub(super) is_late: bool,
 }
 
-/// Returns the key that an action overwrites; `None` if the action has a condition of its own or is
-/// not a write.
+/// Returns the key that an action overwrites on condition of its version; `None` if the action has
+/// another condition or is not a write.
 fn written_key(action: &Action) -> Option<String> {
     match action {
         Action::UpdateRoster(machine, _) => Some(format!("roster/{machine}")),
@@ -30,8 +30,8 @@
 
 impl World {
     /// Runs the reads of all controllers, which read the store's changes every few steps and get
-    /// delayed responses. Results are processed before any other component runs in the step,
-    /// so that nothing relies on a read before its contents are known.
+    /// delayed responses. A response is processed before any other component runs in the step, so
+    /// that no component relies on a read whose contents the controller has not processed yet.
     pub(super) fn run_reads(&mut self) {
         for i in 0..self.controllers.len() {
             match self.controllers[i].pending_reload {
@@ -73,7 +73,7 @@
         self.controllers[i].owner.authority.record_read(sent_at);
     }
 
-    /// Returns the time up to which a controller's replica includes terminal jobs.
+    /// Returns the time up to which a controller's replica shows that jobs became terminal.
     pub(super) fn terminal_jobs_read_at(&self, i: usize) -> f64 {
         let ignores_terminal_jobs = matches!(
             self.defect,
@@ -85,7 +85,7 @@
         self.controllers[i].read_at
     }
 
-    /// Returns the leader's known version of the key of a write.
+    /// Returns the version that the leader knows for the key that an action writes, or 0.
     pub(super) fn expected_version(&self, action: &Action) -> u64 {
         written_key(action)
             .and_then(|key| self.leader_known_versions.get(&key).copied())
@@ -165,8 +165,9 @@
         self.apply_action(leader, action, Outcome::NotApplied);
     }
 
-    /// Draws the outcome of a request. It is not applied if the store is unreachable or the version
-    /// outdated, nor in 3 % of the other cases. Of the applied ones, 2 % lose their response.
+    /// Draws the outcome of a request. The request is not applied if the store is unreachable or
+    /// the expected version outdated; 3 % of all others are not applied either. The response to 2 %
+    /// of the applied requests is lost.
     fn draw_outcome(&mut self, is_reachable: bool, write: &PendingWrite) -> Outcome {
         let took_effect = is_reachable && self.rng.u32(0..100) >= 3 && self.version_matches(write);
         if !took_effect {
@@ -225,7 +226,7 @@
         }
     }
 
-    /// Updates the leader's known version of the key of its write.
+    /// Sets the version that the leader knows for the key that its action writes to the true one.
     fn update_known_version(&mut self, action: &Action) {
         if let Some(key) = written_key(action) {
             let version = self.versions.get(&key).copied().unwrap_or(0);
--- a/crates/model/src/world/trace.rs
+++ b/crates/model/src/world/trace.rs
@@ -39,8 +39,9 @@
     RuleBroken = 17,
 }
 
-/// A 64-bit FNV-1a hash, with the standard offset basis and prime, of the events so far in their
-/// order.
+/// The running digest of the events so far, and their number; the events themselves are not kept.
+/// The digest is a 64-bit FNV-1a hash, with the standard offset basis and prime, of the events in
+/// their order.
 #[derive(Clone, Debug)]
 pub struct Trace {
     hash: u64,
@@ -67,7 +68,7 @@
         self.events
     }
 
-    /// Records a number as eight little-endian bytes.
+    /// Adds a number to the digest, as eight little-endian bytes.
     pub fn number(&mut self, number: u64) -> &mut Trace {
         self.hash_bytes(&number.to_le_bytes())
     }
@@ -79,7 +80,7 @@
         self
     }
 
-    /// Records bytes with their length as a prefix.
+    /// Adds bytes to the digest, with their length as a prefix.
     fn bytes(&mut self, bytes: &[u8]) -> &mut Trace {
         self.number(bytes.len() as u64).hash_bytes(bytes)
     }
@@ -123,7 +124,7 @@
             .bytes(&encode(heartbeat));
     }
 
-    /// Records a controller's response to a heartbeat when it is decided, even if it is then lost.
+    /// Records a controller's response to a heartbeat when it is computed, even if it is then lost.
     pub(super) fn answered(
         &mut self,
         now: f64,
@@ -194,7 +195,8 @@
             .bytes(&encode_frame(message));
     }
 
-    /// Records the outcome of a request: whether it was applied, and whether the leader learns so.
+    /// Records the outcome of a request: whether it was applied, and whether the leader learns
+    /// that.
     pub(super) fn carried_out(&mut self, now: f64, action: &Action, outcome: Outcome) {
         self.event(now, Event::CarriedOut)
             .flag(outcome.took_effect())
@@ -233,7 +235,8 @@
         self.event(now, Event::RuleBroken).text(rule);
     }
 
-    /// Records an action as its stored record or cloud request, preceded by the parts of its key.
+    /// Adds an action to the digest, as its message, stored record or cloud request, preceded by
+    /// the number of its kind and the parts of its key.
     fn action(&mut self, action: &Action) {
         match action {
             Action::Send(to, message) => {
@@ -277,7 +280,7 @@
     }
 }
 
-/// Returns the progress of a job that one action records, as a page of its own.
+/// Returns a page that holds only the progress that one action records for a job.
 fn progress(job: &str, first_task: u32, bits: &str) -> ProgressPage {
     let entry = vec![(job.to_string(), first_task, bits.to_string())];
     match first_task {
--- a/crates/model/src/world/transit.rs
+++ b/crates/model/src/world/transit.rs
@@ -1,5 +1,5 @@
-//! Messages in transit: between workers and controllers, where each has its own delay, and between
-//! controllers, where connections preserve the order.
+//! Messages in transit. Between workers and controllers, each message has its own delay; between
+//! controllers, connections preserve the order of messages.
 
 use super::*;
 
--- a/crates/model/src/world/workers.rs
+++ b/crates/model/src/world/workers.rs
@@ -27,11 +27,11 @@
 pub(super) struct SimTask {
     pub(super) state: TaskState,
     pub(super) why: Option<Why>,
-    /// When it was started here or, once it runs, when it began to run.
+    /// When the machine was ordered to start it or, once it runs, when it began to run.
     pub(super) began_at: f64,
     /// The run time it had completed before it was started here, according to its checkpoints.
     pub(super) saved_s: f64,
-    /// Whether it saved its state before it exited on an order to stop.
+    /// Whether it saved its state before it exited because of an order to stop.
     pub(super) saved: bool,
     /// When it finishes saving its state, after an order to stop.
     pub(super) saves_until: f64,
@@ -59,7 +59,8 @@
         self.why = Some(why);
     }
 
-    /// Returns whether the task counts as present in its gang.
+    /// Returns whether the task counts as present in its gang, whose tasks run only while all of
+    /// them are present.
     fn is_present_in_gang(&self) -> bool {
         let is_here = matches!(
             self.state,
@@ -89,7 +90,7 @@
     }
 }
 
-/// A change in the state of a task over time.
+/// A change in the state of a task that comes with time, without an order.
 enum TaskEvent {
     Started,
     Completed,
@@ -111,14 +112,16 @@
     /// Whether the machine has failed permanently or been preempted.
     pub(super) gone: bool,
     pub(super) hung_until: f64,
-    /// Until when all responses to its heartbeats are lost. The heartbeats still arrive.
+    /// All responses to its heartbeats are lost until this time. The heartbeats still arrive.
     pub(super) responses_lost_until: f64,
-    /// Until when all its heartbeats are lost.
+    /// All its heartbeats are lost until this time.
     pub(super) heartbeats_lost_until: f64,
     /// When the cloud preempts the machine, if it has given notice.
     pub(super) preempted_at: Option<f64>,
+    /// Increases whenever the worker restarts without tasks.
     pub(super) incarnation: u64,
     pub(super) seq: u64,
+    /// The highest fencing token received. The worker ignores responses with a lower one.
     pub(super) token: u64,
     pub(super) lease_renewed_at: f64,
     pub(super) tasks: BTreeMap<TaskKey, SimTask>,
@@ -161,8 +164,8 @@
         live.map(|(key, _)| key)
     }
 
-    /// Restarts the worker with a new incarnation and without tasks. A response to a heartbeat of
-    /// the previous incarnation is no longer awaited.
+    /// Restarts the worker with a new incarnation and without tasks. It no longer awaits a response
+    /// to a heartbeat of the previous incarnation.
     pub(super) fn restart(&mut self, now: f64) {
         self.tasks.clear();
         self.incarnation += 1;
@@ -309,7 +312,8 @@
         }
     }
 
-    /// Sends a heartbeat, 2 % of them twice, and some with a duplicate that arrives much later.
+    /// Sends a heartbeat. 2 % of all heartbeats are sent twice, and of `late_copy_percent` a
+    /// duplicate arrives much later.
     fn send_heartbeat(&mut self, to: usize, heartbeat: Heartbeat) {
         let now = self.now;
         self.trace.reported(now, to, &heartbeat);
@@ -330,7 +334,7 @@
         }
     }
 
-    /// Returns the gang attempts of which every task is present on some machine.
+    /// Returns the gang attempts whose tasks are all present on machines.
     fn complete_gangs(&self) -> BTreeSet<GangAttempt> {
         let mut present: BTreeMap<GangAttempt, u32> = BTreeMap::new();
         let tasks = self.workers.values().flat_map(|worker| &worker.tasks);
@@ -387,7 +391,7 @@
         }
     }
 
-    /// Renews a worker's lease and executes its orders, unless they have an outdated token.
+    /// Renews a worker's lease and executes the orders in a response, unless its token is outdated.
     fn accept_orders(&mut self, machine: &str, sent_at: f64, response: Orders) {
         let Some(worker) = self.workers.get_mut(machine) else {
             return;
