--- a/crates/model/tests/common/mod.rs
+++ b/crates/model/tests/common/mod.rs
@@ -3,11 +3,12 @@
 use model::world::{job, Defect, World};
 use wire::users::{Job, Shape};
 
-/// A record size limit so small that a progress bitmap holds eight tasks.
+/// A maximum size of values in the store, in kB, so small that a progress bitmap holds eight tasks.
 const SMALL_VALUE_KB: f64 = 0.004;
 
-/// Runs a world in which most jobs have dependencies, under random faults. A rolling restart gives
-/// the controllers smaller records. Then the world runs for `quiet_s` without faults.
+/// Runs a world in which most jobs have dependencies, under random faults. In between, a rolling
+/// restart gives the controllers smaller records. At the end, the world runs for `quiet_s` without
+/// new faults.
 pub fn dependency_scenario(seed: u64, defect: Defect, quiet_s: f64) -> World {
     let mut world = World::new(seed, defect);
     world.dependent_percent = 70;
@@ -38,7 +39,7 @@
         world.reload_records((leader + 1) % 3, 3.0);
         world.reload_records(leader, 0.6);
         world.advance(0.7);
-        // Keeps a read from correcting at once what the reload has left.
+        // During an outage, no read can correct at once what the reload has left wrong.
         world.store_outage(1.2);
         world.advance(1.5);
     }
--- a/crates/model/tests/dependency_chains.rs
+++ b/crates/model/tests/dependency_chains.rs
@@ -1,5 +1,6 @@
-//! Scripted faults at critical moments of a dependency chain. No rule is violated (`too_early` and
-//! `orphaned` among them), and every job ends with the outcome that its dependencies imply.
+//! Scripted faults at critical moments of a dependency chain. The tests check that no rule is
+//! violated (in particular neither `too_early` nor `orphaned`), and that every job ends with the
+//! outcome that its dependencies imply.
 
 use model::world::{job, Defect, World};
 use wire::users::{Job, Shape};
@@ -53,13 +54,13 @@
     world.run_until_done(300.0);
     assert!(
         world.violations.is_empty(),
-        "seed {seed}: {:?}",
+        "violated rules with seed {seed}: {:?}",
         world.violations
     );
     assert_eq!(
         outcomes(&world),
         expected.map(Some),
-        "seed {seed}\n{}",
+        "outcomes with seed {seed}\n{}",
         world.explain()
     );
 }
@@ -87,7 +88,8 @@
     }
 }
 
-/// Whichever record is written first decides: the dependents run, or are cancelled with the job.
+/// A job is recorded as done or as cancelled, whichever is written first. This decides whether its
+/// dependents run or are cancelled with it.
 #[test]
 fn cancellation_races_with_end_of_dependency() {
     let mut seen = [0; 2];
@@ -104,7 +106,7 @@
         };
         assert!(
             cancelled || !world.cancel(&job_id(1)),
-            "seed {seed}: a job that was done was cancelled"
+            "seed {seed}: a job was cancelled after it was recorded as done"
         );
         seen[usize::from(cancelled)] += 1;
         if cancelled {
@@ -115,7 +117,7 @@
     }
     assert!(
         seen[1] > 0,
-        "no cancellation was written before the end of the job: {seen:?}"
+        "no cancellation was recorded before the end of the job; [done, cancelled]: {seen:?}"
     );
 }
 
@@ -147,8 +149,8 @@
     }
 }
 
-/// All controllers restart at once after the first job of the chain is cancelled, and later one
-/// after the other with another record size.
+/// All controllers restart at once after the first job of the chain is cancelled. Later they
+/// restart one after the other, with another maximum size of values in the store.
 #[test]
 fn chain_is_cancelled_while_controllers_restart() {
     for seed in 0..SEEDS {
--- a/crates/model/tests/dependency_graph.rs
+++ b/crates/model/tests/dependency_graph.rs
@@ -73,7 +73,8 @@
 }
 
 impl ControllerView {
-    /// The state of a job as this controller sees it: derived cancellations count.
+    /// The state of a job as this controller sees it: a job is cancelled also if only the
+    /// cancellation of a dependency implies it.
     fn record(&self, reference: &ReferenceModel, id: &str) -> Option<DependencyState> {
         if self.cancelled.contains(id) {
             return Some(DependencyState::Cancelled);
@@ -201,8 +202,8 @@
     id
 }
 
-/// Ends a random open job, if there is one, and returns its id: done or cancelled if nothing blocks
-/// it, else cancelled or left open.
+/// Ends a random open job and returns its id. A job that nothing blocks becomes done or cancelled;
+/// a blocked one becomes cancelled or is left open. Returns `None` if no job was ended.
 fn end_random_job(rng: &mut fastrand::Rng, reference: &mut ReferenceModel) -> Option<String> {
     let open: Vec<String> = reference.open_jobs().into_iter().collect();
     let id = open.get(rng.usize(0..open.len().max(1)))?.clone();
@@ -247,7 +248,10 @@
         reprioritized += view.priorities.len();
     }
     // Each kind of effect occurred often enough.
-    assert!(cancelled > 2000 && unblocked > 500 && reprioritized > 2000);
+    assert!(
+    cancelled > 2000 && unblocked > 500 && reprioritized > 2000,
+    "too few effects: {cancelled} cancelled, {unblocked} unblocked, {reprioritized} reprioritized"
+    );
 }
 
 /// A controller that answers a repeated submission may read the job's record before those of its
--- a/crates/model/tests/invariants.rs
+++ b/crates/model/tests/invariants.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use wire::users::{Job, Shape};
 
-/// How long a scenario with dependencies runs on without faults, in seconds.
+/// How long a scenario with dependencies continues without new faults, in seconds.
 const QUIET_S: f64 = 300.0;
 
 #[test]
@@ -19,13 +19,13 @@
         let world = dependency_scenario(seed, Defect::None, QUIET_S);
         assert!(
             world.violations.is_empty(),
-            "seed {seed}: {:?}",
+            "violated rules with seed {seed}: {:?}",
             world.violations
         );
         assert_eq!(
             world.open_jobs(),
             Vec::<String>::new(),
-            "seed {seed}\n{}",
+            "open jobs with seed {seed}\n{}",
             world.explain()
         );
         starts += world.tasks_started;
@@ -36,21 +36,28 @@
     }
     assert!(
         starts > 3000 && cancelled_by_dependency > 100 && blocked > 200,
-        "too little happened: {starts} {cancelled_by_dependency} {blocked}"
+        "too little happened: {starts} starts, {blocked} blocked jobs, \
+        {cancelled_by_dependency} jobs cancelled with a dependency"
     );
 }
 
 #[test]
 fn starting_before_dependencies_is_detected() {
     let violations = dependency_scenario(1, Defect::StartBlocked, QUIET_S).violations;
-    assert!(violations.contains("too_early"), "{violations:?}");
+    assert!(
+        violations.contains("too_early"),
+        "violated rules: {violations:?}"
+    );
 }
 
 #[test]
 fn ignoring_cancelled_dependencies_is_detected() {
     let violations =
         dependency_scenario(1, Defect::IgnoreCancelledDependencies, QUIET_S).violations;
-    assert!(violations.contains("orphaned"), "{violations:?}");
+    assert!(
+        violations.contains("orphaned"),
+        "violated rules: {violations:?}"
+    );
 }
 
 fn run_seeds(
@@ -75,7 +82,7 @@
 #[test]
 fn rules_hold_under_random_faults() {
     let (violations, starts, leaders) = run_seeds(Defect::None, 0..40, 3);
-    assert!(violations.is_empty(), "{violations:?}");
+    assert!(violations.is_empty(), "violated rules: {violations:?}");
     assert!(starts > 5000, "too little happened: {starts} starts");
     assert!(leaders > 100, "too few changes of leader: {leaders}");
 }
@@ -83,7 +90,7 @@
 #[test]
 fn rules_hold_with_many_late_messages() {
     let (violations, starts, _) = run_seeds(Defect::None, 0..30, 15);
-    assert!(violations.is_empty(), "{violations:?}");
+    assert!(violations.is_empty(), "violated rules: {violations:?}");
     assert!(starts > 2000, "too little happened: {starts} starts");
 }
 
@@ -95,15 +102,19 @@
         assert_eq!(
             world.open_jobs(),
             Vec::<String>::new(),
-            "seed {seed}\n{}",
+            "open jobs with seed {seed}\n{}",
             world.explain()
         );
         assert!(
             world.violations.is_empty(),
-            "seed {seed}: {:?}",
+            "violated rules with seed {seed}: {:?}",
             world.violations
         );
-        assert!(world.jobs_done > 10);
+        assert!(
+            world.jobs_done > 10,
+            "seed {seed}: only {} jobs done",
+            world.jobs_done
+        );
     }
 }
 
@@ -112,7 +123,8 @@
 #[test]
 fn machine_without_responses_holds_no_work() {
     for seed in 0..12 {
-        // Long enough for such a worker to try its owner again within its lease.
+        // The lease is so long that a worker without responses tries its owner again before it
+        // expires.
         let mut world = World::with_config(
             seed,
             Defect::None,
@@ -160,10 +172,14 @@
         assert_eq!(
             world.open_jobs(),
             Vec::<String>::new(),
-            "seed {seed}\n{}",
+            "open jobs with seed {seed}\n{}",
             world.explain()
         );
-        assert!(world.violations.is_empty(), "{:?}", world.violations);
+        assert!(
+            world.violations.is_empty(),
+            "violated rules: {:?}",
+            world.violations
+        );
     }
 }
 
@@ -204,14 +220,18 @@
     let times = world.job_times()["wk-009999"];
     assert!(
         times.started.is_some_and(|at| at - times.accepted < 60.0),
-        "it started at {:?}",
+        "the gang of three tasks did not start within 60 s, but at {:?}",
         times.started
     );
     assert!(
         world.open_jobs().len() > 20,
-        "there were always enough machines"
+        "too few gangs wait: there were always enough machines"
+    );
+    assert!(
+        world.violations.is_empty(),
+        "violated rules: {:?}",
+        world.violations
     );
-    assert!(world.violations.is_empty(), "{:?}", world.violations);
 }
 
 #[test]
@@ -225,7 +245,7 @@
             .into_iter()
             .for_each(|(fault, times)| *seen.entry(fault).or_default() += times);
     }
-    assert_eq!(seen.len(), 17, "{seen:?}");
+    assert_eq!(seen.len(), 17, "kinds of faults that happened: {seen:?}");
 }
 
 #[test]
@@ -253,7 +273,11 @@
     );
     let mut healthy = World::new(4, Defect::None);
     healthy.run_random(150.0, 300.0);
-    assert!(healthy.violations.is_empty(), "{:?}", healthy.violations);
+    assert!(
+        healthy.violations.is_empty(),
+        "violated rules: {:?}",
+        healthy.violations
+    );
 }
 
 fn assert_detected(defect: Defect, rule: &str) {
@@ -266,7 +290,7 @@
 
 #[test]
 fn trusting_delayed_heartbeats_is_detected() {
-    // Depending on the timing, the defect shows as a second start or as a limit that it exceeds.
+    // Depending on the timing, the defect starts a task a second time or exceeds a team's limit.
     let (violations, _, _) = run_seeds(Defect::TrustAnyHeartbeat, 0..60, 15);
     assert!(
         violations.contains("ran_twice") || violations.contains("quota"),
@@ -303,8 +327,8 @@
 fn task_outliving_completed_job_is_detected() {
     let violations_of = |defect| {
         let mut world = World::new(3, defect);
-        // More tasks than the team may run at a time, so that some start only after others are
-        // done.
+        // The job has more tasks than the team may run at a time, so that some start only after
+        // others are done.
         world.submit(Job {
             estimate_s: 60.0,
             ..job(1, "red", Shape::Array, 8, 4.0)
@@ -317,7 +341,10 @@
         BTreeSet::from(["not_done".into()])
     );
     let violations = violations_of(Defect::FinishAtHalfUnseen);
-    assert!(violations.contains("orphaned"), "{violations:?}");
+    assert!(
+        violations.contains("orphaned"),
+        "violated rules: {violations:?}"
+    );
 }
 
 #[test]
@@ -326,13 +353,13 @@
         let world = reload_scenario(seed, Defect::None);
         assert!(
             world.violations.is_empty(),
-            "seed {seed}: {:?}",
+            "violated rules with seed {seed}: {:?}",
             world.violations
         );
         assert_eq!(
             world.open_jobs(),
             Vec::<String>::new(),
-            "seed {seed}\n{}",
+            "open jobs with seed {seed}\n{}",
             world.explain()
         );
     }
--- a/crates/model/tests/leader_and_owner.rs
+++ b/crates/model/tests/leader_and_owner.rs
@@ -252,18 +252,19 @@
     };
     assert!(
         deprovisioned_at(2).is_some_and(|at| (7.0..9.0).contains(&at)),
-        "{:?}",
+        "2 silent machines of 100 were deprovisioned at {:?}",
         deprovisioned_at(2)
     );
     assert!(
         deprovisioned_at(10).is_some_and(|at| at > 20.0),
-        "{:?}",
+        "10 silent machines of 100 were deprovisioned at {:?}",
         deprovisioned_at(10)
     );
 }
 
-/// The record lists the arrays that are still queued as not started. A later leader can start those
-/// at once, even while it does not know what runs on a machine that sends no heartbeat.
+/// The leader's record of started arrays lists those that are still queued as not started. A later
+/// leader can start these at once, even while it does not know what runs on a machine that sends no
+/// heartbeat.
 #[test]
 fn queued_arrays_are_not_recorded_as_started() {
     let mut leader = Leader::new(
@@ -327,8 +328,8 @@
 }
 
 /// Short tasks may end more often than heartbeats arrive. A backlog task starts in the response to
-/// the first heartbeat that shows capacity for it, and is handed back if there is none in time. No
-/// task of a terminal job starts.
+/// the first heartbeat that shows capacity for it, and is handed back to the leader if there is no
+/// such heartbeat in time. No task of a terminal job starts.
 #[test]
 fn owner_backlog_fills_capacity_freed_in_heartbeat() {
     let mut owner = owner_of_host_1();
@@ -385,6 +386,6 @@
     };
     assert!(
         is_handed_back("wk-2", &[(0, 3)]) && is_handed_back("wk-1", &[(1, 2)]),
-        "{back:?}"
+        "not all remaining backlog tasks were handed back: {back:?}"
     );
 }
--- a/crates/model/tests/overlapping_faults.rs
+++ b/crates/model/tests/overlapping_faults.rs
@@ -1,5 +1,6 @@
-//! Scripted combinations of two overlapping faults, each over a few seeds. No rule of the protocol
-//! or of the users is violated, and every accepted job is done or cancelled in the end.
+//! Scripted combinations of two overlapping faults, each over a few seeds. The tests check that no
+//! rule of the protocol or of the users is violated, and that every accepted job is done or
+//! cancelled in the end.
 
 use model::world::{config, job, Defect, Fault, World};
 use sched::config::SchedulerConfig;
@@ -46,24 +47,25 @@
         world.run_until_done(400.0);
         assert!(
             world.violations.is_empty(),
-            "seed {seed}: {:?}\n{}",
+            "violated rules with seed {seed}: {:?}\n{}",
             world.violations,
             world.explain()
         );
         assert_eq!(
             world.open_jobs(),
             Vec::<String>::new(),
-            "seed {seed}\n{}",
+            "open jobs with seed {seed}\n{}",
             world.explain()
         );
     }
 }
 
-/// Seeds tried until a defect shows. Some defects need a certain timing, which about one seed in
-/// nine has.
+/// The number of seeds tried until a defect violates a rule. Some defects need a certain timing,
+/// which about one seed in nine has.
 const DEFECT_SEEDS: u64 = 60;
 
-/// Whether a defect violates a rule on one of several seeds, which shows that the check can fail.
+/// Returns whether a defect violates a rule with one of several seeds. If so, the check of that
+/// rule can fail.
 fn is_violated(
     rule: &str,
     defect: Defect,
@@ -123,7 +125,7 @@
     }
 }
 
-/// Between outages the store renews leases, but serves no read in time, and no controller tells the
+/// Between the outages the store renews leases, but serves no read in time. No controller tells the
 /// leader of the cancellations that it confirms.
 fn repeated_outages_with_slow_reads(world: &mut World) {
     world.cancel_hints = false;
@@ -149,7 +151,7 @@
 
 #[test]
 fn store_outage_with_another_fault() {
-    // The controllers that confirmed the cancellations restart right after.
+    // The controllers that confirmed the cancellations restart right afterwards.
     check_scenario(4, |world| {
         let leader = wait_for_leader(world);
         world.refuse_controller(leader, 10.0);
@@ -172,7 +174,7 @@
         world.store_outage(1.3 * config().cancel_s);
         world.advance(1.4 * config().cancel_s);
     });
-    // Machines hang while it begins, and resume within their leases.
+    // Machines hang while the outage begins, and resume within their leases.
     check_scenario(4, |world| {
         let names = world.busy_machines(6);
         world.hang_machines(&names, 6.0);
@@ -189,7 +191,7 @@
             config(),
             repeated_outages_with_slow_reads
         ),
-        "no violation detected"
+        "TrustStaleView did not violate the rule ran_cancelled"
     );
 }
 
@@ -248,10 +250,10 @@
         world.run_until_done(300.0);
         assert!(
             world.violations.is_empty(),
-            "seed {seed}: {:?}",
+            "violated rules with seed {seed}: {:?}",
             world.violations
         );
-        // Whichever record was written first stands, and the job cannot be cancelled afterwards.
+        // A job stays as it was first recorded: once it is done, it cannot be cancelled.
         cancelled_count += cancelled.len();
         assert!(cancelled
             .iter()
@@ -293,7 +295,7 @@
             world.restart_controller(i, if i == 0 { 1.3 * config().lease_s } else { 20.0 })
         });
         world.advance(1.2 * config().lease_s);
-        assert!(world.lease_expiries > 0);
+        assert!(world.lease_expiries > 0, "no worker's lease expired");
         world.advance(15.0);
         world.cancel_running(1);
     });
@@ -329,7 +331,7 @@
 #[test]
 fn team_at_limit_with_hung_machines_and_new_leader() {
     check_scenario(8, |world| {
-        // Far more than the team's limit of 24 CPUs.
+        // These jobs need far more than the team's limit of 24 CPUs.
         (0..6).for_each(|i| {
             world.submit(Job {
                 estimate_s: 30.0,
@@ -460,13 +462,13 @@
     check_scenario_with(6, slow.clone(), script);
     assert!(
         is_violated("ran_cancelled", Defect::ForgetCancelled, slow, script),
-        "no violation detected"
+        "ForgetCancelled did not violate the rule ran_cancelled"
     );
 }
 
-/// The leader freezes while its clock runs on, right before it sends a response, and jobs are
-/// cancelled through the others; then it resumes. The response was decided before the freeze and is
-/// sent after it. Then another controller freezes.
+/// The leader freezes right before it sends a response to a worker, while its clock runs on. Jobs
+/// are cancelled through the other controllers. The leader then resumes and sends the response that
+/// it computed before the freeze. After that, another controller freezes.
 fn freeze_controllers(world: &mut World) {
     world.cancel_hints = false;
     let lease = config().lease_s;
@@ -493,7 +495,7 @@
     ] {
         assert!(
             is_violated(rule, defect, config(), freeze_controllers),
-            "{rule}: no violation detected"
+            "{defect:?} did not violate the rule {rule}"
         );
     }
 }
@@ -564,7 +566,11 @@
         }
     }
     world.late_write_percent = 0;
-    assert!(world.faults[&Fault::LateWrite] > 5, "{:?}", world.faults);
+    assert!(
+        world.faults[&Fault::LateWrite] > 5,
+        "too few late writes: {:?}",
+        world.faults
+    );
 }
 
 #[test]
@@ -574,14 +580,15 @@
 
 #[test]
 fn ignoring_expected_versions_is_detected() {
-    // An old roster page or an old binding makes the next leader start tasks a second time.
+    // An old roster page, or an old record of the machines of a gang, makes the next leader start
+    // tasks a second time.
     assert!(
         is_violated("ran_twice", Defect::IgnoreVersions, config(), delay_writes),
-        "no violation detected"
+        "IgnoreVersions did not violate the rule ran_twice"
     );
 }
 
-/// Jobs of the other team keep machines in use that have free capacity, beside which red's arrays
+/// Jobs of team `blue` keep machines in use. These have free capacity, but the arrays of team `red`
 /// wait.
 #[test]
 fn leaving_work_waiting_beside_capacity_is_detected() {
@@ -595,7 +602,7 @@
     world.run_until_done(150.0);
     assert!(
         world.violations.contains("waits"),
-        "no violation detected: {:?}",
+        "HideRedArrays did not violate the rule waits, only {:?}",
         world.violations
     );
 }
@@ -618,6 +625,6 @@
     };
     assert!(
         is_violated("started_cancelled", Defect::IgnoreCancel, config(), script),
-        "no violation detected"
+        "IgnoreCancel did not violate the rule started_cancelled"
     );
 }
--- a/crates/model/tests/preemption.rs
+++ b/crates/model/tests/preemption.rs
@@ -1,5 +1,5 @@
-//! Preemption for gangs of several tasks, which takes place for the whole gang or not at all, and
-//! its order.
+//! Preemption: which tasks are stopped first, and that for a gang of several tasks, capacity is
+//! freed for the whole gang or not at all.
 
 use model::world::{
     config_without_deprovisioning, job, lone_leader, machine_status, machine_type, machine_types,
@@ -15,12 +15,12 @@
 const ARRAY_ATTEMPT: u64 = 7;
 const HOSTS: [&str; 2] = ["host-1", "host-2"];
 
-/// A leader with two machines, each of which has capacity for one task and runs one of an array's
-/// first two.
+/// A leader with two machines, each of which has capacity for one task of an array and runs one of
+/// its first two tasks.
 struct PreemptionScenario {
     leader: Leader,
     now: f64,
-    /// The tasks in each machine's heartbeats.
+    /// The tasks that are reported for each machine.
     tasks: BTreeMap<&'static str, Vec<TaskStatus>>,
     stopped: BTreeSet<TaskRef>,
     provisioned: u32,
@@ -121,8 +121,8 @@
     }
 }
 
-/// Guards against preemption for single tasks only: long tasks of low priority held all machines
-/// that a gang fits on, and the gang waited until they ended.
+/// Guards against a leader that preempts only for single tasks: long tasks of low priority held all
+/// machines that a gang fits on, and the gang waited until those tasks ended.
 #[test]
 fn capacity_is_reclaimed_and_held_for_whole_gang() {
     let mut scenario =
@@ -150,7 +150,7 @@
     );
     assert!(
         scenario.provisioned <= 2,
-        "{} machines provisioned, for two stopped tasks",
+        "{} machines were provisioned for two stopped tasks",
         scenario.provisioned
     );
 }
@@ -161,7 +161,11 @@
     let mut scenario =
         PreemptionScenario::new(best_effort_array(), job(2, "red", Shape::Gang, 3, 2.5));
     scenario.advance(4.0);
-    assert!(scenario.stopped.is_empty(), "{:?}", scenario.stopped);
+    assert!(
+        scenario.stopped.is_empty(),
+        "tasks were stopped: {:?}",
+        scenario.stopped
+    );
     assert!(
         scenario.provisioned > 0,
         "no machine was provisioned for the gang"
@@ -177,11 +181,15 @@
     };
     let mut scenario = PreemptionScenario::new(array, job(2, "red", Shape::Gang, 2, 3.0));
     scenario.advance(4.0);
-    assert!(scenario.stopped.is_empty(), "{:?}", scenario.stopped);
+    assert!(
+        scenario.stopped.is_empty(),
+        "tasks were stopped: {:?}",
+        scenario.stopped
+    );
 }
 
-/// A task that saves loses no more than the time for saving, however long it has run. It is
-/// preempted before a task that began later and would have to start over.
+/// A task that can save its state loses no more than the time for saving, however long it has run.
+/// It is preempted before a task that began later but would have to start over.
 #[test]
 fn checkpointed_tasks_are_preempted_first() {
     let mut scenario =
@@ -210,7 +218,11 @@
     };
     scenario.tasks.insert("host-2", vec![task]);
     scenario.advance(4.0);
-    assert!(scenario.stopped.is_empty(), "{:?}", scenario.stopped);
+    assert!(
+        scenario.stopped.is_empty(),
+        "tasks were stopped: {:?}",
+        scenario.stopped
+    );
     scenario.leader.add_job(OpenJob::new(
         Rc::new(job(2, "red", Shape::Array, 1, 3.0)),
         4,
@@ -222,8 +234,8 @@
 }
 
 /// Machines are cordoned for a gang that has waited long and for which nothing can be preempted. If
-/// tasks were stopped for a younger gang, it could not use the capacity, and no machines would be
-/// provisioned for it.
+/// tasks were stopped for a younger gang, that gang could not use the freed capacity, and no
+/// machines would be provisioned for it.
 #[test]
 fn nothing_is_preempted_behind_unplaceable_gang() {
     let mut scenario =
@@ -236,16 +248,20 @@
     ));
     scenario.provisioned = 0;
     scenario.advance(4.0);
-    assert!(scenario.stopped.is_empty(), "{:?}", scenario.stopped);
+    assert!(
+        scenario.stopped.is_empty(),
+        "tasks were stopped: {:?}",
+        scenario.stopped
+    );
     assert!(
         scenario.provisioned > 0,
         "no machine was provisioned for the gang"
     );
 }
 
-/// The placement pass reserves a machine type for a class that fits on no other type. Guards
-/// against counting free capacity of such a type for another gang, for which then no machine was
-/// provisioned.
+/// The placement pass reserves a machine type for a class of jobs that fit on no other type. Guards
+/// against counting free capacity of such a type for a gang of another class: no machine was then
+/// provisioned for that gang.
 #[test]
 fn reserved_machine_type_is_no_capacity_for_gang() {
     let large_only = Job {
@@ -280,6 +296,6 @@
     }
     assert!(
         provisioned >= 2,
-        "{provisioned} machines provisioned, though the gang needs two"
+        "only {provisioned} machines were provisioned for a gang that needs two"
     );
 }
--- a/crates/model/tests/reference_placement.rs
+++ b/crates/model/tests/reference_placement.rs
@@ -15,8 +15,8 @@
 use wire::peers::{MachineStatus, ToLeader, ToOwner};
 use wire::users::{Job, Priority, Shape};
 
-/// A leader that is its own only owner, with empty machines that are reconciled and in the roster,
-/// and a CPU limit for the team `red`.
+/// Returns a leader whose own controller owns all machines. They are empty, reconciled (the leader
+/// knows what runs on them) and in the roster. Team `red` has the given CPU limit.
 fn leader_with_limit(machines: &[(&str, &str)], limit: f64) -> Leader {
     let mut config = config();
     config.teams.get_mut("red").unwrap().cpus_max = limit;
@@ -94,7 +94,8 @@
 fn random_jobs(rng: &mut fastrand::Rng, limit: f64) -> Vec<Job> {
     let count = rng.u32(1..7);
     let random_job = |number| {
-        // Gangs have one task only: for larger ones the pass may choose machines in bulk.
+        // Gangs have one task only: for larger ones the placement pass may choose machines in bulk,
+        // unlike the reference model.
         let is_gang = rng.bool();
         let shape = if is_gang { Shape::Gang } else { Shape::Array };
         let tasks = if is_gang { 1 } else { rng.u32(1..6) };
@@ -141,8 +142,8 @@
         }
         leader.start_record_result(&started_arrays(jobs.len() as u64), true);
         leader.tick(5.1, 0);
-        // A class with a task that fits only the large type reserves it, which the model does not
-        // know.
+        // If a task fits only the large type, that type is reserved for the job's class. The
+        // reference model does not do this, so rounds with such a job are not compared.
         if jobs.iter().any(|job| job.cpus > 4.0) {
             continue;
         }
@@ -156,11 +157,11 @@
         gangs += jobs.iter().filter(is_placed_gang).count();
         assert_eq!(actual, expected, "round {round}: {machines:?} {jobs:?}");
     }
-    assert!(gangs > 50);
+    assert!(gangs > 50, "only {gangs} gangs were placed");
 }
 
-/// Of ten teams, one submits arrays first that need more than the whole cluster. They are bounded
-/// by that team's limit, and the other teams get the capacity within their guarantees.
+/// One of ten teams first submits arrays that need more than the whole cluster. That team's limit
+/// bounds them, and the other teams get the capacity within their guarantees.
 #[test]
 fn large_arrays_leave_other_teams_their_guarantees() {
     let mut config = config();
@@ -195,7 +196,10 @@
     let first: u32 = (0..4)
         .filter_map(|i| actual.get(&format!("wk-{i:06}")))
         .sum();
-    assert_eq!(first, 50, "the limit of the first team");
+    assert_eq!(
+        first, 50,
+        "tasks placed for the first team, whose limit is 50"
+    );
 }
 
 /// Guards against a new leader leaving the machines of the roster idle until they are
@@ -212,15 +216,15 @@
     assert!(usable, "the owner was not told that host-1 is usable");
 }
 
-/// Returns how many tasks of `blue` are stopped for a guaranteed job of `red`, given blue's
-/// guarantee in CPUs.
+/// Returns how many tasks of team `blue` are stopped for a job within the guarantee of team `red`,
+/// given blue's guarantee in CPUs.
 fn stopped_for_red(blue_guarantee: f64) -> usize {
     let inherited = BTreeMap::new();
     stopped_by_priority(blue_guarantee, Priority::Standard, &inherited)
 }
 
-/// Like `stopped_for_red`, with a given priority of red's job, and with inherited priorities by
-/// job.
+/// Like `stopped_for_red`, with a given priority of red's job and given inherited priorities, by
+/// job id.
 fn stopped_by_priority(
     blue_guarantee: f64,
     red: Priority,
--- a/crates/model/tests/scale_out.rs
+++ b/crates/model/tests/scale_out.rs
@@ -13,7 +13,8 @@
 use wire::peers::ToLeader;
 use wire::users::{Job, Shape};
 
-/// A leader that is its own only owner, and the provision requests that it has sent, by time.
+/// A leader whose own controller owns all machines, and the provision requests that it has sent,
+/// with their times.
 struct ScaleOutScenario {
     leader: Leader,
     now: f64,
@@ -40,8 +41,8 @@
         scenario
     }
 
-    /// Accepts and ends a gang that fits only on `large`, so that this type is reserved for its
-    /// class.
+    /// Accepts and ends a gang that fits only on `large`, so that this type is reserved for the
+    /// gang's class of jobs.
     fn complete_large_gang(&mut self) {
         let gang = Job {
             class: "large-gang".into(),
@@ -95,9 +96,10 @@
     }
 }
 
-/// Guards against requesting the full count again when the backoff of an offer ends. Of several
-/// offers, there was always one to request again, so that arrays waited for a minute while the cloud
-/// had 53 machines left of the type reserved for gangs.
+/// Guards against requesting the full number of machines again when the backoff of a refused offer
+/// (a machine type in a zone) ends. Of several offers, there was always one to request again, so
+/// that arrays waited for a minute while the cloud had 53 machines left of the type reserved for
+/// gangs.
 #[test]
 fn refused_types_are_retried_one_machine_at_a_time() {
     let mut scenario = ScaleOutScenario::new(0);
@@ -132,8 +134,8 @@
     );
 }
 
-/// While a small gang waits that fits on any machine, arrays may still use the type reserved for
-/// large gangs: with pipelines, some small gang waits nearly all the time.
+/// Arrays may use the type reserved for large gangs even while a small gang waits, if that gang
+/// fits on any machine: with pipelines, some small gang waits nearly all the time.
 #[test]
 fn small_gang_leaves_reserved_type_to_arrays() {
     for (tasks, cpus, expected) in [(2, 1.0, true), (2, 14.0, false)] {
@@ -151,14 +153,14 @@
             .any(|request| request.count > 2);
         assert_eq!(
             for_arrays, expected,
-            "with a waiting gang of {cpus} CPUs per task"
+            "whether arrays get large machines beside a waiting gang of {cpus} CPUs per task"
         );
     }
 }
 
-/// Guards against counting all capacity that running tasks free during a boot for the queue: new
-/// jobs took it, and the queue only grew. For a single array, no machine is provisioned beside the
-/// capacity that becomes free.
+/// Guards against counting on all capacity that running tasks free while a machine boots: new jobs
+/// took that capacity, and the queue only grew. For a single array, no machine is provisioned in
+/// addition to the capacity that becomes free.
 #[test]
 fn machines_are_provisioned_for_growing_queue() {
     for (arrays, expected) in [(1, false), (60, true)] {
@@ -180,7 +182,7 @@
         assert_eq!(
             !scenario.requests.is_empty(),
             expected,
-            "with {arrays} arrays"
+            "whether machines were requested, with {arrays} arrays"
         );
     }
 }
--- a/crates/model/tests/staleness.rs
+++ b/crates/model/tests/staleness.rs
@@ -1,5 +1,5 @@
 //! How stale a controller's view of the store may be when it responds to heartbeats and starts
-//! tasks, and which tasks of terminal jobs are stopped.
+//! tasks, and which tasks of terminal jobs (done or cancelled ones) are stopped.
 
 use model::world::{
     config, owner_of_one_machine, roster, roster_record, task_requirements, EmptyJobLookup,
@@ -15,7 +15,7 @@
 use wire::users::Shape;
 use wire::workers::{Heartbeat, Order, ReportedTask, TaskState, Why};
 
-/// A replica that holds only `wk-1`, as open or as terminal.
+/// A replica of the store that holds only the job `wk-1`, as open or as terminal.
 struct JobReplica {
     is_terminal: bool,
 }
@@ -39,7 +39,7 @@
 const OPEN_JOB: JobReplica = JobReplica { is_terminal: false };
 const TERMINAL_JOB: JobReplica = JobReplica { is_terminal: true };
 
-/// An owner of one machine that knows the machine types and has just read the store.
+/// An owner of one machine. It knows the machine types and has just read the store.
 fn owner_with_fresh_replica() -> Owner {
     let mut owner = owner_of_one_machine(config());
     owner.on_leader_message(
@@ -74,7 +74,7 @@
 fn orders(response: HeartbeatResponse) -> Vec<Order> {
     match response {
         HeartbeatResponse::Orders(o) => o.orders,
-        other => panic!("no orders: {other:?}"),
+        other => panic!("the response to the heartbeat has no orders: {other:?}"),
     }
 }
 
@@ -124,8 +124,9 @@
     result.expect("the owner sent no result of the reservation")
 }
 
-/// Guards against cancelled tasks that outlive `cancel_s` when leaders change faster than a machine
-/// sends heartbeats: each response only carried the next token and renewed the lease.
+/// Guards against tasks of cancelled jobs that outlive `cancel_s` when leaders change faster than a
+/// machine sends heartbeats: each response only carried the next leader's token and renewed the
+/// lease, but stopped nothing.
 #[test]
 fn response_to_ignored_heartbeat_stops_terminal_jobs() {
     let mut owner = owner_with_fresh_replica();
@@ -174,8 +175,8 @@
             vec![stop_order()]
         );
     }
-    // An epoch that continues the previous token, and one that does not. The owner keeps its records
-    // of the machines in the first case only, and starts without records in the second.
+    // First an epoch that continues the owner's token 5, so that the owner keeps its records of the
+    // machines; then one whose previous token is 0, so that it starts without records.
     for (token, previous_token) in [(6, 5), (7, 0)] {
         owner.on_leader_message(
             ToOwner::Epoch {
@@ -238,7 +239,7 @@
         });
         assert!(
             last.is_some_and(|v| v.iter().all(|v| v.pending.is_empty())),
-            "is_notified={is_notified}"
+            "no status was reported, or one with a pending start; is_notified={is_notified}"
         );
     }
     // With an open job the task does start, so the checks above can fail.
@@ -308,8 +309,9 @@
     assert_eq!(started_tasks(false, &OPEN_JOB, "wk-1"), 1);
 }
 
-/// Starts need a view as fresh as the leadership. Responses, which renew workers' leases, only need
-/// one fresh enough that tasks cancelled since are gone within `cancel_s`.
+/// Starts need a view of the store that is no older than the leader's lease is long. Responses,
+/// which renew workers' leases, only need a view so fresh that the tasks of jobs cancelled after it
+/// was read are gone within `cancel_s`.
 #[test]
 fn stale_replica_ends_starts_then_responses() {
     let config = config();
@@ -391,7 +393,7 @@
 }
 
 /// The leader learns of a cancellation from the controller that confirmed it, and later from the
-/// store. It notifies the owners once, at once, and again at each new epoch.
+/// store. It notifies the owners only once, immediately, and then again at each new epoch.
 #[test]
 fn owners_hear_cancellation_once_and_per_epoch() {
     let config = SchedulerConfig {
--- a/crates/model/tests/trace.rs
+++ b/crates/model/tests/trace.rs
@@ -56,8 +56,8 @@
 }
 
 /// Runs a world with many machine types and few machines of each. It has preemption notices,
-/// checkpoints, GPUs, tasks that are stopped for other teams' or for more urgent jobs, and quiet
-/// periods in which machines are deprovisioned. Odd seeds also have random faults.
+/// checkpoints, GPUs, tasks that are stopped for jobs of other teams or for more urgent jobs, and
+/// quiet periods in which machines are deprovisioned. Odd seeds also have random faults.
 fn heterogeneous_scenario(seed: u64) -> World {
     let mut world = World::heterogeneous(seed);
     world.run_heterogeneous(15.0, 50, false);
@@ -76,7 +76,7 @@
         CloudEvent::ProvisionRefused,
         CloudEvent::Deprovision,
     ] {
-        assert!(count(event) > 0, "seed {seed}: no {event:?}");
+        assert!(count(event) > 0, "seed {seed}: no {event:?} event occurred");
     }
     assert_eq!(
         world.violations,
--- a/crates/model/tests/waits.rs
+++ b/crates/model/tests/waits.rs
@@ -1,4 +1,5 @@
-//! Waiting jobs: the bounds of retries and of idle machines, and jobs that can never be placed.
+//! Waiting jobs: how long retries may be delayed, how long idle machines are kept, and jobs that
+//! can never be placed.
 
 use model::world::{
     config, config_without_deprovisioning, job, lone_leader, machine_status, machine_type, roster,
@@ -55,14 +56,17 @@
         leader.on_owner_message("rung-0", ToLeader::MachineStatuses(vec![status]), now);
     }
     let intervals: Vec<f64> = attempts.windows(2).map(|pair| pair[1] - pair[0]).collect();
-    assert!(intervals.len() > 8, "{attempts:?}");
+    assert!(
+        intervals.len() > 8,
+        "too few attempts; their times: {attempts:?}"
+    );
     assert!(
         intervals[4] > intervals[0],
         "the backoff does not grow: {intervals:?}"
     );
     assert!(
         intervals.iter().all(|interval| *interval < 60.0),
-        "{intervals:?}"
+        "an interval between attempts is not below 60 s: {intervals:?}"
     );
 }
 
@@ -80,7 +84,11 @@
         let mut world = World::new(seed, Defect::None);
         world.submit(unplaceable_job(1, Shape::Gang, 2));
         world.advance(60.0);
-        assert_eq!(world.machines_provisioned(), 0, "seed {seed}");
+        assert_eq!(
+            world.machines_provisioned(),
+            0,
+            "provisioned machines with seed {seed}"
+        );
         world.submit(unplaceable_job(2, Shape::Array, 4));
         world.submit(unplaceable_job(3, Shape::Gang, 1));
         world.submit(job(4, "red", Shape::Gang, 3, 1.0));
@@ -88,14 +96,14 @@
         assert_eq!(
             world.open_jobs(),
             ["wk-000001"],
-            "seed {seed}\n{}",
+            "open jobs with seed {seed}\n{}",
             world.explain()
         );
         assert!(world.cancel("wk-000001"));
         world.run_until_done(30.0);
         assert!(
             world.violations.is_empty() && world.open_jobs().is_empty(),
-            "seed {seed}: {:?}",
+            "violated rules with seed {seed}: {:?}",
             world.violations
         );
     }
@@ -105,9 +113,9 @@
     ToLeader::ReserveResult { attempt, reserved }
 }
 
-/// Guards against an ignored refusal: both machines of a gang, with two owners, were lost between
-/// reservation and binding. The second owner's refusal arrived when the gang's attempt was already
-/// ending and was ignored, so that its task stayed assigned to that owner forever.
+/// Guards against an ignored refusal: both machines of a gang, which had different owners, were
+/// lost between reservation and binding. The second owner's refusal arrived when the gang's attempt
+/// was already ending. It was ignored, so that its task stayed assigned to that owner forever.
 #[test]
 fn gang_retries_after_all_owners_refuse_binding() {
     let spec = Rc::new(job(1, "red", Shape::Gang, 2, 3.0));
@@ -237,11 +245,12 @@
     // fails.
     assert!(
         assigned.len() > 8 && assigned[2..].iter().all(|(_, n)| *n == 1),
-        "{assigned:?}"
+        "too few assignments, or one of several tasks after the first two; (time, tasks): {assigned:?}"
     );
 }
 
-/// Whether the leader's pending actions tell some owner to drain a machine.
+/// Takes the leader's pending actions. Returns whether one of them tells an owner to drain a
+/// machine.
 fn drains_machine(leader: &mut Leader) -> bool {
     leader.take_actions().iter().any(|action| {
         matches!(
@@ -251,8 +260,8 @@
     })
 }
 
-/// Guards against idle machines being kept as long after the last job as between the jobs of a busy
-/// hour.
+/// Guards against keeping idle machines for as long after the last job as between the jobs of a
+/// busy hour.
 #[test]
 fn idle_machines_are_released_sooner_without_jobs() {
     let config = SchedulerConfig {
@@ -298,9 +307,10 @@
     );
 }
 
-/// Guards against counting a failure for machines other than its own: at a job's second failure, on
-/// another machine, its first machine was counted as faulty again, though it had completed other
-/// work since. The next job's failure there then drained a healthy machine.
+/// Guards against counting a failure against a machine on which it did not occur: when a job failed
+/// a second time, on another machine, the machine of its first failure was counted as faulty again,
+/// though it had completed other work since. When the next job failed on it, this healthy machine
+/// was drained.
 #[test]
 fn only_machine_of_failure_counts_as_faulty() {
     let open = |id, revision| {
