--- a/crates/model/src/world/transit.rs
+++ b/crates/model/src/world/transit.rs
@@ -79,17 +79,17 @@
 
     /// Delivers the messages between workers and controllers that have arrived by now.
     pub(super) fn deliver(&mut self) {
-        let mut due: Vec<InTransit<Message>> = Vec::new();
+        let mut arrivals: Vec<InTransit<Message>> = Vec::new();
         let mut i = 0;
         while i < self.messages.len() {
             if self.messages[i].arrives_at <= self.now {
-                due.push(self.messages.swap_remove(i));
+                arrivals.push(self.messages.swap_remove(i));
             } else {
                 i += 1;
             }
         }
-        due.sort_by(|a, b| a.arrives_at.total_cmp(&b.arrives_at));
-        for arrived in due {
+        arrivals.sort_by(|a, b| a.arrives_at.total_cmp(&b.arrives_at));
+        for arrived in arrivals {
             match arrived.message {
                 Message::Heartbeat { to, heartbeat } => self.receive_heartbeat(to, heartbeat),
                 Message::Response {
@@ -119,8 +119,8 @@
             return;
         }
         if self.is_frozen(to) {
-            let again = self.controllers[to].frozen_until;
-            self.send(again, Message::Heartbeat { to, heartbeat });
+            let resumes_at = self.controllers[to].frozen_until;
+            self.send(resumes_at, Message::Heartbeat { to, heartbeat });
             return;
         }
         if self.defect == Defect::TrustAnyHeartbeat {
--- a/crates/model/src/world/workers.rs
+++ b/crates/model/src/world/workers.rs
@@ -191,8 +191,8 @@
             let Some(job) = jobs.get(&key.job) else {
                 continue;
             };
-            let run = (key.job.clone(), key.attempt);
-            let can_run = job.spec.shape != Shape::Gang || complete_gangs.contains(&run);
+            let gang_attempt = (key.job.clone(), key.attempt);
+            let can_run = job.spec.shape != Shape::Gang || complete_gangs.contains(&gang_attempt);
             if let Some(event) = task.advance(now, job.spec.estimate_s, can_run) {
                 events.push((key.clone(), event));
             }
@@ -348,7 +348,7 @@
         present
             .into_iter()
             .filter(|((id, _), tasks)| is_complete(id, *tasks))
-            .map(|(run, _)| run)
+            .map(|(gang_attempt, _)| gang_attempt)
             .collect()
     }
 
--- a/crates/model/tests/overlapping_faults.rs
+++ b/crates/model/tests/overlapping_faults.rs
@@ -96,22 +96,22 @@
 
 /// The store refuses the leader while other controllers confirm cancellations; then it is down for
 /// all.
-fn refuse_leader_then_all(world: &mut World, refused_s: f64, out_s: f64) {
+fn refuse_leader_then_all(world: &mut World, refused_s: f64, outage_s: f64) {
     let leader = wait_for_leader(world);
     // The refusal ends during the outage: the leader is served again together with the others.
-    world.refuse_controller(leader, refused_s + out_s / 2.0);
+    world.refuse_controller(leader, refused_s + outage_s / 2.0);
     world.advance(refused_s / 2.0);
     world.cancel_running(2);
     world.advance(refused_s / 2.0);
-    world.store_outage(out_s);
-    world.advance(out_s + 0.5);
+    world.store_outage(outage_s);
+    world.advance(outage_s + 0.5);
 }
 
 #[test]
 fn store_refuses_leader_then_is_down() {
     let (lease, cancel) = (config().lease_s, config().cancel_s);
     for hints in [true, false] {
-        for (refused_s, out_s) in [
+        for (refused_s, outage_s) in [
             (0.5, 0.5 * lease),
             (1.0, 1.1 * lease),
             (1.5, 1.3 * cancel),
@@ -119,7 +119,7 @@
         ] {
             check_scenario(4, |world| {
                 world.cancel_hints = hints;
-                refuse_leader_then_all(world, refused_s, out_s);
+                refuse_leader_then_all(world, refused_s, outage_s);
             });
         }
     }
@@ -472,17 +472,17 @@
 fn freeze_controllers(world: &mut World) {
     world.cancel_hints = false;
     let lease = config().lease_s;
-    for for_s in [0.4, 1.5, 0.4 * lease, 0.8 * lease, 1.2 * lease] {
+    for freeze_s in [0.4, 1.5, 0.4 * lease, 0.8 * lease, 1.2 * lease] {
         let leader = wait_for_leader(world);
-        world.freeze_before_next_response(leader, for_s);
+        world.freeze_before_next_response(leader, freeze_s);
         world.advance(0.5);
         world.cancel_running(1);
-        world.advance(for_s);
+        world.advance(freeze_s);
         let other = (wait_for_leader(world) + 1) % 3;
-        world.freeze_controller(other, for_s);
-        world.advance(for_s / 2.0);
+        world.freeze_controller(other, freeze_s);
+        world.advance(freeze_s / 2.0);
         world.cancel_running(1);
-        world.advance(for_s);
+        world.advance(freeze_s);
     }
 }
 
@@ -505,11 +505,11 @@
 #[test]
 fn all_controllers_freeze_and_resume() {
     let (lease, cancel) = (config().lease_s, config().cancel_s);
-    for for_s in [0.5 * lease, 1.2 * lease, 1.2 * cancel] {
+    for freeze_s in [0.5 * lease, 1.2 * lease, 1.2 * cancel] {
         check_scenario(4, |world| {
             world.cancel_running(2);
-            (0..3).for_each(|i| world.freeze_controller(i, for_s));
-            world.advance(for_s + 0.2);
+            (0..3).for_each(|i| world.freeze_controller(i, freeze_s));
+            world.advance(freeze_s + 0.2);
             world.cancel_running(1);
             world.advance(5.0);
         });
--- a/crates/model/tests/waits.rs
+++ b/crates/model/tests/waits.rs
@@ -198,7 +198,7 @@
     let config = config_without_deprovisioning();
     let mut leader = lone_leader(config, small_types(), jobs, 2, &roster);
     let (mut now, mut assigned, mut unexpected) = (0.0, Vec::new(), Vec::new());
-    let mut reports: BTreeMap<String, Vec<TaskStatus>> = BTreeMap::new();
+    let mut failed_by_host: BTreeMap<String, Vec<TaskStatus>> = BTreeMap::new();
     while now < 200.0 {
         now += 0.5;
         leader.tick(now, 0);
@@ -219,7 +219,7 @@
                     for task in failed {
                         // Tasks are distributed over the machines, as an owner does.
                         let host = hosts[next_host % hosts.len()].clone();
-                        reports.entry(host).or_default().push(task);
+                        failed_by_host.entry(host).or_default().push(task);
                         next_host += 1;
                     }
                 }
@@ -236,7 +236,7 @@
         }
         let statuses = hosts
             .iter()
-            .map(|h| machine_status(h, "small", reports.remove(h).unwrap_or_default()))
+            .map(|h| machine_status(h, "small", failed_by_host.remove(h).unwrap_or_default()))
             .collect();
         leader.on_owner_message("rung-0", ToLeader::MachineStatuses(statuses), now);
     }
