--- a/crates/model/tests/dependency_graph.rs
+++ b/crates/model/tests/dependency_graph.rs
@@ -249,8 +249,8 @@
     }
     // Each kind of effect occurred often enough.
     assert!(
-    cancelled > 2000 && unblocked > 500 && reprioritized > 2000,
-    "too few effects: {cancelled} cancelled, {unblocked} unblocked, {reprioritized} reprioritized"
+        cancelled > 2000 && unblocked > 500 && reprioritized > 2000,
+        "effects: {cancelled} cancelled, {unblocked} unblocked, {reprioritized} reprioritized"
     );
 }
 
--- a/crates/model/tests/invariants.rs
+++ b/crates/model/tests/invariants.rs
@@ -220,7 +220,7 @@
     let times = world.job_times()["wk-009999"];
     assert!(
         times.started.is_some_and(|at| at - times.accepted < 60.0),
-        "the gang of three tasks did not start within 60 s, but at {:?}",
+        "the gang of three tasks did not start within 60 s; start time: {:?}",
         times.started
     );
     assert!(
--- a/crates/model/tests/staleness.rs
+++ b/crates/model/tests/staleness.rs
@@ -309,7 +309,7 @@
     assert_eq!(started_tasks(false, &OPEN_JOB, "wk-1"), 1);
 }
 
-/// Starts need a view of the store that is no older than the leader's lease is long. Responses,
+/// Starts need a view of the store no older than the duration of the leader's lease. Responses,
 /// which renew workers' leases, only need a view so fresh that the tasks of jobs cancelled after it
 /// was read are gone within `cancel_s`.
 #[test]
