--- a/crates/model/src/world/controllers.rs
+++ b/crates/model/src/world/controllers.rs
@@ -23,7 +23,8 @@
     pub(super) to_leader: Connection<ToLeader>,
     /// Pings to the leader in transit, each carrying the time at which it was sent.
     pub(super) pings: Connection<f64>,
-    /// Whether the leader has assigned machines to it, by an `Epoch` message, since it connected.
+    /// Whether it has received an `Epoch` message, which assigns machines to it, since it
+    /// connected.
     pub(super) has_epoch: bool,
     /// Times of the leader's last read of the store, as carried by its responses to pings. Each
     /// arrives after the messages that the leader sent before it.
@@ -36,7 +37,7 @@
     /// The duration of the freeze that begins once it has computed its next response to a worker;
     /// `None` if it will not freeze then.
     pub(super) freeze_after_response_s: Option<f64>,
-    /// The maximum size of a value in the store, in kB. It partitions its records by this size.
+    /// The maximum size of a value in the store, by which the controller partitions its records.
     pub(super) value_kb: f64,
     /// The dependency state that it has derived from the job records.
     pub(super) dependencies: DependencyView,
--- a/crates/model/src/world/election.rs
+++ b/crates/model/src/world/election.rs
@@ -102,7 +102,8 @@
         described.collect()
     }
 
-    /// Restarts the elected controller as an owner without machines and with a current view.
+    /// Restarts the elected controller as an owner without machines, whose view of the store is
+    /// current.
     fn start_as_leader(&mut self, elected: usize, dependencies: DependencyView) {
         let now = self.now;
         let controller = &mut self.controllers[elected];
--- a/crates/model/src/world/store.rs
+++ b/crates/model/src/world/store.rs
@@ -14,8 +14,8 @@
     pub(super) is_late: bool,
 }
 
-/// Returns the key that an action overwrites on condition of its version; `None` if the action has
-/// another condition or is not a write.
+/// Returns the key that an action writes on condition that the key still has the expected version;
+/// `None` if the action has another condition or is not a write.
 fn written_key(action: &Action) -> Option<String> {
     match action {
         Action::UpdateRoster(machine, _) => Some(format!("roster/{machine}")),
@@ -85,7 +85,8 @@
         self.controllers[i].read_at
     }
 
-    /// Returns the version that the leader knows for the key that an action writes, or 0.
+    /// Returns the version that the leader expects of the key that an action writes; 0 if it knows
+    /// none.
     pub(super) fn expected_version(&self, action: &Action) -> u64 {
         written_key(action)
             .and_then(|key| self.leader_known_versions.get(&key).copied())
@@ -226,7 +227,7 @@
         }
     }
 
-    /// Sets the version that the leader knows for the key that its action writes to the true one.
+    /// Lets the leader know the current version of the key that its action writes.
     fn update_known_version(&mut self, action: &Action) {
         if let Some(key) = written_key(action) {
             let version = self.versions.get(&key).copied().unwrap_or(0);
--- a/crates/model/src/world/workers.rs
+++ b/crates/model/src/world/workers.rs
@@ -312,8 +312,8 @@
         }
     }
 
-    /// Sends a heartbeat. 2 % of all heartbeats are sent twice, and of `late_copy_percent` a
-    /// duplicate arrives much later.
+    /// Sends a heartbeat. 2 % of all heartbeats are sent twice, and for `late_copy_percent` of them
+    /// a duplicate arrives much later.
     fn send_heartbeat(&mut self, to: usize, heartbeat: Heartbeat) {
         let now = self.now;
         self.trace.reported(now, to, &heartbeat);
--- a/crates/model/tests/common/mod.rs
+++ b/crates/model/tests/common/mod.rs
@@ -3,7 +3,7 @@
 use model::world::{job, Defect, World};
 use wire::users::{Job, Shape};
 
-/// A maximum size of values in the store, in kB, so small that a progress bitmap holds eight tasks.
+/// A maximum size of values in the store so small that a progress bitmap holds eight tasks.
 const SMALL_VALUE_KB: f64 = 0.004;
 
 /// Runs a world in which most jobs have dependencies, under random faults. In between, a rolling
