--- a/crates/sched/src/autoscaler/scale_in.rs
+++ b/crates/sched/src/autoscaler/scale_in.rs
@@ -102,7 +102,7 @@
             let unknown = release_unknown(cluster);
             // A silent machine may send heartbeats again before its release, but nothing may be
             // placed on it.
-            plan.cordon.extend_from_slice(&unknown);
+            plan.drain.extend_from_slice(&unknown);
             plan.release.extend(unknown);
         }
         plan.release.extend(self.boot_timeouts(cluster, now));
--- a/crates/sched/src/owner/mod.rs
+++ b/crates/sched/src/owner/mod.rs
@@ -130,7 +130,7 @@
     /// Removes and returns the pending messages to the leader. Status changes that heartbeats show
     /// are batched for a short time. Those that the leader's own messages cause are included at
     /// once, before any later heartbeat is processed.
-    pub fn drain(&mut self) -> Vec<ToLeader> {
+    pub fn take_messages(&mut self) -> Vec<ToLeader> {
         self.outbox.drain(self.epoch.token(), &mut self.machines)
     }
 
