--- a/crates/sched/src/leader/epoch.rs
+++ b/crates/sched/src/leader/epoch.rs
@@ -1,5 +1,6 @@
-//! Starts a new epoch when the shard owners change: marks tasks that a previous owner may have started as
-//! unresolved, reassigns every machine, and sends each owner its machines under the new fencing token.
+//! Starts a new epoch (a period with fixed shard owners, under one fencing token) when the owners
+//! change: marks the tasks that a previous owner may have started as unresolved, reassigns every
+//! machine, and sends each owner its machines under the new fencing token.
 
 use super::shard_epochs::{EpochChange, EpochReview};
 use super::{Action, GangPhase, Leader, TaskLocation};
@@ -21,9 +22,9 @@
         self.epochs.on_owner_disconnected(member);
     }
 
-    /// Grants authority until `until` to an owner and returns its duration in seconds. Returns
-    /// `None` if the controller is not a connected owner in the current epoch or if `until` has
-    /// passed.
+    /// Grants an owner authority to respond to heartbeats until `until`, and returns how many
+    /// seconds remain until then. Returns `None` if the controller is not a connected owner in the
+    /// current epoch or if `until` has passed.
     pub fn grant_authority(&mut self, member: &str, now: Secs, until: Secs) -> Option<Secs> {
         self.epochs.grant_authority(member, now, until)
     }
@@ -88,8 +89,8 @@
         }
     }
 
-    /// Marks tasks that were assigned to a previous owner and never appeared in a machine status as
-    /// unresolved: they may be running on any machine of that owner.
+    /// Marks as unresolved the tasks that were assigned to a previous owner and have not appeared
+    /// in any machine status: they may be running on any machine of that owner.
     fn mark_unresolved(&mut self, owner: &str) {
         let mut tasks: Vec<(String, u32)> = Vec::new();
         for (id, job) in self.cluster.jobs.iter() {
@@ -130,8 +131,8 @@
         }
     }
 
-    /// Resets the record of sent orders: orders sent under an earlier token may be lost and are
-    /// sent again when due.
+    /// Forgets which orders (stops and clears) were sent: orders sent under an earlier token may be
+    /// lost, and are sent again if they are still needed.
     fn reset_sent_orders(&mut self) {
         for job in self.cluster.jobs.values_mut() {
             job.pending_clears.clear();
@@ -156,7 +157,8 @@
                 self.send(&member, ToOwner::TerminalJobs { jobs });
             }
         }
-        // A leader that is not an owner also needs the members, so that it can redirect workers.
+        // A leader that is not an owner also needs the list of owners, so that it can redirect
+        // workers.
         let member = self.member.clone();
         if !self.epochs.members().contains(&member) {
             self.send_epoch(&member, change, 0);
--- a/crates/sched/src/leader/jobs.rs
+++ b/crates/sched/src/leader/jobs.rs
@@ -13,10 +13,11 @@
         self.cluster.jobs.contains_key(id)
     }
 
-    /// Adds an accepted job, unless the job is already known.
+    /// Adds an accepted job, unless this leader already manages it or knows it to be terminal.
     pub fn add_job(&mut self, job: OpenJob) {
         let id = &job.spec.id;
-        // A job whose cancellation a controller has confirmed may still be open in the local replica.
+        // A job whose cancellation a controller has confirmed may still appear as open in the local
+        // replica of the store.
         if self.cluster.jobs.contains_key(id) || self.terminal_jobs.contains(id) {
             return;
         }
@@ -34,8 +35,9 @@
         }
     }
 
-    /// Handles a cancellation that a controller has confirmed and that the local replica may not
-    /// show yet. The job may also be unknown to this leader because it waits for its dependencies.
+    /// Handles a cancellation that a controller has confirmed. The local replica of the store may
+    /// not show it yet. The job may also be unknown to this leader because it waits for its
+    /// dependencies.
     pub(crate) fn on_cancel_confirmed(&mut self, id: &str) {
         if !self.cluster.jobs.contains_key(id) {
             self.terminal_jobs.insert(id, self.last_tick_at);
@@ -45,7 +47,8 @@
 
     /// Stops a job that is terminal (done or cancelled) according to the store.
     pub fn on_job_terminal(&mut self, id: &str) {
-        // This may be reported twice: by the controller that confirmed it and by the store.
+        // A cancellation may be reported twice: by the controller that confirmed it and by the
+        // store.
         let job = self.cluster.jobs.get_mut(id);
         let Some(job) = job.filter(|job| !job.terminal) else {
             return;
@@ -67,8 +70,8 @@
         self.pass_requested = true;
     }
 
-    /// Tells owners not to start tasks of a terminal job: they may hold starts that no status has
-    /// shown yet.
+    /// Tells owners not to start tasks of a terminal job: they may hold assigned tasks that no
+    /// machine status has shown yet.
     fn send_terminal(&mut self, id: &str) {
         self.terminal_jobs.insert(id, self.last_tick_at);
         for member in self.epochs.members().to_vec() {
@@ -93,8 +96,8 @@
         let Some(job) = self.cluster.jobs.get_mut(id) else {
             return;
         };
-        // The completion of another attempt does not show where the current one is: it stays
-        // charged until its end is observed.
+        // The completion of another attempt does not show where the current attempt is: the current
+        // attempt stays charged until its end is observed.
         let is_current = job.is_active(task);
         let active = job.active.get(&index);
         let running = active.filter(|active| is_current && active.running);
@@ -116,7 +119,7 @@
         self.pass_requested = true;
     }
 
-    /// Requests the completion record of a job once all its tasks are done.
+    /// Requests that a job be recorded as done once all its tasks are done.
     pub(crate) fn finish_if_done(&mut self, id: &str) {
         if let Some(job) = self.cluster.jobs.get_mut(id) {
             if !job.terminal && !job.finishing && job.done.len() == job.spec.tasks {
@@ -135,8 +138,9 @@
         }
     }
 
-    /// Sets the jobs that were cancelled so recently that their tasks may still be running on machines with
-    /// unknown tasks. Each entry holds the id, the team, and the total resources that the job may use.
+    /// Sets the jobs that were cancelled so recently that their tasks may still be running on
+    /// machines whose tasks are not known yet. Each entry holds the id, the team, and the total
+    /// resources that the job may use.
     pub fn set_recently_cancelled(
         &mut self,
         jobs: impl IntoIterator<Item = (String, String, Resources)>,
--- a/crates/sched/src/leader/machine_status.rs
+++ b/crates/sched/src/leader/machine_status.rs
@@ -30,8 +30,8 @@
         }
     }
 
-    /// Requeues tasks that an owner did not start and will not start. Each run is a first task and
-    /// a number of tasks.
+    /// Requeues tasks that an owner has not started and will not start. Each run is a first task
+    /// and a number of tasks.
     fn requeue_handed_back(&mut self, owner: &str, job: &str, attempt: u64, runs: &[(u32, u32)]) {
         let indexes = runs.iter();
         let indexes = indexes.flat_map(|(first, count)| *first..first.saturating_add(*count));
@@ -58,8 +58,9 @@
                 return;
             }
             if status.token != self.epochs.token() || status.lease_expired {
-                // The owner knows the machine only from a late copy of a heartbeat, or saw it in an
-                // earlier epoch; it will send its status again in the current epoch.
+                // The owner knows the machine only from a delayed copy of a heartbeat, or saw it in
+                // an earlier epoch; in that case the owner will send its status again in the
+                // current epoch.
                 return;
             }
             self.add_machine(from, &status, now);
@@ -72,7 +73,8 @@
             return;
         }
         update_machine(machine, &status, now);
-        // Only a status from the current epoch proves that nothing else was placed there in the meantime.
+        // Only a status from the current epoch proves that no other tasks have been placed on the
+        // machine in the meantime.
         if is_current {
             machine.reconciled = true;
             if std::mem::take(&mut machine.content_unknown) {
@@ -102,7 +104,8 @@
         self.autoscaler.record_boot(&status.name, now);
     }
 
-    /// Requests a roster record for a machine that is up, unless it has one or one is being written.
+    /// Requests the write of a roster record for a machine that is up, unless the record exists or
+    /// is being written.
     pub(crate) fn write_roster_record(&mut self, name: &str) {
         let Some(machine) = self.cluster.machines.get_mut(name) else {
             return;
@@ -121,8 +124,8 @@
             .push(Action::UpdateRoster(name.into(), Some(record)));
     }
 
-    /// Resends whether a machine is usable if its owner shows another value: the owner may have reset its
-    /// state after the first message.
+    /// Tells an owner again whether a machine is usable, if the owner's status shows the opposite:
+    /// the owner may have reset its state after the first message.
     fn resend_usable(&mut self, owner: &str, status: &MachineStatus) {
         let machine = self.cluster.machines.get(&status.name);
         let usable = machine.map(|machine| machine.usable_sent);
@@ -133,7 +136,7 @@
     }
 
     /// Handles the status of a released machine. The machine no longer exists; tasks that its owner
-    /// placed there before it learned of the release are not running anywhere, so they are
+    /// placed there before the owner learned of the release are not running anywhere, so they are
     /// requeued.
     fn on_status_of_released(&mut self, from: &str, status: &MachineStatus) {
         if status.usable {
@@ -185,7 +188,8 @@
         }
     }
 
-    /// Requeues tasks that were on a machine and are missing from its status: they have ended there.
+    /// Requeues tasks that were on a machine and are missing from its new status, which shows that
+    /// they have ended there.
     fn requeue_missing_tasks<'a>(&mut self, name: &str, shown: impl Iterator<Item = &'a TaskRef>) {
         let shown: BTreeSet<(&str, u32)> =
             shown.map(|task| (task.job.as_str(), task.index)).collect();
--- a/crates/sched/src/leader/machines.rs
+++ b/crates/sched/src/leader/machines.rs
@@ -26,7 +26,8 @@
         }
     }
 
-    /// Tells the owner whether it may place tasks on a machine, if that has changed.
+    /// Tells a machine's owner whether it may place tasks there, if that differs from what it was
+    /// told last.
     pub(crate) fn send_usable(&mut self, name: &str) {
         let Some(machine) = self.cluster.machines.get_mut(name) else {
             return;
@@ -42,7 +43,7 @@
         self.send(&owner, ToOwner::SetUsable { machine, usable });
     }
 
-    /// Removes a machine that has certainly gone, and requeues its tasks.
+    /// Removes a machine that certainly no longer exists, and requeues its tasks.
     pub(crate) fn remove_machine(&mut self, name: &str) {
         let Some(machine) = self.cluster.machines.get(name) else {
             return;
--- a/crates/sched/src/leader/mod.rs
+++ b/crates/sched/src/leader/mod.rs
@@ -1,13 +1,15 @@
 //! The leader orders the queue, places each gang in one pass, reserves and binds its resources,
-//! splits arrays among the shards, and tracks which tasks may be running on which machines.
+//! splits arrays among the shard owners (the controllers that each manage a part of the machines),
+//! and tracks which tasks may be running on which machines.
 //!
-//! A task counts as possibly running (`Job::active`) from the decision to start it until an owner
-//! shows that it is not. Only tasks in `Job::ready_tasks` are started.
+//! From the decision to start a task until an owner's report or the removal of its machine shows
+//! that it is not running, the leader treats the task as possibly running and keeps it in
+//! `Job::active`. Only tasks in `Job::ready_tasks` are started.
 //!
-//! [`Leader`] coordinates components that own their state: the view of the cluster with jobs,
-//! machines and usage (`cluster`), shard epochs, unresolved tasks, the watermark of started arrays,
-//! recently terminal jobs, and the autoscaler. Effects for the caller to
-//! carry out are returned as [`Action`]s.
+//! [`Leader`] coordinates components, each of which owns its state: the view of the cluster with
+//! jobs, machines and usage (`cluster`), shard epochs, unresolved tasks, the watermark of started
+//! arrays (the revision up to which accepted arrays are recorded as started), recently terminal
+//! jobs, and the autoscaler. Effects that the caller has to carry out are returned as [`Action`]s.
 
 mod epoch;
 mod jobs;
@@ -57,8 +59,8 @@
     Send(String, ToOwner),
     /// Write the next fencing token to the store; answered by [`Leader::token_result`].
     IssueToken,
-    /// Write a machine's record to the roster, or delete it if `None`; answered by
-    /// [`Leader::roster_result`].
+    /// Write a machine's record to the roster (the stored list of machines), or delete the record
+    /// if `None`; answered by [`Leader::roster_result`].
     UpdateRoster(String, Option<RosterRecord>),
     /// Record which arrays may have started tasks; answered by [`Leader::start_record_result`].
     RecordStartedArrays(StartedArraysRecord),
@@ -66,7 +68,7 @@
     RecordProgress {
         /// The job.
         job: String,
-        /// The task that the first bit stands for.
+        /// Index of the task that the first bit stands for.
         first_task: u32,
         /// A bitmap in hexadecimal with one bit per task, set for tasks that are done.
         bits: String,
@@ -82,7 +84,7 @@
         job: String,
         /// The attempt that is bound.
         attempt: u64,
-        /// Machine, first task and number of tasks of each place.
+        /// For each part of the gang: its machine, its first task and its number of tasks.
         places: Vec<(String, u32, u32)>,
     },
     /// Ask the cloud for machines; answered by [`Leader::provision_result`].
@@ -106,7 +108,8 @@
     attempt_count: u64,
     /// Time of the last tick.
     last_tick_at: Secs,
-    /// Whether jobs may wait for machines on which an earlier leader may have started them.
+    /// Whether jobs that an earlier leader may have started may still be waiting until the tasks on
+    /// all machines concerned are known.
     has_unknown_prior_runs: bool,
     pub(crate) actions: Vec<Action>,
     /// Whether a change calls for a scheduling pass at the next tick.
@@ -123,8 +126,8 @@
 
 impl Leader {
     /// Creates a leader with a new fencing token. An earlier leader may have started tasks of
-    /// `jobs`; `started_upto` is the revision up to which arrays are recorded as started.
-    /// `value_kb` is the size limit of a value in the store.
+    /// `jobs`; `started_upto` is the store revision up to which accepted arrays are recorded as
+    /// started. `value_kb` is the size limit of a value in the store.
     #[allow(clippy::too_many_arguments)] // Each argument is a different part of the initial state.
     pub fn new(
         member: &str,
@@ -174,7 +177,7 @@
         self.cluster.usage.used_by(team)
     }
 
-    /// Returns whether the index of free resources equals a full rebuild; for tests.
+    /// Returns whether the index of free resources equals one rebuilt from scratch; for tests.
     pub fn index_is_consistent(&mut self) -> bool {
         self.cluster.index_is_consistent()
     }
@@ -198,8 +201,10 @@
         self.actions.push(Action::Send(to.to_string(), message));
     }
 
-    /// Performs all work that is due. `other_controllers` is the number of other controllers in the
-    /// settings.
+    /// Performs the periodic work whose time has come: changes of the epoch, scheduling,
+    /// preemption, autoscaling and writes of progress. Until the first epoch has begun, only the
+    /// epoch is reviewed and old terminal jobs are forgotten. `other_controllers` is the number of
+    /// other controllers in the settings.
     pub fn tick(&mut self, now: Secs, other_controllers: usize) {
         self.last_tick_at = now;
         let retention_s = self.cluster.config.terminal_retention_s();
@@ -236,15 +241,16 @@
         }
     }
 
-    /// Returns whether a scheduling pass is due, and resets the request for one: a pass was
-    /// requested, or half a heartbeat interval (at most half a second) has elapsed.
+    /// Returns whether to run a scheduling pass now, because one was requested or because more than
+    /// half a heartbeat interval (at most half a second) has passed since the last. Resets the
+    /// request.
     fn pass_is_due(&mut self, now: Secs) -> bool {
         let interval_s = self.cluster.config.heartbeat_s.min(1.0) / 2.0;
         std::mem::take(&mut self.pass_requested) || now - self.last_pass_at > interval_s
     }
 
-    /// Writes progress periodically. If this leader fails, workers' heartbeats still report
-    /// progress that is not recorded yet.
+    /// Writes progress periodically. If this leader fails in between, progress that is not recorded
+    /// yet is not lost: workers' heartbeats still report it.
     fn flush_progress_if_due(&mut self, now: Secs) {
         let interval_s = self.cluster.config.lease_s / PROGRESS_WRITES_PER_LEASE;
         if now - self.progress_flushed_at > interval_s {
--- a/crates/sched/src/leader/preemption/candidates.rs
+++ b/crates/sched/src/leader/preemption/candidates.rs
@@ -11,19 +11,19 @@
 /// Candidate machines by name.
 pub(super) type Candidates<'a> = BTreeMap<&'a str, CandidateMachine<'a>>;
 
-/// A machine that takes tasks, with the tasks that may be stopped there.
+/// A machine on which tasks may be placed, with the tasks that may be stopped there.
 #[derive(Clone)]
 pub(super) struct CandidateMachine<'a> {
     kind: &'a str,
     zone: &'a str,
     spot: bool,
-    /// Its free capacity, counting the tasks that are already being stopped as gone.
+    /// Its free capacity, including what the tasks that are already being stopped will free.
     pub(super) free: Resources,
     /// The tasks that may be stopped there, ordered by the seconds of work lost, least first.
     pub(super) victims: Vec<Victim<'a>>,
 }
 
-/// Returns all machines that currently take tasks, as candidates.
+/// Returns all machines on which tasks may be placed now, as candidates.
 pub(super) fn candidates(cluster: &Cluster, now: Secs) -> Candidates<'_> {
     cluster
         .machines
--- a/crates/sched/src/leader/preemption/eligibility.rs
+++ b/crates/sched/src/leader/preemption/eligibility.rs
@@ -8,21 +8,21 @@
 use std::ops::RangeInclusive;
 use wire::users::Priority;
 
-/// Multiple of the time allowed for a guaranteed start after which a job that missed its start may
-/// preempt again. Until then it waits for capacity to become free, which usually happens soon and
-/// loses no work.
+/// Multiple of `guarantee_s` after which a job that is still waiting may preempt tasks again.
+/// Between the end of its preemption window and that time it waits for capacity to become free,
+/// which usually happens soon and loses no work.
 const STARVATION_FACTOR: f64 = 12.0;
 
 /// A queue entry that found no capacity.
 pub(super) struct UnplacedEntry<'a> {
     /// The waiting job.
     pub(super) job: &'a Job,
-    /// Number of its tasks that found no capacity.
+    /// Number of tasks of the job that found no capacity.
     pub(super) tasks: u32,
 }
 
-/// Returns the entries that the last pass could not place and that may preempt tasks of other jobs
-/// now.
+/// Returns the entries that the last scheduling pass could not place and that may now preempt tasks
+/// of other jobs.
 pub(super) fn eligible_entries(cluster: &Cluster, now: Secs) -> Vec<UnplacedEntry<'_>> {
     cluster
         .unplaced
@@ -38,7 +38,8 @@
 }
 
 /// Returns whether there may be something to preempt for one of these entries: borrowed capacity is
-/// in use, or work of lower priority is active. A cheap check made before all tasks are examined.
+/// in use, or work of lower priority is active. This cheap check can make it unnecessary to examine
+/// all tasks.
 pub(super) fn any_preemptible(
     cluster: &Cluster,
     entries: &[UnplacedEntry],
@@ -68,8 +69,8 @@
         return guarantee_s * PREEMPTION_DELAY_SHARE..=guarantee_s;
     }
     // Many machines seldom become free on their own at the same time, and machines would be
-    // provisioned in the meantime. So a gang may preempt from the start, and for as long as the
-    // objective of its class can still be met.
+    // provisioned in the meantime. So a gang may preempt from the start, for as long as the
+    // objective of its class can still be met, and for at least `guarantee_s`.
     let objective_s = cluster
         .config
         .wait_s
--- a/crates/sched/src/leader/preemption/gang_plan.rs
+++ b/crates/sched/src/leader/preemption/gang_plan.rs
@@ -1,24 +1,25 @@
-//! Capacity planning for a whole gang. Part of a gang's capacity is of no use, so nothing is
-//! stopped unless there is capacity for all of its tasks.
+//! Capacity planning for a whole gang. Capacity for only some of a gang's tasks is of no use, so no
+//! task is stopped for a gang unless that provides capacity for all of its tasks.
 
 use super::task_plan::{ClusterSnapshot, TaskPlan};
 use crate::leader::Job;
 use std::collections::BTreeSet;
 use wire::peers::TaskRequirements;
 
-/// A plan for a whole gang, and the snapshot after it.
+/// A plan for a whole gang, and the snapshot with the plan applied.
 struct GangPlan<'a> {
     /// Work lost with the victims, in CPU seconds.
     lost_cpu_s: f64,
     /// The plans of the gang's tasks, one for each.
     tasks: Vec<TaskPlan<'a>>,
-    /// What is left to plan with, limited to the machines that the gang may use.
+    /// The snapshot with the plan applied, limited to the machines that the gang may use.
     remaining: ClusterSnapshot<'a>,
 }
 
 impl<'a> ClusterSnapshot<'a> {
     /// Finds capacity for all tasks of a gang and takes it out of the snapshot; `None` if there is
-    /// not enough. A gang that must run in one zone gets the zone in which the least work is lost.
+    /// not enough, or if the gang is to be spread over zones. A gang that must run in one zone gets
+    /// the zone in which the least work is lost.
     pub(super) fn plan_gang(
         &mut self,
         job: &Job,
@@ -43,7 +44,8 @@
         Some(plan.tasks)
     }
 
-    /// Returns the zones to plan for, each on its own; `None` stands for all zones together.
+    /// Returns the zones to plan for, each separately; the entry `None` stands for all zones
+    /// together.
     fn zones_to_try(&self, job: &Job, requirements: &TaskRequirements) -> BTreeSet<Option<String>> {
         if requirements.zone.is_some() || !job.spec.one_zone {
             return BTreeSet::from([requirements.zone.clone()]);
@@ -54,8 +56,8 @@
             .collect()
     }
 
-    /// Plans capacity for a whole gang within the zone of the requirements, if they name one;
-    /// `None` if there is not enough.
+    /// Plans capacity for a whole gang, within one zone if the requirements name a zone; `None` if
+    /// there is not enough capacity.
     fn plan_in_zone(&self, job: &Job, requirements: &TaskRequirements) -> Option<GangPlan<'a>> {
         let mut remaining = self.restricted_to(requirements);
         let tasks: Vec<TaskPlan> = (0..job.spec.tasks)
--- a/crates/sched/src/leader/preemption/mod.rs
+++ b/crates/sched/src/leader/preemption/mod.rs
@@ -3,13 +3,16 @@
 //!
 //! Only two kinds of tasks are stopped: tasks that another team runs on borrowed capacity, beyond
 //! its own guarantee, and tasks of lower priority. Tasks that started last lose the least work and
-//! are stopped first, and no more is taken than the guarantee lacks. For a gang of several tasks,
-//! either capacity for the whole gang is reclaimed or nothing is stopped.
+//! are stopped first, and no more borrowed capacity is taken for a team than the team lacks of its
+//! guarantee. For a gang of several tasks, either enough tasks are stopped to place the whole gang,
+//! or none.
 //!
 //! The steps, of which only the last changes any state:
 //!
-//! 1. `eligibility`: selects the entries that the pass could not place and that may preempt others;
-//! 2. `candidates`: collects the machines, each with the `victims` that may be stopped there;
+//! 1. `eligibility`: selects the queue entries that the scheduling pass could not place and that
+//!    may preempt tasks of other jobs;
+//! 2. `candidates`: collects the machines, each with the `victims` (tasks that may be stopped) on
+//!    it;
 //! 3. `planner`: plans for the entries one after the other. `task_plan` and `gang_plan` choose
 //!    where the least work is lost, within the limits of `team_usage`;
 //! 4. `stops`: stops the planned victims.
@@ -28,17 +31,18 @@
 use planner::Planner;
 use team_usage::TeamUsage;
 
-/// Fraction of the time allowed for a guaranteed start during which nothing is preempted for a job
-/// (multi-task gangs excepted), so that capacity can first become free on its own.
+/// Initial fraction of `guarantee_s` in which no task is preempted for a waiting job, so that
+/// capacity can first become free on its own. Gangs of several tasks are exempt from this delay.
 const PREEMPTION_DELAY_SHARE: f64 = 0.2;
 
-/// Number of preemption rounds within that delay, which sets the interval between rounds.
+/// Number of preemption rounds in the delay that `PREEMPTION_DELAY_SHARE` sets. The interval
+/// between rounds is the delay divided by this number.
 const ROUNDS_PER_DELAY: f64 = 2.0;
 
 impl Leader {
-    /// Runs a preemption round, if one is due, for the entries that the pass could not place. All
-    /// tasks are examined only if there is an entry that may preempt others and something to
-    /// preempt.
+    /// Runs a preemption round for the entries that the last scheduling pass could not place,
+    /// unless the last round was too recent. All tasks are examined only if some entry may preempt
+    /// tasks of other jobs and there may be tasks to preempt.
     pub(crate) fn preempt(&mut self, now: Secs) {
         let interval_s =
             self.cluster.config.guarantee_s * PREEMPTION_DELAY_SHARE / ROUNDS_PER_DELAY;
--- a/crates/sched/src/leader/preemption/planner.rs
+++ b/crates/sched/src/leader/preemption/planner.rs
@@ -20,11 +20,12 @@
     cluster: &'a Cluster,
     /// Capacity and usage as they will be after the plans made so far.
     snapshot: ClusterSnapshot<'a>,
-    /// Machine types, by name and whether spot, that are the only ones to fit some job class.
+    /// Scarce machine types (name, and whether spot): the only ones that fit the jobs of some
+    /// class.
     scarce: &'a BTreeSet<(String, bool)>,
     /// The gang for which machines are cordoned, unless tasks are already being stopped for it.
-    /// Nothing is planned for other gangs while it is set: they cannot be placed before this one,
-    /// whatever is stopped for them.
+    /// While this is set, nothing is planned for other gangs of several tasks: they cannot be
+    /// placed before this gang, whatever is stopped for them.
     blocking_gang: Option<&'a str>,
     /// The time of the round.
     now: Secs,
@@ -90,7 +91,7 @@
         });
     }
 
-    /// Plans for the tasks of an entry one by one, until no capacity is found for the next.
+    /// Plans for the tasks of an entry one by one, until no capacity is found for a task.
     fn plan_for_tasks(&mut self, entry: &UnplacedEntry) {
         let requirements = self.cluster.requirements(entry.job, None);
         let tasks: Vec<TaskPlan> = (0..entry.tasks)
--- a/crates/sched/src/leader/preemption/stops.rs
+++ b/crates/sched/src/leader/preemption/stops.rs
@@ -8,12 +8,12 @@
 /// Grace period as a multiple of the save time that the job declares.
 const SAVE_TIME_FACTOR: f64 = 1.2;
 
-/// Seconds added to the scaled save time.
+/// Seconds added to the grace period, besides the multiplied save time.
 const SAVE_EXTRA_S: Secs = 0.5;
 
 /// The tasks to be stopped for one queue entry.
 pub(super) struct Preemption {
-    /// The job that the capacity is freed for.
+    /// The job for which capacity is freed.
     pub(super) job: String,
     /// The tasks to be stopped.
     pub(super) stops: Vec<Stop>,
--- a/crates/sched/src/leader/preemption/task_plan.rs
+++ b/crates/sched/src/leader/preemption/task_plan.rs
@@ -6,10 +6,10 @@
 use crate::leader::Job;
 use wire::peers::TaskRequirements;
 
-/// A snapshot of machine capacity and team usage that plans are applied to as they are made.
+/// A snapshot of machine capacity and team usage. Each plan is applied to it as soon as it is made.
 #[derive(Clone)]
 pub(super) struct ClusterSnapshot<'a> {
-    /// The machines, with the capacity that earlier plans have taken or freed there.
+    /// The machines, with the changes of earlier plans to their free capacity and victims.
     pub(super) candidates: Candidates<'a>,
     /// The teams' usage, without the victims of earlier plans.
     pub(super) usage: TeamUsage<'a>,
@@ -17,9 +17,10 @@
 
 /// The plan that provides capacity for one task.
 pub(super) struct TaskPlan<'a> {
-    /// The machine that will have the capacity.
+    /// The machine on which the task will have capacity.
     pub(super) machine: &'a str,
-    /// The tasks to be stopped there; none if enough is free or freed by earlier stops.
+    /// The tasks to be stopped there; empty if enough capacity is free or is freed by earlier
+    /// stops.
     pub(super) victims: Vec<Victim<'a>>,
 }
 
@@ -119,7 +120,8 @@
 }
 
 /// Chooses victims on one machine for a task of a job, least work lost first, until there is room
-/// for the task; `None` if all eligible victims together do not make enough.
+/// for the task; `None` if there is not enough room even without all victims that may be stopped
+/// for the job.
 fn choose_victims<'a>(
     name: &'a str,
     machine: &CandidateMachine,
--- a/crates/sched/src/leader/preemption/team_usage.rs
+++ b/crates/sched/src/leader/preemption/team_usage.rs
@@ -51,8 +51,8 @@
     }
 
     /// Returns whether stopping these victims for a job takes only borrowed capacity, so that every
-    /// team keeps its guarantee. Victims of a lower priority than the job are not counted: they may
-    /// be stopped whatever their team uses.
+    /// team keeps its guarantee. Victims of a lower priority than the job are left out: they may be
+    /// stopped regardless of how much their team uses.
     pub(super) fn takes_only_borrowed<'v>(
         &self,
         job: &Job,
--- a/crates/sched/src/leader/preemption/victims.rs
+++ b/crates/sched/src/leader/preemption/victims.rs
@@ -6,8 +6,9 @@
 use crate::Secs;
 use wire::users::Priority;
 
-/// Fraction of its expected run time within which a task that borrows capacity and cannot save may
-/// be stopped. Later, repeating the lost work costs more than waiting for the task to end.
+/// Largest fraction of its expected run time that a task may have run and still be stopped, if it
+/// runs on borrowed capacity and cannot save. Beyond that, repeating the lost work costs more than
+/// waiting for the task to end.
 const MAX_LOST_SHARE: f64 = 0.25;
 
 /// A task that may be preempted.
@@ -25,13 +26,14 @@
     pub(super) team: &'a str,
     priority: Priority,
     within_guarantee: bool,
-    /// Whether repeating its work costs more than waiting for it to end.
+    /// Whether repeating the task's lost work would cost more than waiting for the task to end.
     costly_to_repeat: bool,
 }
 
 impl<'a> Victim<'a> {
-    /// Returns a task as a victim; `None` if it cannot be stopped alone, is not confirmed to be on
-    /// its machine, or is being stopped anyway because its job is over.
+    /// Returns a task as a victim; `None` if it belongs to a gang of several tasks and so cannot be
+    /// stopped alone, is not confirmed to be on its machine, or is being stopped anyway because its
+    /// job is over.
     pub(super) fn of(
         cluster: &Cluster,
         job: &'a Job,
@@ -63,19 +65,19 @@
         })
     }
 
-    /// Returns the work lost if it is stopped, in CPU seconds.
+    /// Returns the work lost if the task is stopped, in CPU seconds.
     pub(super) fn lost_cpu_s(&self) -> f64 {
         self.lost_s * self.resources.cpus
     }
 
-    /// Returns whether its priority is lower than the job's.
+    /// Returns whether the task's priority is lower than the job's.
     pub(super) fn has_lower_priority_than(&self, job: &Job) -> bool {
         self.priority > job.spec.priority
     }
 
-    /// Returns whether it may be stopped for a job: either it has a lower priority, or the job is
-    /// within its team's guarantee and this task is another team's borrowed work that is not too
-    /// costly to repeat.
+    /// Returns whether the task may be stopped for a job: either the task has a lower priority, or
+    /// the job is within its team's guarantee and the task is another team's borrowed work that is
+    /// not too costly to repeat.
     pub(super) fn may_be_stopped_for(&self, job: &Job) -> bool {
         let reclaimable = job.within_guarantee
             && !self.within_guarantee
