--- a/crates/sched/src/leader/jobs.rs
+++ b/crates/sched/src/leader/jobs.rs
@@ -28,8 +28,8 @@
 
     /// Sets the effective priority of a job: that of a job that depends on it, or its own again.
     pub fn set_priority(&mut self, id: &str, priority: Priority) {
-        let changes = |job: &&mut Job| job.priority != priority;
-        if let Some(job) = self.cluster.jobs.get_mut(id).filter(changes) {
+        let differs = |job: &&mut Job| job.priority != priority;
+        if let Some(job) = self.cluster.jobs.get_mut(id).filter(differs) {
             job.priority = priority;
             self.pass_requested = true;
         }
--- a/crates/sched/src/leader/machine_status.rs
+++ b/crates/sched/src/leader/machine_status.rs
@@ -36,8 +36,8 @@
         let indexes = runs.iter();
         let indexes = indexes.flat_map(|(first, count)| *first..first.saturating_add(*count));
         for index in indexes {
-            let known = self.cluster.jobs.get(job);
-            let assigned = known.and_then(|known| known.active.get(&index));
+            let job_state = self.cluster.jobs.get(job);
+            let assigned = job_state.and_then(|state| state.active.get(&index));
             let is_assigned = |active: &ActiveTask| {
                 active.attempt == attempt
                     && matches!(&active.location, TaskLocation::Assigned(to, _) if to == owner)
--- a/crates/sched/src/leader/preemption/planner.rs
+++ b/crates/sched/src/leader/preemption/planner.rs
@@ -42,7 +42,7 @@
         cordon: Option<&'a Cordon>,
         now: Secs,
     ) -> Planner<'a> {
-        let is_reclaiming = |job: &Job| now < job.preempting_until;
+        let is_preempted_for = |job: &Job| now < job.preempting_until;
         Planner {
             cluster,
             snapshot: ClusterSnapshot {
@@ -52,7 +52,7 @@
             scarce,
             blocking_gang: cordon
                 .map(|cordon| cordon.job.as_str())
-                .filter(|id| !cluster.jobs.get(id).is_some_and(is_reclaiming)),
+                .filter(|id| !cluster.jobs.get(id).is_some_and(is_preempted_for)),
             now,
             preemptions: Vec::new(),
         }
--- a/crates/sched/src/leader/progress.rs
+++ b/crates/sched/src/leader/progress.rs
@@ -77,10 +77,10 @@
 
     /// Retries failed roster writes. An idle machine sends no new status that would trigger the write.
     fn retry_roster(&mut self) {
-        let missing = self.cluster.machines.iter();
-        let missing = missing.filter(|(_, machine)| machine.rostered == Rostered::No);
-        let missing: Vec<String> = missing.map(|(name, _)| name.clone()).collect();
-        for name in missing {
+        let unrecorded = self.cluster.machines.iter();
+        let unrecorded = unrecorded.filter(|(_, machine)| machine.rostered == Rostered::No);
+        let unrecorded: Vec<String> = unrecorded.map(|(name, _)| name.clone()).collect();
+        for name in unrecorded {
             self.write_roster_record(&name);
         }
     }
--- a/crates/sched/src/leader/queue/bookkeeping.rs
+++ b/crates/sched/src/leader/queue/bookkeeping.rs
@@ -16,11 +16,11 @@
     /// then on they are recorded, because the machines may be at fault after all and the job must
     /// not wait forever.
     pub(super) fn record_unplaced(&mut self, id: &str, tasks: u32, now: Secs) {
-        let counts =
+        let is_demand =
             self.cluster.jobs.get(id).is_some_and(|job| {
                 !job.fails_everywhere() || now - job.backoff_until > MAX_BACKOFF_S
             });
-        if counts {
+        if is_demand {
             self.cluster.unplaced.push((id.into(), tasks));
         }
     }
@@ -43,7 +43,7 @@
     /// Records an image as the newest on a machine.
     fn record_image(&mut self, machine: &str, image: &str) {
         if let Some(state) = self.cluster.machines.get_mut(machine) {
-            state.images.retain(|known| known != image);
+            state.images.retain(|other| other != image);
             state.images.insert(0, image.to_string());
             state.images.truncate(MAX_IMAGES_PER_MACHINE);
         }
--- a/crates/sched/src/leader/queue/gangs.rs
+++ b/crates/sched/src/leader/queue/gangs.rs
@@ -64,7 +64,7 @@
         let Some(job) = self.cluster.jobs.get(id) else {
             return;
         };
-        if !may_reserve(job, admitted) {
+        if !may_seek_capacity(job, admitted) {
             return;
         }
         let tasks = job.spec.tasks;
@@ -194,7 +194,7 @@
 
 /// Returns whether the leader may look for capacity for a gang now. `admitted` is the number of the
 /// gang's ready tasks that its team's quota admits.
-fn may_reserve(job: &Job, admitted: u32) -> bool {
+fn may_seek_capacity(job: &Job, admitted: u32) -> bool {
     // All of the gang's tasks must be ready or active; a gang never starts with fewer.
     let is_whole = job.ready_tasks.len() + job.active.len() as u32 >= job.min_tasks();
     let is_idle = job.phase == GangPhase::Idle && job.active.is_empty();
--- a/crates/sched/src/leader/reconciliation.rs
+++ b/crates/sched/src/leader/reconciliation.rs
@@ -40,18 +40,19 @@
     fn resolve_known_jobs(&mut self) {
         let unknown = self.cluster.machines.unknown();
         let all_known = unknown.is_empty();
-        let is_known = |job: &Job| match &job.possible_machines {
+        let all_machines_known = |job: &Job| match &job.possible_machines {
             Some(machines) => machines.iter().all(|name| !unknown.contains(name)),
             None => all_known,
         };
-        let known = self.cluster.jobs.iter();
-        let known = known.filter(|(_, job)| job.awaits_reconciliation && is_known(job));
-        let known: Vec<String> = known.map(|(id, _)| id.clone()).collect();
+        let resolvable = self.cluster.jobs.iter();
+        let resolvable =
+            resolvable.filter(|(_, job)| job.awaits_reconciliation && all_machines_known(job));
+        let resolvable: Vec<String> = resolvable.map(|(id, _)| id.clone()).collect();
         if all_known {
             self.has_unknown_prior_runs = false;
             log::info!("event=reconciled machines={}", self.cluster.machines.len());
         }
-        for id in known {
+        for id in resolvable {
             self.resolve_prior_runs(&id);
             self.pass_requested = true;
         }
--- a/crates/sched/src/leader/spot_notices.rs
+++ b/crates/sched/src/leader/spot_notices.rs
@@ -23,21 +23,21 @@
     /// Stops tasks in time for them to save before the cloud reclaims their machines. Tasks that
     /// cannot save their state are not stopped.
     pub(super) fn handle_spot_notices(&mut self, now: Secs) {
-        for due in self.tasks_to_save(now) {
+        for task in self.tasks_to_save(now) {
             log::info!(
                 "event=save_before_notice task={}/{} machine={}",
-                due.job,
-                due.index,
-                due.machine
+                task.job,
+                task.index,
+                task.machine
             );
-            let grace_s = self.grace_s(&due.job);
-            match self.cluster.jobs.get_mut(&due.job) {
+            let grace_s = self.grace_s(&task.job);
+            match self.cluster.jobs.get_mut(&task.job) {
                 // The tasks of a gang can only be saved together.
                 Some(job) if job.is_gang() => {
                     job.phase = GangPhase::Ending;
-                    self.stop_all_tasks(&due.job, grace_s);
+                    self.stop_all_tasks(&task.job, grace_s);
                 }
-                _ => self.stop_task(&due.job, due.index, grace_s),
+                _ => self.stop_task(&task.job, task.index, grace_s),
             }
         }
     }
@@ -45,7 +45,7 @@
     /// Returns the running tasks that have to be saved now because the cloud is about to reclaim
     /// their machines. Only tasks that can save their state are included.
     fn tasks_to_save(&self, now: Secs) -> Vec<TaskToSave> {
-        let mut due = Vec::new();
+        let mut tasks = Vec::new();
         for (name, machine) in self.cluster.machines.iter() {
             let Some(until) = machine.notice_expires_at else {
                 continue;
@@ -53,7 +53,7 @@
             for (id, index) in machine.tasks.keys() {
                 let job = self.cluster.jobs.get(id);
                 if job.is_some_and(|job| self.must_save_now(job, *index, until - now)) {
-                    due.push(TaskToSave {
+                    tasks.push(TaskToSave {
                         machine: name.clone(),
                         job: id.clone(),
                         index: *index,
@@ -61,7 +61,7 @@
                 }
             }
         }
-        due
+        tasks
     }
 
     /// Returns whether a task has to be saved now if its machine is reclaimed in `remaining_s` seconds.
