--- a/crates/sched/src/leader/epoch.rs
+++ b/crates/sched/src/leader/epoch.rs
@@ -131,8 +131,8 @@
         }
     }
 
-    /// Forgets which orders (stops and clears) were sent: orders sent under an earlier token may be
-    /// lost, and are sent again if they are still needed.
+    /// Forgets which stops were sent and which clears are pending: orders sent under an earlier
+    /// token may be lost, and are sent again if they are still needed.
     fn reset_sent_orders(&mut self) {
         for job in self.cluster.jobs.values_mut() {
             job.pending_clears.clear();
--- a/crates/sched/src/leader/machine_status.rs
+++ b/crates/sched/src/leader/machine_status.rs
@@ -59,8 +59,8 @@
             }
             if status.token != self.epochs.token() || status.lease_expired {
                 // The owner knows the machine only from a delayed copy of a heartbeat, or saw it in
-                // an earlier epoch; in that case the owner will send its status again in the
-                // current epoch.
+                // an earlier epoch; the owner will send the machine's status again in the current
+                // epoch.
                 return;
             }
             self.add_machine(from, &status, now);
@@ -188,8 +188,8 @@
         }
     }
 
-    /// Requeues tasks that were on a machine and are missing from its new status, which shows that
-    /// they have ended there.
+    /// Requeues tasks that were on a machine and are missing from its new status: they have ended
+    /// there.
     fn requeue_missing_tasks<'a>(&mut self, name: &str, shown: impl Iterator<Item = &'a TaskRef>) {
         let shown: BTreeSet<(&str, u32)> =
             shown.map(|task| (task.job.as_str(), task.index)).collect();
--- a/crates/sched/src/leader/mod.rs
+++ b/crates/sched/src/leader/mod.rs
@@ -108,8 +108,8 @@
     attempt_count: u64,
     /// Time of the last tick.
     last_tick_at: Secs,
-    /// Whether jobs that an earlier leader may have started may still be waiting until the tasks on
-    /// all machines concerned are known.
+    /// Whether the tasks on some machine may still be unknown to this leader. Jobs that an earlier
+    /// leader may have started there wait until they are known.
     has_unknown_prior_runs: bool,
     pub(crate) actions: Vec<Action>,
     /// Whether a change calls for a scheduling pass at the next tick.
--- a/crates/sched/src/leader/preemption/gang_plan.rs
+++ b/crates/sched/src/leader/preemption/gang_plan.rs
@@ -1,5 +1,5 @@
 //! Capacity planning for a whole gang. Capacity for only some of a gang's tasks is of no use, so no
-//! task is stopped for a gang unless that provides capacity for all of its tasks.
+//! task is stopped for a gang unless this makes room for all tasks of the gang.
 
 use super::task_plan::{ClusterSnapshot, TaskPlan};
 use crate::leader::Job;
--- a/crates/sched/src/leader/preemption/mod.rs
+++ b/crates/sched/src/leader/preemption/mod.rs
@@ -11,8 +11,8 @@
 //!
 //! 1. `eligibility`: selects the queue entries that the scheduling pass could not place and that
 //!    may preempt tasks of other jobs;
-//! 2. `candidates`: collects the machines, each with the `victims` (tasks that may be stopped) on
-//!    it;
+//! 2. `candidates`: collects the machines and, for each, its `victims` (the tasks that may be
+//!    stopped there);
 //! 3. `planner`: plans for the entries one after the other. `task_plan` and `gang_plan` choose
 //!    where the least work is lost, within the limits of `team_usage`;
 //! 4. `stops`: stops the planned victims.
--- a/crates/sched/src/leader/preemption/stops.rs
+++ b/crates/sched/src/leader/preemption/stops.rs
@@ -8,7 +8,7 @@
 /// Grace period as a multiple of the save time that the job declares.
 const SAVE_TIME_FACTOR: f64 = 1.2;
 
-/// Seconds added to the grace period, besides the multiplied save time.
+/// Seconds added to the grace period, in addition to the multiplied save time.
 const SAVE_EXTRA_S: Secs = 0.5;
 
 /// The tasks to be stopped for one queue entry.
--- a/crates/sched/src/leader/preemption/task_plan.rs
+++ b/crates/sched/src/leader/preemption/task_plan.rs
@@ -120,8 +120,8 @@
 }
 
 /// Chooses victims on one machine for a task of a job, least work lost first, until there is room
-/// for the task; `None` if there is not enough room even without all victims that may be stopped
-/// for the job.
+/// for the task; `None` if stopping all victims that may be stopped for the job would not make
+/// enough room.
 fn choose_victims<'a>(
     name: &'a str,
     machine: &CandidateMachine,
--- a/crates/sched/src/leader/queue/arrays.rs
+++ b/crates/sched/src/leader/queue/arrays.rs
@@ -104,8 +104,9 @@
     }
 
     /// Requests the record that an array has started, if there is capacity for the array now or
-    /// capacity is expected soon. No task of the array may start before the record is durable.
-    /// Tasks that find no capacity are recorded as unmet demand.
+    /// capacity is expected soon, so that the record is durable when the capacity can be used. No
+    /// task of the array may start before the record is durable. Tasks that find no capacity are
+    /// recorded as unmet demand.
     fn defer_until_start_record(
         &mut self,
         id: &str,
--- a/crates/sched/src/leader/queue/mod.rs
+++ b/crates/sched/src/leader/queue/mod.rs
@@ -117,8 +117,8 @@
     }
 
     /// Returns what an entry's tasks require of a machine. Scarce machine types are left to the
-    /// jobs that fit no other type, and are therefore left out for all other jobs. Only arrays may
-    /// use them nevertheless, in the last tier, while no gang waits for scarce types.
+    /// jobs that fit no other type, and are therefore left out for all other jobs. The exception is
+    /// arrays, which may use them in the last tier while no gang waits for scarce types.
     fn entry_requirements(&self, job: &Job, pass: &Pass) -> TaskRequirements {
         let mut requirements = self
             .cluster
