--- a/crates/http/tests/limits.rs
+++ b/crates/http/tests/limits.rs
@@ -98,28 +98,28 @@
 #[test]
 fn a_full_server_evicts_idle_connections_by_priority() {
     with_server(20, AMPLE_BYTES, |addr, _| async move {
-        let mut open = Vec::new();
+        let mut connections = Vec::new();
         for path in [[WORKER_PATH; 3], [USER_PATH; 3]].concat() {
             let mut stream = connect(addr).await;
             let response = get(&mut stream, path).await.unwrap();
             assert!(response.starts_with("HTTP/1.1 200"));
-            open.push(stream);
+            connections.push(stream);
         }
         // Fills the table with connections that have sent no request.
         for _ in 0..14 {
-            open.push(connect(addr).await);
+            connections.push(connect(addr).await);
         }
         for victim in [3, 4, 5, 6] {
-            open.push(connect(addr).await);
-            assert!(is_closed(&mut open[victim]).await);
+            connections.push(connect(addr).await);
+            assert!(is_closed(&mut connections[victim]).await);
         }
-        let newest = open.len() - 1;
+        let newest = connections.len() - 1;
         assert!(
-            get(&mut open[newest], WORKER_PATH).await.is_some(),
+            get(&mut connections[newest], WORKER_PATH).await.is_some(),
             "the newest connection is served"
         );
         assert!(
-            get(&mut open[0], WORKER_PATH).await.is_some(),
+            get(&mut connections[0], WORKER_PATH).await.is_some(),
             "a worker's connection was kept"
         );
     });
@@ -128,16 +128,16 @@
 #[test]
 fn connections_close_by_priority_near_the_limit() {
     with_server(20, AMPLE_BYTES, |addr, _| async move {
-        let mut open = Vec::new();
+        let mut connections = Vec::new();
         for _ in 0..18 {
             let mut stream = connect(addr).await;
             assert!(!response_closes(&mut stream, WORKER_PATH).await);
-            open.push(stream);
+            connections.push(stream);
         }
         let mut user = connect(addr).await;
         assert!(response_closes(&mut user, USER_PATH).await);
         assert!(is_closed(&mut user).await);
-        assert!(!response_closes(&mut open[0], WORKER_PATH).await);
+        assert!(!response_closes(&mut connections[0], WORKER_PATH).await);
         // Above the threshold of workers, their connections are closed as well.
         let mut last = Vec::new();
         for _ in 0..2 {
