--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Time for which an idle connection may be reused.
+/// Time after which an idle connection is no longer reused.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Initial capacity of the buffer for the head of a request, in bytes.
@@ -21,7 +21,7 @@
 /// Maximum number of bytes taken from the socket by one read.
 const READ_BUFFER_BYTES: usize = 8192;
 
-/// Reason why a request has no response.
+/// Reason why a request has no usable response.
 #[derive(Debug, thiserror::Error)]
 pub enum RequestError {
     /// The request certainly did not reach the server.
@@ -29,7 +29,7 @@
     NotSent(ConnectError),
     /// The response is larger than the client accepts. Holds the declared size of the body, or the
     /// number of bytes received so far if none was declared. The server has executed the request.
-    #[error("the response of {0} bytes is too large")]
+    #[error("the response is too large: {0} bytes declared or received so far")]
     ResponseTooLarge(usize),
     /// The server may have executed the request, or may still do so.
     #[error(transparent)]
@@ -57,9 +57,9 @@
     Io(#[from] io::Error),
 }
 
-/// Error for a request that may have been sent, at least in part, without a complete response.
+/// Error for a request that may have been sent, at least in part, but got no usable response.
 #[derive(Debug, thiserror::Error)]
-#[error("no response from {addr}: {cause}")]
+#[error("no usable response from {addr}: {cause}")]
 pub struct ExchangeError {
     /// Address of the server.
     pub addr: SocketAddr,
@@ -71,16 +71,16 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ExchangeFault {
     /// There was no complete response within the timeout of the request.
-    #[error("time-out")]
+    #[error("the request timed out")]
     TimedOut,
     /// The server closed the connection before the response was complete.
-    #[error("closed")]
+    #[error("the server closed the connection before the response was complete")]
     Closed,
     /// The head of the response is invalid.
     #[error("malformed response")]
     Malformed(#[source] HeadError),
     /// The response has a chunked body, which no server of these protocols sends.
-    #[error("a chunked response is not expected here")]
+    #[error("the response has a chunked body, which is not supported")]
     Chunked,
     /// The connection failed.
     #[error(transparent)]
@@ -129,8 +129,8 @@
         self.pool.borrow_mut().clear();
     }
 
-    /// Sends a request and waits for the response. The timeout covers both, including the time to
-    /// connect.
+    /// Sends a request and waits for the response. The timeout covers all of this, including the
+    /// time to connect.
     pub async fn request(
         &self,
         method: &str,
@@ -151,8 +151,8 @@
             Some(Ok(response)) => Ok(response),
             Some(Err(error)) => {
                 if is_pooled {
-                    // Most likely the server has closed the pooled connection; the other ones have
-                    // been idle at least as long.
+                    // Most likely the server had closed this connection, and therefore also the
+                    // others in the pool, which have been idle at least as long.
                     self.close_idle();
                 }
                 Err(error)
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Takes an idle connection from the pool that the server has probably not closed yet.
+    /// Takes from the pool an idle connection that the server has probably not closed yet.
     fn take_idle(&self) -> Option<TcpStream> {
         let mut pool = self.pool.borrow_mut();
         while let Some(connection) = pool.pop() {
@@ -279,8 +279,8 @@
         }
     }
 
-    /// Reads the body into `received`, after the head. Returns whether the body ended with the
-    /// connection, which then can't be reused.
+    /// Reads the body into `received`, after the head. Returns whether the server marked the end of
+    /// the body by closing the connection, which then can't be reused.
     async fn read_body(
         &mut self,
         head: &ResponseHead,
@@ -316,7 +316,8 @@
         }
     }
 
-    /// Reads the available bytes and returns their number; 0 at the end of the connection.
+    /// Reads the available bytes and returns their number, or 0 if the server has closed the
+    /// connection.
     async fn read(&mut self) -> Result<usize, RequestError> {
         let result = self.stream.read(&mut self.read_buffer).await;
         let count = result.map_err(|error| outcome_unknown(self.addr, error.into()))?;
--- a/crates/http/src/connections.rs
+++ b/crates/http/src/connections.rs
@@ -72,8 +72,9 @@
         self.last_sequence.get()
     }
 
-    /// Adds a connection and returns its id. If the table is full, closes the idle connection of
-    /// the lowest priority that has been idle longest, or returns `None` if no connection is idle.
+    /// Adds a connection and returns its id. If the table is full, first closes an idle connection:
+    /// of those with the lowest priority, the one that has been idle longest. Returns `None` if the
+    /// table is full and no connection is idle.
     pub fn admit(&self, stream: TcpStream) -> Option<u64> {
         if self.open_count() >= self.max_connections {
             // Connections of machines that lost power look idle forever. Rejecting new connections
--- a/crates/http/src/parse.rs
+++ b/crates/http/src/parse.rs
@@ -5,17 +5,17 @@
 /// Maximum size of a head (first line and headers), in bytes.
 pub const MAX_HEAD_BYTES: usize = 8 * 1024;
 
-/// Maximum number of headers that is accepted.
+/// Maximum number of headers in a head.
 pub const MAX_HEADERS: usize = 48;
 
 /// Reason why a head is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HeadError {
-    /// It is not valid HTTP/1.1, or its `Content-Length` is invalid or contradictory.
+    /// The head is not valid HTTP/1.0 or 1.1, or its `Content-Length` is invalid or contradictory.
     #[error("malformed head")]
     Malformed,
     /// The request uses a transfer encoding, so that the size of its body is not known in advance.
-    #[error("the body has no declared length")]
+    #[error("the request uses a transfer encoding, which is not supported")]
     LengthRequired,
     /// The declared size of the body exceeds the limit.
     #[error("a body of {bytes} bytes exceeds the limit of {max_bytes}")]
@@ -116,8 +116,8 @@
     for header in headers {
         if header.name.eq_ignore_ascii_case("content-length") {
             let body_len = parse_length(header.value).ok_or(HeadError::Malformed)?;
-            // A proxy that uses the other one of two lengths would see another message boundary
-            // (request smuggling).
+            // If a request declares two lengths, a proxy may use the other one than this server.
+            // Both would then see different message boundaries (request smuggling).
             if declared_len.is_some_and(|declared| declared != body_len) {
                 return Err(HeadError::Malformed);
             }
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -21,8 +21,8 @@
 /// Initial capacity of the buffer for the head of a response, in bytes.
 const TYPICAL_HEAD_BYTES: usize = 160;
 
-/// Delay before the next `accept` after a failed one, which would otherwise fail again at once (no
-/// free file descriptors).
+/// Delay before `accept` is retried after a failure. Without the delay it would fail again at once,
+/// for example while no file descriptor is free.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Timeout for writing the response to a rejected request.
@@ -143,7 +143,7 @@
 /// Reason why a request can't be passed to the handler.
 #[derive(Debug, thiserror::Error)]
 enum ReceiveError {
-    #[error("the connection has ended")]
+    #[error("the connection ended before the request was complete")]
     Closed,
     #[error("the request did not arrive in time")]
     TimedOut,
@@ -154,7 +154,8 @@
 }
 
 impl ReceiveError {
-    /// Returns the response that tells the client, or `None` if the client can't be reached.
+    /// Returns the response that reports the error to the client, or `None` if the connection has
+    /// ended.
     fn response(&self) -> Option<Response> {
         let status = match self {
             ReceiveError::Closed => return None,
@@ -174,7 +175,8 @@
 struct Server {
     limits: Limits,
     connections: ConnectionTable,
-    /// Buffer for reads. It is shared, so that a waiting connection holds no memory for it.
+    /// Buffer for reads. All connections share it, so that a waiting connection needs no buffer of
+    /// its own.
     read_buffer: RefCell<Vec<u8>>,
 }
 
@@ -202,8 +204,8 @@
                 continue;
             }
         };
-        // Without a free place in the table the connection is closed at once, and the load balancer
-        // and the workers try another server.
+        // If the table can't take the connection, it is closed at once, and the load balancer or
+        // the worker tries another server.
         let Some(id) = server.connections.admit(stream.clone()) else {
             continue;
         };
@@ -221,7 +223,7 @@
     stream: TcpStream,
     /// Id in the server's connection table.
     id: u64,
-    /// Bytes that have been received and not processed yet.
+    /// Bytes that have been received but not processed yet.
     received: Vec<u8>,
     /// Memory reserved in the server's connection table for the request being received, in bytes.
     reserved_bytes: usize,
@@ -309,8 +311,8 @@
         }
     }
 
-    /// Reads the available bytes into `received` and returns their number; 0 at the end of the
-    /// connection.
+    /// Reads the available bytes into `received` and returns their number, or 0 if the client has
+    /// closed the connection.
     async fn read(&mut self) -> io::Result<usize> {
         let Connection {
             server,
@@ -337,7 +339,7 @@
         }
     }
 
-    /// Receives a whole request. Returns it with whether the client asks to close the connection.
+    /// Receives a whole request. Also returns whether the client asks to close the connection.
     async fn receive(&mut self) -> Result<(Request, bool), ReceiveError> {
         let head = self.receive_head().await?;
         if head.expects_continue {
@@ -368,7 +370,7 @@
         let request_len = head.head_len + head.body_len;
         let missing = request_len.saturating_sub(self.received.len());
         if missing > 0 {
-            // Many bodies that are sent slowly must not exhaust the memory between them.
+            // Many bodies that arrive slowly must not exhaust the memory together.
             if !self.server.connections.reserve_bytes(request_len) {
                 return Err(ReceiveError::Overloaded { bytes: request_len });
             }
--- a/crates/http/tests/client.rs
+++ b/crates/http/tests/client.rs
@@ -29,7 +29,7 @@
     close: bool,
 }
 
-/// Serves one connection after the other with the scripted response, and counts the connections.
+/// Serves connections one after the other with the scripted response, and counts them.
 async fn serve(listener: TcpListener, script: ScriptedResponse, connections: Rc<Cell<u32>>) {
     loop {
         let (mut stream, _) = listener.accept().await.unwrap();
@@ -61,7 +61,7 @@
     (results, connections.get())
 }
 
-/// Returns the fault because of which a request has no response.
+/// Returns the fault that leaves a request without a usable response.
 fn exchange_fault(script: ScriptedResponse) -> ExchangeFault {
     let ([first, _], _) = request_twice(script);
     match first {
@@ -103,13 +103,15 @@
     assert!(matches!(exchange_fault(chunked), ExchangeFault::Chunked));
 }
 
-/// The client of the store logs these texts.
+/// The logged errors of requests to the store contain these texts.
 #[test]
 fn fault_texts_stay_as_logged() {
     let malformed = ExchangeFault::Malformed(HeadError::Malformed);
-    let chunked = "a chunked response is not expected here";
-    assert_eq!(ExchangeFault::TimedOut.to_string(), "time-out");
-    assert_eq!(ExchangeFault::Closed.to_string(), "closed");
+    let closed = "the server closed the connection before the response was complete";
+    let chunked = "the response has a chunked body, which is not supported";
+    let timed_out = "the request timed out";
+    assert_eq!(ExchangeFault::TimedOut.to_string(), timed_out);
+    assert_eq!(ExchangeFault::Closed.to_string(), closed);
     assert_eq!(malformed.to_string(), "malformed response");
     assert_eq!(ExchangeFault::Chunked.to_string(), chunked);
     let connecting = "connecting took too long";
--- a/crates/http/tests/limits.rs
+++ b/crates/http/tests/limits.rs
@@ -24,7 +24,7 @@
 /// Maximum size of a request body, in bytes.
 const MAX_BODY_BYTES: usize = 65_536;
 
-/// Memory limit for partial requests that no test reaches, in bytes.
+/// Memory limit for partially received requests, in bytes. No test reaches it.
 const AMPLE_BYTES: usize = 1 << 20;
 
 /// Runs a test against a server with these limits. The test gets the server's address and the
@@ -138,7 +138,7 @@
         assert!(response_closes(&mut user, USER_PATH).await);
         assert!(is_closed(&mut user).await);
         assert!(!response_closes(&mut connections[0], WORKER_PATH).await);
-        // Above the threshold of workers, their connections are closed as well.
+        // Above their own threshold, connections of workers are closed as well.
         let mut last = Vec::new();
         for _ in 0..2 {
             last.push(connect(addr).await);
@@ -148,7 +148,7 @@
     });
 }
 
-/// Bodies that have arrived in part hold memory only up to the limit, whatever total length they
+/// Together, partially received bodies never take more memory than the limit, whatever lengths they
 /// declare.
 #[test]
 fn partial_bodies_share_bounded_memory() {
