--- a/crates/http/src/parse.rs
+++ b/crates/http/src/parse.rs
@@ -116,8 +116,8 @@
     for header in headers {
         if header.name.eq_ignore_ascii_case("content-length") {
             let body_len = parse_length(header.value).ok_or(HeadError::Malformed)?;
-            // If a request declares two lengths, a proxy may use the other one than this server.
-            // Both would then see different message boundaries (request smuggling).
+            // If this server used one of two lengths and a proxy the other, they would see
+            // different message boundaries (request smuggling).
             if declared_len.is_some_and(|declared| declared != body_len) {
                 return Err(HeadError::Malformed);
             }
--- a/crates/store/src/budget.rs
+++ b/crates/store/src/budget.rs
@@ -39,7 +39,7 @@
 pub struct Share {
     /// Fraction, 0 to 1, of the rate that the settings allow for all controllers together.
     pub fraction: f64,
-    /// Burst size, as the number of seconds in which the share's rate yields it.
+    /// Burst size: what the share's rate yields in this many seconds.
     pub burst_s: f64,
     /// Fractions of the burst that lower priorities leave unused.
     pub reserve: Reserve,
@@ -113,8 +113,8 @@
         self.refilled_at = now;
     }
 
-    /// Returns the seconds until `tokens` can be taken while the reserve for higher priorities is
-    /// left. A request for more than the capacity is allowed when the bucket is full.
+    /// Returns the seconds until `tokens` can be taken without touching the reserve for higher
+    /// priorities. If tokens and reserve exceed the capacity, a full bucket is enough.
     fn wait_s(&self, tokens: f64, priority: RequestPriority) -> f64 {
         let needed =
             (tokens + self.reserve.for_priority(priority) * self.capacity).min(self.capacity);
@@ -156,8 +156,8 @@
     }
 
     /// Records that the store refused a request because its rate was exceeded. The remaining tokens
-    /// are dropped, since other controllers have used them or the store's rate is lower than in the
-    /// settings. A renewal then waits at most until the bucket holds the tokens of one request.
+    /// are dropped, since other controllers have used up the store's rate, or it is lower than in
+    /// the settings. A renewal then waits at most until the bucket holds the tokens of one request.
     pub fn record_refusal(&mut self, now: f64, writes: usize) {
         if writes > 0 {
             self.writes.drain(now);
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -8,7 +8,7 @@
 use wire::cbor;
 use wire::store::{Changes, Conflict, Item, LeaseAsk, LeaseId, Page, Revision, Txn, Value};
 
-/// Status of a request that exceeds the store's rate.
+/// Status of the response to a request that exceeds the store's rate limit.
 pub const TOO_MANY_REQUESTS: u16 = 429;
 
 const OK: u16 = 200;
@@ -18,12 +18,12 @@
 const GONE: u16 = 410;
 const FIRST_SERVER_ERROR: u16 = 500;
 
-/// Text in the response to a bad request whose cause is a lease that has ended.
+/// Text in the response to a bad request if the cause is a lease that has ended.
 const NO_SUCH_LEASE: &str = "no such lease";
 
 /// Maximum number of idle connections for requests that the store answers without waiting.
 const MAX_IDLE_REQUEST_CONNECTIONS: usize = 4;
-/// Maximum body size of the response to such a request, in bytes.
+/// Maximum body size of the response to a request that the store answers without waiting, in bytes.
 const MAX_REQUEST_RESPONSE_BYTES: usize = 2 << 20;
 /// Maximum number of idle connections for watches, which are long polls.
 const MAX_IDLE_WATCH_CONNECTIONS: usize = 2;
@@ -44,14 +44,15 @@
     #[error("the request did not reach the store: {0}")]
     NotSent(String),
     /// The request was not sent: this controller's budget allows it after this many seconds.
-    #[error("this controller's store budget is exhausted for {0:.2} s")]
+    #[error("this controller's store budget is exhausted; the request is allowed in {0:.2} s")]
     BudgetExhausted(f64),
     /// The store may have executed the request, or may still do so; holds the request and the
     /// cause.
     #[error("the outcome of the store request is unknown: {0}")]
     OutcomeUnknown(String),
-    /// The response has this many bytes, more than the client accepts.
-    #[error("the store's response of {0} bytes is too large")]
+    /// The response is larger than the client accepts. Holds the declared size of the body, or the
+    /// number of bytes received so far if none was declared.
+    #[error("the store's response is too large: {0} bytes declared or received so far")]
     ResponseTooLarge(usize),
     /// The lease has ended.
     #[error("the store lease has ended")]
@@ -91,7 +92,7 @@
     watch_client: Client,
     budget: RefCell<Budget>,
     started_at: Instant,
-    /// Time-out of a request, not counting the wait for the budget.
+    /// Timeout of a request, not counting the wait for the budget.
     pub request_timeout: Duration,
 }
 
@@ -116,7 +117,7 @@
         self.budget.borrow_mut().set_shares(shares, self.now_s());
     }
 
-    /// Returns a key with its value, or `None` if it does not exist.
+    /// Returns a key with its value, or `None` if the key does not exist.
     pub async fn get(
         &self,
         key: &str,
@@ -131,7 +132,8 @@
         }
     }
 
-    /// Returns a page of the keys with a prefix, in order, that come after the key `since`.
+    /// Returns one page of the keys that have a prefix, in key order: the first page, or the one
+    /// that begins after the key `since`.
     pub async fn range(
         &self,
         prefix: &str,
@@ -149,8 +151,8 @@
     }
 
     /// Executes a transaction. Fails with `LeaseNotFound` if one of its writes names a lease that
-    /// has ended. When the budget is exhausted, submissions fail at once and other priorities wait
-    /// for it.
+    /// has ended. When the budget is exhausted, a submission fails at once, while a request of
+    /// another priority waits up to the request timeout.
     pub async fn txn(
         &self,
         txn: &Txn,
@@ -212,8 +214,8 @@
         self.request("DELETE", &path, &[]).await.map(drop)
     }
 
-    /// Returns the changes after the revision `since`, waiting up to `wait` for the first one.
-    /// Fails with `RevisionTooOld` if the store no longer keeps them.
+    /// Returns the changes of the keys that have a prefix after the revision `since`, waiting up to
+    /// `wait` for the first one. Fails with `RevisionTooOld` if the store no longer keeps them.
     pub async fn read_changes(
         &self,
         prefix: &str,
@@ -264,7 +266,8 @@
         taken.map_err(|exhausted| StoreError::BudgetExhausted(exhausted.wait_s))
     }
 
-    /// Takes a request out of the budget, waiting for it at most as long as the request time-out.
+    /// Waits until the budget allows a request, and takes the request out of it. Fails as soon as
+    /// the wait would take longer than the request timeout.
     async fn wait_for_budget(
         &self,
         writes: usize,
@@ -298,8 +301,8 @@
     })
 }
 
-/// Distinguishes a lease that has ended from a transaction that the store can't accept, for example
-/// because of a value that is too large.
+/// Returns the error for a bad request: either a lease has ended, or the store can't accept the
+/// transaction, for example because of a value that is too large.
 fn bad_request_error(response: &Response) -> StoreError {
     let text = cbor::decode::<Value>(&response.body).map(|value| format!("{value:?}"));
     let text = text.unwrap_or_default();
--- a/crates/store/src/keys.rs
+++ b/crates/store/src/keys.rs
@@ -1,21 +1,21 @@
 //! Names of the keys that the controllers keep in the state service.
 
-/// Version in the condition of a transaction that requires a key not to exist.
+/// Version by which a transaction's condition requires that a key does not exist.
 pub const ABSENT: u64 = 0;
 
 /// Prefix of all keys of the controllers.
 pub const ALL_PREFIX: &str = "lr/";
-/// Key that names the leader, attached to the leader's lease.
+/// Key whose record names the leader. It is attached to the leader's lease.
 pub const LEADER: &str = "lr/leader";
 /// Key of the durable term, the highest fencing token ever issued.
 pub const TERM: &str = "lr/term";
 /// Prefix of the job records.
 pub const JOB_PREFIX: &str = "lr/job/";
-/// Prefix of the progress pages.
+/// Prefix of the progress pages, which record the tasks of jobs that are done.
 pub const PROGRESS_PREFIX: &str = "lr/progress/";
-/// Prefix of the roster pages.
+/// Prefix of the roster pages, which list the machines on which tasks may have been started.
 pub const ROSTER_PREFIX: &str = "lr/roster/";
-/// Prefix of the chunks of gang bindings.
+/// Prefix of the gang bindings, the placements of gangs on machines, each stored in chunks.
 pub const BINDING_PREFIX: &str = "lr/binding/";
 /// Key of the record of the arrays whose tasks may have been started.
 pub const STARTED_ARRAYS: &str = "lr/begun";
--- a/crates/store/src/leadership.rs
+++ b/crates/store/src/leadership.rs
@@ -1,4 +1,5 @@
-//! Leader election by a key that is attached to a store lease. The fencing token is a durable term.
+//! Leader election by a key that is attached to a store lease. Fencing tokens are counted by the
+//! durable term, the highest token ever issued.
 //!
 //! The leader's authority is valid from the instant at which the last successful renewal was
 //! *sent*, for the duration of the lease less clock drift and a safety margin. Authority that has
@@ -12,8 +13,8 @@
 use std::time::{Duration, Instant};
 use wire::store::{from_value, to_value, Condition, Item, LeaderRecord, TermRecord, Txn, Write};
 
-/// Maximum relative drift of a monotonic clock, a constant of the protocol. The clocks on both
-/// sides of a lease may drift.
+/// Maximum relative drift of a monotonic clock, a constant of the protocol. It counts twice, since
+/// the clocks on both sides of a lease may drift.
 pub const MAX_CLOCK_DRIFT: f64 = 0.0005;
 /// Safety margin of the leader's authority, as a fraction of the lease duration.
 pub const AUTHORITY_MARGIN: f64 = 0.03;
@@ -28,7 +29,7 @@
 /// late.
 #[allow(async_fn_in_trait)] // All code runs on one thread, so no caller needs Send futures.
 pub trait LeaderStore {
-    /// Returns a key with its value, or `None` if it does not exist.
+    /// Returns a key with its value, or `None` if the key does not exist.
     async fn get(&self, key: &str) -> Result<Option<Item>, StoreError>;
     /// Creates a lease and returns its id.
     async fn grant(&self, ttl: Duration) -> Result<u64, StoreError>;
@@ -89,7 +90,7 @@
     }
 }
 
-/// Tries once to acquire leadership. Returns `None` if another controller holds it or the
+/// Tries once to acquire leadership. Returns `None` if another controller is the leader or the
 /// transaction was certainly not applied.
 ///
 /// # Errors
@@ -126,9 +127,9 @@
             let _ = store.revoke(lease_id).await;
             return Ok(None);
         }
-        // The outcome is not guessed. Revoking the lease makes the attempt harmless in every case:
-        // whether it was applied, is applied late (the store refuses a write with an ended lease),
-        // or is never applied.
+        // The outcome is not guessed. Revoking the lease makes the transaction harmless in every
+        // case: whether it was applied, is applied late (the store refuses a write with an ended
+        // lease), or is never applied.
         Err(error) => {
             let _ = store.revoke(lease_id).await;
             return Err(error);
@@ -143,7 +144,7 @@
 }
 
 /// Advances the term and the leader's key to the next token. Returns `None` if leadership is lost.
-/// After an unknown outcome the key is read back.
+/// If the outcome of the write is unknown, the leader's key is read back.
 ///
 /// # Errors
 ///
--- a/crates/store/src/pages.rs
+++ b/crates/store/src/pages.rs
@@ -1,14 +1,14 @@
 //! Pages: many small entries packed under one key, since every put counts against the state
 //! service's write rate. The leader owns the pages, and each write replaces a whole page.
 //!
-//! A page may have been filled under a larger limit than the current one. It is loaded unchanged
-//! and split when it is next written: the entries beyond the limit move to new pages, and all of
-//! these pages are written together (see `write_unit`), so that no entry is missing from the store
-//! in between.
+//! A page may have been filled under a larger size limit than the current one. It is loaded
+//! unchanged and split when it is next written: the entries beyond the limit move to new pages, and
+//! all of these pages are written together (see `write_unit`), so that no entry is missing from the
+//! store in between.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Value of an entry, with its size in bytes as estimated by the owner of the pages.
+/// Value of an entry, with its size in bytes as estimated by the caller.
 #[derive(Debug)]
 struct Entry<V> {
     size: usize,
@@ -20,7 +20,7 @@
 /// When the removal of an entry has to be written to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Removal {
-    /// As soon as possible: the removal makes the page dirty.
+    /// As soon as possible: the removal makes the page dirty, so that it has to be written.
     Urgent,
     /// When the page is next written for another reason.
     Deferred,
@@ -28,15 +28,15 @@
 
 /// Entries in pages of limited size.
 ///
-/// Invariant: each key is on one page, and a page that differs from its stored version is dirty
-/// unless the only difference is deferred removals.
+/// Invariant: each key is on one page. A page that differs from its stored version by more than
+/// deferred removals is dirty, that is, has to be written.
 #[derive(Debug)]
 pub struct Pages<K, V> {
     limit: usize,
     pages: BTreeMap<u32, Entries<K, V>>,
     page_of: BTreeMap<K, u32>,
     dirty: BTreeSet<u32>,
-    /// New pages that took entries of a page in a split, until that page is written.
+    /// For each page that was split and is not written yet, the new pages that took its entries.
     split_into: BTreeMap<u32, Vec<u32>>,
     /// Inverse of `split_into`.
     split_from: BTreeMap<u32, u32>,
@@ -77,8 +77,8 @@
     }
 
     /// Puts an entry on the page that already holds it, or else on the first page with capacity,
-    /// and returns the page. An unchanged entry makes no page dirty, since a decision that has to
-    /// wait is put repeatedly.
+    /// and returns the page. An unchanged entry makes no page dirty, since the entry of a decision
+    /// that has to wait is put repeatedly.
     pub fn put(&mut self, key: K, size: usize, value: V) -> u32 {
         let current = self.page_of.get(&key).copied();
         if let Some(page) = current.filter(|_| self.get(&key) == Some(&value)) {
@@ -128,7 +128,7 @@
         self.page_of.range(from.clone()..).map(|(key, _)| key)
     }
 
-    /// Returns the first dirty page, that is, the first one that has to be written to the store.
+    /// Returns the first dirty page, that is, the first page that has to be written to the store.
     pub fn next_dirty(&self) -> Option<u32> {
         self.next_dirty_except(&[])
     }
@@ -138,7 +138,8 @@
         self.dirty.contains(&page)
     }
 
-    /// Returns the first dirty page that is not among `excluded`, which are being written already.
+    /// Returns the first dirty page that is not among `excluded`, the pages that are being written
+    /// already.
     pub fn next_dirty_except(&self, excluded: &[u32]) -> Option<u32> {
         let mut dirty = self.dirty.iter();
         dirty.find(|page| !excluded.contains(page)).copied()
@@ -146,12 +147,12 @@
 
     /// Splits a page if it is too large, and returns all pages that have to be written together, in
     /// this order: first the page that is or was too large, then the pages that took the rest of
-    /// its entries. Pages that do not fit in one transaction take several.
+    /// its entries. If they do not fit in one transaction, several are needed.
     ///
-    /// When a page is written, readers of version 0.1 remove from their roster whatever the page
-    /// held before, even if another page holds it by then. Their roster ends up correct if they
-    /// read the new pages last. The new pages therefore come later, both in the transaction and in
-    /// the order of the keys.
+    /// When a page is written, controllers of version 0.1 remove from their roster whatever the
+    /// page held before, even if another page holds it by then. Their roster ends up correct if
+    /// they read the new pages last. The new pages therefore come later, both in the transaction
+    /// and in the order of the keys.
     pub fn write_unit(&mut self, page: u32) -> Vec<u32> {
         let first = self.split_from.get(&page).copied().unwrap_or(page);
         self.split(first);
@@ -194,8 +195,8 @@
         }
     }
 
-    /// Adds a page for entries that are split off another page. It comes after that page in the
-    /// order of the keys, in which page numbers are compared as text.
+    /// Adds a page for entries that are split off another page. The new page's key sorts after the
+    /// other page's key; keys hold the page numbers as text.
     fn new_page_after(&mut self, page: u32) -> u32 {
         let name = page.to_string();
         let follows = |new: &u32| new.to_string() > name && !self.pages.contains_key(new);
@@ -223,8 +224,7 @@
         }
     }
 
-    /// Returns the entries of a page, or `None` if there are none and the page's key is to be
-    /// deleted.
+    /// Returns the entries of a page, or `None` if it has none, so that its key is to be deleted.
     pub fn page(&self, page: u32) -> Option<impl Iterator<Item = (&K, &V)>> {
         let entries = self
             .pages
--- a/crates/store/src/replica/bindings.rs
+++ b/crates/store/src/replica/bindings.rs
@@ -5,8 +5,8 @@
 
 /// Binding records by job and chunk.
 ///
-/// Invariant: each chunk is the one of the newest change to its key. A binding with fewer chunks
-/// than that of an older attempt leaves some chunks of the older one behind. They are ignored.
+/// Invariant: each chunk is as the newest change of its key left it. If the binding of an attempt
+/// has fewer chunks than that of an older attempt, some older chunks remain. They are ignored.
 #[derive(Default)]
 pub struct Bindings {
     chunks: BTreeMap<String, BTreeMap<u32, BindingRecord>>,
--- a/crates/store/src/replica/bitmap.rs
+++ b/crates/store/src/replica/bitmap.rs
@@ -11,7 +11,7 @@
 pub struct Bitmap(Vec<u8>);
 
 impl Bitmap {
-    /// Adds the tasks of a section that begins at `first_task`, which is a multiple of eight.
+    /// Adds the tasks in a bitmap whose first bit is `first_task`, which is a multiple of eight.
     pub fn merge(&mut self, first_task: u32, section: &[u8]) {
         let start = first_task as usize / BITS_PER_BYTE;
         let end = start + section.len();
--- a/crates/store/src/replica/jobs.rs
+++ b/crates/store/src/replica/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs by id, with the progress of open ones.
+//! Jobs by id, with the progress of open jobs.
 
 use super::bitmap::{decode_hex_bitmap, Bitmap};
 use std::collections::BTreeMap;
@@ -26,11 +26,12 @@
     }
 }
 
-/// One job. A terminal job keeps only the fields that are needed to respond to a status query.
+/// One job. A terminal job (done or cancelled) keeps only the fields that are needed to respond to
+/// a status query.
 #[derive(Clone, Debug)]
 pub struct JobEntry {
-    /// State of the job. It is also `Cancelled` if an ancestor is cancelled while the job's own
-    /// record is still open.
+    /// State of the job. It is also `Cancelled` if an ancestor (a job on which it depends, directly
+    /// or not) is cancelled while the job's own record is still open.
     pub state: Recorded,
     /// Version of the record. While the job is open, this is the revision of its creation.
     pub version: u64,
@@ -42,7 +43,7 @@
     pub team: String,
     /// Total resources of all tasks.
     pub resources: JobResources,
-    /// When this controller learned from a record that the job is terminal.
+    /// When this controller learned that the job's record is terminal.
     pub terminal_since: Option<Instant>,
     /// Specification, while the job is open.
     pub job: Option<Rc<Job>>,
@@ -121,8 +122,8 @@
 #[derive(Default)]
 pub struct Jobs {
     entries: BTreeMap<String, JobEntry>,
-    /// Progress that was loaded before its job's record, since a load reads all keys in the order
-    /// of their names.
+    /// Progress that was loaded before the record of its job, which can happen because a load reads
+    /// all keys in the order of their names.
     pending_progress: BTreeMap<String, Bitmap>,
 }
 
@@ -132,7 +133,7 @@
         self.entries.get(id)
     }
 
-    /// Returns whether a job is known.
+    /// Returns whether a job has an entry.
     pub fn contains_key(&self, id: &str) -> bool {
         self.entries.contains_key(id)
     }
@@ -142,7 +143,7 @@
         self.entries.len()
     }
 
-    /// Returns whether no job is known.
+    /// Returns whether there is no job.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
@@ -180,8 +181,8 @@
             .collect()
     }
 
-    /// Applies a job's record, unless the known record is at least as new, or is terminal while
-    /// this one is open.
+    /// Applies a job's record, unless the job's entry is at least as new, or is terminal while the
+    /// record is open.
     pub(super) fn put(&mut self, id: &str, record: JobRecord, version: u64) {
         let is_open = record.state == Recorded::Open;
         let is_superseded =
@@ -216,7 +217,7 @@
         }
     }
 
-    /// Marks a job as done, which this controller's own write has recorded at `version`.
+    /// Marks a job as done after a write of this controller has recorded that at `version`.
     pub(super) fn mark_done(&mut self, id: &str, version: u64) {
         let Some(entry) = self.entries.get_mut(id) else {
             return;
@@ -228,7 +229,7 @@
         }
     }
 
-    /// Marks an open job as cancelled because one of its ancestors is.
+    /// Marks an open job as cancelled because one of its ancestors is cancelled.
     pub(super) fn cancel_with_ancestor(&mut self, id: &str) {
         let entry = self.entries.get_mut(id);
         if let Some(entry) = entry.filter(|entry| entry.is_open()) {
--- a/crates/store/src/replica/leader.rs
+++ b/crates/store/src/replica/leader.rs
@@ -1,4 +1,4 @@
-//! The current leader according to its key.
+//! The current leader, as recorded under the leader's key.
 
 use wire::store::LeaderRecord;
 
@@ -37,8 +37,8 @@
         self.known.take_if(|known| known.record.member == member);
     }
 
-    /// Merges the leader of another replica. If this replica has no record, the key did not exist
-    /// at `revision`, so only a newer record of the other one is taken.
+    /// Takes the leader of another replica if its record is newer. If this replica has no record,
+    /// the key did not exist at `revision`, so the other record has to be newer than that.
     pub(super) fn merge_newer(&mut self, other: Leader, revision: u64) {
         let version = self.known.as_ref().map_or(revision, |known| known.version);
         if let Some(newer) = other.known.filter(|known| known.version > version) {
--- a/crates/store/src/replica/mod.rs
+++ b/crates/store/src/replica/mod.rs
@@ -1,8 +1,8 @@
 //! A controller's replica of all keys in the state service, loaded in pages and kept up to date
 //! with the store's changes.
 //!
-//! Invariant: the version of each key only grows, and a terminal job stays terminal. A response
-//! that arrives late or twice therefore changes nothing.
+//! Invariant: the version of each key only grows, and a terminal job (done or cancelled) stays
+//! terminal. An outdated or repeated response therefore changes nothing.
 
 mod bindings;
 mod bitmap;
@@ -55,7 +55,8 @@
     pub bindings: Bindings,
     /// Arrays whose tasks may have been started.
     pub started_arrays: StartedArraysRecord,
-    /// Versions of the keys that a leader writes repeatedly: all except jobs, leader and term.
+    /// Versions of the keys that a leader writes repeatedly: all except those
+    /// of jobs, the leader and the term.
     pub versions: KeyVersions,
 }
 
@@ -196,23 +197,24 @@
         ChangedKey::Other
     }
 
-    /// Applies a job's record, which may have been read directly, before its change was applied.
+    /// Applies a job's record. It may have been read directly from the store, before the change
+    /// that wrote it was applied.
     pub fn put_job(&mut self, id: &str, record: JobRecord, version: u64) {
         self.jobs.put(id, record, version);
     }
 
-    /// Marks a job as done, which this controller's own write has recorded at `version`.
+    /// Marks a job as done after a write of this controller has recorded that at `version`.
     pub fn mark_job_done(&mut self, id: &str, version: u64) {
         self.jobs.mark_done(id, version);
     }
 
-    /// Marks an open job as cancelled because one of its ancestors is. Its record stays open in the
-    /// store. None of its tasks was ever started.
+    /// Marks an open job as cancelled because an ancestor (a job on which it depends, directly or
+    /// not) is cancelled. Its record stays open in the store. None of its tasks was ever started.
     pub fn cancel_with_ancestor(&mut self, id: &str) {
         self.jobs.cancel_with_ancestor(id);
     }
 
-    /// Sets the leader, which this controller's own write has recorded at `version`.
+    /// Sets the leader after a write of this controller has recorded it at `version`.
     pub fn set_leader(&mut self, record: LeaderRecord, version: u64) {
         self.leader.set(Some(record), version);
     }
--- a/crates/store/src/replica/progress.rs
+++ b/crates/store/src/replica/progress.rs
@@ -3,12 +3,12 @@
 use std::collections::BTreeMap;
 use wire::store::ProgressPage;
 
-/// Bitmap of a job's done tasks in a page.
+/// One of the bitmaps in a page: tasks of a job that are done.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Section<'a> {
     /// Id of the job.
     pub job: &'a str,
-    /// Task of the first bit.
+    /// Number of the task that the first bit stands for.
     pub first_task: u32,
     /// Bitmap in hexadecimal.
     pub bits: &'a str,
@@ -16,7 +16,7 @@
 
 /// Progress pages by number.
 ///
-/// Invariant: each page is the one of the newest change to its key.
+/// Invariant: each page is as the newest change of its key left it.
 #[derive(Default)]
 pub struct ProgressPages {
     /// Number of tasks in a chunk of a page that version 0.1 wrote. It depends on the
--- a/crates/store/src/versions.rs
+++ b/crates/store/src/versions.rs
@@ -48,7 +48,7 @@
     }
 
     /// Merges the changes of `other` that are newer than `read_at_revision`, the revision at which
-    /// all keys were read. Its older changes are superseded.
+    /// all keys were read. Older changes of `other` are superseded by what was read.
     pub fn merge_newer(&mut self, other: KeyVersions, read_at_revision: u64) {
         for (key, change) in other.last_changes {
             if change.revision > read_at_revision {
--- a/crates/store/tests/budget.rs
+++ b/crates/store/tests/budget.rs
@@ -53,7 +53,7 @@
         .is_ok());
 }
 
-/// Returns the number of writes in ten seconds that are sent as fast as the budget allows.
+/// Returns how many writes the budget allows in ten seconds, asked for every 0.01 s.
 fn writes_in_ten_seconds(budget: &mut Budget) -> u32 {
     let (mut now, mut writes) = (0.0, 0);
     while now < 10.0 {
--- a/crates/store/tests/leadership.rs
+++ b/crates/store/tests/leadership.rs
@@ -151,7 +151,8 @@
     }
 }
 
-/// Controllers that acquire and lose leadership and advance the token, with their own view of it.
+/// Controllers that acquire and lose leadership and advance the token. `leaders` holds those that
+/// consider themselves the leader, `tokens` all tokens that were issued.
 struct Controllers {
     store: FaultyStore,
     rng: fastrand::Rng,
--- a/crates/store/tests/pages.rs
+++ b/crates/store/tests/pages.rs
@@ -68,8 +68,9 @@
 
 /// Pages that were filled under a larger limit must be loaded unchanged and split only when they
 /// are written. All pages of a split are written together, so that no entry is missing from the
-/// store at any time. The new pages come after the old one, also in the order of the keys, since
-/// readers of version 0.1 remove the previous entries of a page when it is written again.
+/// store at any time. The new pages come after the old page in the transaction, and their keys sort
+/// after its key, so that controllers of version 0.1 read them last: when the old page is written,
+/// these controllers remove all entries that it held before, including those that have moved.
 #[test]
 fn oversized_pages_are_split_on_the_next_write() {
     let mut stored = StoredPages::new();
@@ -115,8 +116,8 @@
     );
 }
 
-/// A split that takes several transactions leaves entries on two pages for a while. If the leader is
-/// replaced in between, its successor loads both copies and must count each entry once.
+/// A split that takes several transactions leaves entries on two pages for a while. If the leader
+/// is replaced in between, its successor loads both copies and must count each entry once.
 #[test]
 fn an_entry_on_two_pages_counts_once() {
     let mut pages = Pages::new(PAGE_LIMIT_BYTES);
--- a/crates/store/tests/replica.rs
+++ b/crates/store/tests/replica.rs
@@ -1,4 +1,4 @@
-//! Replica with changes that arrive late, twice, or in any order.
+//! Tests the replica with changes that arrive late, twice, or in any order.
 
 mod fixtures;
 
@@ -111,7 +111,8 @@
 }
 
 /// Bitmaps that begin at different tasks, written under different limits, must be merged. A chunk
-/// of version 0.1 begins at its number times the chunk size that followed from the settings.
+/// that version 0.1 wrote begins at the task whose number is the chunk's number times the chunk
+/// size, which followed from the settings.
 #[test]
 fn progress_written_with_different_limits_is_joined() {
     let mut replica = Replica::new(16);
