--- a/crates/store/src/budget.rs
+++ b/crates/store/src/budget.rs
@@ -156,8 +156,9 @@
     }
 
     /// Records that the store refused a request because its rate was exceeded. The remaining tokens
-    /// are dropped, since other controllers have used up the store's rate, or it is lower than in
-    /// the settings. A renewal then waits at most until the bucket holds the tokens of one request.
+    /// are dropped, since other controllers have used up the store's rate, or that rate is lower
+    /// than in the settings. A renewal then waits at most until the bucket holds the tokens of one
+    /// request.
     pub fn record_refusal(&mut self, now: f64, writes: usize) {
         if writes > 0 {
             self.writes.drain(now);
--- a/crates/store/src/keys.rs
+++ b/crates/store/src/keys.rs
@@ -11,7 +11,7 @@
 pub const TERM: &str = "lr/term";
 /// Prefix of the job records.
 pub const JOB_PREFIX: &str = "lr/job/";
-/// Prefix of the progress pages, which record the tasks of jobs that are done.
+/// Prefix of the progress pages, which record the tasks that are done.
 pub const PROGRESS_PREFIX: &str = "lr/progress/";
 /// Prefix of the roster pages, which list the machines on which tasks may have been started.
 pub const ROSTER_PREFIX: &str = "lr/roster/";
--- a/crates/store/src/pages.rs
+++ b/crates/store/src/pages.rs
@@ -224,7 +224,7 @@
         }
     }
 
-    /// Returns the entries of a page, or `None` if it has none, so that its key is to be deleted.
+    /// Returns the entries of a page, or `None` if it has none. Its key is to be deleted then.
     pub fn page(&self, page: u32) -> Option<impl Iterator<Item = (&K, &V)>> {
         let entries = self
             .pages
--- a/crates/wire/src/peers.rs
+++ b/crates/wire/src/peers.rs
@@ -6,6 +6,10 @@
 //!
 //! Tasks of one job are listed as runs `(first index, number of tasks)`, and their placements as
 //! `(machine, first index, number of tasks)`.
+//!
+//! Each machine belongs to the shard of one controller, its owner, which responds to the heartbeats
+//! of the machine's worker and starts its tasks. An epoch is a period in which the owners stay the
+//! same; it has a fencing token of its own.
 
 use crate::cloud::MachineType;
 use crate::workers::{TaskState, Why};
@@ -49,7 +53,7 @@
     pub image_gb: f64,
     /// Machine types on which the task may run.
     pub allowed_types: Vec<AllowedMachineType>,
-    /// Zone in which it has to run; any if none.
+    /// Zone in which it has to run; any zone if `None`.
     pub zone: Option<String>,
 }
 
@@ -82,17 +86,18 @@
     /// Whether the worker's lease has certainly expired and no newer incarnation has sent a
     /// heartbeat.
     pub lease_expired: bool,
-    /// Time until the cloud reclaims the machine, in seconds; none until it has given notice.
+    /// Time until the cloud reclaims the machine, in seconds; `None` until the cloud has given
+    /// notice.
     pub notice_s: Option<f64>,
     /// Tasks in the newest heartbeat that the owner has accepted.
     pub tasks: Vec<TaskStatus>,
     /// Tasks that the owner has decided to start, and whose start no heartbeat has confirmed or
     /// ruled out yet.
     pub pending: Vec<TaskRef>,
-    /// Whether the owner may place tasks there, according to the leader's last message.
+    /// Whether the owner may place tasks on the machine, according to the leader's last message.
     pub usable: bool,
-    /// Whether its heartbeats arrive but the responses don't reach it. No tasks are placed there
-    /// while this is so.
+    /// Whether the worker's heartbeats arrive, but the responses don't reach the worker. No tasks
+    /// are placed on the machine while this is so.
     pub unreachable: bool,
 }
 
@@ -120,7 +125,7 @@
     pub zone: String,
     /// Whether it is a spot machine.
     pub spot: bool,
-    /// Whether the owner may place tasks there.
+    /// Whether the owner may place tasks on the machine.
     pub usable: bool,
 }
 
@@ -135,10 +140,10 @@
         /// that was not in that epoch also starts with empty state. Any other owner keeps the
         /// records of the machines that it still owns.
         previous_token: u64,
-        /// Owners of the epoch; they determine the shards.
+        /// Names of the owners in the epoch. They determine the shards.
         members: Vec<String>,
-        /// Time from the receipt until no previous owner can still respond to heartbeats, in
-        /// milliseconds.
+        /// Time, counted from the receipt of this message, after which no previous owner can still
+        /// respond to heartbeats, in milliseconds.
         extra_ms: u64,
         /// Machines of the owner's shard.
         machines: Vec<MachineDescriptor>,
@@ -148,7 +153,8 @@
         /// All machine types.
         types: Vec<MachineType>,
     },
-    /// Response to a ping that extends the owner's authority.
+    /// Response to a ping. It extends the owner's authority, which is the period in which the owner
+    /// may respond to heartbeats and start tasks.
     Grant {
         /// Number of the ping.
         n: u64,
@@ -170,14 +176,14 @@
         /// Ids of the jobs.
         jobs: Vec<String>,
     },
-    /// Whether tasks may be placed on a machine from now on.
+    /// Sets whether the owner may place tasks on a machine from now on.
     SetUsable {
         /// Name of the machine.
         machine: String,
-        /// Whether tasks may be placed there.
+        /// Whether the owner may place tasks on it.
         usable: bool,
     },
-    /// Tasks of an array to place and start on the owner's shard.
+    /// Tasks of an array that the owner has to place and start on machines of its shard.
     Assign {
         /// Id of the job.
         job: String,
@@ -188,8 +194,8 @@
         /// Runs of tasks.
         tasks: Vec<(u32, u32)>,
     },
-    /// Tasks of an array to start on the first machine of the shard whose heartbeat shows enough
-    /// free capacity. Tasks that are not started in time are handed back.
+    /// Tasks of an array, each to be started on the first machine of the shard whose heartbeat
+    /// shows enough free capacity. Tasks that are not started in time are handed back.
     AssignBacklog {
         /// Id of the job.
         job: String,
@@ -199,7 +205,7 @@
         requirements: TaskRequirements,
         /// Runs of tasks.
         tasks: Vec<(u32, u32)>,
-        /// Time for which the owner keeps them, in milliseconds from the receipt.
+        /// Time for which the owner keeps the tasks, in milliseconds from the receipt.
         wait_ms: u64,
     },
     /// Reserves capacity for tasks of a gang.
@@ -243,7 +249,7 @@
     },
     /// Numbers of running tasks, for the responses to users' queries.
     RunningCounts {
-        /// Job id and number of running tasks.
+        /// Entries of job id and number of running tasks.
         running: Vec<(String, u32)>,
     },
 }
@@ -268,7 +274,7 @@
     },
     /// Machines whose status has changed.
     MachineStatuses(Vec<MachineStatus>),
-    /// Returns assigned tasks that the owner has not started and does not keep.
+    /// Hands back assigned tasks that the owner has not started and does not keep.
     HandBack {
         /// Id of the job.
         job: String,
@@ -284,8 +290,8 @@
         /// Whether all of the requested capacity is reserved.
         reserved: bool,
     },
-    /// The sender has confirmed a cancellation, which the leader may not have read from the store
-    /// yet.
+    /// The store has recorded a cancellation that the sender wrote. The leader may not have read it
+    /// from the store yet.
     Cancelled {
         /// Id of the job.
         job: String,
--- a/crates/wire/src/store.rs
+++ b/crates/wire/src/store.rs
@@ -179,15 +179,15 @@
 }
 
 /// Page of progress records: which tasks of some jobs are done, as bitmaps in hexadecimal. If a job
-/// has several bitmaps, their union is valid.
+/// has several bitmaps, the tasks in any of them are done.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ProgressPage {
-    /// Job id, chunk number and bitmap. Up to version 0.1, a chunk began at its number multiplied
-    /// by a chunk size from the settings. Chunk 0 begins at task 0 whatever the size, so only chunk
-    /// 0 is written now.
+    /// Entries of job id, chunk number and bitmap. Up to version 0.1, the first task of a chunk was
+    /// the chunk number multiplied by a chunk size from the settings. Chunk 0 begins at task 0
+    /// whatever the size, so only chunk 0 is written now.
     pub chunks: Vec<(String, u32, String)>,
-    /// Job id, first task and bitmap, for bitmaps that do not begin at task 0. Version 0.1 ignores
-    /// this field, and would run these tasks again.
+    /// Entries of job id, first task and bitmap, for bitmaps that do not begin at task 0. Version
+    /// 0.1 ignores this field, and would run these tasks again.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub sections: Vec<(String, u32, String)>,
 }
@@ -197,7 +197,7 @@
 pub struct LeaderRecord {
     /// Name of the controller that leads.
     pub member: String,
-    /// Fencing token with which it became the leader.
+    /// Its current fencing token.
     pub token: u64,
 }
 
@@ -228,7 +228,8 @@
 }
 
 /// Arrays of which tasks may have been started: those accepted up to a revision, except those
-/// listed as waiting. A later leader doesn't have to reconcile machines for other arrays.
+/// listed as waiting. A later leader can start tasks of other arrays without first learning what
+/// runs on the machines.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StartedArraysRecord {
     /// Newest acceptance revision that is included.
@@ -250,7 +251,7 @@
 pub struct BindingRecord {
     /// Attempt of the gang.
     pub attempt: u64,
-    /// Machine, index of the first task, and number of tasks.
+    /// Entries of machine, index of the first task there, and number of tasks there.
     pub places: Vec<(String, u32, u32)>,
 }
 
--- a/crates/wire/src/users.rs
+++ b/crates/wire/src/users.rs
@@ -165,7 +165,7 @@
         /// Maximum number of tasks.
         max: u32,
     },
-    /// An amount is negative, or larger than any that can occur.
+    /// An amount is negative, or exceeds a limit that is far above real amounts.
     #[error("must not be negative")]
     InvalidAmount,
     /// The list of machine types is too long.
@@ -180,7 +180,7 @@
 }
 
 impl Job {
-    /// Checks the rules that don't depend on the known teams and machine types. Returns the first
+    /// Checks the rules that don't depend on which teams and machine types exist. Returns the first
     /// violation as an error.
     pub fn check(&self) -> Result<(), InvalidJob> {
         if !is_valid_job_id(&self.id) {
@@ -299,7 +299,7 @@
     pub state: JobState,
     /// Number of tasks that are done.
     pub done: u32,
-    /// Number of running tasks, as last known.
+    /// Number of running tasks, as last known to the controller that responds.
     pub running: u32,
 }
 
--- a/crates/wire/src/workers.rs
+++ b/crates/wire/src/workers.rs
@@ -92,7 +92,8 @@
     /// Sequence number of the heartbeat within the incarnation.
     #[serde(rename = "tick")]
     pub seq: u64,
-    /// Highest fencing token that the worker has seen. It discards orders with a lower one.
+    /// Highest fencing token that the worker has seen. The worker discards orders with a lower
+    /// token.
     #[serde(rename = "baton")]
     pub token: u64,
     /// Time until the cloud reclaims the spot machine, in seconds; absent until the cloud has given
@@ -103,7 +104,7 @@
         deserialize_with = "crate::cbor::optional_amount"
     )]
     pub notice_s: Option<f64>,
-    /// All tasks on the machine, including exited ones until they are cleared.
+    /// All tasks on the machine, including exited ones until [`Order::Clear`] removes them.
     #[serde(rename = "tickets")]
     pub tasks: Vec<ReportedTask>,
 }
@@ -149,7 +150,7 @@
 /// Response to a heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Orders {
-    /// Fencing token of the epoch under which the orders were given.
+    /// Fencing token of the epoch in which the orders were given; see [`crate::peers`].
     #[serde(rename = "baton")]
     pub token: u64,
     /// The orders for the worker; may be empty.
@@ -157,10 +158,11 @@
     pub orders: Vec<Order>,
 }
 
-/// Response that redirects a worker to the controller that owns its shard.
+/// Response that redirects a worker to the owner of its shard, the controller that responds to the
+/// heartbeats of the worker's machine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Redirect {
-    /// Name of that controller; absent if the owner is not known.
+    /// Name of the owner; absent if the responding controller does not know it.
     #[serde(rename = "foreman", skip_serializing_if = "Option::is_none")]
     pub member: Option<String>,
 }
--- a/crates/wire/tests/examples.rs
+++ b/crates/wire/tests/examples.rs
@@ -63,7 +63,7 @@
     ] {
         assert!(
             decode::<Job>(&with_field(&job, key, None)).is_err(),
-            "without {key}"
+            "a job without {key} is decoded"
         );
     }
     assert!(decode::<Job>(&with_field(&job, "vcpus", Some("8".into()))).is_err());
@@ -71,7 +71,7 @@
     assert!(decode::<Job>(&with_field(&job, "vcpus", Some(f64::NAN.into()))).is_err());
     assert!(decode::<Job>(b"not cbor at all").is_err());
     assert!(decode::<Job>(&encode(&cbor!([1, 2]).unwrap())).is_err());
-    // Deep nesting is an error before it exhausts the stack.
+    // Deep nesting must be rejected before it exhausts the stack.
     let deep = [vec![0x81u8; 60_000], vec![0]].concat();
     assert!(decode::<Job>(&deep).is_err());
 }
@@ -211,7 +211,11 @@
     assert_eq!(decode_frame::<ToOwner>(&[]), None);
     let mut other = framed[LENGTH_BYTES..].to_vec();
     other[0] = 99;
-    assert_eq!(decode_frame::<ToLeader>(&other), None, "another version");
+    assert_eq!(
+        decode_frame::<ToLeader>(&other),
+        None,
+        "a frame of another version is decoded"
+    );
     let mut accepted = 0;
     for seed in 0..2000u64 {
         // Xorshift generator. Decoding must not panic, whatever the bytes are.
@@ -227,5 +231,8 @@
         let payload = [vec![VERSION], noise].concat();
         accepted += usize::from(decode_frame::<ToOwner>(&payload).is_some());
     }
-    assert!(accepted < 1000, "too much garbage is decoded: {accepted}");
+    assert!(
+        accepted < 1000,
+        "too many frames with random bytes are decoded: {accepted}"
+    );
 }
--- a/crates/wire/tests/production/samples.rs
+++ b/crates/wire/tests/production/samples.rs
@@ -153,7 +153,7 @@
     samples
 }
 
-/// Samples on epochs and grants, and on the cluster's state as sent to owners.
+/// Messages to owners about epochs, authority and the state of the cluster.
 fn to_owner_on_epochs() -> Vec<(&'static str, ToOwner)> {
     vec![
         (
@@ -214,7 +214,7 @@
     ]
 }
 
-/// Samples on tasks of arrays.
+/// Messages to owners about tasks of arrays.
 fn to_owner_on_tasks() -> Vec<(&'static str, ToOwner)> {
     vec![
         (
@@ -239,7 +239,7 @@
     ]
 }
 
-/// Samples on tasks of gangs.
+/// Messages to owners about tasks of gangs.
 fn to_owner_on_gangs() -> Vec<(&'static str, ToOwner)> {
     let places = || vec![("host-000001".to_string(), 0, 12)];
     vec![
@@ -258,7 +258,7 @@
     ]
 }
 
-/// Samples on tasks that are on machines.
+/// Messages to owners about tasks that are on machines.
 fn to_owner_on_running_tasks() -> Vec<(&'static str, ToOwner)> {
     vec![
         (
