--- a/crates/store/tests/leadership.rs
+++ b/crates/store/tests/leadership.rs
@@ -143,11 +143,11 @@
             }
             return Self::unknown_outcome();
         }
-        let decided = self.apply(txn);
+        let outcome = self.apply(txn);
         if self.fault_occurs() {
             return Self::unknown_outcome();
         }
-        decided
+        outcome
     }
 }
 
