--- a/crates/store/tests/leadership.rs
+++ b/crates/store/tests/leadership.rs
@@ -143,15 +143,16 @@
             }
             return Self::unknown_outcome();
         }
-        let decided = self.apply(txn);
+        let outcome = self.apply(txn);
         if self.fault_occurs() {
             return Self::unknown_outcome();
         }
-        decided
+        outcome
     }
 }
 
-/// Controllers that acquire and lose leadership and advance the token, with their own view of it.
+/// Controllers that acquire and lose leadership and advance the token. `leaders` holds those that
+/// consider themselves the leader, `tokens` all tokens that were issued.
 struct Controllers {
     store: FaultyStore,
     rng: fastrand::Rng,
