--- a/crates/ladderroute/src/api/workers.rs
+++ b/crates/ladderroute/src/api/workers.rs
@@ -30,14 +30,14 @@
     match answer {
         HeartbeatResponse::Orders(orders) => {
             if !still_has_authority(controller, state) {
-                return no_authority_response(controller);
+                return unavailable_response(controller);
             }
             log_orders(&heartbeat, &orders, &snapshot);
             controller.counters.record_margin(snapshot.margin_s);
             orders_response(&orders, check)
         }
         HeartbeatResponse::Redirect(member) => redirect_response(member),
-        HeartbeatResponse::Unavailable => no_authority_response(controller),
+        HeartbeatResponse::Unavailable => unavailable_response(controller),
     }
 }
 
@@ -58,7 +58,7 @@
     Response::new(421, cbor::encode(&Redirect { member }))
 }
 
-fn no_authority_response(controller: &Controller) -> Response {
+fn unavailable_response(controller: &Controller) -> Response {
     Counters::increment(&controller.counters.heartbeats_refused);
     error_response(503, "no authority at present")
 }
--- a/crates/ladderroute/src/controller/mod.rs
+++ b/crates/ladderroute/src/controller/mod.rs
@@ -13,7 +13,7 @@
 
 use crate::counters::Counters;
 use crate::outbox::Outbox;
-use crate::settings::{Settings, StateLimits};
+use crate::settings::{Settings, StoreLimits};
 use sched::config::SchedulerConfig;
 use sched::Secs;
 use smol::channel::{Receiver, Sender};
@@ -38,7 +38,7 @@
     /// The part of the settings that scheduling decisions depend on.
     pub config: SchedulerConfig,
     /// The limits of the state service that this process complies with.
-    pub limits: StateLimits,
+    pub limits: StoreLimits,
     /// The client of the state service.
     pub store: Store,
     /// The client of the cloud API.
--- a/crates/ladderroute/src/controller_links/leader_side.rs
+++ b/crates/ladderroute/src/controller_links/leader_side.rs
@@ -40,23 +40,23 @@
 /// Serves connections from the other controllers.
 pub async fn serve(controller: Rc<Controller>, listener: TcpListener) {
     let max_connections = max_peer_connections(controller.settings.peers.len());
-    let open = Rc::new(Cell::new(0usize));
+    let open_count = Rc::new(Cell::new(0usize));
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             smol::Timer::after(ACCEPT_RETRY_PAUSE).await;
             continue;
         };
-        if open.get() >= max_connections {
+        if open_count.get() >= max_connections {
             continue;
         }
-        open.set(open.get() + 1);
-        let (controller, open) = (controller.clone(), open.clone());
+        open_count.set(open_count.get() + 1);
+        let (controller, open_count) = (controller.clone(), open_count.clone());
         controller
             .executor
             .clone()
             .spawn(async move {
                 serve_connection(&controller, stream).await;
-                open.set(open.get() - 1);
+                open_count.set(open_count.get() - 1);
             })
             .detach();
     }
--- a/crates/ladderroute/src/freshness/reads.rs
+++ b/crates/ladderroute/src/freshness/reads.rs
@@ -34,8 +34,8 @@
     let interval = request_interval(&controller, READS_SHARE);
     while let Some(waiting) = controller.freshness_reads.take_waiting() {
         let is_fresh = read_once(&controller).await;
-        for query in waiting {
-            let _ = query.try_send(is_fresh);
+        for request in waiting {
+            let _ = request.try_send(is_fresh);
         }
         smol::Timer::after(interval).await;
     }
--- a/crates/ladderroute/src/settings/check.rs
+++ b/crates/ladderroute/src/settings/check.rs
@@ -28,8 +28,8 @@
         .iter()
         .any(|peer| peer.member == settings.member);
     if is_self {
-        let cause = "names this controller itself";
-        return Err(SettingsError::field("known.member", cause));
+        let problem = "names this controller itself";
+        return Err(SettingsError::field("known.member", problem));
     }
     Ok(())
 }
@@ -155,8 +155,8 @@
     let is_allowed = guarantee >= 0.0 && guarantee.is_finite() && limit >= guarantee;
     if !is_allowed {
         let field = format!("settings.teams.{resource} of {team}");
-        let cause = "must lie between 0 and the team's limit";
-        return Err(SettingsError::field(field, cause));
+        let requirement = "must lie between 0 and the team's limit";
+        return Err(SettingsError::field(field, requirement));
     }
     Ok(())
 }
--- a/crates/ladderroute/src/settings/error.rs
+++ b/crates/ladderroute/src/settings/error.rs
@@ -20,21 +20,21 @@
         cause: String,
     },
     /// A value is invalid.
-    #[error("{field}: {cause}")]
+    #[error("{field}: {requirement}")]
     Field {
         /// Path of the field in the file.
         field: String,
-        /// Requirement that the value does not meet.
-        cause: String,
+        /// Requirement that the value does not meet, or what is wrong with the value.
+        requirement: String,
     },
 }
 
 impl SettingsError {
     /// Returns the error for an invalid value.
-    pub(super) fn field(field: impl Into<String>, cause: impl Into<String>) -> SettingsError {
+    pub(super) fn field(field: impl Into<String>, requirement: impl Into<String>) -> SettingsError {
         SettingsError::Field {
             field: field.into(),
-            cause: cause.into(),
+            requirement: requirement.into(),
         }
     }
 }
--- a/crates/ladderroute/src/settings/mod.rs
+++ b/crates/ladderroute/src/settings/mod.rs
@@ -15,7 +15,7 @@
 pub use error::SettingsError;
 pub use operator::Tuning;
 pub use platform::{
-    Cloud, Objective, Params, Peer, Quota, Services, Settings, State, StateLimits, TeamSettings,
+    Cloud, Objective, Params, Peer, Quota, Services, Settings, State, StoreLimits, TeamSettings,
     Workers,
 };
 
--- a/crates/ladderroute/src/settings/operator.rs
+++ b/crates/ladderroute/src/settings/operator.rs
@@ -106,8 +106,8 @@
             .unwrap_or(f64::NAN);
         let Field { min, max, .. } = *self;
         if !(min..=max).contains(&value) {
-            let cause = format!("must lie between {min} and {max}");
-            return Err(SettingsError::field(self.name, cause));
+            let requirement = format!("must lie between {min} and {max}");
+            return Err(SettingsError::field(self.name, requirement));
         }
         *(self.target)(tuning) = value;
         Ok(())
--- a/crates/ladderroute/src/settings/platform.rs
+++ b/crates/ladderroute/src/settings/platform.rs
@@ -153,12 +153,12 @@
 impl State {
     /// Returns the lower of each current limit and its future value, so that everything fits both
     /// from the first write on.
-    pub fn limits(&self) -> StateLimits {
+    pub fn limits(&self) -> StoreLimits {
         let lower = |name: &str, present: f64| {
             let next = self.next.get(name).and_then(number);
             next.map_or(present, |next| next.min(present))
         };
-        StateLimits {
+        StoreLimits {
             rps: lower("rps", self.rps),
             write_rps: lower("write_rps", self.write_rps),
             value_kb: lower("value_kb", self.value_kb),
@@ -175,7 +175,7 @@
 
 /// Limits of the state service that this process observes.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct StateLimits {
+pub struct StoreLimits {
     /// Requests per second, of all controllers together.
     pub rps: f64,
     /// Puts and deletes per second, of all controllers together.
@@ -186,7 +186,7 @@
     pub txn_ops: usize,
 }
 
-impl StateLimits {
+impl StoreLimits {
     /// Returns the maximum size of a value in bytes.
     pub fn value_bytes(&self) -> usize {
         (self.value_kb * KIB) as usize
--- a/crates/ladderroute/src/store_budget.rs
+++ b/crates/ladderroute/src/store_budget.rs
@@ -17,7 +17,7 @@
 
 /// Reserve of the leader, and of the followers' requests: renewals and decisions take precedence
 /// over the submissions that a controller accepts itself.
-const LEADER_RESERVE: Reserve = Reserve {
+const DEFAULT_RESERVE: Reserve = Reserve {
     decision: 0.15,
     submission: 0.35,
 };
@@ -75,11 +75,11 @@
     }
 }
 
-/// Returns a share of a rate with the leader's reserve and the normal burst size.
+/// Returns a share of a rate with the default reserve and the normal burst size.
 fn share(fraction: f64) -> Share {
     Share {
         fraction,
         burst_s: BURST_S,
-        reserve: LEADER_RESERVE,
+        reserve: DEFAULT_RESERVE,
     }
 }
