--- a/crates/ladderroute/src/api/mod.rs
+++ b/crates/ladderroute/src/api/mod.rs
@@ -104,7 +104,9 @@
     let path = request.path.split('?').next().unwrap_or("");
     let route = Route::parse(path);
     let response = match route.method() {
-        Some(method) if request.method != method => error_response(405, format!("use {method}")),
+        Some(method) if request.method != method => {
+            error_response(405, format!("this path accepts only {method} requests"))
+        }
         _ => dispatch(controller, &route, &request.body).await,
     };
     match route.priority() {
--- a/crates/ladderroute/src/api/readiness.rs
+++ b/crates/ladderroute/src/api/readiness.rs
@@ -56,7 +56,7 @@
     if is_ready(controller) {
         Response::new(200, Vec::new())
     } else {
-        retry_later(controller, "not ready")
+        retry_later(controller, "this controller is not ready to serve users")
     }
 }
 
--- a/crates/ladderroute/src/api/users/cancellation.rs
+++ b/crates/ladderroute/src/api/users/cancellation.rs
@@ -48,7 +48,10 @@
             CancelOutcome::Undecided => entry = reread_entry(controller, id).await?,
         }
     }
-    Err(retry_later(controller, "the job changes at present"))
+    Err(retry_later(
+        controller,
+        "no attempt to cancel the job could be confirmed",
+    ))
 }
 
 /// Returns the job of an entry; `None` if it is terminal.
@@ -82,7 +85,10 @@
         Ok(TxnOutcome::Conflict(_)) | Err(StoreError::OutcomeUnknown(_)) => {
             Ok(CancelOutcome::Undecided)
         }
-        Err(_) => Err(retry_later(controller, "the state service does not answer")),
+        Err(_) => Err(retry_later(
+            controller,
+            "the state service has not confirmed the cancellation",
+        )),
     }
 }
 
@@ -122,10 +128,18 @@
         .get(&keys::job(id), RequestPriority::Decision)
         .await
     else {
-        return Err(retry_later(controller, "the outcome is not known yet"));
+        return Err(retry_later(
+            controller,
+            "the cancellation is not confirmed: the job's record could not be read again",
+        ));
     };
     if let Some(record) = from_value::<JobRecord>(&item.value) {
         controller.apply_job_record(&mut controller.lock(), id, record, item.version);
     }
-    cached_entry(controller, id).ok_or_else(|| retry_later(controller, "not ready yet"))
+    cached_entry(controller, id).ok_or_else(|| {
+        retry_later(
+            controller,
+            "this controller does not know the job's state yet",
+        )
+    })
 }
--- a/crates/ladderroute/src/api/users/job_state.rs
+++ b/crates/ladderroute/src/api/users/job_state.rs
@@ -46,7 +46,10 @@
     }
     if !refresh_view(controller).await {
         Counters::increment(&controller.counters.answers_refused);
-        return Err(retry_later(controller, "the state service does not answer"));
+        return Err(retry_later(
+            controller,
+            "the job's state could not be read from the state service",
+        ));
     }
     Ok(cached_entry(controller, id))
 }
@@ -72,7 +75,10 @@
 async fn refreshed_job_response(controller: &Rc<Controller>, status: u16, id: &str) -> Response {
     match look_up(controller, id).await {
         Ok(Some(entry)) => accepted_response(controller, status, id, &entry),
-        Ok(None) => retry_later(controller, "not ready yet"),
+        Ok(None) => retry_later(
+            controller,
+            "this controller does not know the job's state yet",
+        ),
         Err(response) => response,
     }
 }
--- a/crates/ladderroute/src/api/users/submission.rs
+++ b/crates/ladderroute/src/api/users/submission.rs
@@ -23,7 +23,10 @@
 /// Accepts a job, or responds with the reason why not.
 pub async fn submit(controller: &Rc<Controller>, body: &[u8]) -> Response {
     if !is_loaded(controller) {
-        return retry_later(controller, "not ready yet");
+        return retry_later(
+            controller,
+            "this controller is still loading the jobs from the state service",
+        );
     }
     if let Some(response) = repeat_response(controller, body).await {
         return response;
@@ -52,7 +55,10 @@
     cached_entry(controller, &id)?;
     Some(match look_up(controller, &id).await {
         Ok(Some(entry)) => accepted_response(controller, 200, &id, &entry),
-        Ok(None) => retry_later(controller, "not ready yet"),
+        Ok(None) => retry_later(
+            controller,
+            "this controller does not know the job's state yet",
+        ),
         Err(response) => response,
     })
 }
@@ -68,7 +74,7 @@
         None => {
             return Err(retry_later(
                 controller,
-                "the machine types are not known yet",
+                "this controller has not read the machine types from the cloud yet",
             ))
         }
         Some(Err(reason)) => return Err(infeasible_response(controller, &job, reason).await),
@@ -117,7 +123,10 @@
         return Ok(());
     }
     if !is_loaded(controller) || !refresh_view(controller).await {
-        return Err(retry_later(controller, "the state service does not answer"));
+        return Err(retry_later(
+            controller,
+            "awaits: these jobs could not be looked up in the state service",
+        ));
     }
     let Some(id) = unknown_dependency(controller, job) else {
         return Ok(());
@@ -164,7 +173,10 @@
         }
         Err(_) => {
             controller.record_store_health(false);
-            retry_later(controller, "the state service does not answer")
+            retry_later(
+                controller,
+                "the state service has not confirmed the submission",
+            )
         }
     }
 }
@@ -218,10 +230,16 @@
         .get(&keys::job(id), RequestPriority::Decision)
         .await
     else {
-        return retry_later(controller, "the outcome is not known yet");
+        return retry_later(
+            controller,
+            "the submission is not confirmed: the job's record could not be read back",
+        );
     };
     let Some(record) = from_value::<JobRecord>(&item.value) else {
-        return retry_later(controller, "the record can't be read");
+        return retry_later(
+            controller,
+            "the job's record in the state service can't be decoded",
+        );
     };
     controller.apply_job_record(&mut controller.lock(), id, record, item.version);
     existing_job_response(controller, id).await
--- a/crates/ladderroute/src/api/workers.rs
+++ b/crates/ladderroute/src/api/workers.rs
@@ -60,7 +60,10 @@
 
 fn unavailable_response(controller: &Controller) -> Response {
     Counters::increment(&controller.counters.heartbeats_refused);
-    error_response(503, "no authority at present")
+    error_response(
+        503,
+        "this controller can't answer this heartbeat with orders at present",
+    )
 }
 
 /// The authority and the view that a response to a worker depends on, for the logs and counters.
