--- a/crates/ladderroute/src/api/limits.rs
+++ b/crates/ladderroute/src/api/limits.rs
@@ -13,9 +13,9 @@
 pub const CONNECTION_KIB: f64 = 8.0;
 /// Share of the memory that open connections may take.
 const CONNECTIONS_SHARE: f64 = 0.4;
-/// Connections that are accepted even if the quota allows fewer.
+/// Number of connections that are accepted even if the quota allows fewer.
 const MIN_CONNECTIONS: usize = 16;
-/// Heartbeat intervals after which a silent worker's connection is closed.
+/// Number of heartbeat intervals after which a silent worker's connection is closed.
 const IDLE_HEARTBEATS: f64 = 3.0;
 /// Minimum time for which an idle connection stays open, in multiples of the time for which a
 /// worker waits for a response.
@@ -29,7 +29,7 @@
 const CLOUD_SOCKETS: usize = 2;
 /// Sockets for connections to the store in addition to those that its request rate accounts for.
 const EXTRA_STORE_SOCKETS: usize = 4;
-/// Request rate to the store, per second, for which about one request is in flight.
+/// Request rate to the store, per second, at which about one request is in flight at any time.
 const STORE_RPS_PER_SOCKET: f64 = 4.0;
 
 /// Returns the limits of the port under these settings.
@@ -44,8 +44,8 @@
 }
 
 /// Returns the number of sockets that a controller with this many peers uses itself: for its
-/// listeners, the other controllers, the cloud, and the store (about as many as there may be
-/// requests in flight within their timeout).
+/// listeners, the other controllers, the cloud, and the store. For the store, this is about the
+/// number of requests that may be in flight within their timeout.
 pub fn reserved_sockets(others: usize, store_rps: f64) -> usize {
     let store = (store_rps / STORE_RPS_PER_SOCKET).ceil() as usize + EXTRA_STORE_SOCKETS;
     LISTENER_SOCKETS
--- a/crates/ladderroute/src/api/readiness.rs
+++ b/crates/ladderroute/src/api/readiness.rs
@@ -4,8 +4,8 @@
 use crate::controller::{Controller, State};
 use http::server::Response;
 
-/// Time for which the store has to fail before the load balancer may be told, as a fraction of the
-/// time after which a worker discards a response.
+/// Time for which the store has to fail before it is treated as failing in health checks, as a
+/// fraction of the time after which a worker discards a response.
 const FAILING_AFTER_SHARE: f64 = 0.25;
 
 /// Health of the store as seen by this controller.
@@ -37,10 +37,10 @@
 /// Returns whether the other controllers can serve users better than this one.
 ///
 /// If the store fails for all controllers, failing the health check would only prolong the outage
-/// for users, since the load balancer is slow to take controllers back. The store does not fail for
-/// all if another controller leads. As far as a leader can tell, it does not fail for all either if
-/// all its owners have disconnected: they stay connected through an outage of the store, so either
-/// they have joined a new leader or this controller is cut off.
+/// for users, since the load balancer is slow to take controllers back. If another controller leads,
+/// the store does not fail for all. A leader assumes the same if all its owners have disconnected:
+/// they stay connected through an outage of the store, so either they have joined a new leader or
+/// this controller is cut off.
 pub fn others_serve_better(store: StoreHealth, role: Role) -> bool {
     let others_serve = match role {
         Role::Leader { owners, others } => others > 0 && owners == 0,
@@ -50,8 +50,8 @@
     store == StoreHealth::Failing && others_serve
 }
 
-/// Responds to a health check. The controller is ready if the jobs and the machine types are known
-/// and the other controllers can't serve users better.
+/// Responds to a health check. The controller is ready if it has loaded the jobs and the machine
+/// types, and the other controllers can't serve users better.
 pub(super) fn ready(controller: &Controller) -> Response {
     if is_ready(controller) {
         Response::new(200, Vec::new())
--- a/crates/ladderroute/src/api/users/cancellation.rs
+++ b/crates/ladderroute/src/api/users/cancellation.rs
@@ -16,7 +16,7 @@
 /// Maximum number of attempts to write a cancellation while the job's record keeps changing.
 const MAX_ATTEMPTS: usize = 3;
 
-/// Cancels a job unless it is terminal already, and responds with its state.
+/// Cancels a job unless it is terminal (done or cancelled) already, and responds with its state.
 pub async fn cancel(controller: &Rc<Controller>, id: &str) -> Response {
     let entry = match look_up(controller, id).await {
         Ok(Some(entry)) => entry,
@@ -29,8 +29,8 @@
     }
 }
 
-/// Writes the cancellation, with retries, until the job is terminal. Returns the job's entry, or
-/// the error response to send.
+/// Tries to write the cancellation, at most `MAX_ATTEMPTS` times, until the job is terminal. Returns
+/// the job's entry, or the error response to send.
 async fn cancel_until_terminal(
     controller: &Rc<Controller>,
     id: &str,
@@ -54,7 +54,7 @@
     ))
 }
 
-/// Returns the job of an entry; `None` if it is terminal.
+/// Returns the job of an entry, or `None` if the job is terminal.
 fn open_job(entry: &JobEntry) -> Option<Rc<Job>> {
     let job = entry.job.clone();
     job.filter(|_| entry.state == Recorded::Open)
@@ -115,8 +115,8 @@
     let state = &mut *guard;
     controller.apply_job_record(state, id, record, version);
     if let Some(leader) = &state.shared.leader_outbox {
-        // This message only speeds up the cancellation; what guarantees it is the leader's own read
-        // of the store.
+        // This message only speeds up the cancellation, which the leader's own read of the store
+        // guarantees.
         leader.send(encode_frame(&ToLeader::Cancelled { job: id.into() }));
     }
 }
--- a/crates/ladderroute/src/api/users/job_state.rs
+++ b/crates/ladderroute/src/api/users/job_state.rs
@@ -1,16 +1,17 @@
 //! The only module that reports the state of a job to a user.
 //!
 //! No controller may report an older state of a job than another one has reported. A terminal state
-//! is final and reported from memory. Whether an open job is cancelled because of one of its
-//! ancestors is derived from other records than its own, so its own record, however new, does not
-//! tell: the state of an open job is reported only from a view that was read after the request
-//! arrived. Two cases need no such read:
+//! is final and reported from memory. An open job is cancelled along with any of its ancestors, the
+//! jobs on which it depends directly or indirectly, and its own record, however new, does not show
+//! this. The state of an open job is therefore reported only from a view that was read after the
+//! request arrived. Two cases need no such read:
 //!
 //! - A job without dependencies whose record was read or written for this request: it has no
 //!   ancestors.
 //! - A job that this request has just created: its state has never been reported before. Jobs that
-//!   depend on it are held back in any case, and a view as fresh as a start requires does not
-//!   report a job as queued long after the cancellation of one of its ancestors was confirmed.
+//!   depend on it are held back in any case. And if the view is fresh enough for tasks to be started
+//!   from it, it does not report a job as queued long after the cancellation of one of its ancestors
+//!   was confirmed.
 
 use crate::api::responses::retry_later;
 use crate::controller::Controller;
@@ -35,8 +36,8 @@
         .cloned()
 }
 
-/// Returns a job's entry as it may be reported now; `None` if the job was never accepted. An error
-/// is the response to send instead.
+/// Returns a job's entry, recent enough to be reported now, or `None` if the job was never accepted.
+/// An error is the response to send instead.
 pub(super) async fn look_up(
     controller: &Rc<Controller>,
     id: &str,
--- a/crates/ladderroute/src/api/users/submission.rs
+++ b/crates/ladderroute/src/api/users/submission.rs
@@ -48,8 +48,8 @@
     id: String,
 }
 
-/// Responds to a repeated submission, that is, of a job that is in the view already, with that
-/// job's state, whatever else the submission contains. Returns `None` for any other submission.
+/// Responds to a submission whose job id is in the view already. It is taken for a repeat, whatever
+/// else it contains, and answered with that job's state. Returns `None` for any other submission.
 async fn repeat_response(controller: &Rc<Controller>, body: &[u8]) -> Option<Response> {
     let SubmittedId { id } = cbor::decode(body).ok()?;
     cached_entry(controller, &id)?;
@@ -84,7 +84,8 @@
     Ok(job)
 }
 
-/// Checks whether a job can ever run; `None` while the machine types are not known.
+/// Checks whether a job can ever run. Returns `None` while the machine types have not been read from
+/// the cloud.
 fn check_against_catalog(controller: &Controller, job: &Job) -> Option<Result<(), Infeasible>> {
     let state = controller.lock();
     let machine_types = state.shared.catalog.as_ref()?;
@@ -116,8 +117,8 @@
     }
 }
 
-/// Checks that all dependencies of a job have been accepted. The view is refreshed if it lacks one,
-/// since another controller may have accepted it a moment ago.
+/// Checks that all dependencies of a job have been accepted. If the view lacks a dependency, it is
+/// refreshed first, since another controller may have accepted that job a moment ago.
 async fn check_dependencies(controller: &Rc<Controller>, job: &Job) -> Result<(), Response> {
     if unknown_dependency(controller, job).is_none() {
         return Ok(());
@@ -222,8 +223,8 @@
     created_job_response(controller, id).await
 }
 
-/// Reads a job's record back after a conflict or an unknown outcome. Whether the job was accepted
-/// is never guessed: it was if the store has its record.
+/// Reads a job's record back after a conflict or an unknown outcome of its creation. Whether the job
+/// was accepted is never guessed: it was accepted if the store has its record.
 async fn read_back_record(controller: &Rc<Controller>, id: &str) -> Response {
     let Ok(Some(item)) = controller
         .store
--- a/crates/ladderroute/src/api/workers.rs
+++ b/crates/ladderroute/src/api/workers.rs
@@ -1,4 +1,5 @@
-//! Workers' heartbeats, and the checks of authority before a response.
+//! Workers' heartbeats, and the checks before a response that this controller has the authority to
+//! answer workers.
 
 use super::responses::error_response;
 use crate::controller::{Controller, ReplicaJobs, State};
@@ -42,7 +43,7 @@
 }
 
 /// Checks authority right before the response to a heartbeat is built: authority may have expired
-/// since the owner decided, and orders sent without authority could start a task twice.
+/// since the owner chose the orders, and orders sent without authority could start a task twice.
 fn still_has_authority(controller: &Controller, state: &State) -> bool {
     state.owner.has_authority(controller.now())
 }
@@ -77,8 +78,8 @@
     staleness_s: f64,
     /// Time until authority expires, in seconds.
     authority_s: f64,
-    /// Time for which heartbeats may still be answered, given the authority and `staleness_s`, in
-    /// seconds.
+    /// Time for which heartbeats may still be answered, in seconds. Both the authority and
+    /// `staleness_s` limit it.
     margin_s: f64,
 }
 
--- a/crates/ladderroute/src/cluster_view.rs
+++ b/crates/ladderroute/src/cluster_view.rs
@@ -2,9 +2,9 @@
 //! `read_at`, the instant as of which the replica is known to be complete.
 //!
 //! The store responds with everything it holds when it serves a request, so once a response has
-//! been applied, the view is complete as of the instant at which the request was *sent*. This holds
-//! for one replica only, so the replica and `read_at` change together, in `ClusterView::apply` and
-//! `ClusterView::finish_reload` only.
+//! been applied, the view is complete as of the instant at which the request was *sent*. That instant
+//! is valid only for the replica to which the response was applied, so the replica and `read_at`
+//! change together, in `ClusterView::apply` and `ClusterView::finish_reload` only.
 //!
 //! The view never replaces a record by an older one of the same key, whether the records come from
 //! a read of changes, a write of this controller, a direct read, or a reload of all keys. A read of
@@ -25,13 +25,15 @@
     Updated(String),
     /// The job with this id is no longer blocked: its last dependency is done.
     Unblocked(String),
-    /// The job with this id is cancelled because one of its ancestors is.
+    /// The job with this id is cancelled because one of its ancestors is: a job on which it depends,
+    /// directly or indirectly.
     Cancelled(String),
-    /// The job with this id is scheduled at this priority, which differs from its own.
+    /// The job with this id is now scheduled at this priority: its own, or a more urgent one of a job
+    /// that depends on it, directly or indirectly.
     Reprioritized(String, Priority),
 }
 
-/// A read of changes in progress.
+/// A read of the store's changes, in progress.
 #[derive(Clone, Copy, Debug)]
 pub struct ChangesRead {
     /// The store revision after which changes are requested.
@@ -69,8 +71,8 @@
     }
 }
 
-/// The replica of the store, the dependencies between its jobs, and the instant as of which it is
-/// known to be complete.
+/// The replica of the store, the dependencies between its jobs, and the instant as of which the
+/// replica is known to be complete.
 ///
 /// Invariant: the replica holds, for each key, the store's record as of `read_at` or a newer one.
 pub struct ClusterView {
@@ -170,8 +172,8 @@
         }
     }
 
-    /// Replaces the replica by a complete reload, merged with newer records of the previous
-    /// replica. Any job may have changed.
+    /// Replaces the replica by the records of a complete reload, merged with newer records of the
+    /// previous replica. No changes are returned, since any job may have changed.
     pub fn finish_reload(&mut self, reload: ViewReload) {
         let previous = std::mem::take(&mut self.replica);
         self.replica = reload.pages.finish(previous);
@@ -211,8 +213,8 @@
         self.replica.set_leader(leader, version);
     }
 
-    /// Removes the leader record if it names this member, before the store reports that its
-    /// leadership has ended.
+    /// Removes the leader record if it names this member, without waiting for the store to report
+    /// that the member's leadership has ended.
     pub fn forget_leader(&mut self, member: &str) {
         self.replica.forget_leader(member);
     }
--- a/crates/ladderroute/src/controller_links/follower_side.rs
+++ b/crates/ladderroute/src/controller_links/follower_side.rs
@@ -1,5 +1,5 @@
-//! The owner's side of the links: keeps a connection to the current leader and applies the
-//! authority that it grants.
+//! The shard owner's side of the links: keeps a connection to the current leader and applies the
+//! authority to answer workers that the leader grants.
 
 use super::frames::{write_frames, FrameReader};
 use crate::controller::{ConnectionId, Controller, ReplicaJobs, State};
@@ -18,18 +18,19 @@
 /// Timeout for connecting to the leader, in seconds.
 const CONNECT_TIMEOUT_S: f64 = wire::HEARTBEAT_RESPONSE_TIMEOUT_S / 4.0;
 
-/// Time without a message, or for a single write, after which the connection is ended, in seconds.
-/// The leader answers pings, so a working connection is never silent for long.
+/// Time in seconds after which the connection is closed if no message has arrived or a single write
+/// has not completed. The leader answers pings, so a working connection is never silent for long.
 const IDLE_TIMEOUT_S: f64 = wire::HEARTBEAT_RESPONSE_TIMEOUT_S / 2.0;
 
-/// Pings in the time after which the leader gives up on a silent owner.
+/// Number of pings that an owner sends in the owner timeout, the time after which the leader gives up
+/// on a silent owner.
 const PINGS_PER_OWNER_TIMEOUT: f64 = 4.0;
 
 /// Number of the newest pings whose answers are still accepted.
 const MAX_PENDING_PINGS: u64 = 64;
 
-/// Maximum relative drift between two clocks, each of which may drift by `MAX_CLOCK_DRIFT`.
-/// Each drifts from true time, possibly in opposite directions, so the two drifts add up.
+/// Maximum relative drift between two clocks. Each may drift from true time by `MAX_CLOCK_DRIFT`,
+/// possibly in opposite directions, so the two drifts add up.
 const RELATIVE_DRIFT: f64 = 2.0 * MAX_CLOCK_DRIFT;
 
 /// Keeps a connection to the current leader, if that is another controller.
@@ -52,7 +53,8 @@
     }
 }
 
-/// Returns the leader according to the view and its address, if it is another controller.
+/// Returns the name and the address of the leader according to the view, if it is another
+/// controller.
 fn remote_leader(controller: &Controller) -> Option<(String, SocketAddr)> {
     let leader = leading_member(controller)?;
     let peers = &controller.settings.peers;
@@ -121,7 +123,8 @@
     leader.is_some_and(|record| record.member == member)
 }
 
-/// Pings of one connection. The duration of a grant counts from when its ping was sent.
+/// Pings of one connection. Authority that the leader grants in response to a ping lasts from when
+/// the ping was sent.
 struct Pings {
     outbox: Outbox,
     next: Cell<u64>,
@@ -168,7 +171,8 @@
     leader: &'a str,
     outbox: Outbox,
     pings: Rc<Pings>,
-    /// Whether the leader has begun an epoch on this connection. Grants are ignored before.
+    /// Whether the leader has begun an epoch, which has its own fencing token, on this connection.
+    /// Until then, grants of authority are ignored.
     has_joined: bool,
 }
 
@@ -200,7 +204,7 @@
         }
     }
 
-    /// Handles the start of an epoch. The first one on this connection joins this owner to the
+    /// Handles the start of an epoch. With the first epoch on this connection, this owner joins the
     /// leader.
     fn join(&mut self, state: &mut State) {
         if std::mem::replace(&mut self.has_joined, true) {
@@ -223,7 +227,7 @@
         valid_ms: u64,
     ) {
         let is_current = self.has_joined && token == owner.token();
-        // Counted from when the ping was sent, so that delays only shorten the authority.
+        // The authority lasts from when the ping was sent, so that delays only shorten it.
         if let Some(sent_at) = self.pings.sent_at(n).filter(|_| is_current) {
             let valid_s = valid_ms as f64 / 1000.0 * (1.0 - RELATIVE_DRIFT);
             owner
@@ -232,12 +236,12 @@
         }
     }
 
-    /// Applies the age of the leader's view as an upper bound of the staleness of this owner's
-    /// knowledge.
+    /// Applies the age of the leader's view: what this owner knows of the store is at most this
+    /// stale.
     fn apply_view_age(&self, controller: &Controller, owner: &mut Owner, n: u64, age_ms: u64) {
         let sent_at = self.pings.sent_at(n);
         self.pings.forget(n);
-        // Counted back from when the ping was sent, so that delays only make the view older.
+        // The age is subtracted from when the ping was sent, so that delays only make the view older.
         if let Some(sent_at) = sent_at.filter(|_| self.has_joined) {
             let age_s = age_ms as f64 / 1000.0 * (1.0 + RELATIVE_DRIFT);
             owner
--- a/crates/ladderroute/src/controller_links/frames.rs
+++ b/crates/ladderroute/src/controller_links/frames.rs
@@ -16,7 +16,7 @@
     /// Maximum time to wait for a frame before the connection is ended.
     idle_timeout: Duration,
     buffer: Vec<u8>,
-    /// Number of bytes of the buffer that were already returned.
+    /// Number of bytes at the start of the buffer that were already returned as frames.
     consumed: usize,
     chunk: Vec<u8>,
 }
--- a/crates/ladderroute/src/controller_links/leader_side.rs
+++ b/crates/ladderroute/src/controller_links/leader_side.rs
@@ -1,5 +1,5 @@
-//! The leader's side of the links: accepts the owners' connections and grants authority in response
-//! to their pings.
+//! The leader's side of the links: accepts the connections of shard owners and grants them the
+//! authority to answer workers in response to their pings.
 
 use super::frames::{write_frames, FrameReader};
 use crate::controller::limits::max_peer_connections;
@@ -12,14 +12,15 @@
 use std::time::Duration;
 use wire::peers::{decode_frame, encode_frame, ToLeader, ToOwner};
 
-/// Time without a message, or for a single write, after which a connection is ended, in seconds.
-/// Owners ping often, so a working connection is never silent for long.
+/// Time in seconds after which a connection is closed if no message has arrived or a single write
+/// has not completed. Owners ping often, so a working connection is never silent for long.
 const IDLE_TIMEOUT_S: f64 = wire::HEARTBEAT_RESPONSE_TIMEOUT_S;
 
 /// Pause after a failed accept, for example when the process is out of sockets.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// Maximum duration of the authority granted for one ping, as a multiple of the owner timeout.
+/// Maximum duration of the authority granted for one ping, as a multiple of the owner timeout, the
+/// time after which the leader gives up on a silent owner.
 const MAX_GRANT_PER_OWNER_TIMEOUT: f64 = 1.25;
 
 /// Connection of an owner to this leader.
@@ -189,7 +190,7 @@
     n: u64,
     now: f64,
 ) {
-    // An owner's authority ends before the leader's own, and soon after its last ping.
+    // An owner's authority ends no later than the leader's own, and soon after the owner's last ping.
     let grant_expires_at = now + controller.config.owner_timeout_s() * MAX_GRANT_PER_OWNER_TIMEOUT;
     let until = authority.responses_until().min(grant_expires_at);
     let leader = &mut leadership.leader;
@@ -206,6 +207,7 @@
         n,
         age_ms: ((now - authority.read_at()) * 1000.0).ceil() as u64,
     };
-    // Queued behind all messages that result from what the leader's view contains.
+    // Queued behind all messages that result from what the leader's view contains, so that the owner
+    // has these before it learns the view's age.
     connection.outbox.send(encode_frame(&view_age));
 }
--- a/crates/ladderroute/src/counters.rs
+++ b/crates/ladderroute/src/counters.rs
@@ -1,6 +1,8 @@
-//! Counters for the health log line, among them how close responses to workers came to the expiry
-//! of authority, and how much time passed between the check of authority and the writing of the
-//! response.
+//! Counters for the health log line.
+//!
+//! A controller answers workers only while it has authority, which expires unless it is renewed.
+//! Two of the figures tell how close responses to workers came to the expiry, and how much time
+//! passed between the check of authority and the writing of the response.
 
 use std::cell::Cell;
 use std::fmt;
@@ -16,14 +18,16 @@
 pub struct Counters {
     /// Completed reloads of the view.
     pub reloads: Cell<u64>,
-    /// Reads of changes that were discarded because a reload had begun since they were sent.
+    /// Reads of the store's changes that were discarded because a reload of the view had begun since
+    /// they were sent.
     pub reads_dropped: Cell<u64>,
-    /// Workers' heartbeats that were refused for lack of authority or of a fresh view.
+    /// Workers' heartbeats that were refused, for example because this controller had no authority or
+    /// no fresh view.
     pub heartbeats_refused: Cell<u64>,
     /// Users' requests that were answered with 503 because the view could not be refreshed.
     pub answers_refused: Cell<u64>,
-    /// Least time, in seconds, for which responses were still allowed when a heartbeat was
-    /// answered.
+    /// Least remaining time, in seconds, for which responses to workers were allowed when a heartbeat
+    /// was answered.
     least_margin_s: Cell<Option<f64>>,
     longest_response_delay: LongestResponseDelay,
 }
@@ -51,7 +55,8 @@
         counter.set(counter.get() + 1);
     }
 
-    /// Records for how many more seconds responses were allowed when a heartbeat was answered.
+    /// Records the remaining time for which responses to workers were allowed when a heartbeat was
+    /// answered.
     pub fn record_margin(&self, margin_s: f64) {
         let least_s = self.least_margin_s.get().unwrap_or(f64::MAX);
         self.least_margin_s.set(Some(least_s.min(margin_s)));
--- a/crates/ladderroute/src/freshness/reads.rs
+++ b/crates/ladderroute/src/freshness/reads.rs
@@ -1,5 +1,5 @@
-//! Freshness reads: reads of the store's changes that return immediately, each shared by all
-//! queries that wait for one.
+//! Freshness reads: reads of the store's changes that return immediately. Each serves all users'
+//! requests that are waiting for one when it is sent.
 
 use crate::cluster_view::ChangesRead;
 use crate::controller::Controller;
@@ -15,7 +15,7 @@
 const READS_SHARE: f64 = 0.35;
 
 /// Brings the view up to the current state of the store, and returns whether that succeeded. One
-/// freshness read serves all queries that were waiting when it was sent.
+/// freshness read serves all callers that were waiting when it was sent.
 pub async fn refresh_view(controller: &Rc<Controller>) -> bool {
     let (result, starts_serving) = controller.freshness_reads.enqueue();
     if starts_serving {
@@ -29,7 +29,7 @@
     result.recv().await.unwrap_or(false)
 }
 
-/// Makes freshness reads, limited to their share of the request rate, until no query waits.
+/// Makes freshness reads, limited to their share of the request rate, until no caller waits.
 async fn serve_waiting(controller: Rc<Controller>) {
     let interval = request_interval(&controller, READS_SHARE);
     while let Some(waiting) = controller.freshness_reads.take_waiting() {
@@ -41,8 +41,8 @@
     }
 }
 
-/// Returns the interval between requests of this controller at which all controllers together use
-/// `share` of the store's request rate.
+/// Returns the interval between two requests of a controller. If every controller keeps it, all of
+/// them together use `share` of the store's request rate.
 pub fn request_interval(controller: &Controller, share: f64) -> Duration {
     let controllers = controller.settings.peers.len() + 1;
     Duration::from_secs_f64(controllers as f64 / (controller.limits.rps * share))
@@ -100,7 +100,8 @@
         .await
 }
 
-/// Records that changes can no longer bring the view up to date.
+/// Records that a read of changes can no longer bring the view up to date: all keys have to be
+/// reloaded.
 pub fn mark_view_too_old(controller: &Controller, read: ChangesRead, error: &StoreError) {
     log::info!("event=view_too_old since={} error=\"{error}\"", read.since);
     controller.lock().shared.view.on_revision_too_old(read);
--- a/crates/ladderroute/src/freshness/watch.rs
+++ b/crates/ladderroute/src/freshness/watch.rs
@@ -11,8 +11,8 @@
 use store::keys;
 use store::reload::LoadState;
 
-/// Maximum fraction of the store's request rate for the watches of all controllers together. A
-/// watch returns with the first change, and under load there always is one.
+/// Maximum fraction of the store's request rate for the watches of all controllers together. It is
+/// needed because a watch request returns at the first change, and under load there always is one.
 const WATCH_SHARE: f64 = 0.2;
 
 /// Time for which a watch waits for a change, in seconds.
@@ -42,13 +42,14 @@
             controller.apply_changes(&changes, read);
             controller.record_store_health(true);
             smol::Timer::after(interval).await;
-            // Frequent freshness reads return the same changes; the requests are better spent on
-            // submissions.
+            // While freshness reads are frequent, they already return the changes that a watch would.
+            // Watching therefore pauses and leaves its requests to submissions.
             while controller.freshness_reads.answered_within(interval) {
                 smol::Timer::after(interval / 2).await;
             }
         }
-        // A response that is too large would only grow; the keys are read in pages instead.
+        // If the response is too large, that of the next attempt would be even larger: all keys are
+        // reloaded instead, in pages.
         Err(e @ (StoreError::RevisionTooOld | StoreError::ResponseTooLarge(_))) => {
             mark_view_too_old(controller, read, &e)
         }
@@ -99,7 +100,7 @@
 
 /// Logs a failed reload: the first failure at level info, repeated ones at level debug, since the
 /// reload is retried until it succeeds. A failure counts as repeated if the store was already
-/// recorded as failing, also because of another request.
+/// recorded as failing, even if by another request.
 fn log_load_failure(controller: &Controller, reload: Option<&ViewReload>, error: &StoreError) {
     let is_first = controller.lock().shared.store_failing_since.is_none();
     let level = if is_first {
--- a/crates/ladderroute/src/startup/mod.rs
+++ b/crates/ladderroute/src/startup/mod.rs
@@ -78,8 +78,8 @@
     Store::new(settings.services.state, rates, shares, timeout)
 }
 
-/// Logs an error if the settings make it impossible to keep `cancel_s` at all times. The service
-/// still accepts them.
+/// Logs an error if the settings do not allow the tasks of a cancelled job to be stopped within
+/// `cancel_s` at all times. The controller accepts such settings nevertheless.
 pub fn warn_if_tight(config: &SchedulerConfig) {
     if !config.cancels_in_time() {
         let (lease_s, cancel_s) = (config.lease_s, config.cancel_s);
--- a/crates/ladderroute/src/startup/owner_clock.rs
+++ b/crates/ladderroute/src/startup/owner_clock.rs
@@ -1,4 +1,5 @@
-//! Clock of the shard owner, and logging of this controller's authority and health.
+//! Clock of the shard owner, the part of a controller that answers workers, and logging of this
+//! controller's authority and health.
 
 use crate::controller::{Controller, State};
 use sched::Secs;
@@ -26,7 +27,7 @@
     }
 }
 
-/// Logs changes of authority, and the summary of the counters at intervals if it has changed.
+/// Logs when authority is gained or lost, and at intervals the counters, if they have changed.
 #[derive(Default)]
 struct StatusLog {
     has_authority: bool,
--- a/crates/ladderroute/src/store_budget.rs
+++ b/crates/ladderroute/src/store_budget.rs
@@ -1,9 +1,10 @@
 //! Division of the store's request and write rates among the controllers.
 //!
-//! Of the request rate, the leader has a fixed share and the followers divide the rest, because the
-//! leadership would be lost if the store refused a renewal of the lease. Writes come in bursts,
-//! seldom at several controllers at once, and a refused write is simply retried: the followers
-//! therefore divide nearly the whole write rate among themselves in addition to the leader's share.
+//! The leader has a fixed share of the request rate, because it would lose the leadership if the
+//! store refused a renewal of its lease. The followers divide the rest. Writes come in bursts,
+//! seldom at several controllers at once, and a refused write is simply retried. The write shares
+//! therefore add up to more than the rate: the followers divide nearly all of it among themselves,
+//! although the leader has its own share.
 
 use store::budget::{Reserve, Share, Shares};
 
@@ -12,32 +13,33 @@
 /// Share of the write rate that the leader uses.
 const LEADER_WRITE_SHARE: f64 = 0.8;
 /// Share of the request rate that all controllers use together. Also the share of the write rate
-/// that all followers use together, or a lone controller.
+/// that all followers use together, and that a controller without peers uses.
 const TOTAL_SHARE: f64 = 0.95;
 
-/// Reserve of the leader, and of the followers' requests: renewals and decisions take precedence
-/// over the submissions that a controller accepts itself.
+/// Fractions of the burst that lower priorities leave to higher ones. Applies to every controller's
+/// requests, and to the writes of a controller without peers: renewals and decisions take precedence
+/// over the submissions that the controller accepts itself.
 const DEFAULT_RESERVE: Reserve = Reserve {
     decision: 0.15,
     submission: 0.35,
 };
-/// Reserve of the leader's write rate. It is smaller because the store refuses few writes, and a
-/// refused write is retried.
+/// Reserve in the leader's share of the write rate. It is smaller than the default because the store
+/// refuses few writes, and a refused write is retried.
 const LEADER_WRITE_RESERVE: Reserve = Reserve {
     decision: 0.1,
     submission: 0.2,
 };
-/// Reserve of a follower's write rate: followers write little but submissions, and only
-/// cancellations take precedence over these.
+/// Reserve in a follower's share of the write rate: followers write little other than submissions,
+/// and only cancellations take precedence over these.
 const FOLLOWER_RESERVE: Reserve = Reserve {
     decision: 0.0,
     submission: 0.1,
 };
 
-/// Burst size, in seconds at the permitted rate.
+/// Burst size, as the number of seconds in which the permitted rate yields it.
 const BURST_S: f64 = 1.0;
-/// Burst size of a follower's writes, in seconds at the permitted rate; larger because submissions
-/// come in bursts.
+/// Burst size of a follower's writes, as the number of seconds in which the permitted rate yields
+/// it; larger than `BURST_S` because submissions come in bursts.
 const FOLLOWER_BURST_S: f64 = 2.0;
 
 /// Role of a controller in the division of the store's rates.
