--- a/crates/ladderroute/src/controller/mod.rs
+++ b/crates/ladderroute/src/controller/mod.rs
@@ -23,8 +23,8 @@
 use std::time::{Duration, Instant};
 use store::client::Store;
 
-/// Share of the memory quota that queued messages of one connection between controllers may take. A
-/// connection that is too slow to stay below it is closed.
+/// Share of the memory quota that the queued messages of one connection between controllers may
+/// take. A connection is closed if it is so slow that its queue exceeds this.
 const OUTBOX_MEMORY_SHARE: f64 = 1.0 / 32.0;
 
 /// Bytes in a megabyte as the settings count it.
@@ -73,8 +73,8 @@
         since_start.as_secs_f64()
     }
 
-    /// Returns the age of the view in seconds: the time since the instant as of which it is known
-    /// to be complete.
+    /// Returns the age of the view in seconds: the time since the last instant as of which the view
+    /// is known to contain everything in the store.
     pub fn view_age(&self) -> Secs {
         self.now() - self.lock().shared.view.read_at()
     }
--- a/crates/ladderroute/src/controller/shared_state.rs
+++ b/crates/ladderroute/src/controller/shared_state.rs
@@ -29,7 +29,8 @@
     pub leadership: Option<Leadership>,
     /// Number of running tasks by job, as last reported by the leader.
     pub running: HashMap<String, u32>,
-    /// The queue of messages to a leader elsewhere; `None` while not connected to one.
+    /// The queue of messages to a leader in another process; `None` while this controller is not
+    /// connected to one.
     pub leader_outbox: Option<Outbox>,
     /// When the store stopped answering; `None` while it answers.
     pub store_failing_since: Option<Instant>,
@@ -57,7 +58,7 @@
     pub lease: LeadershipLease,
     /// The durable records that are stored in pages, several to a key.
     pub records: RecordPages,
-    /// The size limits of its transactions.
+    /// The size limits of the leader's transactions.
     pub limits: TxnLimits,
     /// Decisions that have yet to be written to the store.
     pub pending_writes: VecDeque<Action>,
--- a/crates/ladderroute/src/leadership/begin.rs
+++ b/crates/ladderroute/src/leadership/begin.rs
@@ -14,7 +14,8 @@
 use store::replica::{JobEntry, Replica};
 use wire::users::{Job, Priority, Shape};
 
-/// Starts to lead under a lease. The view has to contain everything recorded before the lease.
+/// Starts to lead under a lease. The view has to contain everything that was recorded in the store
+/// before this lease.
 pub fn begin_leadership(controller: &Controller, lease: &LeadershipLease) {
     let mut guard = controller.lock();
     let state = &mut *guard;
@@ -24,8 +25,8 @@
         // otherwise one that was already running would lead.
         leader.expect_other_controllers();
     }
-    // Heartbeats of machines that were assigned in earlier epochs must not be answered under the
-    // authority of this leadership.
+    // The authority of this leadership must not be used to answer the heartbeats of machines that
+    // were assigned to the previous owner state in earlier epochs, so it is replaced.
     state.owner = Owner::new(&controller.settings.member, controller.config.clone());
     state
         .owner
@@ -77,7 +78,7 @@
     leader
 }
 
-/// Returns the open jobs that do not wait for dependencies.
+/// Returns the open jobs that are not blocked by dependencies.
 fn open_jobs(view: &ClusterView) -> Vec<OpenJob> {
     let replica = view.replica();
     let open = |entry: &JobEntry| {
--- a/crates/ladderroute/src/leadership/lease.rs
+++ b/crates/ladderroute/src/leadership/lease.rs
@@ -1,4 +1,5 @@
-//! Maintenance of a leadership: renewals of the store lease, and a view fresh enough for authority.
+//! Maintenance of a leadership: renewals of the store lease, and reads that keep the view fresh
+//! enough to use the authority that the lease gives.
 
 use crate::controller::Controller;
 use crate::freshness;
@@ -7,14 +8,14 @@
 use store::client::StoreError;
 use store::leadership::authority_duration;
 
-/// Renewals per duration of the store lease, as long as they succeed.
+/// Number of renewals in the duration of the store lease, as long as they succeed.
 const RENEWALS_PER_LEASE: u32 = 5;
 
-/// Renewals per duration of the store lease after one has failed.
+/// Number of renewals in the duration of the store lease after one has failed.
 const RETRIES_PER_LEASE: u32 = 20;
 
-/// Freshness reads of the leader per duration of its store lease, if nothing else keeps the view
-/// fresh.
+/// Number of freshness reads of the leader in the duration of its store lease, if nothing else keeps
+/// the view fresh.
 const READS_PER_LEASE: u32 = 5;
 
 /// Result of a renewal.
@@ -57,8 +58,8 @@
     }
 }
 
-/// Applies the store's response to a renewal. `until` is when the authority of a successful one
-/// expires.
+/// Applies the store's response to a renewal. `until` is when the leader's authority expires if the
+/// renewal has succeeded.
 fn apply_renewal(
     controller: &Controller,
     response: Result<(), StoreError>,
@@ -88,8 +89,8 @@
     }
 }
 
-/// Keeps the view fresh, since its age limits the authority. Under load, freshness reads for users'
-/// queries and the watch already do so.
+/// Keeps the view fresh, since its age limits for how long authority may be used. Under load, the
+/// freshness reads for users' requests and the watch already do so.
 pub async fn keep_view_fresh(controller: Rc<Controller>, ttl: Duration) {
     let interval = ttl / READS_PER_LEASE;
     loop {
--- a/crates/ladderroute/src/leadership/mod.rs
+++ b/crates/ladderroute/src/leadership/mod.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 use store::leadership::{acquire, LeadershipLease};
 
-/// Checks for a vacant leadership per duration of the store lease.
+/// Number of checks, in the duration of the store lease, whether there is no leader.
 const POLLS_PER_LEASE: u32 = 40;
 
 /// Maximum random delay before a campaign, as a fraction of the lease, so that two campaigns seldom
@@ -145,7 +145,8 @@
             return;
         };
         if !state.owner.has_authority(now) {
-            // No decisions are made without authority, which a renewal and a read may restore.
+            // No decisions are made without authority. Renewing the lease and then reading the store
+            // may restore it.
             continue;
         }
         let leader = &mut leadership.leader;
--- a/crates/ladderroute/src/provisioning.rs
+++ b/crates/ladderroute/src/provisioning.rs
@@ -17,15 +17,15 @@
 /// Number of reads of the machine list per read of the catalog, which keeps the prices current.
 const LISTS_PER_CATALOG: u32 = 5;
 
-/// Reads of the machine list within the time by which the list may lag behind, if the cloud's
-/// request rate allows.
+/// Number of reads of the machine list in the time by which the list may lag behind (`list_lag_s`),
+/// if the cloud's request rate allows so many.
 const LISTS_PER_LAG: f64 = 2.0;
 
 /// Minimum time between two reads of the machine list, in multiples of 1 / request rate.
 const MIN_LIST_INTERVALS: f64 = 4.0;
 
-/// Attempts at one provision request, all under the same name, before its outcome is left to be
-/// seen in the machine list.
+/// Maximum number of attempts at one provision request, all under the same name. If all fail, only
+/// the machine list will show the outcome.
 const MAX_PROVISION_ATTEMPTS: u32 = 4;
 
 /// Time between two requests of this controller, in multiples of 1 / request rate.
@@ -61,8 +61,8 @@
     }
 }
 
-/// Reads the catalog until it succeeds once. Keeping the prices current is left to the leader
-/// ([`poll_cloud`]).
+/// Tries to read the catalog until one attempt succeeds. The leader keeps the prices current after
+/// that ([`poll_cloud`]).
 pub async fn load_catalog(controller: Rc<Controller>) {
     while !fetch_catalog(&controller).await {
         let pause = request_spacing(&controller).mul_f64(2.0 + fastrand::f64());
@@ -141,8 +141,8 @@
     }
 }
 
-/// Returns the path of the page that begins after a machine; the first page begins after the empty
-/// name.
+/// Returns the path of the page of the machine list that begins after the machine with this name, or
+/// of the first page for an empty name.
 fn list_path(after: &str) -> String {
     if after.is_empty() {
         format!("/machines?most={MAX_LISTED}")
@@ -250,7 +250,7 @@
     Duration::from_secs_f64(REQUEST_SPACING_INTERVALS / controller.settings.params.cloud.rps)
 }
 
-/// Notifies the leader, if it runs in this process, and routes the actions that result.
+/// Notifies the leader, if it runs in this process, and routes the leader's actions that result.
 fn with_leader(controller: &Controller, notify: impl FnOnce(&mut Leader, Secs)) {
     let now = controller.now();
     let mut guard = controller.lock();
--- a/crates/ladderroute/src/settings/check.rs
+++ b/crates/ladderroute/src/settings/check.rs
@@ -3,7 +3,7 @@
 use super::error::SettingsError;
 use super::platform::{number, Params, Settings, State, TeamSettings, Workers};
 
-/// Known limits in `settings.state.next`.
+/// Limits in `settings.state.next` that this program uses; others are ignored.
 const NEXT_LIMITS: [&str; 4] = ["rps", "write_rps", "value_kb", "txn_ops"];
 
 /// Number of heartbeat intervals that a worker's lease has to exceed.
--- a/crates/ladderroute/src/settings/operator.rs
+++ b/crates/ladderroute/src/settings/operator.rs
@@ -13,13 +13,16 @@
 /// Settings that operators may tune.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tuning {
-    /// Time for which reserved capacity waits for the rest of its gang, in seconds (`hold_s`).
+    /// Time, in seconds, for which capacity stays reserved for a gang while the rest of what the gang
+    /// needs is reserved (`hold_s`).
     pub reservation_s: f64,
     /// Duration of the leader's store lease, as a fraction of the workers' lease.
     pub leader_lease_share: f64,
-    /// Time for which an idle machine is kept, as a multiple of its boot time (`keep_boots`).
+    /// Time for which an idle on-demand machine is kept, as a multiple of its boot time
+    /// (`keep_boots`); spot machines are kept longer.
     pub idle_retention_boots: f64,
-    /// Fraction of its wait objective for which a gang may wait for machines in use (`patience`).
+    /// Time for which a gang may wait for machines in use, as a fraction of its wait objective
+    /// (`patience`).
     pub max_wait_share: f64,
 }
 
@@ -42,7 +45,7 @@
     min: f64,
     /// Maximum value.
     max: f64,
-    /// Returns the setting that the field sets.
+    /// Returns the member of `Tuning` that the field sets.
     target: fn(&mut Tuning) -> &mut f64,
 }
 
--- a/crates/ladderroute/src/settings/platform.rs
+++ b/crates/ladderroute/src/settings/platform.rs
@@ -151,8 +151,8 @@
 }
 
 impl State {
-    /// Returns the lower of each current limit and its future value, so that everything fits both
-    /// from the first write on.
+    /// Returns the limits, each of them the lower of its current and its future value, so that
+    /// everything fits both from the first write on.
     pub fn limits(&self) -> StoreLimits {
         let lower = |name: &str, present: f64| {
             let next = self.next.get(name).and_then(number);
@@ -167,7 +167,7 @@
     }
 }
 
-/// Returns a number that may be written as a float or an integer.
+/// Returns the value as a number if it is a float or an integer.
 pub(super) fn number(value: &toml::Value) -> Option<f64> {
     let integer = || value.as_integer().map(|number| number as f64);
     value.as_float().or_else(integer)
@@ -198,7 +198,7 @@
 pub struct Cloud {
     /// Requests per second.
     pub rps: f64,
-    /// Maximum delay of the list of machines, in seconds.
+    /// Maximum time, in seconds, by which the cloud's list of machines lags behind.
     pub list_lag_s: f64,
 }
 
--- a/crates/ladderroute/src/writer/batch.rs
+++ b/crates/ladderroute/src/writer/batch.rs
@@ -15,7 +15,8 @@
 };
 use wire::users::Job;
 
-/// Bytes reserved in a value for each place of a binding.
+/// Bytes reserved in a value for each place of a binding, that is, for a machine and the tasks of
+/// the gang that are bound to it.
 const BYTES_PER_PLACE: f64 = 64.0;
 /// Bytes in a KiB.
 const KIB: f64 = 1024.0;
@@ -37,13 +38,13 @@
     pub partial_binding: Option<PartialBinding>,
 }
 
-/// Part of a binding that takes several transactions. The gang starts when all parts are written;
-/// until then, nothing has been started on the machines in the records.
+/// Part of a gang's binding to machines that takes several transactions. The gang starts when all
+/// parts are written; until then, nothing of it has been started on the machines in the records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PartialBinding {
     /// Attempt of the gang that is bound.
     pub attempt: u64,
-    /// Number of its places in the store after this transaction.
+    /// Number of the binding's places that are in the store after this transaction.
     pub places: usize,
 }
 
@@ -188,10 +189,10 @@
         added
     }
 
-    /// Returns the pages of a write unit that have to be added to the batch: all that are missing,
-    /// or none if they do not fit. Only if the unit is too large for any transaction are its new
-    /// pages written first, as many as fit: they are copies of entries that the first page still
-    /// holds.
+    /// Returns which pages of a write unit (a page and those into which it is split) to add to the
+    /// batch: all that the batch lacks, or none if they do not fit. An exception is a unit that is
+    /// too large for any transaction: its new pages are written first, as many as fit, since they
+    /// are copies of entries that the first page still holds in the store.
     fn pages_to_add(&self, already_added: &[u32], unit: Vec<u32>) -> (Vec<u32>, AddResult) {
         let missing: Vec<u32> = unit
             .iter()
@@ -217,8 +218,8 @@
         AddResult::Added
     }
 
-    /// Adds the binding of a gang. A long binding takes several records, each below the value
-    /// limit. One that is too large for any transaction is written in parts, by several
+    /// Adds the binding of a gang. A long binding is split into records that fit the store's maximum
+    /// value size. A binding with more records than one transaction may write takes several
     /// transactions.
     fn add_binding(&mut self, job: &str, attempt: u64, places: &[(String, u32, u32)]) -> AddResult {
         let places_per_record = ((self.limits.value_kb * KIB / BYTES_PER_PLACE) as usize).max(1);
@@ -247,8 +248,8 @@
         AddResult::Deferred
     }
 
-    /// Adds the end of a job, and deletes its binding, which only a later leader that had to run
-    /// the job would need.
+    /// Adds the end of a job, and the deletion of its binding: only a later leader would need the
+    /// binding, if it still had to run the job.
     fn add_finish(&mut self, job: &str) -> AddResult {
         let replica = self.replica;
         let entry = replica.jobs.get(job);
@@ -292,8 +293,8 @@
         self.batch.writes.push(put(key, value));
     }
 
-    /// Adds other dirty roster pages while there is capacity, the writes of all pages, and the
-    /// version conditions, and returns the batch.
+    /// Adds other dirty roster pages (those that differ from their stored versions) while there is
+    /// capacity, the writes of all pages, and the version conditions. Returns the batch.
     fn build(mut self, group: Group) -> Batch {
         if group == Group::Records {
             self.add_dirty_roster_pages();
--- a/crates/ladderroute/src/writer/mod.rs
+++ b/crates/ladderroute/src/writer/mod.rs
@@ -28,13 +28,13 @@
 
 /// Time within which users expect to learn that a job has ended, in seconds; set by the protocol.
 const DONE_REPORT_LIMIT_S: f64 = 3.0;
-/// Fraction of that time for which ends of jobs and progress are collected for one transaction,
-/// since each transaction costs one store request regardless of its size.
+/// Fraction of `DONE_REPORT_LIMIT_S` for which ends of jobs and progress are collected for one
+/// transaction, since each transaction costs one store request regardless of its size.
 const COLLECTION_SHARE: f64 = 1.0 / 12.0;
-/// Upper bound of the heartbeat interval from which the pause after a failure is derived, in
-/// seconds.
+/// The pause after a failure is a fraction of the heartbeat interval, or of this time in seconds if
+/// it is shorter.
 const MAX_PAUSE_INTERVAL_S: f64 = 1.0;
-/// Number of pauses that make up that interval.
+/// Number by which that interval is divided to get the pause.
 const PAUSES_PER_INTERVAL: f64 = 10.0;
 
 /// Writes decisions, one transaction after another, without end.
@@ -57,7 +57,7 @@
 enum NextWrite {
     /// Without a pause.
     Immediate,
-    /// After a pause, because the last one was refused or overtaken.
+    /// After a pause, because the last transaction was refused or overtaken by an earlier write.
     AfterPause,
 }
 
@@ -74,7 +74,8 @@
     }
 }
 
-/// Returns how much longer decisions may be collected, or `None` if the next transaction is due.
+/// Returns how much longer decisions may be collected, or `None` if the next transaction has to be
+/// sent now.
 fn remaining_collection_time(
     controller: &Controller,
     last_write_at: Option<Instant>,
@@ -114,7 +115,7 @@
     (!batch.is_empty()).then(|| (batch, leadership.lease.clone()))
 }
 
-/// Writes a batch, applies its outcome, and returns when the next one may be sent.
+/// Writes a batch, applies its outcome, and returns when the next batch may be written.
 async fn write(controller: &Rc<Controller>, batch: Batch, lease: &LeadershipLease) -> NextWrite {
     let result = outcome::write(controller, &batch, lease).await;
     let is_refused = matches!(
--- a/crates/ladderroute/src/writer/outcome.rs
+++ b/crates/ladderroute/src/writer/outcome.rs
@@ -97,7 +97,8 @@
     }
 }
 
-/// Reports the outcome of a batch to the leader, or releases a leadership that is lost.
+/// Reports the outcome of a batch to the leader, or releases the leadership if the outcome shows that
+/// it is lost.
 pub async fn apply(controller: &Rc<Controller>, batch: Batch, result: Result<Outcome, StoreError>) {
     if let Err(error) = &result {
         log::debug!("event=write_failed error=\"{error}\"");
@@ -110,8 +111,8 @@
     apply_as_leader(controller, &mut guard, batch, &result);
 }
 
-/// Applies an outcome unless this controller has stopped leading. It may have lost the leadership
-/// without knowing yet, and then still applies the outcome.
+/// Applies an outcome unless this controller has stopped leading. A controller that has lost the
+/// leadership without knowing it yet still applies the outcome.
 fn apply_as_leader(
     controller: &Rc<Controller>,
     state: &mut State,
@@ -131,7 +132,7 @@
         let _ = controller.writer_wake.0.try_send(());
     }
     if let Ok(Outcome::Written(revision)) = result {
-        // Jobs that depend on these may start now, before the watch reports the change.
+        // Jobs that depend on the finished ones may start now, before the watch reports the change.
         for id in finished {
             let changes = shared.view.mark_job_done(&id, *revision);
             controller.notify_leader_of_changes(shared, changes);
@@ -140,7 +141,7 @@
     controller.exchange_messages(state);
 }
 
-/// Records what the store contains now, and which limits it enforces.
+/// Records what the store contains after the write, or lowers the limits that it has enforced.
 fn record_result(
     controller: &Controller,
     view: &mut ClusterView,
@@ -261,8 +262,9 @@
     }
 }
 
-/// Reports the outcome of the end of a job. If a batch of several fails, only the records whose own
-/// condition failed have changed in the meantime; the other ends are written again.
+/// Reports the outcome of writing the end of a job. If a batch with the ends of several jobs fails,
+/// only the job records whose own conditions failed have changed in the meantime; the ends of the
+/// other jobs are written again.
 fn apply_finish(
     controller: &Controller,
     leadership: &mut Leadership,
--- a/crates/ladderroute/src/writer/pages.rs
+++ b/crates/ladderroute/src/writer/pages.rs
@@ -64,7 +64,7 @@
     entry.is_none_or(|entry| entry.state == Recorded::Open)
 }
 
-/// Returns whether a bitmap starts at a multiple of `chunk_bits` and is no longer than that.
+/// Returns whether a bitmap starts at a multiple of `chunk_bits` and has at most `chunk_bits` bits.
 fn matches_layout(first_task: u32, bits: &str, chunk_bits: u32) -> bool {
     first_task.is_multiple_of(chunk_bits) && bits.len() * BITS_PER_HEX_DIGIT <= chunk_bits as usize
 }
@@ -165,7 +165,7 @@
         )
     }
 
-    /// Removes a machine from the roster. Its page stays dirty until it is written.
+    /// Removes a machine from the roster. Its page is dirty, and so has to be written.
     pub fn remove_machine(&mut self, name: &str) {
         self.roster.remove(&name.to_string(), Removal::Urgent);
     }
@@ -177,14 +177,16 @@
         self.progress.put(chunk, size, bits.into())
     }
 
-    /// Returns the dirty roster pages that have to be written with this one, in order.
+    /// Returns the dirty roster pages (those that differ from their stored versions) that have to be
+    /// written with this one, including it, in order.
     pub fn roster_write_unit(&mut self, page: u32) -> Vec<u32> {
         let mut pages = self.roster.write_unit(page);
         pages.retain(|page| self.roster.is_dirty(*page));
         pages
     }
 
-    /// Returns the dirty progress pages that have to be written with this one, in order.
+    /// Returns the dirty progress pages (those that differ from their stored versions) that have to
+    /// be written with this one, including it, in order.
     pub fn progress_write_unit(&mut self, page: u32) -> Vec<u32> {
         let mut pages = self.progress.write_unit(page);
         pages.retain(|page| self.progress.is_dirty(*page));
@@ -196,8 +198,8 @@
         self.bound_places.get(&attempt).copied().unwrap_or(0)
     }
 
-    /// Sets how many places of an attempt's binding are in the store; `None` forgets the attempt.
-    /// That is for when the binding is over, whether it was written completely or failed.
+    /// Sets how many places of an attempt's binding are in the store. `None` forgets the attempt,
+    /// once its binding has been written completely or has failed.
     pub fn set_bound_places(&mut self, attempt: u64, places: Option<usize>) {
         match places {
             Some(places) => self.bound_places.insert(attempt, places),
@@ -217,7 +219,7 @@
         self.roster.next_dirty_except(excluded)
     }
 
-    /// Marks pages as stored in the state in which they were last added to a transaction.
+    /// Records that the store has applied the last transaction with these pages.
     pub fn mark_written(&mut self, roster: &[u32], progress: &[u32]) {
         roster
             .iter()
@@ -253,7 +255,8 @@
                 key: keys::progress(n),
             };
         };
-        // A chunk that starts at task 0 means the same to a reader with any chunk size.
+        // `chunks` holds chunk numbers, which readers multiply by their own chunk size. Only number 0
+        // means the same task to all of them.
         let (chunks, sections) = entries
             .map(|(chunk, bits)| (chunk.job.clone(), chunk.first_task, bits.clone()))
             .partition(|(_, first_task, _)| *first_task == 0);
--- a/crates/ladderroute/src/writer/urgency.rs
+++ b/crates/ladderroute/src/writer/urgency.rs
@@ -7,9 +7,10 @@
 pub enum Urgency {
     /// A fencing token: no controller has authority until it is durable.
     Token,
-    /// A binding: a gang holds resources until it is durable.
+    /// A binding of a gang: the gang holds resources unused until the binding is durable.
     Binding,
-    /// A machine or the record of started arrays: tasks wait until it is durable.
+    /// The roster entry of a machine, or the record of started arrays: tasks wait until it is
+    /// durable.
     Admission,
     /// The end of a job: a user waits to learn of it.
     Finish,
@@ -35,8 +36,8 @@
     }
 }
 
-/// Groups of decisions that may share a transaction. A new token is written alone, and ends of jobs
-/// only with each other, since their conditions may fail.
+/// Groups of decisions that may share a transaction. A new token is written alone. Ends of jobs are
+/// written only with each other, since a failed condition of theirs fails the whole transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Group {
     /// A new fencing token.
