--- a/crates/ladderroute/src/api/limits.rs
+++ b/crates/ladderroute/src/api/limits.rs
@@ -7,7 +7,7 @@
 /// Share of the sockets for connections from outside that is kept free, because a closed socket
 /// still counts against the quota for a short time.
 const SPARE_SOCKETS_SHARE: f64 = 0.02;
-/// Share of the memory that requests received in part may take.
+/// Share of the memory that partly received requests may take.
 const PARTIAL_REQUESTS_SHARE: f64 = 0.125;
 /// Maximum memory of an open connection, in KiB.
 pub const CONNECTION_KIB: f64 = 8.0;
--- a/crates/ladderroute/src/api/readiness.rs
+++ b/crates/ladderroute/src/api/readiness.rs
@@ -37,10 +37,10 @@
 /// Returns whether the other controllers can serve users better than this one.
 ///
 /// If the store fails for all controllers, failing the health check would only prolong the outage
-/// for users, since the load balancer is slow to take controllers back. If another controller leads,
-/// the store does not fail for all. A leader assumes the same if all its owners have disconnected:
-/// they stay connected through an outage of the store, so either they have joined a new leader or
-/// this controller is cut off.
+/// for users, since the load balancer is slow to take controllers back. If another controller
+/// leads, the store does not fail for all. A leader assumes the same if all its owners have
+/// disconnected: they stay connected through an outage of the store, so either they have joined a
+/// new leader or this controller is cut off.
 pub fn others_serve_better(store: StoreHealth, role: Role) -> bool {
     let others_serve = match role {
         Role::Leader { owners, others } => others > 0 && owners == 0,
--- a/crates/ladderroute/src/api/users/cancellation.rs
+++ b/crates/ladderroute/src/api/users/cancellation.rs
@@ -29,8 +29,8 @@
     }
 }
 
-/// Tries to write the cancellation, at most `MAX_ATTEMPTS` times, until the job is terminal. Returns
-/// the job's entry, or the error response to send.
+/// Tries to write the cancellation, at most `MAX_ATTEMPTS` times, until the job is terminal.
+/// Returns the job's entry, or the error response to send.
 async fn cancel_until_terminal(
     controller: &Rc<Controller>,
     id: &str,
--- a/crates/ladderroute/src/api/users/job_state.rs
+++ b/crates/ladderroute/src/api/users/job_state.rs
@@ -9,9 +9,9 @@
 //! - A job without dependencies whose record was read or written for this request: it has no
 //!   ancestors.
 //! - A job that this request has just created: its state has never been reported before. Jobs that
-//!   depend on it are held back in any case. And if the view is fresh enough for tasks to be started
-//!   from it, it does not report a job as queued long after the cancellation of one of its ancestors
-//!   was confirmed.
+//!   depend on it are held back in any case. And if the view is fresh enough for tasks to be
+//!   started from it, it does not report a job as queued long after the cancellation of one of its
+//!   ancestors was confirmed.
 
 use crate::api::responses::retry_later;
 use crate::controller::Controller;
@@ -36,8 +36,8 @@
         .cloned()
 }
 
-/// Returns a job's entry, recent enough to be reported now, or `None` if the job was never accepted.
-/// An error is the response to send instead.
+/// Returns a job's entry, recent enough to be reported now, or `None` if the job was never
+/// accepted. An error is the response to send instead.
 pub(super) async fn look_up(
     controller: &Rc<Controller>,
     id: &str,
--- a/crates/ladderroute/src/api/users/submission.rs
+++ b/crates/ladderroute/src/api/users/submission.rs
@@ -84,8 +84,8 @@
     Ok(job)
 }
 
-/// Checks whether a job can ever run. Returns `None` while the machine types have not been read from
-/// the cloud.
+/// Checks whether a job can ever run. Returns `None` while the machine types have not been read
+/// from the cloud.
 fn check_against_catalog(controller: &Controller, job: &Job) -> Option<Result<(), Infeasible>> {
     let state = controller.lock();
     let machine_types = state.shared.catalog.as_ref()?;
@@ -223,8 +223,8 @@
     created_job_response(controller, id).await
 }
 
-/// Reads a job's record back after a conflict or an unknown outcome of its creation. Whether the job
-/// was accepted is never guessed: it was accepted if the store has its record.
+/// Reads a job's record back after a conflict or an unknown outcome of its creation. Whether the
+/// job was accepted is never guessed: it was accepted if the store has its record.
 async fn read_back_record(controller: &Rc<Controller>, id: &str) -> Response {
     let Ok(Some(item)) = controller
         .store
--- a/crates/ladderroute/src/cluster_view.rs
+++ b/crates/ladderroute/src/cluster_view.rs
@@ -2,9 +2,9 @@
 //! `read_at`, the instant as of which the replica is known to be complete.
 //!
 //! The store responds with everything it holds when it serves a request, so once a response has
-//! been applied, the view is complete as of the instant at which the request was *sent*. That instant
-//! is valid only for the replica to which the response was applied, so the replica and `read_at`
-//! change together, in `ClusterView::apply` and `ClusterView::finish_reload` only.
+//! been applied, the view is complete as of the instant at which the request was *sent*. That
+//! instant is valid only for the replica to which the response was applied, so `read_at` changes
+//! only together with the replica, in `ClusterView::apply` and `ClusterView::finish_reload`.
 //!
 //! The view never replaces a record by an older one of the same key, whether the records come from
 //! a read of changes, a write of this controller, a direct read, or a reload of all keys. A read of
@@ -25,11 +25,11 @@
     Updated(String),
     /// The job with this id is no longer blocked: its last dependency is done.
     Unblocked(String),
-    /// The job with this id is cancelled because one of its ancestors is: a job on which it depends,
-    /// directly or indirectly.
+    /// The job with this id is cancelled because one of its ancestors is: a job on which it
+    /// depends, directly or indirectly.
     Cancelled(String),
-    /// The job with this id is now scheduled at this priority: its own, or a more urgent one of a job
-    /// that depends on it, directly or indirectly.
+    /// The job with this id is now scheduled at this priority: its own, or a more urgent one of a
+    /// job that depends on it, directly or indirectly.
     Reprioritized(String, Priority),
 }
 
--- a/crates/ladderroute/src/controller/freshness_reads.rs
+++ b/crates/ladderroute/src/controller/freshness_reads.rs
@@ -4,8 +4,8 @@
 use std::cell::{Cell, RefCell};
 use std::time::{Duration, Instant};
 
-/// The requests of one controller that wait for a freshness read, and when the last one was
-/// answered.
+/// The requests of one controller that wait for a freshness read, and when the store last answered
+/// such a read.
 #[derive(Default)]
 pub struct FreshnessReads {
     /// Channels to the waiting requests; each receives whether the view is fresh.
--- a/crates/ladderroute/src/controller/view_updates.rs
+++ b/crates/ladderroute/src/controller/view_updates.rs
@@ -102,11 +102,11 @@
     if view.dependencies().is_blocked(id) {
         return;
     }
-    // No task of a job that is new to this leader has ever been started. No other leader can have led
-    // since this one began, so only an earlier leader could have started it. A job that was blocked
-    // when this leader began had been blocked under the earlier leaders as well: they started a job
-    // only once all its dependencies were recorded as done, and this leader's view would contain
-    // these records.
+    // No task of a job that is new to this leader has ever been started. No other leader can have
+    // led since this one began, so only an earlier leader could have started it. A job that was
+    // blocked when this leader began had been blocked under the earlier leaders as well: they
+    // started a job only once all its dependencies were recorded as done, and this leader's view
+    // would contain these records.
     let open = open_job(entry, spec.clone(), PriorRuns::None);
     leadership.leader.add_job(open);
     let priority = view.dependencies().priority(id, spec.priority);
--- a/crates/ladderroute/src/controller_links/follower_side.rs
+++ b/crates/ladderroute/src/controller_links/follower_side.rs
@@ -22,8 +22,8 @@
 /// has not completed. The leader answers pings, so a working connection is never silent for long.
 const IDLE_TIMEOUT_S: f64 = wire::HEARTBEAT_RESPONSE_TIMEOUT_S / 2.0;
 
-/// Number of pings that an owner sends in the owner timeout, the time after which the leader gives up
-/// on a silent owner.
+/// Number of pings that an owner sends in the owner timeout, the time after which the leader gives
+/// up on a silent owner.
 const PINGS_PER_OWNER_TIMEOUT: f64 = 4.0;
 
 /// Number of the newest pings whose answers are still accepted.
@@ -171,8 +171,8 @@
     leader: &'a str,
     outbox: Outbox,
     pings: Rc<Pings>,
-    /// Whether the leader has begun an epoch, which has its own fencing token, on this connection.
-    /// Until then, grants of authority are ignored.
+    /// Whether the leader has begun an epoch (a period with its own fencing token) on this
+    /// connection. Until then, grants of authority are ignored.
     has_joined: bool,
 }
 
@@ -241,7 +241,8 @@
     fn apply_view_age(&self, controller: &Controller, owner: &mut Owner, n: u64, age_ms: u64) {
         let sent_at = self.pings.sent_at(n);
         self.pings.forget(n);
-        // The age is subtracted from when the ping was sent, so that delays only make the view older.
+        // The age is subtracted from when the ping was sent, so that delays only make the view
+        // older.
         if let Some(sent_at) = sent_at.filter(|_| self.has_joined) {
             let age_s = age_ms as f64 / 1000.0 * (1.0 + RELATIVE_DRIFT);
             owner
--- a/crates/ladderroute/src/controller_links/leader_side.rs
+++ b/crates/ladderroute/src/controller_links/leader_side.rs
@@ -109,8 +109,8 @@
 }
 
 /// Registers a connection as the owner's link. Returns `false` if this controller does not lead, or
-/// if the owner already has a connection that this one does not replace. A connection never replaces
-/// a newer one of the same process.
+/// if the owner already has a connection that this one does not replace. A connection never
+/// replaces a newer one of the same process.
 fn admit(controller: &Controller, connection: &OwnerConnection) -> bool {
     let mut guard = controller.lock();
     let Some(leadership) = &mut guard.shared.leadership else {
@@ -190,7 +190,8 @@
     n: u64,
     now: f64,
 ) {
-    // An owner's authority ends no later than the leader's own, and soon after the owner's last ping.
+    // An owner's authority ends no later than the leader's own, and soon after the owner's last
+    // ping.
     let grant_expires_at = now + controller.config.owner_timeout_s() * MAX_GRANT_PER_OWNER_TIMEOUT;
     let until = authority.responses_until().min(grant_expires_at);
     let leader = &mut leadership.leader;
@@ -207,7 +208,7 @@
         n,
         age_ms: ((now - authority.read_at()) * 1000.0).ceil() as u64,
     };
-    // Queued behind all messages that result from what the leader's view contains, so that the owner
-    // has these before it learns the view's age.
+    // Queued behind all messages that result from what the leader's view contains, so that the
+    // owner has these before it learns the view's age.
     connection.outbox.send(encode_frame(&view_age));
 }
--- a/crates/ladderroute/src/counters.rs
+++ b/crates/ladderroute/src/counters.rs
@@ -18,16 +18,16 @@
 pub struct Counters {
     /// Completed reloads of the view.
     pub reloads: Cell<u64>,
-    /// Reads of the store's changes that were discarded because a reload of the view had begun since
-    /// they were sent.
+    /// Reads of the store's changes that were discarded because a reload of the view had begun
+    /// since they were sent.
     pub reads_dropped: Cell<u64>,
-    /// Workers' heartbeats that were refused, for example because this controller had no authority or
-    /// no fresh view.
+    /// Workers' heartbeats that were refused, for example because this controller had no authority
+    /// or no fresh view.
     pub heartbeats_refused: Cell<u64>,
     /// Users' requests that were answered with 503 because the view could not be refreshed.
     pub answers_refused: Cell<u64>,
-    /// Least remaining time, in seconds, for which responses to workers were allowed when a heartbeat
-    /// was answered.
+    /// Least remaining time, in seconds, for which responses to workers were allowed when a
+    /// heartbeat was answered.
     least_margin_s: Cell<Option<f64>>,
     longest_response_delay: LongestResponseDelay,
 }
--- a/crates/ladderroute/src/freshness/mod.rs
+++ b/crates/ladderroute/src/freshness/mod.rs
@@ -1,6 +1,6 @@
-//! Keeps the cluster view current: a long-polling watch, freshness reads before responses that must
-//! not be stale, and a reload of all keys when the store no longer keeps the changes since the
-//! view's revision.
+//! Keeps the cluster view current, in three ways: a long-polling watch, freshness reads before
+//! responses that must not be stale, and a reload of all keys when the store no longer keeps the
+//! changes since the view's revision.
 
 mod reads;
 mod watch;
--- a/crates/ladderroute/src/freshness/watch.rs
+++ b/crates/ladderroute/src/freshness/watch.rs
@@ -42,8 +42,8 @@
             controller.apply_changes(&changes, read);
             controller.record_store_health(true);
             smol::Timer::after(interval).await;
-            // While freshness reads are frequent, they already return the changes that a watch would.
-            // Watching therefore pauses and leaves its requests to submissions.
+            // While freshness reads are frequent, they already return the changes that a watch
+            // would. Watching therefore pauses and leaves its requests to submissions.
             while controller.freshness_reads.answered_within(interval) {
                 smol::Timer::after(interval / 2).await;
             }
--- a/crates/ladderroute/src/leadership/begin.rs
+++ b/crates/ladderroute/src/leadership/begin.rs
@@ -25,8 +25,8 @@
         // otherwise one that was already running would lead.
         leader.expect_other_controllers();
     }
-    // The authority of this leadership must not be used to answer the heartbeats of machines that
-    // were assigned to the previous owner state in earlier epochs, so it is replaced.
+    // The owner is replaced, because heartbeats of machines that were assigned to it in earlier
+    // epochs must not be answered under the authority of this leadership.
     state.owner = Owner::new(&controller.settings.member, controller.config.clone());
     state
         .owner
--- a/crates/ladderroute/src/leadership/lease.rs
+++ b/crates/ladderroute/src/leadership/lease.rs
@@ -14,8 +14,8 @@
 /// Number of renewals in the duration of the store lease after one has failed.
 const RETRIES_PER_LEASE: u32 = 20;
 
-/// Number of freshness reads of the leader in the duration of its store lease, if nothing else keeps
-/// the view fresh.
+/// Number of freshness reads of the leader in the duration of its store lease, if nothing else
+/// keeps the view fresh.
 const READS_PER_LEASE: u32 = 5;
 
 /// Result of a renewal.
--- a/crates/ladderroute/src/leadership/mod.rs
+++ b/crates/ladderroute/src/leadership/mod.rs
@@ -30,7 +30,7 @@
 const MIN_TICK_INTERVAL_S: f64 = 0.05;
 const MAX_TICK_INTERVAL_S: f64 = 0.1;
 
-/// Tries to become the leader whenever there is none, and leads after a success.
+/// Tries to become the leader whenever there is none, and leads once it has succeeded.
 pub async fn campaign(controller: Rc<Controller>) {
     let ttl = controller.leader_lease_ttl();
     let others = controller.settings.peers.len();
@@ -145,8 +145,8 @@
             return;
         };
         if !state.owner.has_authority(now) {
-            // No decisions are made without authority. Renewing the lease and then reading the store
-            // may restore it.
+            // No decisions are made without authority. Renewing the lease and then reading the
+            // store may restore it.
             continue;
         }
         let leader = &mut leadership.leader;
--- a/crates/ladderroute/src/logging.rs
+++ b/crates/ladderroute/src/logging.rs
@@ -17,7 +17,8 @@
         .init();
 }
 
-/// Returns the level with a name, or only errors for a missing or unknown name.
+/// Returns the log level with this name; for a missing or unknown name, the level that logs only
+/// errors.
 fn level(name: Option<&str>) -> LevelFilter {
     match name {
         Some("debug") => LevelFilter::Debug,
--- a/crates/ladderroute/src/outbox.rs
+++ b/crates/ladderroute/src/outbox.rs
@@ -1,5 +1,5 @@
-//! The send queue of a connection between controllers. Frames that renew a controller's authority to
-//! answer workers overtake bulk frames, and the bulk queue is bounded in bytes.
+//! The send queue of a connection between controllers. Frames that renew a controller's authority
+//! to answer workers overtake bulk frames, and the bulk queue is bounded in bytes.
 
 use smol::channel::{Receiver, Sender};
 use std::cell::RefCell;
@@ -72,8 +72,8 @@
         let _ = self.wake.0.try_send(());
     }
 
-    /// Queues a frame that overtakes all bulk frames: for pings and grants of authority, which do not
-    /// depend on the order of frames.
+    /// Queues a frame that overtakes all bulk frames: for pings and grants of authority, which do
+    /// not depend on the order of frames.
     pub fn send_urgent(&self, bytes: &[u8]) {
         self.queue.borrow_mut().urgent.extend_from_slice(bytes);
         let _ = self.wake.0.try_send(());
--- a/crates/ladderroute/src/provisioning.rs
+++ b/crates/ladderroute/src/provisioning.rs
@@ -141,8 +141,8 @@
     }
 }
 
-/// Returns the path of the page of the machine list that begins after the machine with this name, or
-/// of the first page for an empty name.
+/// Returns the path of the page of the machine list that begins after the machine with this name,
+/// or of the first page for an empty name.
 fn list_path(after: &str) -> String {
     if after.is_empty() {
         format!("/machines?most={MAX_LISTED}")
--- a/crates/ladderroute/src/settings/operator.rs
+++ b/crates/ladderroute/src/settings/operator.rs
@@ -13,8 +13,8 @@
 /// Settings that operators may tune.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tuning {
-    /// Time, in seconds, for which capacity stays reserved for a gang while the rest of what the gang
-    /// needs is reserved (`hold_s`).
+    /// Time, in seconds, for which capacity stays reserved for a gang while the rest of what the
+    /// gang needs is reserved (`hold_s`).
     pub reservation_s: f64,
     /// Duration of the leader's store lease, as a fraction of the workers' lease.
     pub leader_lease_share: f64,
--- a/crates/ladderroute/src/settings/platform.rs
+++ b/crates/ladderroute/src/settings/platform.rs
@@ -1,5 +1,6 @@
 //! Structure of the platform's settings file (TOML). Unknown fields are ignored, so that a newer
-//! platform may add some. A missing or malformed field is rejected by name.
+//! platform may add some. For a missing or malformed field, the file is rejected with an error that
+//! shows the field.
 
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -53,7 +54,7 @@
     /// Teams, which may submit jobs.
     #[serde(default)]
     pub teams: Vec<TeamSettings>,
-    /// Objectives for when jobs start.
+    /// Objectives for how soon jobs start.
     #[serde(default)]
     pub objectives: Vec<Objective>,
     /// Times of the protocol with the workers.
@@ -104,7 +105,7 @@
     }
 }
 
-/// An objective for when jobs start. Unknown kinds are ignored.
+/// An objective for how soon jobs start. Unknown kinds are ignored.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Objective {
     /// Kind of the objective: `guarantee` or `wait`.
--- a/crates/ladderroute/src/store_budget.rs
+++ b/crates/ladderroute/src/store_budget.rs
@@ -17,14 +17,14 @@
 const TOTAL_SHARE: f64 = 0.95;
 
 /// Fractions of the burst that lower priorities leave to higher ones. Applies to every controller's
-/// requests, and to the writes of a controller without peers: renewals and decisions take precedence
-/// over the submissions that the controller accepts itself.
+/// requests, and to the writes of a controller without peers: renewals and decisions take
+/// precedence over the submissions that the controller accepts itself.
 const DEFAULT_RESERVE: Reserve = Reserve {
     decision: 0.15,
     submission: 0.35,
 };
-/// Reserve in the leader's share of the write rate. It is smaller than the default because the store
-/// refuses few writes, and a refused write is retried.
+/// Reserve in the leader's share of the write rate. It is smaller than the default because the
+/// store refuses few writes, and a refused write is retried.
 const LEADER_WRITE_RESERVE: Reserve = Reserve {
     decision: 0.1,
     submission: 0.2,
--- a/crates/ladderroute/src/writer/batch.rs
+++ b/crates/ladderroute/src/writer/batch.rs
@@ -218,8 +218,8 @@
         AddResult::Added
     }
 
-    /// Adds the binding of a gang. A long binding is split into records that fit the store's maximum
-    /// value size. A binding with more records than one transaction may write takes several
+    /// Adds the binding of a gang. A long binding is split into records that fit the store's
+    /// maximum value size. A binding with more records than one transaction may write takes several
     /// transactions.
     fn add_binding(&mut self, job: &str, attempt: u64, places: &[(String, u32, u32)]) -> AddResult {
         let places_per_record = ((self.limits.value_kb * KIB / BYTES_PER_PLACE) as usize).max(1);
--- a/crates/ladderroute/src/writer/limits.rs
+++ b/crates/ladderroute/src/writer/limits.rs
@@ -1,6 +1,6 @@
-//! Limits of a transaction, and how they are lowered after a refusal.
+//! Limits of a transaction, and how they are lowered after the store has refused one.
 
-/// Lower bound of the value limit in KiB, regardless of what the store refuses.
+/// Size in KiB below which the maximum value size is never lowered, whatever the store refuses.
 const MIN_VALUE_KB: f64 = 0.5;
 /// Bytes in two KiB. A size in bytes divided by this is half of that size, in KiB.
 const TWO_KIB: f64 = 2048.0;
--- a/crates/ladderroute/src/writer/mod.rs
+++ b/crates/ladderroute/src/writer/mod.rs
@@ -31,10 +31,10 @@
 /// Fraction of `DONE_REPORT_LIMIT_S` for which ends of jobs and progress are collected for one
 /// transaction, since each transaction costs one store request regardless of its size.
 const COLLECTION_SHARE: f64 = 1.0 / 12.0;
-/// The pause after a failure is a fraction of the heartbeat interval, or of this time in seconds if
-/// it is shorter.
+/// The pause after a failure is the heartbeat interval, at most this many seconds, divided by
+/// `PAUSES_PER_INTERVAL`.
 const MAX_PAUSE_INTERVAL_S: f64 = 1.0;
-/// Number by which that interval is divided to get the pause.
+/// Divisor that turns this interval into the pause after a failure.
 const PAUSES_PER_INTERVAL: f64 = 10.0;
 
 /// Writes decisions, one transaction after another, without end.
--- a/crates/ladderroute/src/writer/outcome.rs
+++ b/crates/ladderroute/src/writer/outcome.rs
@@ -97,8 +97,8 @@
     }
 }
 
-/// Reports the outcome of a batch to the leader, or releases the leadership if the outcome shows that
-/// it is lost.
+/// Reports the outcome of a batch to the leader, or releases the leadership if the outcome shows
+/// that it is lost.
 pub async fn apply(controller: &Rc<Controller>, batch: Batch, result: Result<Outcome, StoreError>) {
     if let Err(error) = &result {
         log::debug!("event=write_failed error=\"{error}\"");
@@ -141,7 +141,8 @@
     controller.exchange_messages(state);
 }
 
-/// Records what the store contains after the write, or lowers the limits that it has enforced.
+/// Records what the store contains after the write, or lowers the limits of transactions if the
+/// store has refused it as malformed.
 fn record_result(
     controller: &Controller,
     view: &mut ClusterView,
--- a/crates/ladderroute/src/writer/pages.rs
+++ b/crates/ladderroute/src/writer/pages.rs
@@ -12,7 +12,8 @@
 use wire::store::{to_value, ProgressPage, Recorded, RosterPage, RosterRecord, Write};
 use wire::users::MAX_TASKS;
 
-/// Fraction of the value limit that the estimated sizes of a page's entries may add up to.
+/// Fraction of the store's maximum value size that the estimated sizes of a page's entries may add
+/// up to.
 const PAGE_FILL_FRACTION: f64 = 0.9;
 /// Maximum bytes of a page entry in addition to its strings.
 const ENTRY_OVERHEAD_BYTES: usize = 48;
@@ -165,7 +166,8 @@
         )
     }
 
-    /// Removes a machine from the roster. Its page is dirty, and so has to be written.
+    /// Removes a machine from the roster. Its page has to be written, and stays marked as dirty until
+    /// then.
     pub fn remove_machine(&mut self, name: &str) {
         self.roster.remove(&name.to_string(), Removal::Urgent);
     }
@@ -177,8 +179,8 @@
         self.progress.put(chunk, size, bits.into())
     }
 
-    /// Returns the dirty roster pages (those that differ from their stored versions) that have to be
-    /// written with this one, including it, in order.
+    /// Returns the dirty roster pages (those that differ from their stored versions) that have to
+    /// be written with this one, in order.
     pub fn roster_write_unit(&mut self, page: u32) -> Vec<u32> {
         let mut pages = self.roster.write_unit(page);
         pages.retain(|page| self.roster.is_dirty(*page));
@@ -186,7 +188,7 @@
     }
 
     /// Returns the dirty progress pages (those that differ from their stored versions) that have to
-    /// be written with this one, including it, in order.
+    /// be written with this one, in order.
     pub fn progress_write_unit(&mut self, page: u32) -> Vec<u32> {
         let mut pages = self.progress.write_unit(page);
         pages.retain(|page| self.progress.is_dirty(*page));
@@ -219,7 +221,7 @@
         self.roster.next_dirty_except(excluded)
     }
 
-    /// Records that the store has applied the last transaction with these pages.
+    /// Marks pages as stored, in the state in which they were when last added to a transaction.
     pub fn mark_written(&mut self, roster: &[u32], progress: &[u32]) {
         roster
             .iter()
@@ -255,8 +257,8 @@
                 key: keys::progress(n),
             };
         };
-        // `chunks` holds chunk numbers, which readers multiply by their own chunk size. Only number 0
-        // means the same task to all of them.
+        // `chunks` holds chunk numbers, which readers multiply by their own chunk size. Only number
+        // 0 means the same task to all of them.
         let (chunks, sections) = entries
             .map(|(chunk, bits)| (chunk.job.clone(), chunk.first_task, bits.clone()))
             .partition(|(_, first_task, _)| *first_task == 0);
