--- a/crates/ladderroute/src/api/responses.rs
+++ b/crates/ladderroute/src/api/responses.rs
@@ -16,7 +16,7 @@
     Response::new(status, cbor::encode(&Refusal { error }))
 }
 
-/// Returns a 503 response with the time after which to retry.
+/// Returns a 503 response with this error text and the time after which to retry.
 pub fn retry_later(controller: &Controller, error: &str) -> Response {
     // After about this long, the store can be read again.
     let retry_delay_s = controller.config.heartbeat_s / 2.0;
--- a/crates/ladderroute/src/lib.rs
+++ b/crates/ladderroute/src/lib.rs
@@ -8,9 +8,10 @@
 //! - Services, each of which gets the [`controller::Controller`]: the HTTP port for users and
 //!   workers ([`api`]), the links between controllers ([`controller_links`]), [`leadership`], the
 //!   [`writer`] to the store, [`freshness`] reads and [`provisioning`].
-//! - State without tasks of its own: the [`controller`] with the state that its services share, and
-//!   what it is built on: the [`cluster_view`], the [`outbox`] of a link, the leader's batches and
-//!   pages ([`writer::batch`], [`writer::pages`]), [`counters`] and the [`store_budget`].
+//! - State without tasks of its own: the [`controller`] with the state that its services share. It
+//!   is built on the [`cluster_view`] (a replica of the store), the [`outbox`] of a link, the
+//!   leader's batches and pages ([`writer::batch`], [`writer::pages`]), [`counters`] and the
+//!   [`store_budget`].
 //!
 //! Below these modules are the crates `sched` (decisions) and `store`, and below these `wire` and
 //! `http`.
--- a/crates/ladderroute/src/writer/batch.rs
+++ b/crates/ladderroute/src/writer/batch.rs
@@ -34,7 +34,8 @@
     pub roster_pages: Vec<u32>,
     /// Progress pages that are among the writes.
     pub progress_pages: Vec<u32>,
-    /// Part of a binding that does not fit in one transaction, if the writes contain one.
+    /// The part of a binding that is among the writes, if the binding does not fit in one
+    /// transaction.
     pub partial_binding: Option<PartialBinding>,
 }
 
@@ -54,8 +55,8 @@
         self.actions.is_empty() && self.writes.is_empty()
     }
 
-    /// Returns whether the batch issues a new fencing token, which is not written like other
-    /// decisions.
+    /// Returns whether the batch issues a new fencing token. That takes requests of its own, which
+    /// are not among `writes`.
     pub fn issues_token(&self) -> bool {
         matches!(self.actions.first(), Some(Action::IssueToken))
     }
@@ -73,7 +74,7 @@
 
 /// Assembles a batch.
 struct BatchBuilder<'a> {
-    /// Pages of small records of this leader.
+    /// The leader's small records, which share keys as pages.
     records: &'a mut RecordPages,
     /// Replica of the contents of the store.
     replica: &'a Replica,
--- a/crates/ladderroute/src/writer/mod.rs
+++ b/crates/ladderroute/src/writer/mod.rs
@@ -34,7 +34,7 @@
 /// The pause after a failure is the heartbeat interval, at most this many seconds, divided by
 /// `PAUSES_PER_INTERVAL`.
 const MAX_PAUSE_INTERVAL_S: f64 = 1.0;
-/// Divisor that turns this interval into the pause after a failure.
+/// Divisor of the heartbeat interval that gives the pause after a failure.
 const PAUSES_PER_INTERVAL: f64 = 10.0;
 
 /// Writes decisions, one transaction after another, without end.
