--- a/crates/ladderroute/src/api/users/cancellation.rs
+++ b/crates/ladderroute/src/api/users/cancellation.rs
@@ -16,7 +16,7 @@
 /// Maximum number of attempts to write a cancellation while the job's record keeps changing.
 const MAX_ATTEMPTS: usize = 3;
 
-/// Cancels a job unless it is terminal already, and responds with its state.
+/// Cancels a job unless it is terminal (done or cancelled) already, and responds with its state.
 pub async fn cancel(controller: &Rc<Controller>, id: &str) -> Response {
     let entry = match look_up(controller, id).await {
         Ok(Some(entry)) => entry,
@@ -29,8 +29,8 @@
     }
 }
 
-/// Writes the cancellation, with retries, until the job is terminal. Returns the job's entry, or
-/// the error response to send.
+/// Tries to write the cancellation, at most `MAX_ATTEMPTS` times, until the job is terminal.
+/// Returns the job's entry, or the error response to send.
 async fn cancel_until_terminal(
     controller: &Rc<Controller>,
     id: &str,
@@ -48,10 +48,13 @@
             CancelOutcome::Undecided => entry = reread_entry(controller, id).await?,
         }
     }
-    Err(retry_later(controller, "the job changes at present"))
+    Err(retry_later(
+        controller,
+        "no attempt to cancel the job could be confirmed",
+    ))
 }
 
-/// Returns the job of an entry; `None` if it is terminal.
+/// Returns the job of an entry, or `None` if the job is terminal.
 fn open_job(entry: &JobEntry) -> Option<Rc<Job>> {
     let job = entry.job.clone();
     job.filter(|_| entry.state == Recorded::Open)
@@ -82,7 +85,10 @@
         Ok(TxnOutcome::Conflict(_)) | Err(StoreError::OutcomeUnknown(_)) => {
             Ok(CancelOutcome::Undecided)
         }
-        Err(_) => Err(retry_later(controller, "the state service does not answer")),
+        Err(_) => Err(retry_later(
+            controller,
+            "the state service has not confirmed the cancellation",
+        )),
     }
 }
 
@@ -109,8 +115,8 @@
     let state = &mut *guard;
     controller.apply_job_record(state, id, record, version);
     if let Some(leader) = &state.shared.leader_outbox {
-        // This message only speeds up the cancellation; what guarantees it is the leader's own read
-        // of the store.
+        // This message only speeds up the cancellation, which the leader's own read of the store
+        // guarantees.
         leader.send(encode_frame(&ToLeader::Cancelled { job: id.into() }));
     }
 }
@@ -122,10 +128,18 @@
         .get(&keys::job(id), RequestPriority::Decision)
         .await
     else {
-        return Err(retry_later(controller, "the outcome is not known yet"));
+        return Err(retry_later(
+            controller,
+            "the cancellation is not confirmed: the job's record could not be read again",
+        ));
     };
     if let Some(record) = from_value::<JobRecord>(&item.value) {
         controller.apply_job_record(&mut controller.lock(), id, record, item.version);
     }
-    cached_entry(controller, id).ok_or_else(|| retry_later(controller, "not ready yet"))
+    cached_entry(controller, id).ok_or_else(|| {
+        retry_later(
+            controller,
+            "this controller does not know the job's state yet",
+        )
+    })
 }
--- a/crates/ladderroute/src/api/users/submission.rs
+++ b/crates/ladderroute/src/api/users/submission.rs
@@ -23,7 +23,10 @@
 /// Accepts a job, or responds with the reason why not.
 pub async fn submit(controller: &Rc<Controller>, body: &[u8]) -> Response {
     if !is_loaded(controller) {
-        return retry_later(controller, "not ready yet");
+        return retry_later(
+            controller,
+            "this controller is still loading the jobs from the state service",
+        );
     }
     if let Some(response) = repeat_response(controller, body).await {
         return response;
@@ -45,14 +48,17 @@
     id: String,
 }
 
-/// Responds to a repeated submission, that is, of a job that is in the view already, with that
-/// job's state, whatever else the submission contains. Returns `None` for any other submission.
+/// Responds to a submission whose job id is in the view already. It is taken for a repeat, whatever
+/// else it contains, and answered with that job's state. Returns `None` for any other submission.
 async fn repeat_response(controller: &Rc<Controller>, body: &[u8]) -> Option<Response> {
     let SubmittedId { id } = cbor::decode(body).ok()?;
     cached_entry(controller, &id)?;
     Some(match look_up(controller, &id).await {
         Ok(Some(entry)) => accepted_response(controller, 200, &id, &entry),
-        Ok(None) => retry_later(controller, "not ready yet"),
+        Ok(None) => retry_later(
+            controller,
+            "this controller does not know the job's state yet",
+        ),
         Err(response) => response,
     })
 }
@@ -68,7 +74,7 @@
         None => {
             return Err(retry_later(
                 controller,
-                "the machine types are not known yet",
+                "this controller has not read the machine types from the cloud yet",
             ))
         }
         Some(Err(reason)) => return Err(infeasible_response(controller, &job, reason).await),
@@ -78,7 +84,8 @@
     Ok(job)
 }
 
-/// Checks whether a job can ever run; `None` while the machine types are not known.
+/// Checks whether a job can ever run. Returns `None` while the machine types have not been read
+/// from the cloud.
 fn check_against_catalog(controller: &Controller, job: &Job) -> Option<Result<(), Infeasible>> {
     let state = controller.lock();
     let machine_types = state.shared.catalog.as_ref()?;
@@ -110,14 +117,17 @@
     }
 }
 
-/// Checks that all dependencies of a job have been accepted. The view is refreshed if it lacks one,
-/// since another controller may have accepted it a moment ago.
+/// Checks that all dependencies of a job have been accepted. If the view lacks a dependency, it is
+/// refreshed first, since another controller may have accepted that job a moment ago.
 async fn check_dependencies(controller: &Rc<Controller>, job: &Job) -> Result<(), Response> {
     if unknown_dependency(controller, job).is_none() {
         return Ok(());
     }
     if !is_loaded(controller) || !refresh_view(controller).await {
-        return Err(retry_later(controller, "the state service does not answer"));
+        return Err(retry_later(
+            controller,
+            "awaits: these jobs could not be looked up in the state service",
+        ));
     }
     let Some(id) = unknown_dependency(controller, job) else {
         return Ok(());
@@ -164,7 +174,10 @@
         }
         Err(_) => {
             controller.record_store_health(false);
-            retry_later(controller, "the state service does not answer")
+            retry_later(
+                controller,
+                "the state service has not confirmed the submission",
+            )
         }
     }
 }
@@ -210,18 +223,24 @@
     created_job_response(controller, id).await
 }
 
-/// Reads a job's record back after a conflict or an unknown outcome. Whether the job was accepted
-/// is never guessed: it was if the store has its record.
+/// Reads a job's record back after a conflict or an unknown outcome of its creation. Whether the
+/// job was accepted is never guessed: it was accepted if the store has its record.
 async fn read_back_record(controller: &Rc<Controller>, id: &str) -> Response {
     let Ok(Some(item)) = controller
         .store
         .get(&keys::job(id), RequestPriority::Decision)
         .await
     else {
-        return retry_later(controller, "the outcome is not known yet");
+        return retry_later(
+            controller,
+            "the submission is not confirmed: the job's record could not be read back",
+        );
     };
     let Some(record) = from_value::<JobRecord>(&item.value) else {
-        return retry_later(controller, "the record can't be read");
+        return retry_later(
+            controller,
+            "the job's record in the state service can't be decoded",
+        );
     };
     controller.apply_job_record(&mut controller.lock(), id, record, item.version);
     existing_job_response(controller, id).await
--- a/crates/ladderroute/src/api/workers.rs
+++ b/crates/ladderroute/src/api/workers.rs
@@ -1,4 +1,5 @@
-//! Workers' heartbeats, and the checks of authority before a response.
+//! Workers' heartbeats, and the checks before a response that this controller has the authority to
+//! answer workers.
 
 use super::responses::error_response;
 use crate::controller::{Controller, ReplicaJobs, State};
@@ -30,19 +31,19 @@
     match answer {
         HeartbeatResponse::Orders(orders) => {
             if !still_has_authority(controller, state) {
-                return no_authority_response(controller);
+                return unavailable_response(controller);
             }
             log_orders(&heartbeat, &orders, &snapshot);
             controller.counters.record_margin(snapshot.margin_s);
             orders_response(&orders, check)
         }
         HeartbeatResponse::Redirect(member) => redirect_response(member),
-        HeartbeatResponse::Unavailable => no_authority_response(controller),
+        HeartbeatResponse::Unavailable => unavailable_response(controller),
     }
 }
 
 /// Checks authority right before the response to a heartbeat is built: authority may have expired
-/// since the owner decided, and orders sent without authority could start a task twice.
+/// since the owner chose the orders, and orders sent without authority could start a task twice.
 fn still_has_authority(controller: &Controller, state: &State) -> bool {
     state.owner.has_authority(controller.now())
 }
@@ -58,9 +59,12 @@
     Response::new(421, cbor::encode(&Redirect { member }))
 }
 
-fn no_authority_response(controller: &Controller) -> Response {
+fn unavailable_response(controller: &Controller) -> Response {
     Counters::increment(&controller.counters.heartbeats_refused);
-    error_response(503, "no authority at present")
+    error_response(
+        503,
+        "this controller can't answer this heartbeat with orders at present",
+    )
 }
 
 /// The authority and the view that a response to a worker depends on, for the logs and counters.
@@ -74,8 +78,8 @@
     staleness_s: f64,
     /// Time until authority expires, in seconds.
     authority_s: f64,
-    /// Time for which heartbeats may still be answered, given the authority and `staleness_s`, in
-    /// seconds.
+    /// Time for which heartbeats may still be answered, in seconds. Both the authority and
+    /// `staleness_s` limit it.
     margin_s: f64,
 }
 
--- a/crates/ladderroute/src/settings/platform.rs
+++ b/crates/ladderroute/src/settings/platform.rs
@@ -1,5 +1,6 @@
 //! Structure of the platform's settings file (TOML). Unknown fields are ignored, so that a newer
-//! platform may add some. A missing or malformed field is rejected by name.
+//! platform may add some. For a missing or malformed field, the file is rejected with an error that
+//! shows the field.
 
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -53,7 +54,7 @@
     /// Teams, which may submit jobs.
     #[serde(default)]
     pub teams: Vec<TeamSettings>,
-    /// Objectives for when jobs start.
+    /// Objectives for how soon jobs start.
     #[serde(default)]
     pub objectives: Vec<Objective>,
     /// Times of the protocol with the workers.
@@ -104,7 +105,7 @@
     }
 }
 
-/// An objective for when jobs start. Unknown kinds are ignored.
+/// An objective for how soon jobs start. Unknown kinds are ignored.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Objective {
     /// Kind of the objective: `guarantee` or `wait`.
@@ -151,14 +152,14 @@
 }
 
 impl State {
-    /// Returns the lower of each current limit and its future value, so that everything fits both
-    /// from the first write on.
-    pub fn limits(&self) -> StateLimits {
+    /// Returns the limits, each of them the lower of its current and its future value, so that
+    /// everything fits both from the first write on.
+    pub fn limits(&self) -> StoreLimits {
         let lower = |name: &str, present: f64| {
             let next = self.next.get(name).and_then(number);
             next.map_or(present, |next| next.min(present))
         };
-        StateLimits {
+        StoreLimits {
             rps: lower("rps", self.rps),
             write_rps: lower("write_rps", self.write_rps),
             value_kb: lower("value_kb", self.value_kb),
@@ -167,7 +168,7 @@
     }
 }
 
-/// Returns a number that may be written as a float or an integer.
+/// Returns the value as a number if it is a float or an integer.
 pub(super) fn number(value: &toml::Value) -> Option<f64> {
     let integer = || value.as_integer().map(|number| number as f64);
     value.as_float().or_else(integer)
@@ -175,7 +176,7 @@
 
 /// Limits of the state service that this process observes.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct StateLimits {
+pub struct StoreLimits {
     /// Requests per second, of all controllers together.
     pub rps: f64,
     /// Puts and deletes per second, of all controllers together.
@@ -186,7 +187,7 @@
     pub txn_ops: usize,
 }
 
-impl StateLimits {
+impl StoreLimits {
     /// Returns the maximum size of a value in bytes.
     pub fn value_bytes(&self) -> usize {
         (self.value_kb * KIB) as usize
@@ -198,7 +199,7 @@
 pub struct Cloud {
     /// Requests per second.
     pub rps: f64,
-    /// Maximum delay of the list of machines, in seconds.
+    /// Maximum time, in seconds, by which the cloud's list of machines lags behind.
     pub list_lag_s: f64,
 }
 
--- a/crates/ladderroute/src/writer/pages.rs
+++ b/crates/ladderroute/src/writer/pages.rs
@@ -12,7 +12,8 @@
 use wire::store::{to_value, ProgressPage, Recorded, RosterPage, RosterRecord, Write};
 use wire::users::MAX_TASKS;
 
-/// Fraction of the value limit that the estimated sizes of a page's entries may add up to.
+/// Fraction of the store's maximum value size that the estimated sizes of a page's entries may add
+/// up to.
 const PAGE_FILL_FRACTION: f64 = 0.9;
 /// Maximum bytes of a page entry in addition to its strings.
 const ENTRY_OVERHEAD_BYTES: usize = 48;
@@ -64,10 +65,9 @@
     entry.is_none_or(|entry| entry.state == Recorded::Open)
 }
 
-/// Returns whether a bitmap starts at a multiple of `tasks_per_chunk` and is no longer than that.
+/// Returns whether a bitmap starts at a multiple of `tasks_per_chunk` and has at most `tasks_per_chunk` bits.
 fn matches_layout(first_task: u32, bits: &str, tasks_per_chunk: u32) -> bool {
-    first_task.is_multiple_of(tasks_per_chunk)
-        && bits.len() * BITS_PER_HEX_DIGIT <= tasks_per_chunk as usize
+    first_task.is_multiple_of(tasks_per_chunk) && bits.len() * BITS_PER_HEX_DIGIT <= tasks_per_chunk as usize
 }
 
 fn progress_entry_bytes(job: &str, bits: &str) -> usize {
@@ -166,7 +166,8 @@
         )
     }
 
-    /// Removes a machine from the roster. Its page stays dirty until it is written.
+    /// Removes a machine from the roster. Its page has to be written, and stays marked as dirty until
+    /// then.
     pub fn remove_machine(&mut self, name: &str) {
         self.roster.remove(&name.to_string(), Removal::Urgent);
     }
@@ -178,14 +179,16 @@
         self.progress.put(chunk, size, bits.into())
     }
 
-    /// Returns the dirty roster pages that have to be written with this one, in order.
+    /// Returns the dirty roster pages (those that differ from their stored versions) that have to
+    /// be written with this one, in order.
     pub fn roster_write_unit(&mut self, page: u32) -> Vec<u32> {
         let mut pages = self.roster.write_unit(page);
         pages.retain(|page| self.roster.is_dirty(*page));
         pages
     }
 
-    /// Returns the dirty progress pages that have to be written with this one, in order.
+    /// Returns the dirty progress pages (those that differ from their stored versions) that have to
+    /// be written with this one, in order.
     pub fn progress_write_unit(&mut self, page: u32) -> Vec<u32> {
         let mut pages = self.progress.write_unit(page);
         pages.retain(|page| self.progress.is_dirty(*page));
@@ -197,8 +200,8 @@
         self.bound_places.get(&attempt).copied().unwrap_or(0)
     }
 
-    /// Sets how many places of an attempt's binding are in the store; `None` forgets the attempt.
-    /// That is for when the binding is over, whether it was written completely or failed.
+    /// Sets how many places of an attempt's binding are in the store. `None` forgets the attempt,
+    /// once its binding has been written completely or has failed.
     pub fn set_bound_places(&mut self, attempt: u64, places: Option<usize>) {
         match places {
             Some(places) => self.bound_places.insert(attempt, places),
@@ -218,7 +221,7 @@
         self.roster.next_dirty_except(excluded)
     }
 
-    /// Marks pages as stored in the state in which they were last added to a transaction.
+    /// Marks pages as stored, in the state in which they were when last added to a transaction.
     pub fn mark_written(&mut self, roster: &[u32], progress: &[u32]) {
         roster
             .iter()
@@ -254,7 +257,8 @@
                 key: keys::progress(n),
             };
         };
-        // A chunk that starts at task 0 means the same to a reader with any chunk size.
+        // `chunks` holds chunk numbers, which readers multiply by their own chunk size. Only number
+        // 0 means the same task to all of them.
         let (chunks, sections) = entries
             .map(|(chunk, bits)| (chunk.job.clone(), chunk.first_task, bits.clone()))
             .partition(|(_, first_task, _)| *first_task == 0);
