--- a/crates/ladderroute/tests/api.rs
+++ b/crates/ladderroute/tests/api.rs
@@ -1,4 +1,4 @@
-//! The port for users, workers and health checks: its limits and its readiness.
+//! The port for users, workers and health checks: its limits, and when it reports the controller as ready.
 
 use http::server::Limits;
 use ladderroute::api::limits::{reserved_sockets, server_limits, CONNECTION_KIB};
@@ -16,7 +16,8 @@
     machines: u32,
 }
 
-/// The numbers of machines are one and a half times those announced; all workers may connect to one controller.
+/// `machines` is one and a half times the announced number, and all their workers may connect to one
+/// controller.
 const DEPLOYMENTS: [Deployment; 4] = [
     Deployment {
         memory_mb: 188.0,
@@ -64,7 +65,8 @@
         let limits = deployment.limits();
         let reserved = reserved_sockets(deployment.others, deployment.store_rps);
         assert!(limits.max_connections + reserved <= deployment.max_sockets);
-        // A worker can be without a connection for a moment, so 97% of the machines are enough.
+        // A worker can be without a connection for a moment, so connections for 97% of the machines are
+        // enough.
         assert!(
             limits.max_connections as f64 > f64::from(deployment.machines) * 0.97,
             "{} connections for {} machines",
@@ -82,9 +84,10 @@
     assert!(server_limits(&small_quota, 2, 60.0, 1.0).max_connections >= 16);
 }
 
-/// A leader that had lost the store and the other controllers, but not its users, refused their
-/// requests at once, and so drew more and more of them from the load balancer, which prefers idle
-/// controllers. In an outage that affects all controllers, the leader stays ready.
+/// A leader that could reach neither the store nor the other controllers, but was reached by users, refused
+/// the users' requests at once. The load balancer prefers idle controllers, so it sent more and more requests
+/// to this leader. Such a leader must not be ready; in an outage that affects all controllers, the leader
+/// stays ready.
 #[test]
 fn isolated_leader_leaves_the_load_balancer() {
     let leader = |owners, others| Role::Leader { owners, others };
--- a/crates/ladderroute/tests/batches.rs
+++ b/crates/ladderroute/tests/batches.rs
@@ -1,4 +1,4 @@
-//! Batches of the leader's writes: which share a transaction, and in which order they are written.
+//! How the leader groups its writes into transactions (batches), and in which order it sends them.
 
 use ladderroute::writer::batch::{next_batch, Batch};
 use ladderroute::writer::limits::TxnLimits;
@@ -27,7 +27,7 @@
 }
 
 impl WriterFixture {
-    /// Returns a leader that takes over the stored records, with the given limits.
+    /// Returns the writer of a leader that takes over the stored records, with the given limits.
     fn after_takeover(stored: Replica, limits: TxnLimits) -> WriterFixture {
         let mut fixture = WriterFixture::new([]);
         fixture.records = RecordPages::load(&stored, limits.value_kb);
@@ -170,7 +170,8 @@
     assert_eq!(fixture.pending.len(), 2);
 }
 
-/// Bindings precede the roster, and both precede progress; machines share a page.
+/// Bindings (placements of gangs) are written before the roster of machines, and both before the progress of
+/// jobs; machines share a roster page.
 #[test]
 fn urgent_writes_go_first_and_entries_share_pages() {
     let mut fixture = WriterFixture::new([
@@ -183,7 +184,8 @@
     let batch = fixture.next_batch();
     assert_eq!(batch.actions[0], binding("wk-000001", 1));
     assert_eq!(batch.actions.last(), Some(&record_progress("wk-000002")));
-    // The binding, the started arrays, a roster page and a progress page, each with a condition.
+    // The writes are the binding, the started arrays, a roster page and a progress page; each has a
+    // condition.
     assert_eq!((batch.writes.len(), batch.conditions.len()), (4, 4));
     assert!(fixture.pending.is_empty());
     assert_eq!(
@@ -215,7 +217,7 @@
     );
 }
 
-/// Ends of jobs have conditions that may fail, so they share no transaction with other writes.
+/// Writes that end jobs have conditions that may fail, so they share no transaction with other writes.
 #[test]
 fn job_ends_are_written_in_their_own_transaction() {
     let mut fixture = WriterFixture::new([
@@ -227,7 +229,7 @@
     fixture.add_job("wk-000001");
     fixture.add_job("wk-000002");
     let batch = fixture.next_batch();
-    // There is nothing to write for wk-000009, which is unknown.
+    // There is nothing to write for wk-000009, which is not in the replica.
     assert_eq!(batch.actions, [finish("wk-000001"), finish("wk-000002")]);
     assert!(batch.conditions.iter().all(|c| c.version == 5));
     assert_eq!(fixture.pending, [record_progress("wk-000003")]);
@@ -278,7 +280,10 @@
     for write in &batch.writes {
         if let Write::Put { key, value, .. } = write {
             let bytes = value_bytes(value);
-            assert!(bytes as f64 <= limits.value_kb * 1024.0, "{key}: {bytes}");
+            assert!(
+                bytes as f64 <= limits.value_kb * 1024.0,
+                "the value of {key} has {bytes} bytes"
+            );
         }
     }
 }
@@ -317,8 +322,8 @@
     assert!(fixture.next_batch().is_empty());
 }
 
-/// When a transaction is too small for all pages of a split, the copies are written first and the original
-/// page last, so that every machine stays on the roster at each step.
+/// If a transaction can't hold all pages of a split, the new pages are written first and the original page
+/// last, so that every machine stays on the roster at each step.
 #[test]
 fn multi_transaction_split_keeps_every_machine() {
     let tiny_limits = TxnLimits {
@@ -356,8 +361,9 @@
     assert!(fixture.replica.roster.pages().len() > 3);
 }
 
-/// Progress chunks of version 0.1 start at their number times a size that depended on its settings. They
-/// are rewritten as bitmaps that each state the number of their first task, within the smaller limit.
+/// In version 0.1, a chunk of progress began at its number multiplied by a size that depended on the
+/// settings. Such chunks are rewritten as bitmaps that each state their first task and fit the smaller value
+/// limit.
 #[test]
 fn progress_of_the_old_layout_is_rewritten() {
     let mut stored = Replica::new(8192);
@@ -401,7 +407,8 @@
     assert_eq!(sections, [(8192, 1024), (12_288, 1024)]);
 }
 
-/// A gang on more machines than fit into one transaction is bound in several; it starts after the last one.
+/// The binding of a gang to more machines than fit into one transaction is written in several; the gang
+/// starts after the last of them.
 #[test]
 fn long_binding_is_written_in_parts() {
     let machines = 400;
@@ -411,10 +418,13 @@
     for _ in 0..3 {
         let batch = fixture.next_batch();
         assert_within_limits(&batch, LOWER_LIMITS);
-        assert!(batch.actions.is_empty(), "the binding is incomplete");
+        assert!(
+            batch.actions.is_empty(),
+            "the binding counts as written before its last part"
+        );
         let part = batch
             .partial_binding
-            .expect("the batch has no part of the binding");
+            .expect("the batch should contain a part of the binding");
         assert!(part.places > places);
         // While the outcome of a write is unknown, the same part is written again.
         assert_eq!(fixture.next_batch().partial_binding, Some(part));
@@ -436,8 +446,9 @@
     );
 }
 
-/// The store refuses sizes that its announced limits allow. Transactions shrink until the oversized write is
-/// alone, then pages shrink; all other pending writes proceed meanwhile.
+/// The store refuses sizes that its announced limits allow. Then transactions get fewer writes until the
+/// oversized write is alone, and after that its page gets smaller; all other pending writes proceed
+/// meanwhile.
 #[test]
 fn size_refusal_shrinks_writes_and_blocks_no_others() {
     let mut limits = TxnLimits {
@@ -474,10 +485,13 @@
             fixture.pending.extend(batch.actions);
         }
     }
-    assert!((1..8).contains(&refusals), "{refusals} refusals");
+    assert!(
+        (1..8).contains(&refusals),
+        "the store refused {refusals} transactions"
+    );
     assert!(
         fixture.next_batch().is_empty() && fixture.pending.is_empty(),
-        "writes are left"
+        "writes are still pending after 150 batches"
     );
     assert!(limits.max_writes >= 1 && limits.value_kb >= 0.5);
 }
--- a/crates/ladderroute/tests/cluster_view.rs
+++ b/crates/ladderroute/tests/cluster_view.rs
@@ -1,6 +1,7 @@
-//! The cluster view, checked against a reference store with its full history: the store retains few changes,
-//! pages are read at several revisions, responses are late, out of order or lost, and own writes and direct
-//! reads are interleaved.
+//! The cluster view (a controller's copy of the state service), checked against a reference store that
+//! remembers its full history. In the random histories, the store serves only the latest few changes, the
+//! pages of a reload are read at several revisions, responses are late, out of order or lost, and the
+//! controller's own writes and its direct reads of records are interleaved with all this.
 
 // Clippy allows `unwrap` in test functions, but not in their helpers.
 #![allow(clippy::unwrap_used)]
@@ -26,9 +27,10 @@
 enum ReloadMode {
     /// As in production.
     Merge,
-    /// Injected fault: the pages replace the view and discard what was applied meanwhile.
+    /// Injected fault: the loaded pages replace the view, so that what was applied during the reload is lost.
     ReplaceView,
-    /// Injected fault: the view claims to be complete as of the end of the reload, not of its first page.
+    /// Injected fault: the view claims to be complete as of the end of the reload, instead of as of the
+    /// request for its first page.
     StampAtEnd,
 }
 
@@ -37,7 +39,7 @@
     revision: u64,
     keys: BTreeMap<String, (Value, u64)>,
     log: Vec<Change>,
-    /// The states of each job, with the times at which they were written.
+    /// All states that each job has had, with the times at which they were written.
     jobs: BTreeMap<String, Vec<(f64, Recorded)>>,
     records: BTreeMap<String, JobRecord>,
 }
@@ -132,7 +134,7 @@
     /// The pages that the reload in progress has read.
     pages: Vec<Page>,
     responses: Vec<Response>,
-    /// The versions that the view held at the last check.
+    /// The versions that the view had for its records at the last check.
     versions: BTreeMap<String, u64>,
     finished_reloads: u32,
 }
@@ -190,21 +192,25 @@
             let held = entry.map(|entry| entry.state);
             let recorded = store.state_at(id, read_at);
             if recorded.is_some() && held.is_none() {
-                return Some(format!("{id} is missing, read at {read_at}"));
+                return Some(format!(
+                    "{id} is missing in the view, which claims to be complete as of {read_at}"
+                ));
             }
             let is_open = held == Some(Recorded::Open);
             if is_open && (recorded != Some(Recorded::Open) && recorded.is_some()) {
                 return Some(format!(
-                    "{id} is open, though it had ended when it was read"
+                    "{id} is open in the view, though it had ended at {read_at}"
                 ));
             }
             if is_open && store.is_cancelled_at(id, read_at) && recorded.is_some() {
-                return Some(format!("{id} is open, though an ancestor was cancelled"));
+                return Some(format!(
+                    "{id} is open in the view, though it or a dependency was cancelled at {read_at}"
+                ));
             }
             let is_blocked = self.view.dependencies().is_blocked(id);
             if is_open && !is_blocked && !store.may_start(id) {
                 return Some(format!(
-                    "{id} may start, though one of its dependencies is not done"
+                    "the view lets {id} start, though one of its dependencies is not done"
                 ));
             }
         }
@@ -214,14 +220,14 @@
             .collect();
         let ended = replica.jobs.iter();
         let ended = ended.filter(|(_, entry)| entry.state != Recorded::Open);
-        versions.extend(ended.map(|(id, _)| (format!("{id} terminal"), 1)));
+        versions.extend(ended.map(|(id, _)| (format!("the end of {id}"), 1)));
         for page in 0..ROSTER_PAGES {
             let key = keys::roster(page);
             versions.insert(key.clone(), replica.versions.condition(&key).version);
         }
         for (key, before) in &self.versions {
             if versions.get(key) < Some(before) {
-                return Some(format!("{key} regressed"));
+                return Some(format!("the view's version of {key} regressed"));
             }
         }
         self.versions = versions;
@@ -275,8 +281,8 @@
     })
 }
 
-/// Makes a random change to the store, by this controller or another one; returns the response to this
-/// controller if the change is its own.
+/// Makes a random change to the store, on behalf of the simulated controller or of another one; returns the
+/// store's response if the simulated controller made the change.
 fn change_store(
     store: &mut ReferenceStore,
     rng: &mut fastrand::Rng,
@@ -300,7 +306,7 @@
     }
     let id = rng.choice(&ids)?.clone();
     let is_open = store.state_at(&id, store.now) == Some(Recorded::Open);
-    // Only a job that may run can be done.
+    // Only a job that was allowed to start can be done.
     let is_done = rng.bool() && store.may_start(&id);
     if !is_open || store.is_cancelled_at(&id, store.now) {
         return None;
@@ -321,7 +327,8 @@
     })
 }
 
-/// Runs a random history; returns the first violation, if any, and the number of finished reloads.
+/// Runs a random history; returns the first violation, if any, and the number of finished reloads, which is 0
+/// after a violation.
 fn run_history(seed: u64, reload_mode: ReloadMode) -> (Option<String>, u32) {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut store = ReferenceStore {
@@ -348,7 +355,8 @@
                 .responses
                 .extend(change_store(&mut store, &mut rng, step));
         }
-        // A direct read of a record, by another controller, or by this one after a lost response.
+        // The controller reads a record directly: one that another controller has written, or one that it has
+        // written itself without receiving the response.
         if rng.u32(0..12) == 0 {
             let ids: Vec<&String> = store.records.keys().collect();
             if let Some(id) = rng.choice(ids) {
@@ -393,10 +401,11 @@
         assert_eq!(violation, None);
         reloads += finished;
     }
-    assert!(reloads > 1000, "reloads: {reloads}");
+    assert!(reloads > 1000, "only {reloads} reloads finished");
 }
 
-/// The check detects a view that a reload moves back, and a `read_at` that is later than the reload proves.
+/// The check detects a reload that moves the view back to older records, and a `read_at` that is later than
+/// what the reload can prove.
 #[test]
 fn injected_reload_faults_are_detected() {
     let violations_with = |mode| {
@@ -404,12 +413,20 @@
         violations.collect::<Vec<_>>()
     };
     let replaced = violations_with(ReloadMode::ReplaceView);
-    assert!(replaced.len() > 20, "violations: {}", replaced.len());
+    assert!(
+        replaced.len() > 20,
+        "only {} histories were found faulty",
+        replaced.len()
+    );
     assert!(replaced
         .iter()
         .any(|violation| violation.ends_with("regressed")));
     let stamped = violations_with(ReloadMode::StampAtEnd);
-    assert!(stamped.len() > 20, "violations: {}", stamped.len());
+    assert!(
+        stamped.len() > 20,
+        "only {} histories were found faulty",
+        stamped.len()
+    );
     assert!(!stamped
         .iter()
         .any(|violation| violation.ends_with("regressed")));
--- a/crates/ladderroute/tests/command.rs
+++ b/crates/ladderroute/tests/command.rs
@@ -20,8 +20,8 @@
     path
 }
 
-/// Checks a settings file and an operators' file; returns the exit code, the standard output and the
-/// standard error.
+/// Runs the program to check a settings file and an operators' file; returns its exit code, standard output
+/// and standard error.
 fn check_config(test: &str, settings: &str, operator: &str) -> (Option<i32>, String, String) {
     let settings = write_file(test, "settings.toml", settings);
     let operator = write_file(test, "operator.textproto", operator);
@@ -119,7 +119,7 @@
     );
 }
 
-/// Returns the lines of a fixture: the text to replace, its replacement, and the expected message.
+/// Splits each line of a fixture into the text to replace, its replacement, and the expected error message.
 fn cases(text: &'static str) -> impl Iterator<Item = [&'static str; 3]> {
     text.lines().map(|line| {
         let parts: Vec<&str> = line.splitn(3, " | ").collect();
@@ -131,28 +131,36 @@
 fn settings_errors_match_expected_texts() {
     let mut mismatches = Vec::new();
     for [from, to, message] in cases(include_str!("command/wrong_settings.txt")) {
-        assert!(FULL.contains(from), "{from}");
+        assert!(FULL.contains(from), "full.toml does not contain {from}");
         let (code, out, err) = check_config("settings", &FULL.replacen(from, to, 1), "");
         assert_eq!((code, out.as_str()), (Some(2), ""), "{from} -> {to}");
         if err != format!("ladderroute: {message}\n") {
             mismatches.push(format!("{from} | {to} | {err}"));
         }
     }
-    assert!(mismatches.is_empty(), "\n{}", mismatches.join(""));
+    assert!(
+        mismatches.is_empty(),
+        "unexpected error texts:\n{}",
+        mismatches.join("")
+    );
 }
 
 #[test]
 fn operator_file_errors_match_expected_texts() {
     let mut mismatches = Vec::new();
     for [from, to, message] in cases(include_str!("command/wrong_operator.txt")) {
-        assert!(OPERATOR.contains(from), "{from}");
+        assert!(OPERATOR.contains(from), "OPERATOR does not contain {from}");
         let (code, out, err) = check_config("operator", FULL, &OPERATOR.replacen(from, to, 1));
         assert_eq!((code, out.as_str()), (Some(2), ""), "{from} -> {to}");
         if err != format!("ladderroute: {message}\n") {
             mismatches.push(format!("{from} | {to} | {err}"));
         }
     }
-    assert!(mismatches.is_empty(), "\n{}", mismatches.join(""));
+    assert!(
+        mismatches.is_empty(),
+        "unexpected error texts:\n{}",
+        mismatches.join("")
+    );
 }
 
 #[test]
--- a/crates/ladderroute/tests/dependencies.rs
+++ b/crates/ladderroute/tests/dependencies.rs
@@ -51,7 +51,7 @@
                     "{id}"
                 );
             }
-            // A job that depends on a cancelled one is accepted, and is cancelled at once.
+            // A new job that depends on a cancelled job is accepted, and cancelled at once.
             let id = format!("wk-late-{}", controller.settings.member);
             let late = submission_with_dependencies(&id, &["wk-4", "wk-1"]);
             assert_eq!(
@@ -89,7 +89,7 @@
             );
             assert!(!is_blocked(controller, "wk-2"));
         }
-        // A repeated submission whose dependency has completed, and a new one.
+        // The dependency has completed: a repeated submission, and a new one.
         let repeated = submit(&b, &submission_with_dependencies("wk-2", &["wk-1"])).await;
         assert_eq!(accepted_state(&repeated), (200, JobState::Queued));
         submit_new(&b, "wk-3", &["wk-1"]).await;
@@ -97,8 +97,8 @@
     });
 }
 
-/// The controller that confirmed a cancellation, and every other that has learned of it, keeps reporting
-/// the whole chain as cancelled while the store is down.
+/// While the store is down, the controller that confirmed a cancellation, and every other controller that has
+/// learned of it, keep reporting the cancelled job and all jobs in the chain that depends on it as cancelled.
 #[test]
 fn cancelled_chain_is_reported_during_store_outage() {
     with_controllers(|store, [a, b]| async move {
@@ -130,7 +130,7 @@
 fn dependencies_must_be_accepted_jobs() {
     with_controllers(|store, [a, b]| async move {
         let status = |response: http::server::Response| response.status;
-        // A job that was never accepted, and the job itself.
+        // Refused as dependencies: a job that was never accepted, and the submitted job itself.
         assert_eq!(
             status(submit(&a, &submission_with_dependencies("wk-1", &["wk-9"])).await),
             422
@@ -140,21 +140,23 @@
             422
         );
         assert_eq!(status(query(&a, "wk-1").await), 404);
-        // Just accepted by the other controller; listed twice.
+        // Accepted as a dependency: a job that the other controller has just accepted; listed twice, it
+        // counts once.
         submit_new(&b, "wk-9", &[]).await;
         submit_new(&a, "wk-1", &["wk-9", "wk-9"]).await;
         assert_eq!(
             job_entry(&a, "wk-1").unwrap().job.unwrap().dependencies,
             ["wk-9"]
         );
-        // A repeated submission that names itself or an unknown job changes nothing.
+        // A repeated submission changes nothing, even if it names the job itself and an unknown job as
+        // dependencies.
         let repeated = submit(
             &b,
             &submission_with_dependencies("wk-1", &["wk-1", "wk-nobody"]),
         )
         .await;
         assert_eq!(accepted_state(&repeated), (200, JobState::Queued));
-        // The dependency can't be looked up now, so the refusal is temporary.
+        // While the store is unavailable, the dependency can't be looked up, so the refusal is temporary.
         store.unavailable.set(true);
         let response = submit(&a, &submission_with_dependencies("wk-2", &["wk-8"])).await;
         assert_eq!(
@@ -219,8 +221,8 @@
     });
 }
 
-/// A job whose open record was written up to a larger value limit by an earlier version can still end: its
-/// terminal record omits what is not needed and fits the smaller limit.
+/// An earlier version may have written a job's open record up to a larger value limit. The job can still end:
+/// its terminal record omits what is no longer needed, and so fits the smaller limit.
 #[test]
 fn terminal_record_fits_a_smaller_value_limit() {
     let long = |n: usize| "x".repeat(n);
@@ -241,8 +243,8 @@
     }
 }
 
-/// The response to the transaction that accepts a job may be lost, or the transaction may be applied late:
-/// the dependencies of the job are those in the record that the store holds.
+/// The response to the transaction that accepts a job may be lost, or the transaction may be applied late. In
+/// both cases, the job's dependencies are those in the record that the store holds.
 #[test]
 fn dependencies_survive_lost_and_late_responses() {
     with_controllers(|store, [a, b]| async move {
@@ -264,7 +266,7 @@
                 (200, JobState::Cancelled)
             );
         }
-        // The submission is applied late, after its dependency has been cancelled.
+        // The submission of wk-4 is applied late, after its dependency wk-3 has been cancelled.
         submit_new(&a, "wk-3", &[]).await;
         store.next_txn_fault.set(TxnFault::Delayed);
         assert_eq!(
@@ -288,7 +290,7 @@
 }
 
 /// A controller that has just started reads all records, in an order that may put dependents before their
-/// dependencies.
+/// dependencies. Here a running controller is made to read them all again.
 #[test]
 fn starting_controller_rebuilds_dependency_graph() {
     with_controllers(|store, [a, b]| async move {
--- a/crates/ladderroute/tests/links.rs
+++ b/crates/ladderroute/tests/links.rs
@@ -1,4 +1,5 @@
-//! Links between controllers: an owner connects to the leader over loopback and is granted authority.
+//! Links between controllers: the owner of a shard connects to the leader over loopback and is granted
+//! authority.
 
 // Clippy allows `unwrap` in test functions, but not in their helpers. An `unwrap` that panics makes the test
 // fail at the right place.
@@ -23,7 +24,7 @@
 async fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let started_at = Instant::now();
     while !holds() {
-        assert!(started_at.elapsed() < TIMEOUT, "timed out: {what}");
+        assert!(started_at.elapsed() < TIMEOUT, "timed out before {what}");
         smol::Timer::after(Duration::from_millis(5)).await;
     }
 }
@@ -47,7 +48,8 @@
     controller
 }
 
-/// Runs a test with a leader, an owner that connects to it, and the address of the leader's link port.
+/// Runs a test with a leader, an owner that connects to it, and the address at which the leader accepts
+/// links.
 fn with_link<F: Future<Output = ()>>(test: impl FnOnce([Rc<Controller>; 2], SocketAddr) -> F) {
     let executor = Rc::new(LocalExecutor::new());
     smol::block_on(executor.clone().run(async move {
@@ -71,7 +73,7 @@
     }));
 }
 
-/// Returns the id of the owner's connection that the leader uses.
+/// Returns the id of the connection that the leader uses for the owner, if any.
 fn owner_connection(leader: &Controller) -> Option<ConnectionId> {
     let state = leader.lock();
     let links = &state.shared.leadership.as_ref()?.links;
@@ -89,7 +91,7 @@
         wait_until("the owner is granted authority", || has_authority(&owner)).await;
         assert!(owner.lock().shared.leader_outbox.is_some());
         assert_eq!(owner.lock().owner.token(), leader.lock().owner.token());
-        // Authority depends on pings: each ping is answered with authority that lasts longer.
+        // The owner keeps its authority by sending pings: the answer to each extends the authority.
         let first = owner.lock().owner.authority.until();
         let is_renewed = || owner.lock().owner.authority.until() > first;
         wait_until("the authority is renewed", is_renewed).await;
@@ -110,8 +112,8 @@
     });
 }
 
-/// A delayed connection that is older than the one in use must not replace it, and controllers that are not
-/// in the settings are rejected.
+/// A delayed connection that is no newer than the one in use must not replace it, and a controller that is
+/// not in the settings is rejected.
 #[test]
 fn stale_and_unknown_connections_are_rejected() {
     with_link(|[leader, owner], link_addr| async move {
--- a/crates/ladderroute/tests/module_order.rs
+++ b/crates/ladderroute/tests/module_order.rs
@@ -8,7 +8,7 @@
 /// A module's path within the crate, such as `["controller", "shared_state"]`; that of the root is empty.
 type Module = Vec<String>;
 
-/// Reads all modules below a directory, each up to its unit tests and without comment lines.
+/// Reads the source of all modules below a directory, each up to its unit tests and without comment lines.
 fn read_modules(directory: &Path, parent: &Module, sources: &mut BTreeMap<Module, String>) {
     for file in std::fs::read_dir(directory).unwrap() {
         let path = file.unwrap().path();
@@ -57,7 +57,7 @@
         .collect()
 }
 
-/// Returns the paths that a source references: those of its `use` items, and those in code that begin with
+/// Returns the paths that a module's source refers to: those of its `use` items, and all that begin with
 /// `crate`.
 fn referenced_paths(source: &str) -> Vec<String> {
     let mut paths = Vec::new();
@@ -77,7 +77,7 @@
     paths
 }
 
-/// Returns the module that a path in module `from` resolves to, or `None` if it is outside of the crate.
+/// Returns the module that a path in module `from` refers to, or `None` if the path leads out of the crate.
 fn resolve(path: &str, from: &Module, sources: &BTreeMap<Module, String>) -> Option<Module> {
     let mut segments = path.split("::").filter(|s| !s.is_empty()).peekable();
     let mut at = match *segments.peek()? {
@@ -139,7 +139,7 @@
     found
 }
 
-/// Returns the modules that are in an import cycle with a module, including itself; empty if there is none.
+/// Returns the modules of the import cycles that `module` is in, including `module`; empty if it is in none.
 fn cycle_of(module: &str, imports: &BTreeMap<String, BTreeSet<String>>) -> Vec<String> {
     let imports_it = |other: &String| reachable_from(other, imports).contains(module);
     let others = reachable_from(module, imports).into_iter();
@@ -154,10 +154,13 @@
         .map(|module| cycle_of(module, &imports))
         .filter(|cycle| !cycle.is_empty())
         .collect();
-    assert!(cycles.is_empty(), "{cycles:?}, imports: {imports:#?}");
+    assert!(
+        cycles.is_empty(),
+        "modules that import one another: {cycles:?}; all imports: {imports:#?}"
+    );
 }
 
-/// Guards the acyclicity check itself: an import that it overlooks would hide a cycle.
+/// Guards the test above: an import that it overlooked would hide a cycle.
 #[test]
 fn imports_are_read_from_the_sources() {
     let imports = imports();
@@ -167,7 +170,7 @@
     assert!(imports["controller::shared_state"].contains("writer::limits"));
     assert!(
         imports["startup"].contains("leadership"),
-        "paths in code count as imports"
+        "a path in code, outside of `use`, is an import, too"
     );
     assert_eq!(
         expand("crate::a::{b, c::{d, e as f}}"),
--- a/crates/ladderroute/tests/outbox.rs
+++ b/crates/ladderroute/tests/outbox.rs
@@ -2,9 +2,9 @@
 
 use ladderroute::outbox::{Outbox, MAX_WRITE_BYTES};
 
-/// After an outage of the store thousands of finished tasks are cleared at once. When the number of
-/// frames was bounded, the queue overflowed, and the owner was disconnected for no reason. Urgent
-/// frames, such as grants of authority, overtake the queue.
+/// After an outage of the store, thousands of finished tasks are cleared at once. When the queue was bounded
+/// by its number of frames, it then overflowed, and the owner of a shard was disconnected for no reason.
+/// Urgent frames, such as grants of authority, overtake the queue.
 #[test]
 fn many_small_frames_fit_and_urgent_ones_go_first() {
     let outbox = Outbox::new(1 << 20);
--- a/crates/ladderroute/tests/refusals.rs
+++ b/crates/ladderroute/tests/refusals.rs
@@ -15,7 +15,7 @@
     Value::Text(s.into())
 }
 
-/// Returns fields with invalid values for them.
+/// Returns names of fields, each with an invalid value for the field.
 fn invalid_values() -> Vec<(&'static str, Value)> {
     vec![
         ("tickets", Value::Integer(0.into())),
@@ -58,7 +58,7 @@
     submission("wk-400", |m| m.push((text("awaits"), Value::Array(ids))))
 }
 
-/// Returns names and bodies of submissions that are refused.
+/// Returns submissions that are refused: a name for each case, and the body.
 fn refused_submissions() -> Vec<(String, Vec<u8>)> {
     let mut requests = Vec::new();
     for (i, (name, value)) in invalid_values().into_iter().enumerate() {
@@ -88,12 +88,15 @@
     requests
 }
 
-/// Formats a response as one line; the error text represents the body, which holds nothing else.
+/// Formats a response as one line. The error text stands for the body, which is checked to hold nothing else.
 fn format_response(name: &str, response: &Response) -> String {
     let body: Value = cbor::decode(&response.body).unwrap();
     let error = body.as_map().unwrap()[0].1.as_text().unwrap().to_string();
     let same = cbor::encode(&Value::Map(vec![(text("error"), text(&error))]));
-    assert_eq!(response.body, same, "{name}");
+    assert_eq!(
+        response.body, same,
+        "{name}: the body is not just the error text"
+    );
     let retry = response.retry_after_s;
     let retry = retry.map_or(String::new(), |s| format!(" retry {s}"));
     format!("{name}: {}{retry} {error}", response.status)
@@ -124,7 +127,11 @@
         let mismatches: Vec<String> = mismatches
             .map(|(actual, expected)| format!("{actual}\n{expected}"))
             .collect();
-        assert!(mismatches.is_empty(), "\n{}", mismatches.join("\n"));
+        assert!(
+            mismatches.is_empty(),
+            "unexpected responses, each followed by the expected one:\n{}",
+            mismatches.join("\n")
+        );
         assert_eq!(responses.len(), expected.len());
     });
 }
--- a/crates/ladderroute/tests/reload.rs
+++ b/crates/ladderroute/tests/reload.rs
@@ -1,5 +1,5 @@
-//! A controller whose view is older than the changes that the store retains reloads all keys in pages, while
-//! records keep arriving by other means.
+//! A controller whose view of the store is older than the changes that the store retains reloads all keys in
+//! pages, while it keeps receiving records in other ways.
 
 // Clippy allows `unwrap` in test functions, but not in their helpers.
 #![allow(clippy::unwrap_used)]
@@ -33,8 +33,8 @@
     }
 }
 
-/// Lets a controller miss changes that the store then discards, so that its next request for changes is
-/// refused because the view is too old.
+/// Makes a controller miss changes, which the store then discards, so that the controller's next request for
+/// changes is refused because its view is too old.
 async fn miss_changes(
     store: &FakeStore,
     endpoint: &StoreEndpoint,
@@ -58,9 +58,9 @@
     leadership.is_some_and(|leadership| leadership.leader.has_job(id))
 }
 
-/// A job ends during a reload, by a write of this controller that was in flight, while the pages still hold
-/// it as open. It stays terminal, and so do the jobs that were cancelled with it; the leader does not get
-/// the job back.
+/// Jobs end during a reload, by writes of the reloading controller that were in flight, while the loaded
+/// pages still hold them as open. They stay terminal, and so does a job that was cancelled along with its
+/// dependency; the leader does not get any of them back.
 #[test]
 fn job_ended_during_reload_stays_terminal() {
     with_endpoints(|store, [a, b], [endpoint, _]| async move {
@@ -86,14 +86,14 @@
             a.apply_job_record(&mut a.lock(), id, record, item.version);
         }
         assert!(!leader_has_job(&a, "wk-1") && leader_has_job(&a, "wk-5"));
-        // Changes read after the reload must not hide a fault.
+        // Changes are refused from now on: if they were read after the reload, they could hide a fault of it.
         endpoint.refuses_changes.set(true);
         endpoint.delays_pages.set(false);
         wait_until(|| is_loaded(&a)).await;
         assert_eq!(
             recorded_state(&a, "wk-6"),
             Some(Recorded::Open),
-            "wk-6, missed before the reload"
+            "wk-6, whose creation the controller missed, is not open after the reload"
         );
         for (id, expected, leader_has) in [
             ("wk-1", Recorded::Cancelled, false),
@@ -123,15 +123,15 @@
         wait_until(|| is_loaded(&a) || endpoint.page_requests.get() > 100).await;
         assert!(
             is_loaded(&a),
-            "page requests: {}",
+            "the reload is not finished after {} page requests",
             endpoint.page_requests.get()
         );
         assert_eq!(recorded_state(&a, "wk-missed"), Some(Recorded::Open));
     });
 }
 
-/// The store does not limit the size of a response with changes; a controller that rejects the oversized
-/// response and only retries would never catch up.
+/// The store does not limit the size of a response with changes; a controller that rejected an oversized
+/// response and only retried the request would never catch up.
 #[test]
 fn oversized_response_triggers_paged_reload() {
     with_endpoints(|store, [a, b], [endpoint, _]| async move {
--- a/crates/ladderroute/tests/settings.rs
+++ b/crates/ladderroute/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The platform's settings: which are accepted, and which errors name the field.
+//! The platform's settings file: what is accepted, and which field an error names.
 
 use ladderroute::settings::{Settings, Tuning};
 
@@ -88,7 +88,8 @@
     assert!(next("next = 3").is_err());
 }
 
-/// When the last objective listed applied, gangs with an objective of 100 s waited as if it were 250 s.
+/// When the objective listed last applied instead, gangs with an objective of 100 s waited as if it were 250
+/// s.
 #[test]
 fn shortest_start_objective_of_a_class_applies() {
     let text = format!(
@@ -143,8 +144,8 @@
     }
 }
 
-/// A guest team has neither a guarantee nor a limit: limits of 0 mean unlimited. They were once read as
-/// a quota of zero, so that each job of the team was refused as one that can never run. The cause was the
+/// A guest team has neither a guarantee nor a limit: limits of 0 mean unlimited. Such limits were once read
+/// as a quota of zero, so that every job of the team was refused as one that can never run. The cause was the
 /// sentence "a value of 0 means none", which was taken to mean that the team may use nothing.
 #[test]
 fn zero_team_limit_means_unlimited() {
--- a/crates/ladderroute/tests/stale_view.rs
+++ b/crates/ladderroute/tests/stale_view.rs
@@ -1,6 +1,6 @@
-//! Responses of a controller whose view of the store is stale: it must never report an older state than
-//! another controller has reported. A job record that is read directly does not contain the state of the
-//! job's dependencies.
+//! Responses of a controller whose view of the store is stale: it must never report an older state of a job
+//! than another controller has reported. Reading the job's own record is not enough for that, since it does
+//! not contain the state of the job's dependencies.
 
 // Clippy allows `unwrap` in test functions, but not in their helpers.
 #![allow(clippy::unwrap_used)]
@@ -18,18 +18,19 @@
 use std::time::Duration;
 use wire::users::JobState;
 
-/// Brings the view of a controller up to date and then keeps further changes from it.
+/// Brings the view of a controller up to date, and then hides all further changes of the store from it.
 async fn fall_behind(controller: &Rc<Controller>, endpoint: &StoreEndpoint) {
     assert!(ladderroute::freshness::refresh_view(controller).await);
     endpoint.refuses_changes.set(true);
-    // When a later request has been refused, the one that was in flight has ended, too.
+    // A request may be in flight that is not refused. It has ended when a later request has been refused.
     let requests_before = endpoint.change_requests.get();
     while endpoint.change_requests.get() < requests_before + 2 {
         smol::Timer::after(Duration::from_millis(2)).await;
     }
 }
 
-/// Dates the view of a controller back by the maximum staleness, so that it proves nothing any more.
+/// Reloads a controller's view as if it had been read `max_start_staleness_s` ago: it is then too old to
+/// prove the state of a job.
 fn make_view_stale(controller: &Controller, store: &FakeStore) {
     let view = &mut controller.lock().shared.view;
     let mut reload =
@@ -41,8 +42,9 @@
     view.finish_reload(reload);
 }
 
-/// Observed as `went_back` in a day-long run at production size: a job was reported as cancelled and later
-/// as queued.
+/// A job was reported as cancelled and later as queued. That was observed in a simulated day at production
+/// size, with thousands of machines, and broke the protocol's rule `went_back`: once a user has been told
+/// that a job is done or cancelled, no controller may report an older state.
 #[test]
 fn repeated_submission_never_reports_older_state() {
     with_endpoints(|_, [a, b], [_, endpoint_b]| async move {
@@ -54,7 +56,7 @@
             progress_state(&query(&a, "wk-2").await),
             (200, JobState::Cancelled)
         );
-        // The record of wk-2 is open, and so is wk-1 in the view of this controller.
+        // The stored record of wk-2 is open, and controller b's view still has wk-1 as open, too.
         let repeated = submission_with_dependencies("wk-2", &["wk-1"]);
         assert!(is_retry_later(&submit(&b, &repeated).await));
         endpoint_b.refuses_changes.set(false);
@@ -63,7 +65,8 @@
     });
 }
 
-/// The same fault through a submission whose transaction response is lost, so that it is read back.
+/// The same fault, reached by another path: the response to the submission's transaction is lost, so the
+/// controller reads the job's record back.
 #[test]
 fn read_back_submission_never_reports_older_state() {
     with_endpoints(|store, [a, b], [_, endpoint_b]| async move {
@@ -85,8 +88,8 @@
     });
 }
 
-/// Guards against `orphaned`: a controller whose writes succeed while it receives no changes would keep
-/// reporting new dependents of a cancelled job as queued.
+/// Guards against the violation `orphaned`, a controller that treats dependents of a cancelled job as open:
+/// if its writes succeeded while it received no changes, it would keep reporting new dependents as queued.
 #[test]
 fn stale_view_never_reports_new_dependents_queued() {
     with_endpoints(|store, [a, b], [_, endpoint_b]| async move {
@@ -96,7 +99,7 @@
         cancel_confirmed(&a, "wk-1").await;
         let late = submission_with_dependencies("wk-2", &["wk-1"]);
         assert!(is_retry_later(&submit(&b, &late).await));
-        // A job without dependencies is accepted all the same: its own record is sufficient.
+        // A job without dependencies is accepted even so: its own record suffices to tell its state.
         submit_new(&b, "wk-3", &[]).await;
         endpoint_b.refuses_changes.set(false);
         assert_eq!(
@@ -106,8 +109,8 @@
     });
 }
 
-/// Terminal states are reported from memory, also on the paths above; the dependencies that a repeated
-/// submission names are ignored.
+/// A controller whose view can't be refreshed still reports terminal states, which are final, when the job is
+/// submitted again; it ignores the dependencies that the repeated submission names.
 #[test]
 fn terminal_records_are_reported_from_a_stale_view() {
     with_endpoints(|store, [a, b], [_, endpoint_b]| async move {
--- a/crates/ladderroute/tests/stand_in/mod.rs
+++ b/crates/ladderroute/tests/stand_in/mod.rs
@@ -23,7 +23,7 @@
     None,
     /// Applied; the response is lost.
     ResponseLost,
-    /// Not answered; held until [`FakeStore::apply_delayed_txns`].
+    /// Neither applied nor answered; held until [`FakeStore::apply_delayed_txns`] applies it.
     Delayed,
 }
 
@@ -33,20 +33,21 @@
     keys: RefCell<BTreeMap<String, (Value, u64)>>,
     change_log: RefCell<Vec<Change>>,
     revision: Cell<u64>,
-    /// The last revision whose changes have been discarded.
+    /// Changes up to and including this revision have been discarded.
     compacted_revision: Cell<u64>,
     leases_granted: Cell<u64>,
     /// The maximum number of items in a page.
     pub page_items: Cell<usize>,
-    /// The fault injected into the next transaction; reset to `None` when it arrives.
+    /// The fault injected into the next transaction; reset to `None` when that transaction arrives.
     pub next_txn_fault: Cell<TxnFault>,
-    /// Whether all requests are refused.
+    /// Whether the store refuses every request.
     pub unavailable: Cell<bool>,
     /// Transactions held by [`TxnFault::Delayed`], not applied yet.
     delayed_txns: RefCell<Vec<Txn>>,
 }
 
-/// The address at which one controller reaches the store, with faults that affect only this controller.
+/// The loopback address at which one controller reaches the store: faults that affect only this controller,
+/// and counts of its requests.
 // Each test file compiles this module and uses only a part of it.
 #[allow(dead_code)]
 #[derive(Default)]
@@ -55,17 +56,17 @@
     pub refuses_changes: Cell<bool>,
     /// The number of requests for changes, answered or refused.
     pub change_requests: Cell<u32>,
-    /// Whether responses with pages are held back after the page has been read.
+    /// Whether pages, once read, are held back: the response is sent when this is false again.
     pub delays_pages: Cell<bool>,
-    /// Every n-th request for a page is refused; none if 0.
+    /// If this is n > 0, every n-th request for a page is refused; if 0, none.
     pub refused_page_interval: Cell<u32>,
     /// The number of requests for pages.
     pub page_requests: Cell<u32>,
 }
 
-/// The status of a request that the store refuses for now.
+/// HTTP status when the store refuses a request temporarily.
 const REFUSED: u16 = 503;
-/// The status of a request for changes that have been discarded.
+/// HTTP status when the requested changes have been discarded.
 const TOO_OLD: u16 = 410;
 
 impl FakeStore {
@@ -84,7 +85,8 @@
         })
     }
 
-    /// Serves the store at a new loopback address; returns the faults of this endpoint and its address.
+    /// Serves the store at a new loopback address; returns this endpoint, for its faults and counts, and the
+    /// address.
     pub async fn open_endpoint(
         self: &Rc<FakeStore>,
         executor: &Rc<smol::LocalExecutor<'static>>,
@@ -193,7 +195,7 @@
         Response::new(200, cbor::encode(&page))
     }
 
-    /// Returns the page of items after a key.
+    /// Returns the page of items whose keys follow `since`.
     pub fn page_after(&self, since: &str) -> Page {
         let keys = self.keys.borrow();
         let mut rest = keys.iter().filter(|(key, _)| key.as_str() > since);
@@ -210,7 +212,7 @@
         }
     }
 
-    /// Discards all changes so far: a client that has not seen them has to read all keys again.
+    /// Discards all changes so far: a client that has not read them has to read all keys again.
     // Each test file compiles this module and uses only a part of it.
     #[allow(dead_code)]
     pub fn compact(&self) {
@@ -240,7 +242,7 @@
         }
     }
 
-    /// Applies the delayed transactions; returns their statuses.
+    /// Applies the delayed transactions; returns the HTTP status of each.
     // Each test file compiles this module and uses only a part of it.
     #[allow(dead_code)]
     pub fn apply_delayed_txns(&self) -> Vec<u16> {
@@ -295,7 +297,8 @@
     }
 }
 
-/// Starts a controller that watches the store and runs no other task; returns it once its view is loaded.
+/// Starts a controller whose only background task is watching the store; returns it once it has read all
+/// keys.
 pub async fn start_controller(
     executor: &Rc<smol::LocalExecutor<'static>>,
     i: usize,
@@ -337,7 +340,7 @@
     controller.lock().shared.view.is_complete()
 }
 
-/// Returns the entry of a job in a controller's view.
+/// Returns the entry of a job in a controller's view of the store.
 // Each test file compiles this module and uses only a part of it.
 #[allow(dead_code)]
 pub fn job_entry(controller: &Controller, id: &str) -> Option<JobEntry> {
--- a/crates/ladderroute/tests/stand_in/requests.rs
+++ b/crates/ladderroute/tests/stand_in/requests.rs
@@ -1,4 +1,5 @@
-//! Users' requests, checks of their responses, and the end of a job as a leader writes it.
+//! Helpers for tests: requests of users, checks of the responses, and the record that a leader writes when a
+//! job ends.
 
 // Each test file compiles this module and uses only a part of it.
 #![allow(dead_code)]
@@ -20,7 +21,7 @@
     with_endpoints(|store, controllers, _| test(store, controllers));
 }
 
-/// Runs a test with a store, two controllers, and the store endpoint of each.
+/// Runs a test with a store, two controllers, and the endpoint at which each of them reaches the store.
 pub fn with_endpoints<F: Future<Output = ()>>(
     test: impl FnOnce(Rc<FakeStore>, [Rc<Controller>; 2], [Rc<StoreEndpoint>; 2]) -> F,
 ) {
@@ -124,12 +125,12 @@
     (response.status, state)
 }
 
-/// Records a job as done, as a leader does; returns the status of the transaction.
+/// Records a job as done, as a leader does; returns the HTTP status of the transaction.
 pub fn record_job_done(store: &FakeStore, id: &str) -> u16 {
     record_job_state(store, id, Recorded::Done)
 }
 
-/// Records the terminal state of a job; returns the status of the transaction.
+/// Records the terminal state of a job, as a leader does; returns the HTTP status of the transaction.
 pub fn record_job_state(store: &FakeStore, id: &str, state: Recorded) -> u16 {
     let item = store.get(&store::keys::job(id)).unwrap();
     let record: JobRecord = from_value(&item.value).unwrap();
--- a/crates/ladderroute/tests/user_requests.rs
+++ b/crates/ladderroute/tests/user_requests.rs
@@ -1,6 +1,6 @@
-//! Responses to users at every controller while the state service refuses requests, loses responses or
-//! applies transactions late. No result depends on timing of a few milliseconds: only requests that are
-//! never answered time out.
+//! Responses to users at every controller, also while the state service refuses requests, loses responses or
+//! applies transactions late. No result depends on a few milliseconds: only requests that are never answered
+//! time out.
 
 // Clippy allows `unwrap` in test functions, but not in their helpers.
 #![allow(clippy::unwrap_used)]
@@ -70,7 +70,7 @@
             accepted_state(&submit(&a, &submission("wk-1", |_| ())).await),
             (200, JobState::Queued)
         );
-        // Not applied so far: neither accepted nor permanently refused.
+        // The transaction has not been applied so far: the job is neither accepted nor permanently refused.
         store.next_txn_fault.set(TxnFault::Delayed);
         let response = submit(&a, &submission("wk-2", |_| ())).await;
         assert_eq!(
@@ -92,7 +92,8 @@
                 (200, JobState::Cancelled)
             );
         }
-        // Only the delayed transaction, applied late: every controller knows the job from then on.
+        // The delayed transaction is the only one for wk-3: once it is applied, every controller knows the
+        // job.
         store.next_txn_fault.set(TxnFault::Delayed);
         assert_eq!(submit(&a, &submission("wk-3", |_| ())).await.status, 503);
         assert_eq!(query(&b, "wk-3").await.status, 404);
@@ -115,7 +116,7 @@
             assert_eq!(submit(&a, &submission(id, |_| ())).await.status, 201);
             assert_eq!(query(&b, id).await.status, 200);
         }
-        // The completion was written first, and the controller has not seen it.
+        // The completion was written before the cancellation, and controller b has not seen it.
         assert_eq!(record_job_done(&store, "wk-1"), 200);
         assert_eq!(
             accepted_state(&cancel(&b, "wk-1").await),
@@ -127,7 +128,7 @@
             accepted_state(&cancel(&b, "wk-2").await),
             (200, JobState::Cancelled)
         );
-        // The cancellation is delayed, and the job completes meanwhile: it comes too late.
+        // The cancellation is delayed and comes too late, since the job completes meanwhile.
         store.next_txn_fault.set(TxnFault::Delayed);
         let (response, _) = smol::future::zip(cancel(&b, "wk-3"), async {
             while store.next_txn_fault.get() == TxnFault::Delayed {
@@ -201,7 +202,8 @@
             cancel(&a, "wk-3").await,
             submit(&a, &submission("wk-2", |_| ())).await,
             submit(&a, &submission("wk-3", |_| ())).await,
-            // A job that can never run may have been accepted already, through another controller.
+            // This job can never run, but its refusal is temporary: another controller may already have
+            // accepted it.
             submit(
                 &a,
                 &submission("wk-4", |m| {
@@ -246,13 +248,17 @@
             assert_eq!(
                 submit(&a, &incomplete).await.status,
                 expected,
-                "without {name}"
+                "submission without {name}"
             );
             let invalid = submission(&format!("wk-invalid{i}"), |m| m[i].1 = Value::Map(vec![]));
             let status = submit(&a, &invalid).await.status;
-            assert_eq!(status, 400, "{name} of the wrong type");
+            assert_eq!(status, 400, "submission with {name} of the wrong type");
             let null = submission(&format!("wk-null{i}"), |m| m[i].1 = Value::Null);
-            assert_eq!(submit(&a, &null).await.status, expected, "{name} null");
+            assert_eq!(
+                submit(&a, &null).await.status,
+                expected,
+                "submission with {name} null"
+            );
         }
     });
 }
@@ -278,7 +284,7 @@
                 &submission("wk-400", |m| set_field(m, name, value.clone())),
             )
             .await;
-            assert_eq!(response.status, 400, "{name} {value:?}");
+            assert_eq!(response.status, 400, "submission with {name} {value:?}");
         }
         assert_eq!(submit(&a, b"\xff\x00").await.status, 400);
         assert!(store.get(&store::keys::job("wk-400")).is_none());
@@ -304,7 +310,7 @@
                 &submission("wk-422", |m| set_field(m, name, value.clone())),
             )
             .await;
-            assert_eq!(response.status, 422, "{name} {value:?}");
+            assert_eq!(response.status, 422, "submission with {name} {value:?}");
         }
         assert!(store.get(&store::keys::job("wk-422")).is_none());
         assert_eq!(query(&b, "wk-422").await.status, 404);
