--- a/crates/ladderroute/tests/batches.rs
+++ b/crates/ladderroute/tests/batches.rs
@@ -322,8 +322,8 @@
     assert!(fixture.next_batch().is_empty());
 }
 
-/// If a transaction can't hold all pages of a split, the new pages are written first and the original page
-/// last, so that every machine stays on the roster at each step.
+/// If a transaction can't hold all pages of a split, the new pages with copies of the moved machines are
+/// written first and the original page last, so that every machine stays on the roster at each step.
 #[test]
 fn multi_transaction_split_keeps_every_machine() {
     let tiny_limits = TxnLimits {
--- a/crates/ladderroute/tests/cluster_view.rs
+++ b/crates/ladderroute/tests/cluster_view.rs
@@ -355,8 +355,8 @@
                 .responses
                 .extend(change_store(&mut store, &mut rng, step));
         }
-        // The controller reads a record directly: one that another controller has written, or one that it has
-        // written itself without receiving the response.
+        // A direct read of a record that another controller has written, or this one without getting the
+        // response.
         if rng.u32(0..12) == 0 {
             let ids: Vec<&String> = store.records.keys().collect();
             if let Some(id) = rng.choice(ids) {
@@ -393,6 +393,7 @@
     (None, controller.finished_reloads)
 }
 
+/// The view holds all that the store held at `read_at`, and no record in it is replaced by an older version.
 #[test]
 fn view_never_regresses_and_is_complete_at_read_at() {
     let mut reloads = 0;
--- a/crates/ladderroute/tests/links.rs
+++ b/crates/ladderroute/tests/links.rs
@@ -2,7 +2,7 @@
 //! authority.
 
 // Clippy allows `unwrap` in test functions, but not in their helpers. An `unwrap` that panics makes the test
-// fail at the right place.
+// fail at the call that failed.
 #![allow(clippy::unwrap_used)]
 
 #[allow(dead_code)]
@@ -29,7 +29,7 @@
     }
 }
 
-/// Starts a controller that watches the store; the other controller's link port is at `peer_addr`.
+/// Starts a controller that watches the store; the other controller accepts links at `peer_addr`.
 fn start_controller(
     executor: &Rc<LocalExecutor<'static>>,
     i: usize,
--- a/crates/ladderroute/tests/settings.rs
+++ b/crates/ladderroute/tests/settings.rs
@@ -88,7 +88,7 @@
     assert!(next("next = 3").is_err());
 }
 
-/// When the objective listed last applied instead, gangs with an objective of 100 s waited as if it were 250
+/// When the last one in the file applied instead, gangs with an objective of 100 s waited as if it were 250
 /// s.
 #[test]
 fn shortest_start_objective_of_a_class_applies() {
--- a/crates/ladderroute/tests/stale_view.rs
+++ b/crates/ladderroute/tests/stale_view.rs
@@ -22,15 +22,15 @@
 async fn fall_behind(controller: &Rc<Controller>, endpoint: &StoreEndpoint) {
     assert!(ladderroute::freshness::refresh_view(controller).await);
     endpoint.refuses_changes.set(true);
-    // A request may be in flight that is not refused. It has ended when a later request has been refused.
+    // A request that was not refused may still be in flight. It has ended when a later one has been refused.
     let requests_before = endpoint.change_requests.get();
     while endpoint.change_requests.get() < requests_before + 2 {
         smol::Timer::after(Duration::from_millis(2)).await;
     }
 }
 
-/// Reloads a controller's view as if it had been read `max_start_staleness_s` ago: it is then too old to
-/// prove the state of a job.
+/// Reloads a controller's view as if it had been read `max_start_staleness_s` ago: it is then too old to tell
+/// the state of a job that depends on others.
 fn make_view_stale(controller: &Controller, store: &FakeStore) {
     let view = &mut controller.lock().shared.view;
     let mut reload =
@@ -109,8 +109,8 @@
     });
 }
 
-/// A controller whose view can't be refreshed still reports terminal states, which are final, when the job is
-/// submitted again; it ignores the dependencies that the repeated submission names.
+/// When a job that has ended is submitted again, even a controller whose view can't be refreshed reports the
+/// terminal state, from memory; it ignores the dependencies that the repeated submission names.
 #[test]
 fn terminal_records_are_reported_from_a_stale_view() {
     with_endpoints(|store, [a, b], [_, endpoint_b]| async move {
--- a/crates/ladderroute/tests/stand_in/mod.rs
+++ b/crates/ladderroute/tests/stand_in/mod.rs
@@ -23,7 +23,7 @@
     None,
     /// Applied; the response is lost.
     ResponseLost,
-    /// Neither applied nor answered; held until [`FakeStore::apply_delayed_txns`] applies it.
+    /// Never answered; held, and applied only by [`FakeStore::apply_delayed_txns`].
     Delayed,
 }
 
@@ -46,8 +46,8 @@
     delayed_txns: RefCell<Vec<Txn>>,
 }
 
-/// The loopback address at which one controller reaches the store: faults that affect only this controller,
-/// and counts of its requests.
+/// An endpoint at which one controller reaches the store: the faults that affect only this controller, and
+/// the counts of its requests.
 // Each test file compiles this module and uses only a part of it.
 #[allow(dead_code)]
 #[derive(Default)]
--- a/crates/ladderroute/tests/user_requests.rs
+++ b/crates/ladderroute/tests/user_requests.rs
@@ -139,8 +139,8 @@
         .await;
         assert_eq!(accepted_state(&response), (200, JobState::Done));
         assert_eq!(store.apply_delayed_txns(), vec![409]);
-        // The cancellation is delayed, retried and confirmed: the delayed one changes nothing,
-        // and the job stays cancelled.
+        // The transaction of the cancellation is delayed, and its retry confirms the cancellation: the
+        // delayed transaction changes nothing, and the job stays cancelled.
         store.next_txn_fault.set(TxnFault::Delayed);
         assert_eq!(
             accepted_state(&cancel(&b, "wk-4").await),
@@ -328,6 +328,7 @@
     });
 }
 
+/// The tasks of an array need not run at once: 16 x 13 CPUs may exceed the team's limit of 200.
 #[test]
 fn array_fits_by_task_and_repeats_are_not_validated() {
     with_controllers(|_, [a, b]| async move {
