--- a/crates/ladderroute/tests/api.rs
+++ b/crates/ladderroute/tests/api.rs
@@ -11,7 +11,7 @@
 struct Deployment {
     memory_mb: f64,
     max_sockets: usize,
-    others: usize,
+    other_controllers: usize,
     store_rps: f64,
     machines: u32,
 }
@@ -22,28 +22,28 @@
     Deployment {
         memory_mb: 188.0,
         max_sockets: 2829,
-        others: 4,
+        other_controllers: 4,
         store_rps: 70.0,
         machines: 2750,
     },
     Deployment {
         memory_mb: 188.0,
         max_sockets: 2057,
-        others: 2,
+        other_controllers: 2,
         store_rps: 250.0,
         machines: 890,
     },
     Deployment {
         memory_mb: 56.0,
         max_sockets: 600,
-        others: 2,
+        other_controllers: 2,
         store_rps: 60.0,
         machines: 260,
     },
     Deployment {
         memory_mb: 200.0,
         max_sockets: 3500,
-        others: 0,
+        other_controllers: 0,
         store_rps: 80.0,
         machines: 3300,
     },
@@ -55,15 +55,15 @@
             memory_mb: self.memory_mb,
             max_sockets: self.max_sockets,
         };
-        server_limits(&quota, self.others, self.store_rps, 10.0)
+        server_limits(&quota, self.other_controllers, self.store_rps, 10.0)
     }
 }
 
 #[test]
-fn server_limits_fit_the_quota_and_reserve_sockets() {
+fn server_limits_fit_quota_and_reserve_sockets() {
     for deployment in DEPLOYMENTS {
         let limits = deployment.limits();
-        let reserved = reserved_sockets(deployment.others, deployment.store_rps);
+        let reserved = reserved_sockets(deployment.other_controllers, deployment.store_rps);
         assert!(limits.max_connections + reserved <= deployment.max_sockets);
         // A worker can be without a connection for a moment, so connections for 97% of the machines are
         // enough.
--- a/crates/ladderroute/tests/batches.rs
+++ b/crates/ladderroute/tests/batches.rs
@@ -173,7 +173,7 @@
 /// Bindings (placements of gangs) are written before the roster of machines, and both before the progress of
 /// jobs; machines share a roster page.
 #[test]
-fn urgent_writes_go_first_and_entries_share_pages() {
+fn urgent_writes_first_and_machines_share_page() {
     let mut fixture = WriterFixture::new([
         record_progress("wk-000002"),
         add_machine("host-1"),
@@ -450,7 +450,7 @@
 /// oversized write is alone, and after that its page gets smaller; all other pending writes proceed
 /// meanwhile.
 #[test]
-fn size_refusal_shrinks_writes_and_blocks_no_others() {
+fn refused_sizes_shrink_and_block_no_others() {
     let mut limits = TxnLimits {
         max_writes: 12,
         value_kb: 4.0,
--- a/crates/ladderroute/tests/cluster_view.rs
+++ b/crates/ladderroute/tests/cluster_view.rs
@@ -395,7 +395,7 @@
 
 /// The view holds all that the store held at `read_at`, and no record in it is replaced by an older version.
 #[test]
-fn view_never_regresses_and_is_complete_at_read_at() {
+fn view_is_complete_and_never_regresses() {
     let mut reloads = 0;
     for seed in 0..400 {
         let (violation, finished) = run_history(seed, ReloadMode::Merge);
--- a/crates/ladderroute/tests/dependencies.rs
+++ b/crates/ladderroute/tests/dependencies.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn cancellation_propagates_to_dependents_everywhere() {
+fn cancellation_reaches_dependents_everywhere() {
     with_controllers(|_, [a, b]| async move {
         submit_new(&a, "wk-1", &[]).await;
         submit_new(&b, "wk-2", &["wk-1"]).await;
@@ -100,7 +100,7 @@
 /// While the store is down, the controller that confirmed a cancellation, and every other controller that has
 /// learned of it, keep reporting the cancelled job and all jobs in the chain that depends on it as cancelled.
 #[test]
-fn cancelled_chain_is_reported_during_store_outage() {
+fn cancelled_chain_is_reported_in_store_outage() {
     with_controllers(|store, [a, b]| async move {
         submit_new(&a, "wk-1", &[]).await;
         submit_new(&a, "wk-2", &["wk-1"]).await;
@@ -201,7 +201,7 @@
 
 /// The test settings announce that the store's value limit will be halved, to 2 KiB.
 #[test]
-fn oversized_dependency_list_is_refused_with_limit() {
+fn oversized_dependencies_refused_with_limit() {
     with_controllers(|store, [a, b]| async move {
         let ids: Vec<String> = (0..300).map(|n| format!("wk-{n:06}")).collect();
         let names: Vec<&str> = ids.iter().map(String::as_str).collect();
--- a/crates/ladderroute/tests/outbox.rs
+++ b/crates/ladderroute/tests/outbox.rs
@@ -6,7 +6,7 @@
 /// by its number of frames, it then overflowed, and the owner of a shard was disconnected for no reason.
 /// Urgent frames, such as grants of authority, overtake the queue.
 #[test]
-fn many_small_frames_fit_and_urgent_ones_go_first() {
+fn many_frames_fit_and_urgent_ones_go_first() {
     let outbox = Outbox::new(1 << 20);
     for _ in 0..16_000 {
         outbox.send(vec![1; 60]);
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn frames_keep_their_order_and_are_bounded_in_bytes() {
+fn frames_keep_order_and_are_bounded_in_bytes() {
     let outbox = Outbox::new(300_000);
     let mut sent = Vec::new();
     for i in 0..200u8 {
--- a/crates/ladderroute/tests/settings.rs
+++ b/crates/ladderroute/tests/settings.rs
@@ -57,7 +57,7 @@
 
 /// The upcoming limits of the state service may be missing, partial, or higher than the current ones.
 #[test]
-fn smaller_of_current_and_upcoming_limits_applies() {
+fn smaller_of_current_and_next_limits_applies() {
     let next = |text: &str| {
         let with_next = VALID_SETTINGS.replace("txn_ops = 12", &format!("txn_ops = 12\n{text}"));
         Settings::parse(&with_next, "f")
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn unknown_fields_are_skipped_and_known_ones_used() {
+fn only_known_fields_are_used() {
     let settings = Settings::parse(VALID_SETTINGS, "f").unwrap();
     let config = settings.scheduler_config(&Tuning::default());
     assert_eq!(
--- a/crates/ladderroute/tests/stale_view.rs
+++ b/crates/ladderroute/tests/stale_view.rs
@@ -68,7 +68,7 @@
 /// The same fault, reached by another path: the response to the submission's transaction is lost, so the
 /// controller reads the job's record back.
 #[test]
-fn read_back_submission_never_reports_older_state() {
+fn read_back_never_reports_older_state() {
     with_endpoints(|store, [a, b], [_, endpoint_b]| async move {
         submit_new(&a, "wk-1", &[]).await;
         fall_behind(&b, &endpoint_b).await;
@@ -91,7 +91,7 @@
 /// Guards against the violation `orphaned`, a controller that treats dependents of a cancelled job as open:
 /// if its writes succeeded while it received no changes, it would keep reporting new dependents as queued.
 #[test]
-fn stale_view_never_reports_new_dependents_queued() {
+fn stale_view_reports_no_new_dependent_queued() {
     with_endpoints(|store, [a, b], [_, endpoint_b]| async move {
         submit_new(&a, "wk-1", &[]).await;
         fall_behind(&b, &endpoint_b).await;
@@ -112,7 +112,7 @@
 /// When a job that has ended is submitted again, even a controller whose view can't be refreshed reports the
 /// terminal state, from memory; it ignores the dependencies that the repeated submission names.
 #[test]
-fn terminal_records_are_reported_from_a_stale_view() {
+fn stale_view_still_reports_terminal_states() {
     with_endpoints(|store, [a, b], [_, endpoint_b]| async move {
         submit_new(&a, "wk-1", &[]).await;
         fall_behind(&b, &endpoint_b).await;
--- a/crates/ladderroute/tests/user_requests.rs
+++ b/crates/ladderroute/tests/user_requests.rs
@@ -318,7 +318,7 @@
 }
 
 #[test]
-fn team_without_limit_may_submit_any_job_that_fits() {
+fn unlimited_team_may_submit_any_fitting_job() {
     with_controllers(|_, [a, _]| async move {
         let guest = |m: &mut Vec<(Value, Value)>| {
             set_field(m, "crew", text("guest"));
@@ -330,7 +330,7 @@
 
 /// The tasks of an array need not run at once: 16 x 13 CPUs may exceed the team's limit of 200.
 #[test]
-fn array_fits_by_task_and_repeats_are_not_validated() {
+fn arrays_fit_by_task_and_repeats_skip_checks() {
     with_controllers(|_, [a, b]| async move {
         let array = |m: &mut Vec<(Value, Value)>| {
             set_field(m, "shape", text("array"));
