--- a/crates/ladderroute/src/controller/shared_state.rs
+++ b/crates/ladderroute/src/controller/shared_state.rs
@@ -59,7 +59,7 @@
     /// The durable records that are stored in pages, several to a key.
     pub records: RecordPages,
     /// The size limits of the leader's transactions.
-    pub limits: TxnLimits,
+    pub txn_limits: TxnLimits,
     /// Decisions that have yet to be written to the store.
     pub pending_writes: VecDeque<Action>,
     /// Requests that have yet to be sent to the cloud.
--- a/crates/ladderroute/src/writer/pages.rs
+++ b/crates/ladderroute/src/writer/pages.rs
@@ -67,7 +67,8 @@
 
 /// Returns whether a bitmap starts at a multiple of `tasks_per_chunk` and has at most `tasks_per_chunk` bits.
 fn matches_layout(first_task: u32, bits: &str, tasks_per_chunk: u32) -> bool {
-    first_task.is_multiple_of(tasks_per_chunk) && bits.len() * BITS_PER_HEX_DIGIT <= tasks_per_chunk as usize
+    first_task.is_multiple_of(tasks_per_chunk)
+        && bits.len() * BITS_PER_HEX_DIGIT <= tasks_per_chunk as usize
 }
 
 fn progress_entry_bytes(job: &str, bits: &str) -> usize {
