--- a/crates/ladderroute/src/writer/outcome.rs
+++ b/crates/ladderroute/src/writer/outcome.rs
@@ -263,9 +263,9 @@
     }
 }
 
-/// Reports the outcome of writing the end of a job. If a batch with the ends of several jobs fails,
-/// only the job records whose own conditions failed have changed in the meantime; the ends of the
-/// other jobs are written again.
+/// Reports whether the final state of a job was written. A batch fails as a whole: a job is reported
+/// as not written if the condition on its own record failed, since that record has changed in the
+/// meantime; the final states of the other jobs are written again.
 fn apply_finish(
     controller: &Controller,
     leadership: &mut Leadership,
--- a/crates/ladderroute/src/writer/pages.rs
+++ b/crates/ladderroute/src/writer/pages.rs
@@ -189,7 +189,7 @@
     }
 
     /// Returns the dirty progress pages (those that differ from their stored versions) that have to
-    /// be written with this one, in order.
+    /// be written together with `page`, in the order in which they have to be written.
     pub fn progress_write_unit(&mut self, page: u32) -> Vec<u32> {
         let mut pages = self.progress.write_unit(page);
         pages.retain(|page| self.progress.is_dirty(*page));
@@ -258,8 +258,9 @@
                 key: keys::progress(n),
             };
         };
-        // `chunks` holds chunk numbers, which readers multiply by their own chunk size. Only number
-        // 0 means the same task to all of them.
+        // `chunks` identifies a chunk by its number, which readers multiply by their own chunk size.
+        // Only chunk 0 begins at the same task for every reader; all others go into `sections`, which
+        // state their first task.
         let (chunks, sections) = entries
             .map(|(chunk, bits)| (chunk.job.clone(), chunk.first_task, bits.clone()))
             .partition(|(_, first_task, _)| *first_task == 0);
--- a/crates/model/tests/spot_notices.rs
+++ b/crates/model/tests/spot_notices.rs
@@ -69,8 +69,8 @@
     stopped
 }
 
-/// Guards against one machine's notice stopping all tasks of an array, wherever they run: an array
-/// with checkpoints ran on 750 spot machines, and there were 25,600 stops of 8,274 tasks.
+/// Guards against a fault in which one machine's notice stopped all tasks of an array, on all
+/// machines: of an array with checkpoints on 750 spot machines, 8,274 tasks were stopped 25,600 times.
 #[test]
 fn notice_stops_only_array_tasks_on_its_machine() {
     assert_eq!(stopped_by_notice(Shape::Array), BTreeSet::from([0, 1]));
--- a/crates/model/tests/staleness.rs
+++ b/crates/model/tests/staleness.rs
@@ -400,7 +400,8 @@
 }
 
 /// The leader learns of a cancellation from the controller that confirmed it, and later from the
-/// store. It notifies the owners only once, immediately, and then again at each new epoch.
+/// store. It notifies the owners immediately, not again when the store reports the cancellation, but
+/// once more at each new epoch.
 #[test]
 fn owners_hear_cancellation_once_and_per_epoch() {
     let config = SchedulerConfig {
--- a/crates/sched/src/autoscaler/arrivals.rs
+++ b/crates/sched/src/autoscaler/arrivals.rs
@@ -8,7 +8,7 @@
 /// retention time.
 const DEMAND_FACTOR: f64 = 4.0;
 
-/// Minimum fraction of the retention time for which idle machines are kept even if no jobs arrived
+/// Idle machines are kept for at least this fraction of the retention time, even if no jobs arrived
 /// recently, since jobs may arrive again.
 const MIN_RETENTION_SHARE: f64 = 0.25;
 
--- a/crates/sched/src/cluster/machine.rs
+++ b/crates/sched/src/cluster/machine.rs
@@ -9,7 +9,7 @@
 /// been started. No task is started on a machine that is not on it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Rostered {
-    /// The store has no record of the machine, or did not accept it.
+    /// The store has no record of the machine: none was written, or the write failed.
     No,
     /// The record is being written.
     Writing,
--- a/crates/sched/src/leader/reconciliation.rs
+++ b/crates/sched/src/leader/reconciliation.rs
@@ -14,7 +14,7 @@
     }
 
     /// Requeues tasks assigned to a previous owner once all machines of that owner are reconciled
-    /// or gone and none has shown the tasks: they are not running anywhere.
+    /// or gone and none of them has reported the tasks, which proves that they run nowhere.
     fn requeue_resolved_tasks(&mut self) {
         let machines = &self.cluster.machines;
         let is_settled =
--- a/crates/store/src/replica/mod.rs
+++ b/crates/store/src/replica/mod.rs
@@ -214,7 +214,7 @@
         self.jobs.cancel_with_ancestor(id);
     }
 
-    /// Sets the leader after a write of this controller has recorded it at `version`.
+    /// Sets the leader record, which this controller has just written to the store at `version`.
     pub fn set_leader(&mut self, record: LeaderRecord, version: u64) {
         self.leader.set(Some(record), version);
     }
