--- a/crates/model/src/world/leadership.rs
+++ b/crates/model/src/world/leadership.rs
@@ -6,8 +6,8 @@
 pub(super) struct LeadingController {
     pub(super) controller: usize,
     pub(super) leader: Leader,
-    /// The store's revision at its election. The store applies its writes only while it is the
-    /// leader.
+    /// The store's revision at its election. Its writes are conditional on this revision, so the
+    /// store applies them only while it is the leader.
     pub(super) elected_revision: u64,
 }
 
--- a/crates/sched/src/autoscaler/retention.rs
+++ b/crates/sched/src/autoscaler/retention.rs
@@ -171,8 +171,8 @@
 }
 
 /// Returns how long machines of a scarce type are kept for the next gang of a class that fits the
-/// type, in seconds. This is the longest target start time of those classes, leaving out classes
-/// whose gangs can start in time on a machine that must boot first.
+/// type, in seconds. This is the longest target start time of those classes, counting only classes
+/// whose gangs could hardly start in time on a machine that must boot first (see `MAX_BOOT_SHARE`).
 fn gang_retention_s(cluster: &Cluster, machine_type: &MachineType) -> f64 {
     let slow_boot_s = machine_type.boot_s * SLOW_BOOT_FACTOR;
     cluster
--- a/crates/sched/src/config.rs
+++ b/crates/sched/src/config.rs
@@ -59,7 +59,8 @@
     /// ones are provisioned.
     pub max_wait_share: f64,
     /// How long an idle machine is kept, as a multiple of its boot time. The autoscaler adjusts
-    /// this time for price and demand.
+    /// this time for price and demand. For types that the cloud does not list, the cloud's minimum
+    /// charge time (`MIN_CHARGE_S`) stands in for the boot time.
     pub idle_retention_boots: f64,
 }
 
--- a/crates/sched/src/leader/shard_epochs.rs
+++ b/crates/sched/src/leader/shard_epochs.rs
@@ -235,7 +235,8 @@
         connected
     }
 
-    /// Returns how many seconds the leader waits for further controllers after one has connected.
+    /// Returns how many seconds the leader waits for further controllers. The wait runs from when
+    /// the last of those now connected has connected, or from when this leader started if none is.
     fn settling_s(&self, now: Secs, owner_timeout_s: Secs) -> Secs {
         let waits_for_startup = self.expects_other_controllers
             && !self.has_begun
