--- a/crates/ladderroute/tests/stale_view.rs
+++ b/crates/ladderroute/tests/stale_view.rs
@@ -42,9 +42,9 @@
     view.finish_reload(reload);
 }
 
-/// A job was reported as cancelled and later as queued. That was observed in a simulated day at production
-/// size, with thousands of machines, and broke the protocol's rule `went_back`: once a user has been told
-/// that a job is done or cancelled, no controller may report an older state.
+/// A job was reported as cancelled and later as queued. That was observed in a day-long run at production
+/// size, and broke the protocol's rule `went_back`: once a user has been told that a job is done or
+/// cancelled, no controller may report an older state.
 #[test]
 fn repeated_submission_never_reports_older_state() {
     with_endpoints(|_, [a, b], [_, endpoint_b]| async move {
--- a/crates/model/tests/scale_out.rs
+++ b/crates/model/tests/scale_out.rs
@@ -97,9 +97,9 @@
 }
 
 /// Guards against requesting the full number of machines again when the backoff of a refused offer
-/// (a machine type in a zone) ends. Of several offers, there was always one to request again, so
-/// that arrays waited for a minute while the cloud had 53 machines left of the type reserved for
-/// gangs.
+/// (spot or on-demand machines of a type in a zone) ends. Of several offers, there was always one
+/// to request again, so that arrays waited for a minute while the cloud had 53 machines left of the
+/// type reserved for gangs.
 #[test]
 fn refused_types_are_retried_one_machine_at_a_time() {
     let mut scenario = ScaleOutScenario::new(0);
