--- a/crates/ladderroute/tests/stale_view.rs
+++ b/crates/ladderroute/tests/stale_view.rs
@@ -42,7 +42,7 @@
     view.finish_reload(reload);
 }
 
-/// A job was reported as cancelled and later as queued. That was observed in a day-long run at production
+/// A job was reported as cancelled and later as queued. That was observed in a simulated day at production
 /// size, and broke the protocol's rule `went_back`: once a user has been told that a job is done or
 /// cancelled, no controller may report an older state.
 #[test]
